--- a/cmd/puffinsaddle/main_test.go
+++ b/cmd/puffinsaddle/main_test.go
@@ -61,12 +61,14 @@
 // now is a notice that comes just now.
 func now(s os.Signal) notice { return notice{s, clock.System().Now()} }
 
+// executorPeer starts a fake executor that answers each JOIN with the given welcome. Its listener and connections stay open
+// until the test binary exits: the order servers that tests run in this process keep dialing the address after their test
+// has ended, and the operating system could give a closed port to a fake executor of another package's tests.
 func executorPeer(t *testing.T, welcome string) (address string, joined <-chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
 	joins := make(chan string, 10)
 	go func() {
 		for {
@@ -77,12 +79,22 @@
 			line, _ := bufio.NewReader(conn).ReadString('\n')
 			conn.Write([]byte(welcome))
 			joins <- strings.TrimSpace(line)
-			t.Cleanup(func() { conn.Close() })
+			go io.Copy(io.Discard, conn) // a connection without a reference would be closed by the garbage collector
 		}
 	}()
 	return ln.Addr().String(), joins
 }
 
+// The port of a fake executor must not be given to another process's tests while a server may still dial it.
+func TestFakeExecutorKeepsItsPort(t *testing.T) {
+	var address string
+	t.Run("a test that ends", func(t *testing.T) { address, _ = executorPeer(t, "") })
+	if ln, err := net.Listen("tcp", address); err == nil {
+		ln.Close()
+		t.Errorf("the port of %s is free once its test has ended", address)
+	}
+}
+
 func membersPeer(t *testing.T) net.PacketConn {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
