--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,9 +1,10 @@
-// Package admit decides whether a copy of the store may take part with the folder that it has. It is free of I/O.
+// Package admit decides whether a store replica may take part in its cluster with the data directory that it has. It does no I/O.
 //
-// A copy that votes on what it has forgotten can undo what was agreed on. So before it takes part each copy makes a Claim to
-// the others, again and again while it runs, and each of them remembers the latest: a Witness. A folder that is older than what
-// a witness remembers, an empty one under a known id and a second process under one id are told from a plain restart by that
-// memory. Who is contradicted has to join anew: without a vote, from the others, until it has what they have.
+// A replica that votes after it has lost log entries can undo committed ones. Each replica therefore sends a Claim to its peers
+// before it takes part, and repeatedly while it runs; each peer, as a verifier, remembers the latest claim. With that memory a
+// plain restart is distinguished from a data directory that is older than the remembered one, an empty directory under a known id
+// and a second process under the same id. A replica that is contradicted has to rejoin: as a non-voter that replicates from the
+// others until it has caught up.
 package admit
 
 import (
@@ -12,43 +13,45 @@
 	"slices"
 )
 
-// Mark is what a copy has on its disk.
+// Mark describes the data directory of a replica.
 type Mark struct {
-	Folder string `json:"folder"` // drawn when the folder was made
-	Life   uint64 `json:"life"`   // how often the folder was opened, this time included
-	Proc   string `json:"proc"`   // drawn at the start of the process that has it open
-	Term   uint64 `json:"term"`   // the latest term that it knows of
-	Last   uint64 `json:"last"`   // the position of its last entry
-	Joined uint64 `json:"joined"` // the position as of which the folder was joined without a vote; 0: it began with the set
-	Set    uint64 `json:"set"`    // how often operators began the set anew
-	Name   string `json:"name"`   // of the set; "": the folder has never been told
+	Folder string `json:"folder"` // random id, drawn when the directory was created
+	Life   uint64 `json:"life"`   // how often the directory was opened, including this time
+	Proc   string `json:"proc"`   // random id of the process that has the directory open, drawn at its start
+	Term   uint64 `json:"term"`   // the latest raft term known to the replica
+	Last   uint64 `json:"last"`   // log index of the last entry
+	Joined uint64 `json:"joined"` // log index as of which the directory joined as a non-voter; 0: it has been in use since bootstrap
+	Set    uint64 `json:"set"`    // how often operators have re-created the cluster
+	Name   string `json:"name"`   // the cluster's name; "": not known to this directory yet
 }
 
-// behind tells whether a folder lacks something that a later state of the same one had.
+// behind reports whether the directory lacks entries or terms that a later state of the same directory had.
 func (m Mark) behind(later Mark) bool {
 	return m.Term < later.Term || m.Term == later.Term && m.Last < later.Last
 }
 
-// Claim is what a copy says of itself.
+// Claim is what a replica reports about itself.
 type Claim struct {
 	ID   string `json:"id"`
 	Addr string `json:"addr"`
 	Mark
-	Fresh  bool   `json:"fresh,omitempty"`  // nothing was ever written to the folder
-	Rejoin string `json:"rejoin,omitempty"` // it asks to be joined anew, and why; "": it does not
-	Runs   bool   `json:"runs,omitempty"`   // it takes part
+	Fresh  bool   `json:"fresh,omitempty"`  // nothing has ever been written to the directory
+	Rejoin string `json:"rejoin,omitempty"` // why the replica asks to rejoin; "": it does not
+	Runs   bool   `json:"runs,omitempty"`   // the replica takes part in the cluster
 	Digest Digest `json:"digest"`
 }
 
-// Digest is what a copy made of a part of its state at a position of the log, at which all copies look at the same part.
+// Digest is the digest of one partition of a replica's state as of a log index. All replicas digest the same partition at that
+// index.
 type Digest struct {
-	At   uint64 `json:"at"` // 0: none yet
+	At   uint64 `json:"at"` // log index; 0: none yet
 	Part uint64 `json:"part"`
 	Sum  uint64 `json:"sum"`
 }
 
-// Differ tells which copies' state differs from that of a majority of the voters, by their digests at the latest position that
-// the asking copy has looked at. split: they differ, and no majority has one state.
+// Differ returns the replicas whose state differs from that of a majority of the voters, by their digests as of the log index at,
+// the latest one that the calling replica has digested. split reports that all voters have sent a digest, that these differ and
+// that no majority agrees.
 func Differ(at uint64, of map[string]Digest, voters int) (odd []string, split bool) {
 	sums := map[uint64]int{}
 	heard := 0
@@ -72,72 +75,72 @@
 	return nil, len(sums) > 1 && heard == voters
 }
 
-// Verdict is what a witness makes of a claim.
+// Verdict is a verifier's judgement of a claim.
 type Verdict string
 
 // Verdicts.
 const (
-	Good      Verdict = "good"      // nothing that the witness remembers speaks against it
-	Older     Verdict = "older"     // the folder had more
-	Foreign   Verdict = "foreign"   // another folder had the vote
-	Twin      Verdict = "twin"      // another process of this id is alive
-	Replaced  Verdict = "replaced"  // another process has taken this one's place
-	Elsewhere Verdict = "elsewhere" // the id belongs to another address
-	Stranger  Verdict = "stranger"  // the folder belongs to another set
-	Removed   Verdict = "removed"   // the set has no such id any more
-	Differs   Verdict = "differs"   // the copy's state differs from that of a majority
+	Good      Verdict = "good"      // nothing that the verifier remembers contradicts the claim
+	Older     Verdict = "older"     // the directory had a later state
+	Foreign   Verdict = "foreign"   // the vote belongs to another directory
+	Twin      Verdict = "twin"      // another process with this id is alive
+	Replaced  Verdict = "replaced"  // another process has replaced this one
+	Elsewhere Verdict = "elsewhere" // the id is configured with another address
+	Stranger  Verdict = "stranger"  // the directory belongs to another cluster
+	Removed   Verdict = "removed"   // the id is not a member of the cluster
+	Differs   Verdict = "differs"   // the replica's state differs from that of a majority
 )
 
-// Word is the answer to a claim.
+// Word is the response to a claim.
 type Word struct {
 	From    string  `json:"from"`
 	Verdict Verdict `json:"verdict"`
 	Why     string  `json:"why,omitempty"`
-	Begun   bool    `json:"begun,omitempty"`  // the witness belongs to a set that has begun
-	Joined  uint64  `json:"joined,omitempty"` // the witness leads, and the claimant has no vote as of this position; 0: it does not say so
-	Last    uint64  `json:"last,omitempty"`   // the witness's own last entry
-	Folder  string  `json:"folder,omitempty"` // the witness's own
-	Knows   bool    `json:"knows,omitempty"`  // it remembers this very folder of the claimant
-	Set     uint64  `json:"set,omitempty"`    // how often operators began the witness's set anew
-	Name    string  `json:"name,omitempty"`   // the name of its set
+	Begun   bool    `json:"begun,omitempty"`  // the verifier belongs to a bootstrapped cluster
+	Joined  uint64  `json:"joined,omitempty"` // a leader states: the claimant is a non-voter as of this log index; 0: not stated
+	Last    uint64  `json:"last,omitempty"`   // log index of the verifier's own last entry
+	Folder  string  `json:"folder,omitempty"` // id of the verifier's own directory
+	Knows   bool    `json:"knows,omitempty"`  // the verifier remembers this directory of the claimant
+	Set     uint64  `json:"set,omitempty"`    // as in DirectoryState, of the verifier's cluster
+	Name    string  `json:"name,omitempty"`   // name of the verifier's cluster
 }
 
-// Member is one copy of a set as a configuration has it.
+// Member is one replica in the configuration of a cluster.
 type Member struct {
 	Addr  string
 	Votes bool
 }
 
-// View is what a witness's own copy knows when it hears a claim.
+// View is what the verifier's own replica knows when a claim arrives.
 type View struct {
-	Begun  bool              // it belongs to a set that has begun
-	Of     map[string]Member // the set's latest configuration; nil: it knows none
-	Last   uint64
-	Folder string // its own
-	Set    uint64 // how often operators began the set anew
-	Name   string // of its set
+	Begun  bool              // the replica belongs to a bootstrapped cluster
+	Of     map[string]Member // the latest configuration of the cluster, by id; nil: not known
+	Last   uint64            // log index of the replica's last entry
+	Folder string            // id of its directory
+	Set    uint64            // how often operators have re-created the cluster
+	Name   string            // of its cluster
 }
 
-// AliveFor is how long, in ms of the witness's steady clock, a process that says nothing more is taken for alive while its
-// connection stands.
+// AliveFor is how long, in ms of the verifier's monotonic clock, a process is considered alive after its last claim while its
+// connection is open.
 const AliveFor = 3000.0
 
 type alive struct {
 	proc   string
 	claim  Claim
-	before string // the process whose place it took
-	at     float64
+	before string  // the process that it replaced
+	at     float64 // time of the latest claim
 	conn   uint64
 }
 
-// Witness is a copy's memory of the others. It is not safe for concurrent use.
+// Witness is a replica's memory of its peers' claims. It is not safe for concurrent use.
 type Witness struct {
 	Me    string
-	Marks map[string]Mark // by id; kept on disk
+	Marks map[string]Mark // by id; persisted by the caller
 
 	alive map[string]alive
 	asks  map[string]ask
-	odd   map[string]string // by id: folders whose copies differ from a majority
+	odd   map[string]string // by id: directory of a replica whose state differs from that of a majority
 }
 
 type ask struct {
@@ -145,7 +148,7 @@
 	at    float64
 }
 
-// NewWitness remembers what its folder kept.
+// NewWitness returns a verifier with the memory that was persisted.
 func NewWitness(me string, marks map[string]Mark) *Witness {
 	if marks == nil {
 		marks = map[string]Mark{}
@@ -153,8 +156,8 @@
 	return &Witness{Me: me, Marks: marks, alive: map[string]alive{}, asks: map[string]ask{}, odd: map[string]string{}}
 }
 
-// Hear takes a claim that came on a connection. keep: another folder, life or process is remembered now, and has to be on the
-// witness's disk before the answer goes out; what only grew may follow later.
+// Hear judges a claim that arrived on a connection. keep reports that the claim is from another directory, process or opening
+// than the remembered one: it must be on disk before the response is sent. Later terms and indexes may be persisted afterwards.
 func (w *Witness) Hear(now float64, conn uint64, c Claim, v View) (word Word, keep bool) {
 	word = Word{From: w.Me, Verdict: Good, Begun: v.Begun, Last: v.Last, Folder: v.Folder, Set: v.Set, Name: v.Name}
 	say := func(verdict Verdict, format string, a ...any) (Word, bool) {
@@ -165,7 +168,7 @@
 	switch {
 	case here.proc == "" || here.proc == c.Proc:
 	case here.before == c.Proc:
-		return say(Replaced, "process %s has taken the place of %s", here.proc, c.Proc)
+		return say(Replaced, "process %s has replaced process %s", here.proc, c.Proc)
 	case now < here.at+AliveFor:
 		return say(Twin, "process %s of %s is alive", here.proc, c.ID)
 	}
@@ -174,7 +177,7 @@
 	case c.Name != "" && v.Name != "" && c.Name != v.Name:
 		return say(Stranger, "the folder of %s belongs to set %s, and this is %s", c.ID, c.Name, v.Name)
 	case len(v.Of) > 0 && !known:
-		return say(Removed, "the set has no copy %s", c.ID)
+		return say(Removed, "the cluster has no replica %s", c.ID)
 	case known && m.Addr != c.Addr:
 		return say(Elsewhere, "%s is at %s, not at %s", c.ID, m.Addr, c.Addr)
 	}
@@ -192,10 +195,10 @@
 	votes := m.Votes || !known
 	switch {
 	case c.Set < v.Set:
-		return say(Foreign, "operators began the set anew, for the %d. time, and this folder is from before", v.Set)
-	case c.Set > v.Set: // this witness has not heard of that yet, and has nothing to say against it
+		return say(Foreign, "operators re-created the cluster (generation %d); this data directory is older", v.Set)
+	case c.Set > v.Set: // this verifier does not know of the re-created cluster yet, so it cannot contradict the claim
 	case had && mark.Folder != c.Folder && c.Joined <= mark.Joined && c.Set == mark.Set, !had && c.Fresh && c.Joined == 0 && v.Begun && votes:
-		return say(Foreign, "%s had its place with another folder", c.ID)
+		return say(Foreign, "%s took part with another data directory", c.ID)
 	case had && mark.Folder == c.Folder && mark.Proc != c.Proc && c.Life <= mark.Life:
 		return say(Older, "the folder of %s was opened %d times, and this is the %d. of it", c.ID, mark.Life, c.Life)
 	case had && mark.Folder == c.Folder && mark.Proc != c.Proc && c.behind(mark):
@@ -209,7 +212,8 @@
 	return word, !had || mark.Folder != c.Folder || mark.Life != c.Life || mark.Proc != c.Proc
 }
 
-// Know remembers the folders with which a new set is about to begin, so that none of them is taken for one that was emptied.
+// Know remembers the directories with which a cluster is about to be bootstrapped, so that none of them is later mistaken for one
+// that was emptied.
 func (w *Witness) Know(folders map[string]string) {
 	for id, folder := range folders {
 		if _, had := w.Marks[id]; !had {
@@ -218,7 +222,8 @@
 	}
 }
 
-// Gone tells that a connection of claims has ended: the kernel ends those of a process that is gone.
+// Gone records that a connection has ended. The kernel closes the connections of a process that ends, so the process counts as
+// ended too.
 func (w *Witness) Gone(id string, conn uint64) {
 	if a := w.alive[id]; a.conn == conn {
 		delete(w.alive, id)
@@ -226,14 +231,15 @@
 	}
 }
 
-// Suspect notes that a copy differs from a majority: it is told so until it has joined anew.
+// Suspect records that a replica's state differs from that of a majority. Its claims are rejected until it has rejoined with
+// another directory.
 func (w *Witness) Suspect(id string) {
 	if m, had := w.Marks[id]; had {
 		w.odd[id] = m.Folder
 	}
 }
 
-// Asks lists the ids that asked of late to be joined anew, and still have a vote that they may not use.
+// Asks returns the ids of live replicas that have asked to rejoin. They may still be voters, but must not vote.
 func (w *Witness) Asks(now float64) (ids []string) {
 	for _, id := range slices.Sorted(maps.Keys(w.asks)) {
 		if now < w.asks[id].at+AliveFor {
@@ -243,42 +249,42 @@
 	return ids
 }
 
-// Decision is what a copy that seeks to take part does next.
+// Decision is the next step of a replica that asks to take part.
 type Decision int
 
 // Decisions.
 const (
 	Wait   Decision = iota
-	Start           // with the folder that it has
-	Begin           // a new set
-	Rejoin          // ask to be joined anew; the folder is not used any more
-	Renew           // joined, without a vote: the folder is set aside, and an empty one takes its place
-	Leave           // another process has taken its place
+	Start           // take part with the present directory
+	Begin           // bootstrap a new cluster
+	Rejoin          // ask to rejoin; the present directory is not used any more
+	Renew           // rejoined as a non-voter: quarantine the directory and continue with an empty one
+	Leave           // stop: another process has replaced this one
 )
 
 func (d Decision) String() string {
 	return [...]string{"wait", "start", "begin", "rejoin", "renew", "leave"}[d]
 }
 
-// Seeker decides for a copy that is about to take part. It is not safe for concurrent use.
+// Seeker decides whether a replica takes part, by the responses to its claim. It is not safe for concurrent use.
 type Seeker struct {
 	Claim
-	Others []string // the ids of the other copies
-	Waited bool     // long enough for all that are there to be heard
-	Sole   bool     // operators began the set anew with this folder, and nobody else has got a vote since
-	Strict bool     // more of them have to be heard: enough that one has what was agreed on with this copy's word
-	Plant  string   // a planted bug; "": none
+	Others []string // ids of the other replicas
+	Waited bool     // every reachable peer has had time to respond
+	Sole   bool     // operators re-created the cluster from this directory, and no other replica has become a voter since
+	Strict bool     // require more responses, as described at RequiredResponses
+	Plant  string   // an injected bug; "": none
 
 	words map[string]Word
 }
 
-// PlantAnyFolder is the planted bug of a copy that starts with whatever folder it has.
+// PlantAnyFolder is the injected bug of a replica that takes part with any directory.
 const PlantAnyFolder = "any-folder"
 
-// Plants are all of this package.
+// Plants lists the injected bugs of this package.
 var Plants = []string{PlantAnyFolder}
 
-// Take takes a word in.
+// Take records a response. Responses of replicas that are not peers are ignored.
 func (s *Seeker) Take(w Word) {
 	if !slices.Contains(s.Others, w.From) {
 		return
@@ -289,12 +295,12 @@
 	s.words[w.From] = w
 }
 
-// Forget forgets the words: the claim is another now, and what was said of the one before says nothing of it.
+// Forget discards all responses. It is called when the claim changes, since they apply to the previous one.
 func (s *Seeker) Forget() { s.words = nil }
 
-// Need is how many of the others have to be heard. With the copy itself that is a majority, so where the others run, one of
-// them remembers this copy's latest claim that a majority knew of. Strict asks for so many that one of them holds whatever was
-// agreed on with this copy's word, which costs service: a second copy that is down keeps this one out.
+// Need returns how many peers have to accept the claim. Together with the replica itself they are a majority, so one of them
+// remembers this replica's latest claim that a majority knew of. Strict requires enough of them that one holds every entry that
+// was committed with this replica's vote. That reduces availability: a second replica that is down keeps this one out.
 func (s *Seeker) Need() int {
 	n := len(s.Others)
 	if s.Sole {
@@ -306,7 +312,7 @@
 	return (n + 1) / 2
 }
 
-// Decide tells what to do, and why.
+// Decide returns the next step and the reason for it.
 func (s *Seeker) Decide() (Decision, string) {
 	if s.Plant == PlantAnyFolder {
 		if s.Fresh && s.Last == 0 {
@@ -324,14 +330,14 @@
 		joined = max(joined, w.Joined)
 		switch w.Verdict {
 		case Good:
-			if s.Name == "" || w.Name == s.Name { // one that belongs to no set yet has nothing to remember
+			if s.Name == "" || w.Name == s.Name { // a verifier that belongs to no cluster yet remembers nothing
 				agree++
 			}
 		case Older, Foreign, Differs:
-			if against == "" && (w.Verdict != Foreign || w.Last >= s.Joined) { // else it has not heard yet that this one joined anew
+			if against == "" && (w.Verdict != Foreign || w.Last >= s.Joined) { // else it does not know yet that this one rejoined
 				against = id + ": " + w.Why
 			}
-		case Stranger: // of no weight, one way or the other
+		case Stranger: // counts neither for nor against the claim
 			stranger = id + ": " + w.Why
 		case Replaced:
 			return Leave, id + ": " + w.Why
@@ -340,42 +346,43 @@
 		}
 	}
 	switch {
-	case s.Rejoin != "" && joined > 0: // a leader's word, whatever the others say
+	case s.Rejoin != "" && joined > 0: // the leader's response decides, whatever the other peers respond
 		return Renew, s.Rejoin
 	case kept != "":
 		return Wait, kept
 	case s.Rejoin != "":
-		return Wait, "asks to be joined anew: " + s.Rejoin
+		return Wait, "requests to rejoin: " + s.Rejoin
 	case against != "":
 		return Rejoin, against
 	case fresh && begun != "":
-		return Rejoin, "the folder is empty, and " + begun + " belongs to a set that has begun"
+		return Rejoin, "the data directory is empty, and " + begun + " belongs to a bootstrapped cluster"
 	case fresh && agree == len(s.Others):
-		return Begin, "all copies are there, and none belongs to a set"
+		return Begin, "all replicas have responded, and none belongs to a cluster"
 	case fresh:
 		return Wait, fmt.Sprintf("a new set begins once all other copies are heard; %d of %d are", agree, len(s.Others))
 	case stranger != "" && agree < s.Need():
 		return Wait, stranger
 	case agree >= s.Need() && (agree == len(s.Others) || s.Waited):
-		return Start, fmt.Sprintf("%d of %d others say nothing against it", agree, len(s.Others))
+		return Start, fmt.Sprintf("%d of %d other replicas accept the claim", agree, len(s.Others))
 	}
-	return Wait, fmt.Sprintf("%d others are heard; %d have to be, or all who are there", agree, s.Need())
+	return Wait, fmt.Sprintf("%d other replicas accept the claim; %d are required, and all of them during the initial wait", agree, s.Need())
 }
 
-// caughtUpFor is in how many reports running a copy without a vote has to have what the leader had at the report before.
+// caughtUpFor is the number of consecutive reports at which a non-voter must have all entries that the leader had at the
+// previous report.
 const caughtUpFor = 2
 
-// Learner is the leader's view of one copy without a vote.
+// Learner is the leader's view of one non-voter.
 type Learner struct {
 	proc   string
-	mine   uint64 // the leader's last entry at the report before
-	good   int
-	Last   uint64 // what the learner has
-	Behind uint64 // entries that it lacks
+	mine   uint64 // log index of the leader's last entry at the previous report
+	good   int    // consecutive reports at which it had caught up
+	Last   uint64 // log index of the learner's last entry
+	Behind uint64 // number of entries that it lacks
 }
 
-// Report takes a learner's latest claim and tells whether it has caught up: it has all that the leader had a report ago, two
-// times running. One that is always just too slow never has.
+// Report records a learner's latest claim and returns whether it has caught up: at two consecutive reports it had all entries
+// that the leader had at the previous report. A learner that replicates slightly too slowly never catches up.
 func (l *Learner) Report(c Claim, mine uint64) bool {
 	if c.Proc != l.proc {
 		*l = Learner{proc: c.Proc}
@@ -391,13 +398,13 @@
 	return l.good >= caughtUpFor
 }
 
-// Latest is the claim that a live process of an id made last.
+// Latest returns the latest claim of the live process with the given id, if there is one.
 func (w *Witness) Latest(id string, now float64) (Claim, bool) {
 	a := w.alive[id]
 	return a.claim, a.proc != "" && now < a.at+AliveFor
 }
 
-// Folders are those of the others, as they said.
+// Folders returns the directory ids that the peers sent, by peer.
 func (s *Seeker) Folders() map[string]string {
 	of := map[string]string{}
 	for id, w := range s.words {
@@ -406,8 +413,8 @@
 	return of
 }
 
-// JoinedAt is what the new folder of a copy that joined anew has to know: the position as of which a leader says that it joined
-// without a vote, and of which set.
+// JoinedAt returns what the new directory of a rejoining replica has to record: the log index as of which a leader states that
+// the replica is a non-voter, and the leader's cluster.
 func (s *Seeker) JoinedAt() (m Mark) {
 	for _, w := range s.words {
 		if w.Joined > m.Joined {
@@ -417,7 +424,8 @@
 	return m
 }
 
-// NewName is the name of the set that is about to begin: all of its copies come to the same.
+// NewName returns the name of the cluster that is about to be bootstrapped: the lowest directory id, so that all replicas
+// derive the same name.
 func (s *Seeker) NewName() string {
 	name := s.Folder
 	for _, w := range s.words {
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -24,25 +24,25 @@
 		c    Claim
 		want Verdict
 	}{
-		"a plain restart":                        {changed(func(*Claim) {}), Good},
-		"with a later term, its tail cut off":    {changed(func(c *Claim) { c.Term, c.Last = 8, 38 }), Good},
-		"one entry less":                         {changed(func(c *Claim) { c.Last = 39 }), Older},
-		"a term less":                            {changed(func(c *Claim) { c.Term, c.Last = 6, 45 }), Older},
-		"opened as often before":                 {changed(func(c *Claim) { c.Life, c.Proc = 3, "another" }), Older},
-		"an empty folder":                        {changed(func(c *Claim) { *c = claim("c", "g", 1, 0, 0); c.Fresh = true }), Foreign},
-		"somebody else's folder":                 {changed(func(c *Claim) { c.Folder = "g" }), Foreign},
-		"joined anew through the leader":         {changed(func(c *Claim) { c.Folder, c.Joined = "g", 30 }), Good},
-		"at another address":                     {changed(func(c *Claim) { c.Addr = "at-x" }), Elsewhere},
-		"a folder of another set":                {changed(func(c *Claim) { c.Name = "another" }), Stranger},
-		"a folder of this set":                   {changed(func(c *Claim) { c.Name = "set" }), Good},
-		"an id that the set does not have":       {claim("x", "f", 1, 7, 40), Removed},
-		"the same process, its tail cut off":     {func() Claim { c := before; c.Last = 30; return c }(), Good},
-		"the same process with an emptied disk":  {func() Claim { c := before; c.Folder = "g"; return c }(), Foreign},
-		"a good folder that asks to begin again": {changed(func(c *Claim) { c.Rejoin = "damaged" }), Good},
+		"plain restart":                           {changed(func(*Claim) {}), Good},
+		"later term, log tail truncated":          {changed(func(c *Claim) { c.Term, c.Last = 8, 38 }), Good},
+		"one entry missing":                       {changed(func(c *Claim) { c.Last = 39 }), Older},
+		"earlier term":                            {changed(func(c *Claim) { c.Term, c.Last = 6, 45 }), Older},
+		"open count repeated":                     {changed(func(c *Claim) { c.Life, c.Proc = 3, "another" }), Older},
+		"empty directory":                         {changed(func(c *Claim) { *c = claim("c", "g", 1, 0, 0); c.Fresh = true }), Foreign},
+		"directory of another replica":            {changed(func(c *Claim) { c.Folder = "g" }), Foreign},
+		"rejoined through the leader":             {changed(func(c *Claim) { c.Folder, c.Joined = "g", 30 }), Good},
+		"another address":                         {changed(func(c *Claim) { c.Addr = "at-x" }), Elsewhere},
+		"directory of another cluster":            {changed(func(c *Claim) { c.Name = "another" }), Stranger},
+		"directory of this cluster":               {changed(func(c *Claim) { c.Name = "set" }), Good},
+		"id that is not a member":                 {claim("x", "f", 1, 7, 40), Removed},
+		"same process, log tail truncated":        {func() Claim { c := before; c.Last = 30; return c }(), Good},
+		"same process, emptied disk":              {func() Claim { c := before; c.Folder = "g"; return c }(), Foreign},
+		"valid directory that requests to rejoin": {changed(func(c *Claim) { c.Rejoin = "damaged" }), Good},
 	} {
 		w := NewWitness("a", nil)
 		if word, keep := w.Hear(0, 1, before, three); word.Verdict != Good || !keep {
-			t.Fatalf("the first claim: %+v %v", word, keep)
+			t.Fatalf("first claim: %+v, persist %v", word, keep)
 		}
 		w.Gone("c", 1)
 		if word, _ := w.Hear(10, 2, tc.c, three); word.Verdict != tc.want {
@@ -51,7 +51,7 @@
 	}
 }
 
-// A mark that speaks against a claim is not replaced by it: the folder may come again.
+// A remembered directory state that contradicts a claim is not overwritten by that claim, since the claim may be repeated.
 func TestRefusedClaimsAreNotRemembered(t *testing.T) {
 	w := NewWitness("a", map[string]Mark{"c": claim("c", "f", 3, 7, 40).Mark})
 	old := claim("c", "f", 3, 6, 20)
@@ -66,7 +66,7 @@
 	}
 	nobody := View{}
 	if word, _ := w.Hear(0, 1, old, nobody); word.Verdict != Older {
-		t.Errorf("a witness that knows no configuration yet: %+v", word)
+		t.Errorf("verifier without a configuration: %+v", word)
 	}
 }
 
@@ -75,29 +75,29 @@
 	first, second := claim("c", "f", 1, 1, 5), claim("c", "g", 1, 1, 5)
 	w.Hear(0, 1, first, three)
 	if word, _ := w.Hear(AliveFor-1, 2, second, three); word.Verdict != Twin {
-		t.Errorf("while the first is alive: %+v", word)
+		t.Errorf("second process while the first is alive: %+v", word)
 	}
 	w.Gone("c", 2)
 	if word, _ := w.Hear(AliveFor-1, 3, second, three); word.Verdict != Twin {
-		t.Errorf("after its own connection ended: %+v", word)
+		t.Errorf("second process after its own connection ended: %+v", word)
 	}
 	if word, _ := w.Hear(AliveFor, 3, second, three); word.Verdict != Foreign {
-		t.Errorf("once the first is silent: %+v", word)
+		t.Errorf("second process after the first has timed out: %+v", word)
 	}
 	if word, _ := w.Hear(AliveFor+1, 1, first, three); word.Verdict != Replaced {
-		t.Errorf("the first, when it goes on: %+v", word)
+		t.Errorf("first process, resumed: %+v", word)
 	}
 	w.Gone("c", 3)
 	if word, _ := w.Hear(AliveFor+2, 1, first, three); word.Verdict != Good {
-		t.Errorf("the first, when the second is gone: %+v", word)
+		t.Errorf("first process after the second has ended: %+v", word)
 	}
 }
 
-// What a seeker does, by what it is told.
+// Each combination of claim and responses leads to one decision.
 func TestSeekerDecides(t *testing.T) {
 	good := func(from string) Word { return Word{From: from, Verdict: Good, Begun: true, Last: 50} }
 	bad := func(from string, v Verdict) Word {
-		return Word{From: from, Verdict: v, Why: "it says so", Begun: true, Last: 50}
+		return Word{From: from, Verdict: v, Why: "the reason", Begun: true, Last: 50}
 	}
 	fresh := func(from string) Word { return Word{From: from, Verdict: Good} }
 	old, empty := claim("c", "f", 4, 7, 40), Claim{ID: "c", Fresh: true}
@@ -113,28 +113,28 @@
 		words  []Word
 		want   Decision
 	}{
-		"nobody heard":                             {old, false, nil, Wait},
-		"one of two agrees":                        {old, false, []Word{good("a")}, Start},
-		"its state differs":                        {old, false, []Word{good("a"), bad("b", Differs)}, Rejoin},
-		"one of two agrees, strict":                {old, true, []Word{good("a")}, Wait},
-		"both agree, strict":                       {old, true, []Word{good("a"), good("b")}, Start},
-		"one is against":                           {old, false, []Word{good("a"), bad("b", Older)}, Rejoin},
-		"a stranger agrees":                        {old, false, []Word{good("x")}, Wait},
-		"another process is alive":                 {old, false, []Word{good("a"), bad("b", Twin)}, Wait},
-		"another process took its place":           {old, false, []Word{good("a"), bad("b", Replaced)}, Leave},
-		"its folder is of another set":             {old, false, []Word{bad("a", Stranger), bad("b", Stranger)}, Wait},
-		"who agrees belongs to no set yet":         {named, false, []Word{fresh("a"), fresh("b")}, Wait},
-		"asked and joined, another is elsewhere":   {asking, false, []Word{bad("a", Elsewhere), {From: "b", Verdict: Foreign, Begun: true, Joined: 45}}, Renew},
-		"one of the others is of another set":      {old, false, []Word{good("a"), bad("b", Stranger)}, Start},
-		"it was removed":                           {old, false, []Word{good("a"), bad("b", Removed)}, Wait},
-		"empty, one other empty":                   {empty, false, []Word{fresh("a")}, Wait},
-		"all are empty":                            {empty, false, []Word{fresh("a"), fresh("b")}, Begin},
-		"empty, and a set has begun":               {empty, false, []Word{fresh("a"), good("b")}, Rejoin},
-		"empty, as the set began with it":          {empty, false, []Word{fresh("a"), {From: "b", Verdict: Good, Begun: true, Knows: true}}, Begin},
-		"asking":                                   {asking, false, []Word{good("a"), bad("b", Older)}, Wait},
-		"asked and joined":                         {asking, false, []Word{{From: "a", Verdict: Good, Begun: true, Joined: 45}}, Renew},
-		"joined, one has not heard of it yet":      {learner, false, []Word{good("a"), {From: "b", Verdict: Foreign, Begun: true, Last: 44}}, Start},
-		"joined, and contradicted by who heard it": {learner, false, []Word{good("a"), bad("b", Foreign)}, Rejoin},
+		"no responses":                                {old, false, nil, Wait},
+		"one of two accepts":                          {old, false, []Word{good("a")}, Start},
+		"state differs":                               {old, false, []Word{good("a"), bad("b", Differs)}, Rejoin},
+		"one of two accepts, strict":                  {old, true, []Word{good("a")}, Wait},
+		"both accept, strict":                         {old, true, []Word{good("a"), good("b")}, Start},
+		"one contradicts":                             {old, false, []Word{good("a"), bad("b", Older)}, Rejoin},
+		"accepted by a replica that is no peer":       {old, false, []Word{good("x")}, Wait},
+		"another process is alive":                    {old, false, []Word{good("a"), bad("b", Twin)}, Wait},
+		"replaced by another process":                 {old, false, []Word{good("a"), bad("b", Replaced)}, Leave},
+		"directory of another cluster":                {old, false, []Word{bad("a", Stranger), bad("b", Stranger)}, Wait},
+		"accepted by peers without a cluster":         {named, false, []Word{fresh("a"), fresh("b")}, Wait},
+		"rejoined, other address at one peer":         {asking, false, []Word{bad("a", Elsewhere), {From: "b", Verdict: Foreign, Begun: true, Joined: 45}}, Renew},
+		"one peer is of another cluster":              {old, false, []Word{good("a"), bad("b", Stranger)}, Start},
+		"removed":                                     {old, false, []Word{good("a"), bad("b", Removed)}, Wait},
+		"empty, one peer empty":                       {empty, false, []Word{fresh("a")}, Wait},
+		"all empty":                                   {empty, false, []Word{fresh("a"), fresh("b")}, Begin},
+		"empty, cluster bootstrapped":                 {empty, false, []Word{fresh("a"), good("b")}, Rejoin},
+		"empty, cluster bootstrapped with it":         {empty, false, []Word{fresh("a"), {From: "b", Verdict: Good, Begun: true, Knows: true}}, Begin},
+		"rejoin requested":                            {asking, false, []Word{good("a"), bad("b", Older)}, Wait},
+		"rejoin requested and granted":                {asking, false, []Word{{From: "a", Verdict: Good, Begun: true, Joined: 45}}, Renew},
+		"rejoined, not known to one peer yet":         {learner, false, []Word{good("a"), {From: "b", Verdict: Foreign, Begun: true, Last: 44}}, Start},
+		"rejoined, contradicted by a peer that knows": {learner, false, []Word{good("a"), bad("b", Foreign)}, Rejoin},
 	} {
 		s := Seeker{Claim: tc.c, Others: []string{"a", "b"}, Strict: tc.strict, Waited: true}
 		for _, w := range tc.words {
@@ -147,37 +147,37 @@
 	hasty := Seeker{Claim: old, Others: []string{"a", "b"}}
 	hasty.Take(good("a"))
 	if d, _ := hasty.Decide(); d != Wait {
-		t.Errorf("one of two is heard, and the other may be about to be: %s", d)
+		t.Errorf("one of two peers accepts before the wait has elapsed: %s", d)
 	}
 	hasty.Take(good("b"))
 	if d, _ := hasty.Decide(); d != Start {
-		t.Errorf("all are heard: %s", d)
+		t.Errorf("all peers accept before the wait has elapsed: %s", d)
 	}
 	for n, want := range map[int][2]int{0: {0, 0}, 2: {1, 2}, 4: {2, 3}, 6: {3, 4}} {
 		s := Seeker{Others: make([]string, n)}
 		plain := s.Need()
 		s.Strict = true
 		if strict := s.Need(); plain != want[0] || strict != want[1] {
-			t.Errorf("%d others: %d and %d, want %v", n, plain, strict, want)
+			t.Errorf("%d peers: %d required, %d if strict, want %v", n, plain, strict, want)
 		}
 	}
 }
 
-// A set of copies whose disks are written, copied, put back and emptied. What is checked is the one thing that counts: a copy
-// that starts has all that it ever had, unless it has joined anew and has no vote.
+// world models a cluster whose data directories are written, backed up, restored and emptied. The invariant checked: a replica
+// that starts as a voter has all entries that it ever had as a voter.
 type world struct {
 	n     int
-	disk  []Claim  // the folder of each copy as it is
-	kept  []*Claim // a copy of it that was made
-	most  []Mark   // the most that each ever had with its vote
-	up    []bool   // its process runs, and it takes part
+	disk  []Claim  // the present data directory of each replica
+	kept  []*Claim // its backup; nil: none
+	most  []Mark   // the latest state that each replica had as a voter
+	up    []bool   // the process runs and takes part in the cluster
 	w     []*Witness
 	votes []bool
 	procs int
 	last  uint64
 	now   float64
 	plant string
-	long  int // times that a plain restart was kept out though all others were there
+	long  int // plain restarts that were rejected although all peers responded
 }
 
 func newWorld(n int, plant string) *world {
@@ -205,7 +205,7 @@
 	return v
 }
 
-// report tells all that run what a copy has, and returns what they say.
+// report sends the claim of a replica to all running ones and returns their responses.
 func (w *world) report(i int) (words []Word) {
 	for k := range w.n {
 		if k != i && w.up[k] {
@@ -216,7 +216,7 @@
 	return words
 }
 
-// step tells whether it was one that could be taken.
+// step executes one step and reports whether it was applicable.
 func (w *world) step(what string, i int) bool {
 	w.now += 100
 	d := &w.disk[i]
@@ -227,7 +227,7 @@
 		return false
 	}
 	switch what {
-	case "write": // all that run take entries, and tell so
+	case "write": // all running replicas append an entry and send claims
 		w.last++
 		for k := range w.n {
 			if w.up[k] {
@@ -296,7 +296,7 @@
 					leads++
 				}
 			}
-			if 2*leads > w.n { // a leader joins it, without a vote
+			if 2*leads > w.n { // a leader makes the replica a non-voter
 				w.last++
 				w.votes[i] = false
 				joined = true
@@ -317,23 +317,25 @@
 	}
 }
 
-// broken tells what must never be so: a copy that takes part with its vote, and lacks what it had with it.
+// broken describes a violated invariant, or returns "": a voter takes part without entries that it had as a voter, or a plain
+// restart was rejected.
 func (w *world) broken() string {
 	for i := range w.n {
 		if d := w.disk[i]; w.up[i] && w.votes[i] && d.behind(w.most[i]) {
-			return fmt.Sprintf("%s votes with entry %d of its %d", d.ID, d.Last, w.most[i].Last)
+			return fmt.Sprintf("%s votes with last entry %d, it had %d", d.ID, d.Last, w.most[i].Last)
 		}
 	}
 	if w.long > 0 {
-		return "a plain restart was kept out though all others were there"
+		return "a plain restart was rejected although all peers responded"
 	}
 	return ""
 }
 
 var moves = []string{"write", "keep", "kill", "old", "empty", "start", "promote"}
 
-// play goes a way and tells what was broken. A copy is only put back or emptied while a majority of the others runs with its
-// vote: what nobody left remembers nobody can tell, and the page on the store says so.
+// play executes steps and returns the violated invariant, and whether the last step was applicable. A replica is only killed,
+// restored or emptied while a majority of voters besides it runs: what no running replica remembers cannot be detected, a limit
+// that the page on the store documents.
 func play(n int, way []string, plant string) (why string, taken bool) {
 	w := newWorld(n, plant)
 	for at, s := range way {
@@ -359,7 +361,8 @@
 	return "", taken
 }
 
-// Every way of so many steps on one copy, with its others running. A step that can't be taken is not gone on from.
+// Exhaustive search of all step sequences up to a depth on one replica while its peers run: it never votes without entries that
+// it had as a voter. Sequences are not extended after a step that is not applicable.
 func TestEveryWayOfFoldersKeepsTheVoteFromWhatWasForgotten(t *testing.T) {
 	const depth = 8
 	seen := 0
@@ -382,14 +385,14 @@
 	if why := down(nil); why != "" {
 		t.Error(why)
 	}
-	t.Logf("%d ways to depth %d", seen, depth)
+	t.Logf("%d sequences up to depth %d", seen, depth)
 	found, _ := play(3, []string{"keep c", "write c", "kill c", "old c", "start c"}, PlantAnyFolder)
-	if !strings.Contains(found, "c votes with entry 10 of its 11") {
-		t.Errorf("the planted bug: %q", found)
+	if !strings.Contains(found, "c votes with last entry 10, it had 11") {
+		t.Errorf("injected bug: got %q", found)
 	}
 }
 
-// Long ways over three and five copies, drawn by a seed.
+// Long random step sequences over three and five replicas violate no invariant, and reveal the injected bug.
 func TestLongWaysOfFolders(t *testing.T) {
 	found := 0
 	for seed := range uint64(400) {
@@ -407,11 +410,11 @@
 		}
 	}
 	if found == 0 {
-		t.Error("the planted bug was never found")
+		t.Error("the injected bug was never found")
 	}
 }
 
-// A learner is promoted once it keeps up, and never while it stays a little behind.
+// A learner is promoted once it keeps up with the leader, and never while it stays slightly behind.
 func TestLearnerThatIsAlwaysTooSlowIsNotPromoted(t *testing.T) {
 	var slow, fast Learner
 	c := claim("c", "g", 1, 1, 0)
@@ -419,11 +422,11 @@
 	for mine := uint64(100); mine < 5000; mine += 100 {
 		c.Last = mine - 150
 		if slow.Report(c, mine) {
-			t.Fatalf("promoted with %d of %d", c.Last, mine)
+			t.Fatalf("promoted with entry %d of %d", c.Last, mine)
 		}
 		c.Last = mine - 50
 		if got, want := fast.Report(c, mine), mine >= 300; got != want {
-			t.Fatalf("at %d: %v, want %v", mine, got, want)
+			t.Fatalf("leader at entry %d: promoted %v, want %v", mine, got, want)
 		}
 	}
 	if slow.Behind != 150 || fast.Behind != 50 {
@@ -431,7 +434,7 @@
 	}
 	c.Proc = "another"
 	if fast.Report(c, 5000) {
-		t.Error("another process is promoted by what the one before had")
+		t.Error("a new process was promoted by the reports of its predecessor")
 	}
 }
 
@@ -443,15 +446,15 @@
 		odd    string
 		split  bool
 	}{
-		"all the same":                      {map[string]Digest{"a": d(9, 1), "b": d(9, 1), "c": d(9, 1)}, 3, "", false},
-		"one differs":                       {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1)}, 3, "b", false},
-		"one has not looked yet":            {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(8, 1)}, 3, "", false},
-		"one looked at an earlier position": {map[string]Digest{"a": d(9, 1), "b": d(8, 2), "c": d(9, 1)}, 3, "", false},
-		"all three differ":                  {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 3)}, 3, "", true},
-		"two of five":                       {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1), "d": d(9, 3), "e": d(9, 1)}, 5, "bd", false},
-		"two against two, one not heard":    {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1), "d": d(9, 2)}, 5, "", false},
-		"two against two and one":           {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1), "d": d(9, 2), "e": d(9, 3)}, 5, "", true},
-		"nobody has looked":                 {map[string]Digest{"a": d(0, 0), "b": d(0, 0)}, 3, "", false},
+		"all equal":                 {map[string]Digest{"a": d(9, 1), "b": d(9, 1), "c": d(9, 1)}, 3, "", false},
+		"one differs":               {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1)}, 3, "b", false},
+		"one has an earlier digest": {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(8, 1)}, 3, "", false},
+		"the differing one has an earlier digest": {map[string]Digest{"a": d(9, 1), "b": d(8, 2), "c": d(9, 1)}, 3, "", false},
+		"all three differ":                        {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 3)}, 3, "", true},
+		"two of five":                             {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1), "d": d(9, 3), "e": d(9, 1)}, 5, "bd", false},
+		"two against two, one missing":            {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1), "d": d(9, 2)}, 5, "", false},
+		"two against two and one":                 {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1), "d": d(9, 2), "e": d(9, 3)}, 5, "", true},
+		"no digests yet":                          {map[string]Digest{"a": d(0, 0), "b": d(0, 0)}, 3, "", false},
 	} {
 		at := uint64(0)
 		for _, v := range tc.of {
@@ -471,6 +474,6 @@
 	}
 	c.Folder, c.Joined = "g", 30
 	if word, _ := w.Hear(2, 1, c, three); word.Verdict != Good {
-		t.Errorf("after it joined anew: %+v", word)
+		t.Errorf("after it rejoined: %+v", word)
 	}
 }
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,6 +1,6 @@
-// Package frame is the one form of messages between processes of this program: a length of four bytes, the highest first,
-// and so many bytes, which are JSON unless both sides agree on another encoding. What is malformed, too large or too slow in
-// coming is an error, after which the connection is of no use.
+// Package frame implements the length-prefixed messages that processes of this program exchange: a big-endian length of four
+// bytes followed by the content, which is JSON unless both sides agree on another encoding. A message that is malformed, too
+// large or too slow is an error, after which the connection cannot be used any further.
 package frame
 
 import (
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// Whole is the time in which a message is read whole from its first byte, or written.
+// Whole is the timeout for reading a complete message, counted from its first byte, and for writing one.
 const Whole = 2 * time.Second
 
-// Append writes a message behind what b holds; most bounds its bytes.
+// Append encodes v as JSON and appends it to b as a message. Content of more than most bytes is an error.
 func Append(b []byte, v any, most int) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -26,10 +26,10 @@
 	return AppendBytes(b, text, most)
 }
 
-// AppendBytes writes a message whose content is encoded already behind what b holds; most bounds its bytes.
+// AppendBytes appends a message with already encoded content to b. Content of more than most bytes is an error.
 func AppendBytes(b, content []byte, most int) ([]byte, error) {
 	if len(content) > most {
-		return b, fmt.Errorf("frame: a message of %d bytes, %d at most", len(content), most)
+		return b, fmt.Errorf("frame: message of %d bytes exceeds the limit of %d", len(content), most)
 	}
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(content))), content...), nil
 }
@@ -42,12 +42,13 @@
 	most int
 }
 
-// NewReader reads messages of so many bytes at most. idle is how long the first byte of one may take; 0: any time.
+// NewReader returns a reader of messages with at most most bytes of content. The first byte of each message must arrive within
+// idle; 0 means no limit.
 func NewReader(conn net.Conn, idle time.Duration, most int) *Reader {
 	return &Reader{conn: conn, r: bufio.NewReaderSize(conn, 16<<10), idle: idle, most: most}
 }
 
-// Next reads one message.
+// Next reads one message and decodes its JSON content.
 func (r *Reader) Next(into any) error {
 	b, err := r.NextBytes()
 	if err != nil {
@@ -56,15 +57,15 @@
 	return Decode(b, into)
 }
 
-// Decode reads the content of a message.
+// Decode decodes the JSON content of a message.
 func Decode(content []byte, into any) error {
 	if err := json.Unmarshal(content, into); err != nil {
-		return fmt.Errorf("frame: malformed: %w", err)
+		return fmt.Errorf("frame: malformed message: %w", err)
 	}
 	return nil
 }
 
-// NextBytes reads the content of one message, of whatever encoding.
+// NextBytes reads one message and returns its content undecoded.
 func (r *Reader) NextBytes() ([]byte, error) {
 	var until time.Time
 	if r.idle > 0 {
@@ -81,9 +82,9 @@
 	}
 	n := int64(binary.BigEndian.Uint32(head[:]))
 	if n == 0 || n > int64(r.most) {
-		return nil, fmt.Errorf("frame: a message of %d bytes, %d at most", n, r.most)
+		return nil, fmt.Errorf("frame: message length %d is not between 1 and %d", n, r.most)
 	}
-	// Read as it comes: a length alone must take no memory.
+	// The buffer grows with the bytes that arrive: a length prefix alone must not allocate memory.
 	var b bytes.Buffer
 	if _, err := io.CopyN(&b, r.r, n); err != nil {
 		return nil, err
@@ -91,7 +92,7 @@
 	return b.Bytes(), nil
 }
 
-// Send writes one message.
+// Send encodes v as JSON and writes it as one message.
 func Send(conn net.Conn, v any, most int) error {
 	b, err := Append(nil, v, most)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return err
 }
 
-// Rest is what comes behind the last message, of whatever form; more is where it goes on once what was read ahead is used up.
+// Rest returns a reader of the raw bytes after the last message: first those already buffered, then those of more.
 func (r *Reader) Rest(more io.Reader) io.Reader {
 	ahead, _ := r.r.Peek(r.r.Buffered())
 	return io.MultiReader(bytes.NewReader(ahead), more)
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// What is no whole message is an error: too large, of no bytes, malformed, cut short, and one whose sender stalls in it.
+// A message that is too large, empty, malformed or truncated, or whose sender stalls within it, is an error.
 func TestNoWholeMessage(t *testing.T) {
 	whole, err := Append(nil, map[string]int{"n": 7}, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Append(nil, strings.Repeat("x", 200), 100); err == nil {
-		t.Error("a message over the bound is written")
+		t.Error("a message over the limit was encoded")
 	}
 	for name, c := range map[string]struct {
 		b     []byte
@@ -25,9 +25,9 @@
 		"whole":     {whole, false},
 		"too large": {[]byte{0, 0, 1, 0}, false},
 		"huge":      {[]byte{0xff, 0xff, 0xff, 0xff}, false},
-		"no bytes":  {[]byte{0, 0, 0, 0}, false},
+		"empty":     {[]byte{0, 0, 0, 0}, false},
 		"malformed": {[]byte{0, 0, 0, 1, '{'}, false},
-		"cut short": {whole[:len(whole)-1], false},
+		"truncated": {whole[:len(whole)-1], false},
 		"stalled":   {whole[:len(whole)-1], true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 				}
 				return
 			}
-			if err == nil || c.stall != errors.Is(err, os.ErrDeadlineExceeded) || name == "cut short" && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+			if err == nil || c.stall != errors.Is(err, os.ErrDeadlineExceeded) || name == "truncated" && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 				t.Errorf("%v", err)
 			}
 		})
--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// Parts is in how many parts copies compare what they hold, one at a time.
+// Parts is the number of partitions of the state. Replicas compare the digests of one partition at a time.
 const Parts = 16
 
-// partOf is a record's part: FNV-1a by hand, since the library's wants a copy of each key.
+// partOf returns the partition of a key: FNV-1a, written out because hash/fnv requires a copy of each key.
 func partOf(key string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(key) {
@@ -20,8 +20,8 @@
 	return h % Parts
 }
 
-// Digest sums a part of what the state holds, as it stands in memory: a bit that was spoilt there shows, whoever spoilt it. Copies
-// that carried out the same entries have the same sums.
+// Digest returns a checksum of one partition, computed from the state in memory, so that memory corruption of any cause is
+// detected. Replicas that applied the same entries have equal digests.
 func (s *State) Digest(part uint64) (sum uint64) {
 	part %= Parts
 	var b []byte
--- a/internal/state/digest_test.go
+++ b/internal/state/digest_test.go
@@ -9,7 +9,7 @@
 	"puffinsaddle/internal/publish"
 )
 
-// full is a state with something of every kind.
+// full returns a state that contains every kind of data.
 func full(t testing.TB, effects int) *State {
 	t.Helper()
 	s := New()
@@ -46,12 +46,13 @@
 	return all
 }
 
-// The same entries give the same sums, also where a copy got them by a snapshot; any one thing that differs shows in one part.
+// Equal entries give equal digests, also for a replica restored from a snapshot; a single difference changes the digest of one
+// partition, or of two where a key moves.
 func TestDigestsShowWhatDiffers(t *testing.T) {
 	s := full(t, 50)
 	before := digests(s)
 	if before != digests(full(t, 50)) {
-		t.Error("the same entries have other sums")
+		t.Error("the same entries gave other digests")
 	}
 	b, err := json.Marshal(s.Keep())
 	if err != nil {
@@ -62,28 +63,28 @@
 		t.Fatal(err)
 	}
 	if before != digests(read) {
-		t.Error("a state that was read from a snapshot has other sums")
+		t.Error("a state that was read from a snapshot has other digests")
 	}
 	if s.Digest(3) != s.Digest(3+Parts) {
-		t.Error("parts do not come round")
+		t.Error("the partition number does not wrap around")
 	}
 	for what, change := range map[string]func(*State){
-		"a value":              func(s *State) { s.Values["config/a"] = []byte("texu") },
-		"a value's name":       func(s *State) { s.Values["config/b"], s.Values["config/a"] = s.Values["config/a"], nil },
-		"an effect's owner":    func(s *State) { s.Effects.Effects["0000000000000007"].Owner = "b#1" },
-		"an effect's number":   func(s *State) { s.Effects.Effects["0000000000000007"].Seq ^= 4 },
-		"an effect's end":      func(s *State) { s.Effects.Effects["0000000000000000"].State = "failed" },
-		"an effect is missing": func(s *State) { delete(s.Effects.Effects, "0000000000000009") },
-		"a lease's epoch":      func(s *State) { s.Duties.Leases["allotter"].Epoch++ },
-		"a lease's holder":     func(s *State) { s.Duties.Leases["allotter"].Holder = "b#1" },
-		"the highest epoch":    func(s *State) { s.Duties.Last++ },
-		"a frozen duty":        func(s *State) { s.Duties.Frozen["x"] = true },
-		"a share":              func(s *State) { s.Shares.Shares["a#1"].Cap++ },
-		"the pool":             func(s *State) { s.Shares.Pool++ },
-		"a version's text":     func(s *State) { s.Config.Versions[0].Files[0].Text = []byte("y") },
-		"a word":               func(s *State) { s.Config.Acknowledgements["a#1"] = publish.Acknowledgement{No: 2} },
-		"a mark":               func(s *State) { s.Marks["allotter"]++ },
-		"a count of refusals":  func(s *State) { s.Stale["allotter"]++ },
+		"a value":                     func(s *State) { s.Values["config/a"] = []byte("texu") },
+		"a value's name":              func(s *State) { s.Values["config/b"], s.Values["config/a"] = s.Values["config/a"], nil },
+		"an effect's owner":           func(s *State) { s.Effects.Effects["0000000000000007"].Owner = "b#1" },
+		"an effect's sequence number": func(s *State) { s.Effects.Effects["0000000000000007"].Seq ^= 4 },
+		"an effect's state":           func(s *State) { s.Effects.Effects["0000000000000000"].State = "failed" },
+		"a missing effect":            func(s *State) { delete(s.Effects.Effects, "0000000000000009") },
+		"a lease's epoch":             func(s *State) { s.Duties.Leases["allotter"].Epoch++ },
+		"a lease's holder":            func(s *State) { s.Duties.Leases["allotter"].Holder = "b#1" },
+		"the highest epoch":           func(s *State) { s.Duties.Last++ },
+		"a frozen duty":               func(s *State) { s.Duties.Frozen["x"] = true },
+		"an allocation":               func(s *State) { s.Shares.Shares["a#1"].Cap++ },
+		"the pool":                    func(s *State) { s.Shares.Pool++ },
+		"a version's text":            func(s *State) { s.Config.Versions[0].Files[0].Text = []byte("y") },
+		"an acknowledgement":          func(s *State) { s.Config.Acknowledgements["a#1"] = publish.Acknowledgement{No: 2} },
+		"a counter":                   func(s *State) { s.Marks["allotter"]++ },
+		"a count of stale refusals":   func(s *State) { s.Stale["allotter"]++ },
 	} {
 		s := full(t, 50)
 		change(s)
@@ -93,13 +94,13 @@
 				differ++
 			}
 		}
-		if differ == 0 || differ > 2 { // a name that moved may be in two parts
-			t.Errorf("%s: %d parts differ", what, differ)
+		if differ == 0 || differ > 2 { // a renamed key may affect two partitions
+			t.Errorf("%s: %d partitions differ", what, differ)
 		}
 	}
 }
 
-// BenchmarkDigest measures one part of a state with a full record of effects; entries wait for so long.
+// BenchmarkDigest measures the digest of one partition with a full effect log; applying further entries waits for it.
 func BenchmarkDigest(b *testing.B) {
 	s := full(b, mostEffects)
 	for i := uint64(0); b.Loop(); i++ {
--- a/internal/state/slopes_test.go
+++ b/internal/state/slopes_test.go
@@ -10,13 +10,13 @@
 	"puffinsaddle/internal/records"
 )
 
-// The sizes of the slopes in docs/CAPACITY.md.
+// The sizes for which docs/CAPACITY.md gives slopes.
 var (
 	serverSizes = []int{300, 1000, 2000, 4300}
 	recordSizes = []int{30000, 100000, 240000, 477000}
 )
 
-// entry is a command as the log has it.
+// entry encodes a command as it is stored in the log.
 func entry(tb testing.TB, c Command) []byte {
 	tb.Helper()
 	b, err := json.Marshal(c)
@@ -26,7 +26,7 @@
 	return b
 }
 
-// apply carries an entry out as a copy does: it is decoded, then applied.
+// apply decodes and applies an entry, as a replica does.
 func apply(tb testing.TB, s *State, b []byte) Result {
 	tb.Helper()
 	var c Command
@@ -42,7 +42,7 @@
 
 func process(i int) string { return fmt.Sprintf("os-%04d#%016x", i, i) }
 
-// withServers is a state with so many processes present.
+// withServers returns a state in which n processes are present.
 func withServers(tb testing.TB, n int) *State {
 	s := New()
 	for i := range n {
@@ -52,7 +52,7 @@
 	return s
 }
 
-// withRecords is a state with so many records.
+// withRecords returns a state with n records.
 func withRecords(tb testing.TB, n int) *State {
 	s := New()
 	for i := 0; i < n; {
@@ -70,7 +70,7 @@
 	return records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i)}, Value: fmt.Appendf(nil, `{"share":0.0000025,"limit":%d.5}`, version%500)}
 }
 
-// BenchmarkRestarts measures what a process's end and another's beginning cost a copy, by servers.
+// BenchmarkRestarts measures the cost at a replica of one process ending and another starting, by the number of servers.
 func BenchmarkRestarts(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// BenchmarkMarks measures an act that touches no share, by servers.
+// BenchmarkMarks measures a fenced command that changes no allocation, by the number of servers.
 func BenchmarkMarks(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -101,7 +101,8 @@
 	}
 }
 
-// BenchmarkShares measures a plan that gives every server another share, in one act, and the fleet as the allotter reads it.
+// BenchmarkShares measures one fenced command that changes the allocation of every server, and reports the size of the
+// allocations as the allotter reads them.
 func BenchmarkShares(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -131,7 +132,7 @@
 	}
 }
 
-// BenchmarkBookings measures a booking's two entries at a copy, by the effects that are kept.
+// BenchmarkBookings measures the two entries of one effect, begin and end, at a replica, by the number of effects retained.
 func BenchmarkBookings(b *testing.B) {
 	for _, n := range []int{1000, 8000, 30000, 60000} {
 		b.Run(fmt.Sprintf("kept=%d", n), func(b *testing.B) {
@@ -159,7 +160,7 @@
 	}
 }
 
-// BenchmarkChanges measures a change of three records at a copy, by the records that are held.
+// BenchmarkChanges measures a change of three records at a replica, by the number of records.
 func BenchmarkChanges(b *testing.B) {
 	for _, n := range recordSizes {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
@@ -175,7 +176,8 @@
 	}
 }
 
-// BenchmarkSnapshots measures a copy's snapshot by its records: the pause in which it is frozen, and the writing beside.
+// BenchmarkSnapshots measures a replica's snapshot by the number of records: the pause while the state is copied, and the
+// encoding, which runs concurrently with further commands.
 func BenchmarkSnapshots(b *testing.B) {
 	for _, n := range recordSizes {
 		s := withRecords(b, n)
@@ -198,7 +200,7 @@
 	}
 }
 
-// BenchmarkComparing measures one part of what copies compare, by records.
+// BenchmarkComparing measures the digest of one partition, by the number of records.
 func BenchmarkComparing(b *testing.B) {
 	for _, n := range recordSizes {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,5 +1,6 @@
-// Package state is what all copies of the store agree on: keys and values, duties, shares, effects, published versions.
-// It is free of I/O and of time: Apply is one step of the log, and the same steps give the same state on every copy.
+// Package state is the replicated state machine of the store: keys and values, duties, capacity allocations, effects, published
+// configuration versions and records. It does no I/O and reads no clock: Apply executes one log entry, and the same entries give
+// the same state on every replica.
 package state
 
 import (
@@ -18,53 +19,53 @@
 )
 
 const (
-	mostEffects  = 1 << 16    // remembered at once
-	oldEffects   = "effects/" // where earlier versions kept them among the keys
-	mostMarks    = 256
-	orphansAtOne = 256 // effects settled in one step
+	mostEffects  = 1 << 16    // effects retained
+	oldEffects   = "effects/" // key prefix of effects in the values of earlier versions
+	mostMarks    = 256        // duties with a counter
+	orphansAtOne = 256        // orphaned effects resolved by one command
 )
 
-// Kinds of commands.
+// Kinds of commands: the values of Command.Op.
 const (
 	Set                = "set"
 	Delete             = "delete"
-	Begin              = "begin"  // an effect is about to run
-	End                = "end"    // effects have ended
-	Orders             = "orders" // the grantor's
-	Act                = "act"    // under a duty
-	Ask                = "ask"    // an operator wants a duty given up
-	Freeze             = "freeze" // or not to be granted
-	Thaw               = "thaw"
-	Ack                = "ack"  // a process uses no more than its share
-	AcknowledgeVersion = "word" // what a process made of a version
+	Begin              = "begin"  // record an effect that is about to run
+	End                = "end"    // record the outcome of effects
+	Orders             = "orders" // grant, release or expire leases, as decided by the grantor
+	Act                = "act"    // execute a batch of operations under a duty, fenced by its epoch
+	Ask                = "ask"    // an operator asks the holder of a duty to yield it
+	Freeze             = "freeze" // an operator asks the holder to yield, and blocks further grants
+	Thaw               = "thaw"   // allow grants again
+	Ack                = "ack"    // a process confirms that it uses no more than its allocation
+	AcknowledgeVersion = "word"   // a process has applied or rejected a configuration version
 
-	Change = "change" // of records
+	Change = "change" // change records
 
-	Compare = "compare" // all copies look at a part of what they hold
+	Compare = "compare" // every replica computes the digest of one partition
 
-	// What may be done in an act.
-	Mark    = "mark" // count one up
-	Share   = "share"
-	Pool    = "pool"
-	Settle  = "settle"
-	Prune   = "prune"
-	Publish = "publish"
+	// Operations that are only allowed in the batch of a fenced command.
+	Mark    = "mark"    // increment the duty's counter
+	Share   = "share"   // set the allocation of a process
+	Pool    = "pool"    // set the capacity to be allocated
+	Settle  = "settle"  // resolve orphaned effects
+	Prune   = "prune"   // forget effects up to a sequence number
+	Publish = "publish" // publish a configuration version
 )
 
-// Command is one entry of the log. Earlier versions wrote Op, Key and Value alone, and their logs are read.
+// Command is one log entry. Earlier versions wrote only the fields op, key and value; their logs are still read.
 type Command struct {
 	Op    string `json:"op"`
-	Key   string `json:"key,omitempty"` // of a value; an effect's id
+	Key   string `json:"key,omitempty"` // the key of a value, or the id of an effect
 	Value []byte `json:"value,omitempty"`
 
-	Who    string                   `json:"who,omitempty"`   // the process that speaks
-	Epoch  uint64                   `json:"epoch,omitempty"` // of its presence, for Begin; a version, for Ack
-	Keep   bool                     `json:"keep,omitempty"`  // forget no effect to make room
+	Who    string                   `json:"who,omitempty"`   // the process that the command concerns
+	Epoch  uint64                   `json:"epoch,omitempty"` // begin: epoch of the process's presence; ack: version of its allocation
+	Keep   bool                     `json:"keep,omitempty"`  // begin: refuse the effect if the log is full, forgetting none
 	Orders []duty.Order             `json:"orders,omitempty"`
-	Fence  *duty.Ref                `json:"fence,omitempty"` // the grant under which an act is done
-	Do     []Command                `json:"do,omitempty"`    // the act
+	Fence  *duty.Ref                `json:"fence,omitempty"` // the grant under which the batch is executed
+	Do     []Command                `json:"do,omitempty"`    // the batch
 	IDs    []string                 `json:"ids,omitempty"`
-	Failed []string                 `json:"failed,omitempty"` // for End: ids of effects that failed; IDs has the others
+	Failed []string                 `json:"failed,omitempty"` // end: ids of effects that failed; those that succeeded are in ids
 	Amount int64                    `json:"amount,omitempty"`
 	Seq    uint64                   `json:"seq,omitempty"`
 	Files  []publish.File           `json:"files,omitempty"`
@@ -73,16 +74,16 @@
 	Change *records.Change `json:"change,omitempty"`
 }
 
-// Result is what a command came to.
+// Result is the result of a command.
 type Result struct {
-	Fresh bool     `json:"fresh,omitempty"` // Set, Delete, Begin: the key was absent
-	N     uint64   `json:"n,omitempty"`     // Mark: the count; Settle, Prune: how many; Publish: the version; Change: the revision; Compare: the digest
-	Stale bool     `json:"stale,omitempty"` // refused: the epoch is not the one in force
+	Fresh bool     `json:"fresh,omitempty"` // set, delete, begin: the key was absent before
+	N     uint64   `json:"n,omitempty"`     // mark, end, settle, prune: a count; publish: version; change: revision; compare: digest
+	Stale bool     `json:"stale,omitempty"` // refused: the epoch is not in force
 	Error string   `json:"error,omitempty"` // refused, and nothing was changed
-	Part  []string `json:"part,omitempty"`  // Orders: "" or the refusal of each
+	Part  []string `json:"part,omitempty"`  // orders: the refusal of each, or ""
 }
 
-// State is the whole.
+// State is the replicated state. It is not safe for concurrent use.
 type State struct {
 	Values  map[string][]byte
 	Duties  *duty.Table
@@ -90,26 +91,26 @@
 	Effects *settle.Ledger
 	Config  *publish.History
 	Records *records.Set
-	Marks   map[string]uint64 // by duty
-	Stale   map[string]uint64 // acts refused for their epoch, by duty
+	Marks   map[string]uint64 // counters, by duty
+	Stale   map[string]uint64 // commands refused for a stale epoch, by duty
 
-	Plant string // a planted bug; "": none
+	Plant string // an injected bug; "": none
 }
 
-// New is the empty state.
+// New returns an empty state.
 func New() *State {
 	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Shares: allot.NewLedger(),
 		Effects: settle.NewLedger(mostEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
 		Marks: map[string]uint64{}, Stale: map[string]uint64{}}
 }
 
-// Live tells whether a process's presence of an epoch is in force.
+// Live reports whether the presence of a process with the given epoch is in force.
 func (s *State) Live(who string, epoch uint64) bool {
 	l := s.Duties.Leases[duty.PresenceOf(who)]
 	return l != nil && l.Holder == who && l.Epoch == epoch
 }
 
-// Apply carries out one entry of the log, written in a leader's term.
+// Apply executes one log entry, which a leader appended in the given term.
 func (s *State) Apply(c Command, term uint64) Result {
 	switch c.Op {
 	case Set:
@@ -123,7 +124,7 @@
 	case Begin:
 		id := strings.TrimPrefix(c.Key, oldEffects)
 		if c.Who != "" && !s.Live(c.Who, c.Epoch) {
-			return Result{Stale: true, Error: fmt.Sprintf("state: the presence %d of %s is not in force", c.Epoch, c.Who)}
+			return Result{Stale: true, Error: fmt.Sprintf("state: presence epoch %d of %s is not in force", c.Epoch, c.Who)}
 		}
 		fresh, err := s.Effects.Begin(id, c.Who, c.Epoch, c.Keep)
 		return Result{Fresh: fresh, Error: text(err)}
@@ -145,7 +146,7 @@
 		return r
 	case Change:
 		if c.Change == nil {
-			return Result{Error: "state: no change"}
+			return Result{Error: "state: change command without a change"}
 		}
 		commit, err := s.Records.Apply(*c.Change)
 		return Result{N: commit.Revision, Error: text(err)}
@@ -161,7 +162,7 @@
 		return Result{}
 	case AcknowledgeVersion:
 		if c.Said == nil {
-			return Result{Error: "state: no word"}
+			return Result{Error: "state: acknowledgement command without an acknowledgement"}
 		}
 		return Result{Error: text(s.Config.Say(c.Who, *c.Said))}
 	case Act:
@@ -170,7 +171,8 @@
 	return Result{Error: fmt.Sprintf("state: unknown command %q", c.Op)}
 }
 
-// order carries out one of the grantor's, with what hangs on a process's presence.
+// order applies one decision of the grantor. A process's presence also opens and closes its allocation, and its end removes
+// the process's acknowledgement.
 func (s *State) order(o duty.Order, term uint64) error {
 	if err := s.Duties.Apply(o, term); err != nil {
 		return err
@@ -186,19 +188,20 @@
 	return nil
 }
 
-// act checks the epoch and carries the act out, whole or not at all, in this one step.
+// act checks the fencing token and executes the batch atomically, within this log entry.
 func (s *State) act(c Command) Result {
 	if c.Fence == nil {
-		return Result{Error: "state: an act without an epoch"}
+		return Result{Error: "state: fenced command without a fencing token"}
 	}
 	if err := s.Duties.Fence(*c.Fence); err != nil && s.Plant != duty.PlantUnfenced {
 		if s.Stale[c.Fence.Name]++; len(s.Stale) > mostMarks {
-			clear(s.Stale) // names are made up
+			clear(s.Stale) // callers choose the names, so their number is unbounded
 		}
 		return Result{Stale: true, Error: err.Error()}
 	}
-	// Shares are the one thing that can be refused after a part was done. To copy them costs as much as the fleet is large,
-	// so it is done only where an act touches them.
+	// Only changes of allocations are expected to be refused after earlier operations of the batch took effect, so only
+	// allocations are rolled back. Copying them takes time proportional to the number of servers and is therefore done only if
+	// the batch changes them.
 	shares := s.Shares
 	if slices.ContainsFunc(c.Do, func(d Command) bool { return d.Op == Share || d.Op == Pool }) {
 		s.Shares = shares.Clone()
@@ -219,7 +222,7 @@
 	switch c.Op {
 	case Mark:
 		if len(s.Marks) >= mostMarks && s.Marks[under.Name] == 0 {
-			return 0, errors.New("state: too many marks")
+			return 0, errors.New("state: too many counters")
 		}
 		s.Marks[under.Name]++
 		return s.Marks[under.Name], nil
@@ -229,7 +232,7 @@
 		return 0, s.Shares.SetPool(c.Amount)
 	case Settle:
 		if len(c.IDs) > orphansAtOne {
-			return 0, fmt.Errorf("state: %d effects to settle in one step, %d at most", len(c.IDs), orphansAtOne)
+			return 0, fmt.Errorf("state: %d effects to resolve exceed the limit of %d in one command", len(c.IDs), orphansAtOne)
 		}
 		return uint64(s.Effects.Settle(c.IDs, s.Live)), nil
 	case Prune:
@@ -237,7 +240,7 @@
 	case Publish:
 		return s.Config.Publish(c.Files, c.Seq, under.Epoch)
 	}
-	return 0, fmt.Errorf("state: %q is no act", c.Op)
+	return 0, fmt.Errorf("state: operation %q is not allowed in a fenced command", c.Op)
 }
 
 func text(err error) string {
@@ -247,10 +250,10 @@
 	return err.Error()
 }
 
-// Kept is the state's form in a snapshot. Values and Order are all that earlier versions wrote.
+// Kept is the encoded form of the state. Earlier versions wrote only the fields values and order.
 type Kept struct {
 	Values  map[string][]byte `json:"values"`
-	Order   []string          `json:"order,omitempty"`
+	Order   []string          `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
 	Duties  *duty.Table       `json:"duties,omitempty"`
 	Shares  *allot.Ledger     `json:"shares,omitempty"`
 	Effects *settle.Ledger    `json:"effects,omitempty"`
@@ -260,13 +263,13 @@
 	Stale   map[string]uint64 `json:"stale,omitempty"`
 }
 
-// Keep copies the state, so that it can be written while commands go on.
+// Keep copies the state, so that it can be encoded while further commands are applied.
 func (s *State) Keep() *Kept {
 	return &Kept{Values: maps.Clone(s.Values), Duties: s.Duties.Clone(), Shares: s.Shares.Clone(), Effects: s.Effects.Clone(),
 		Config: s.Config.Clone(), Records: s.Records.Freeze(), Marks: maps.Clone(s.Marks), Stale: maps.Clone(s.Stale)}
 }
 
-// Read takes the state of a snapshot, in today's form or an earlier one.
+// Read decodes a snapshot, in the present format or that of earlier versions.
 func Read(b []byte) (*State, error) {
 	var k Kept
 	if err := json.Unmarshal(b, &k); err != nil {
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -39,7 +39,7 @@
 	}
 	end(t, s, first)
 	if r := s.Apply(act(first, Command{Op: Mark}), 3); !r.Stale {
-		t.Errorf("after its end: %+v", r)
+		t.Errorf("after the lease ended: %+v", r)
 	}
 	second := grant(t, s, "d", "b")
 	for _, e := range []duty.Ref{first, {Name: "d", Epoch: second.Epoch + 1}, {Name: "none", Epoch: 1}} {
@@ -48,18 +48,18 @@
 		}
 	}
 	if s.Marks["d"] != 1 || s.Stale["d"] != 3 {
-		t.Errorf("%d marks, %d refused", s.Marks["d"], s.Stale["d"])
+		t.Errorf("counter is %d, %d stale refusals", s.Marks["d"], s.Stale["d"])
 	}
 	if r := s.Apply(Command{Op: Act, Do: []Command{{Op: Mark}}}, 3); r.Error == "" {
-		t.Error("an act without an epoch")
+		t.Error("a command without a fencing token was accepted")
 	}
 	s.Plant = duty.PlantUnfenced
 	if r := s.Apply(act(first, Command{Op: Mark}), 3); r.Stale || s.Marks["d"] != 2 {
-		t.Error("the planted bug is none")
+		t.Error("the injected bug has no effect")
 	}
 }
 
-// An act is carried out whole or not at all, and shares go with the presence that they hang on.
+// A fenced batch takes effect completely or not at all, and an allocation ends with its process's presence.
 func TestActsAreWhole(t *testing.T) {
 	s := New()
 	a, b := grant(t, s, duty.PresenceOf("a"), "a"), grant(t, s, duty.PresenceOf("b"), "b")
@@ -68,35 +68,35 @@
 		t.Fatalf("%+v", r)
 	}
 	if r := s.Apply(act(allot, Command{Op: Share, Who: "a", Amount: 30}, Command{Op: Share, Who: "b", Amount: 70}), 3); r.Error == "" {
-		t.Error("over the whole: what is cut is in use until its process says otherwise")
+		t.Error("allocations exceed the pool: a reduced one counts in full until its process acknowledges the reduction")
 	}
 	if v := s.Shares.Shares["a"]; v.Want != 60 || v.Cap != 60 {
-		t.Errorf("half of a refused act was done: %+v", v)
+		t.Errorf("part of a refused batch took effect: %+v", v)
 	}
 	if r := s.Apply(act(allot, Command{Op: Share, Who: "a", Amount: 30}), 3); r.Error != "" {
 		t.Fatalf("%+v", r)
 	}
 	s.Apply(Command{Op: Ack, Who: "a", Epoch: s.Shares.Shares["a"].Version}, 3)
 	if r := s.Apply(act(allot, Command{Op: Share, Who: "b", Amount: 70}), 3); r.Error != "" {
-		t.Errorf("after the cut is in use: %+v", r)
+		t.Errorf("after the reduction was acknowledged: %+v", r)
 	}
 	end(t, s, b)
 	if s.Shares.Sum() != 30 {
-		t.Errorf("%d in force after a presence ended", s.Shares.Sum())
+		t.Errorf("%d allocated after a presence ended", s.Shares.Sum())
 	}
 	if r := s.Apply(Command{Op: Begin, Key: "e1", Who: "a", Epoch: a.Epoch, Keep: true}, 3); !r.Fresh {
 		t.Errorf("%+v", r)
 	}
 	end(t, s, a)
 	if r := s.Apply(Command{Op: Begin, Key: "e2", Who: "a", Epoch: a.Epoch, Keep: true}, 3); !r.Stale || r.Fresh {
-		t.Errorf("an effect of a process that is gone: %+v", r)
+		t.Errorf("an effect of a process that is no longer present: %+v", r)
 	}
 	settler := grant(t, s, "settler", "b")
 	if r := s.Apply(act(settler, Command{Op: Settle, IDs: []string{"e1", "e2"}}), 3); r.N != 1 {
 		t.Errorf("%+v", r)
 	}
 	if r := s.Apply(Command{Op: "nonsense"}, 3); r.Error == "" {
-		t.Error("an unknown command")
+		t.Error("an unknown command was accepted")
 	}
 }
 
@@ -123,13 +123,13 @@
 	}
 	last := back.Duties.Last
 	if r := grant(t, back, "other", "b"); r.Epoch <= last {
-		t.Errorf("epoch %d after a snapshot with %d", r.Epoch, last)
+		t.Errorf("epoch %d was granted after a snapshot with %d", r.Epoch, last)
 	}
 }
 
 func must(b []byte, err error) string { return string(b) }
 
-// A snapshot and a log as earlier versions wrote them.
+// Snapshots and logs written by earlier versions are still read.
 func TestEarlierFormsAreRead(t *testing.T) {
 	s, err := Read([]byte(`{"values":{"config/n1":"eA==","effects/0a":null,"effects/0b":null},"order":["effects/0b","effects/0a"]}`))
 	if err != nil {
@@ -143,9 +143,9 @@
 		t.Fatal(err)
 	}
 	if r := s.Apply(c, 1); r.Fresh || r.Error != "" {
-		t.Errorf("begun before: %+v", r)
+		t.Errorf("an effect begun before: %+v", r)
 	}
 	if _, err := Read([]byte(`{"values":`)); err == nil || !strings.Contains(err.Error(), "unexpected end") {
-		t.Errorf("a snapshot that is cut off: %v", err)
+		t.Errorf("a truncated snapshot: %v", err)
 	}
 }
