--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -8,10 +8,10 @@
 )
 
 func claim(id, folder string, life, term, last uint64) Claim {
-	return Claim{ID: id, Addr: "at-" + id, Mark: Mark{Folder: folder, Life: life, Proc: fmt.Sprint(folder, "/", life), Term: term, Last: last}}
+	return Claim{ID: id, Addr: "at-" + id, DirectoryState: DirectoryState{DirectoryID: folder, OpenCount: life, ProcessID: fmt.Sprint(folder, "/", life), Term: term, LastIndex: last}}
 }
 
-var three = View{Begun: true, Last: 50, Name: "set", Of: map[string]Member{"a": {"at-a", true}, "b": {"at-b", true}, "c": {"at-c", true}}}
+var three = View{Bootstrapped: true, LastIndex: 50, ClusterName: "set", Members: map[string]Member{"a": {"at-a", true}, "b": {"at-b", true}, "c": {"at-c", true}}}
 
 func TestWhatAWitnessRemembersSpeaksAgainstAFolder(t *testing.T) {
 	before := claim("c", "f", 3, 7, 40)
@@ -24,28 +24,28 @@
 		c    Claim
 		want Verdict
 	}{
-		"plain restart":                           {changed(func(*Claim) {}), Good},
-		"later term, log tail truncated":          {changed(func(c *Claim) { c.Term, c.Last = 8, 38 }), Good},
-		"one entry missing":                       {changed(func(c *Claim) { c.Last = 39 }), Older},
-		"earlier term":                            {changed(func(c *Claim) { c.Term, c.Last = 6, 45 }), Older},
-		"open count repeated":                     {changed(func(c *Claim) { c.Life, c.Proc = 3, "another" }), Older},
-		"empty directory":                         {changed(func(c *Claim) { *c = claim("c", "g", 1, 0, 0); c.Fresh = true }), Foreign},
-		"directory of another replica":            {changed(func(c *Claim) { c.Folder = "g" }), Foreign},
-		"rejoined through the leader":             {changed(func(c *Claim) { c.Folder, c.Joined = "g", 30 }), Good},
-		"another address":                         {changed(func(c *Claim) { c.Addr = "at-x" }), Elsewhere},
-		"directory of another cluster":            {changed(func(c *Claim) { c.Name = "another" }), Stranger},
-		"directory of this cluster":               {changed(func(c *Claim) { c.Name = "set" }), Good},
-		"id that is not a member":                 {claim("x", "f", 1, 7, 40), Removed},
-		"same process, log tail truncated":        {func() Claim { c := before; c.Last = 30; return c }(), Good},
-		"same process, emptied disk":              {func() Claim { c := before; c.Folder = "g"; return c }(), Foreign},
-		"valid directory that requests to rejoin": {changed(func(c *Claim) { c.Rejoin = "damaged" }), Good},
+		"plain restart":                           {changed(func(*Claim) {}), VerdictAccepted},
+		"later term, log tail truncated":          {changed(func(c *Claim) { c.Term, c.LastIndex = 8, 38 }), VerdictAccepted},
+		"one entry missing":                       {changed(func(c *Claim) { c.LastIndex = 39 }), VerdictOutdated},
+		"earlier term":                            {changed(func(c *Claim) { c.Term, c.LastIndex = 6, 45 }), VerdictOutdated},
+		"open count repeated":                     {changed(func(c *Claim) { c.OpenCount, c.ProcessID = 3, "another" }), VerdictOutdated},
+		"empty directory":                         {changed(func(c *Claim) { *c = claim("c", "g", 1, 0, 0); c.Fresh = true }), VerdictOtherDirectory},
+		"directory of another replica":            {changed(func(c *Claim) { c.DirectoryID = "g" }), VerdictOtherDirectory},
+		"rejoined through the leader":             {changed(func(c *Claim) { c.DirectoryID, c.JoinIndex = "g", 30 }), VerdictAccepted},
+		"another address":                         {changed(func(c *Claim) { c.Addr = "at-x" }), VerdictOtherAddress},
+		"directory of another cluster":            {changed(func(c *Claim) { c.ClusterName = "another" }), VerdictOtherCluster},
+		"directory of this cluster":               {changed(func(c *Claim) { c.ClusterName = "set" }), VerdictAccepted},
+		"id that is not a member":                 {claim("x", "f", 1, 7, 40), VerdictNotMember},
+		"same process, log tail truncated":        {func() Claim { c := before; c.LastIndex = 30; return c }(), VerdictAccepted},
+		"same process, emptied disk":              {func() Claim { c := before; c.DirectoryID = "g"; return c }(), VerdictOtherDirectory},
+		"valid directory that requests to rejoin": {changed(func(c *Claim) { c.RejoinReason = "damaged" }), VerdictAccepted},
 	} {
-		w := NewWitness("a", nil)
-		if word, keep := w.Hear(0, 1, before, three); word.Verdict != Good || !keep {
+		w := NewVerifier("a", nil)
+		if word, keep := w.HandleClaim(0, 1, before, three); word.Verdict != VerdictAccepted || !keep {
 			t.Fatalf("first claim: %+v, persist %v", word, keep)
 		}
-		w.Gone("c", 1)
-		if word, _ := w.Hear(10, 2, tc.c, three); word.Verdict != tc.want {
+		w.ConnectionClosed("c", 1)
+		if word, _ := w.HandleClaim(10, 2, tc.c, three); word.Verdict != tc.want {
 			t.Errorf("%s: %+v, want %s", name, word, tc.want)
 		}
 	}
@@ -53,108 +53,110 @@
 
 // A remembered directory state that contradicts a claim is not overwritten by that claim, since the claim may be repeated.
 func TestRefusedClaimsAreNotRemembered(t *testing.T) {
-	w := NewWitness("a", map[string]Mark{"c": claim("c", "f", 3, 7, 40).Mark})
+	w := NewVerifier("a", map[string]DirectoryState{"c": claim("c", "f", 3, 7, 40).DirectoryState})
 	old := claim("c", "f", 3, 6, 20)
-	old.Proc = "old"
+	old.ProcessID = "old"
 	for range 3 {
-		if word, keep := w.Hear(0, 1, old, three); word.Verdict != Older || keep {
+		if word, keep := w.HandleClaim(0, 1, old, three); word.Verdict != VerdictOutdated || keep {
 			t.Errorf("%+v %v", word, keep)
 		}
 	}
-	if w.Marks["c"].Last != 40 {
-		t.Errorf("%+v", w.Marks["c"])
+	if w.Directories["c"].LastIndex != 40 {
+		t.Errorf("%+v", w.Directories["c"])
 	}
 	nobody := View{}
-	if word, _ := w.Hear(0, 1, old, nobody); word.Verdict != Older {
+	if word, _ := w.HandleClaim(0, 1, old, nobody); word.Verdict != VerdictOutdated {
 		t.Errorf("verifier without a configuration: %+v", word)
 	}
 }
 
 func TestOneProcessOfAnID(t *testing.T) {
-	w := NewWitness("a", nil)
+	w := NewVerifier("a", nil)
 	first, second := claim("c", "f", 1, 1, 5), claim("c", "g", 1, 1, 5)
-	w.Hear(0, 1, first, three)
-	if word, _ := w.Hear(AliveFor-1, 2, second, three); word.Verdict != Twin {
+	w.HandleClaim(0, 1, first, three)
+	if word, _ := w.HandleClaim(AliveFor-1, 2, second, three); word.Verdict != VerdictDuplicateProcess {
 		t.Errorf("second process while the first is alive: %+v", word)
 	}
-	w.Gone("c", 2)
-	if word, _ := w.Hear(AliveFor-1, 3, second, three); word.Verdict != Twin {
+	w.ConnectionClosed("c", 2)
+	if word, _ := w.HandleClaim(AliveFor-1, 3, second, three); word.Verdict != VerdictDuplicateProcess {
 		t.Errorf("second process after its own connection ended: %+v", word)
 	}
-	if word, _ := w.Hear(AliveFor, 3, second, three); word.Verdict != Foreign {
+	if word, _ := w.HandleClaim(AliveFor, 3, second, three); word.Verdict != VerdictOtherDirectory {
 		t.Errorf("second process after the first has timed out: %+v", word)
 	}
-	if word, _ := w.Hear(AliveFor+1, 1, first, three); word.Verdict != Replaced {
+	if word, _ := w.HandleClaim(AliveFor+1, 1, first, three); word.Verdict != VerdictProcessReplaced {
 		t.Errorf("first process, resumed: %+v", word)
 	}
-	w.Gone("c", 3)
-	if word, _ := w.Hear(AliveFor+2, 1, first, three); word.Verdict != Good {
+	w.ConnectionClosed("c", 3)
+	if word, _ := w.HandleClaim(AliveFor+2, 1, first, three); word.Verdict != VerdictAccepted {
 		t.Errorf("first process after the second has ended: %+v", word)
 	}
 }
 
 // Each combination of claim and responses leads to one decision.
 func TestSeekerDecides(t *testing.T) {
-	good := func(from string) Word { return Word{From: from, Verdict: Good, Begun: true, Last: 50} }
-	bad := func(from string, v Verdict) Word {
-		return Word{From: from, Verdict: v, Why: "the reason", Begun: true, Last: 50}
+	good := func(from string) Response {
+		return Response{From: from, Verdict: VerdictAccepted, Bootstrapped: true, LastIndex: 50}
 	}
-	fresh := func(from string) Word { return Word{From: from, Verdict: Good} }
+	bad := func(from string, v Verdict) Response {
+		return Response{From: from, Verdict: v, Reason: "the reason", Bootstrapped: true, LastIndex: 50}
+	}
+	fresh := func(from string) Response { return Response{From: from, Verdict: VerdictAccepted} }
 	old, empty := claim("c", "f", 4, 7, 40), Claim{ID: "c", Fresh: true}
 	learner := claim("c", "g", 1, 0, 0)
-	learner.Joined, learner.Fresh = 45, true
+	learner.JoinIndex, learner.Fresh = 45, true
 	named := old
-	named.Name = "set"
+	named.ClusterName = "set"
 	asking := old
-	asking.Rejoin = "older"
+	asking.RejoinReason = "older"
 	for name, tc := range map[string]struct {
 		c      Claim
 		strict bool
-		words  []Word
+		words  []Response
 		want   Decision
 	}{
-		"no responses":                                {old, false, nil, Wait},
-		"one of two accepts":                          {old, false, []Word{good("a")}, Start},
-		"state differs":                               {old, false, []Word{good("a"), bad("b", Differs)}, Rejoin},
-		"one of two accepts, strict":                  {old, true, []Word{good("a")}, Wait},
-		"both accept, strict":                         {old, true, []Word{good("a"), good("b")}, Start},
-		"one contradicts":                             {old, false, []Word{good("a"), bad("b", Older)}, Rejoin},
-		"accepted by a replica that is no peer":       {old, false, []Word{good("x")}, Wait},
-		"another process is alive":                    {old, false, []Word{good("a"), bad("b", Twin)}, Wait},
-		"replaced by another process":                 {old, false, []Word{good("a"), bad("b", Replaced)}, Leave},
-		"directory of another cluster":                {old, false, []Word{bad("a", Stranger), bad("b", Stranger)}, Wait},
-		"accepted by peers without a cluster":         {named, false, []Word{fresh("a"), fresh("b")}, Wait},
-		"rejoined, other address at one peer":         {asking, false, []Word{bad("a", Elsewhere), {From: "b", Verdict: Foreign, Begun: true, Joined: 45}}, Renew},
-		"one peer is of another cluster":              {old, false, []Word{good("a"), bad("b", Stranger)}, Start},
-		"removed":                                     {old, false, []Word{good("a"), bad("b", Removed)}, Wait},
-		"empty, one peer empty":                       {empty, false, []Word{fresh("a")}, Wait},
-		"all empty":                                   {empty, false, []Word{fresh("a"), fresh("b")}, Begin},
-		"empty, cluster bootstrapped":                 {empty, false, []Word{fresh("a"), good("b")}, Rejoin},
-		"empty, cluster bootstrapped with it":         {empty, false, []Word{fresh("a"), {From: "b", Verdict: Good, Begun: true, Knows: true}}, Begin},
-		"rejoin requested":                            {asking, false, []Word{good("a"), bad("b", Older)}, Wait},
-		"rejoin requested and granted":                {asking, false, []Word{{From: "a", Verdict: Good, Begun: true, Joined: 45}}, Renew},
-		"rejoined, not known to one peer yet":         {learner, false, []Word{good("a"), {From: "b", Verdict: Foreign, Begun: true, Last: 44}}, Start},
-		"rejoined, contradicted by a peer that knows": {learner, false, []Word{good("a"), bad("b", Foreign)}, Rejoin},
+		"no responses":                                {old, false, nil, DecisionWait},
+		"one of two accepts":                          {old, false, []Response{good("a")}, DecisionStart},
+		"state differs":                               {old, false, []Response{good("a"), bad("b", VerdictStateDiverged)}, DecisionRequestRejoin},
+		"one of two accepts, strict":                  {old, true, []Response{good("a")}, DecisionWait},
+		"both accept, strict":                         {old, true, []Response{good("a"), good("b")}, DecisionStart},
+		"one contradicts":                             {old, false, []Response{good("a"), bad("b", VerdictOutdated)}, DecisionRequestRejoin},
+		"accepted by a replica that is no peer":       {old, false, []Response{good("x")}, DecisionWait},
+		"another process is alive":                    {old, false, []Response{good("a"), bad("b", VerdictDuplicateProcess)}, DecisionWait},
+		"replaced by another process":                 {old, false, []Response{good("a"), bad("b", VerdictProcessReplaced)}, DecisionStop},
+		"directory of another cluster":                {old, false, []Response{bad("a", VerdictOtherCluster), bad("b", VerdictOtherCluster)}, DecisionWait},
+		"accepted by peers without a cluster":         {named, false, []Response{fresh("a"), fresh("b")}, DecisionWait},
+		"rejoined, other address at one peer":         {asking, false, []Response{bad("a", VerdictOtherAddress), {From: "b", Verdict: VerdictOtherDirectory, Bootstrapped: true, JoinIndex: 45}}, DecisionResetDirectory},
+		"one peer is of another cluster":              {old, false, []Response{good("a"), bad("b", VerdictOtherCluster)}, DecisionStart},
+		"removed":                                     {old, false, []Response{good("a"), bad("b", VerdictNotMember)}, DecisionWait},
+		"empty, one peer empty":                       {empty, false, []Response{fresh("a")}, DecisionWait},
+		"all empty":                                   {empty, false, []Response{fresh("a"), fresh("b")}, DecisionBootstrap},
+		"empty, cluster bootstrapped":                 {empty, false, []Response{fresh("a"), good("b")}, DecisionRequestRejoin},
+		"empty, cluster bootstrapped with it":         {empty, false, []Response{fresh("a"), {From: "b", Verdict: VerdictAccepted, Bootstrapped: true, KnowsDirectory: true}}, DecisionBootstrap},
+		"rejoin requested":                            {asking, false, []Response{good("a"), bad("b", VerdictOutdated)}, DecisionWait},
+		"rejoin requested and granted":                {asking, false, []Response{{From: "a", Verdict: VerdictAccepted, Bootstrapped: true, JoinIndex: 45}}, DecisionResetDirectory},
+		"rejoined, not known to one peer yet":         {learner, false, []Response{good("a"), {From: "b", Verdict: VerdictOtherDirectory, Bootstrapped: true, LastIndex: 44}}, DecisionStart},
+		"rejoined, contradicted by a peer that knows": {learner, false, []Response{good("a"), bad("b", VerdictOtherDirectory)}, DecisionRequestRejoin},
 	} {
-		s := Seeker{Claim: tc.c, Others: []string{"a", "b"}, Strict: tc.strict, Waited: true}
+		s := Joiner{Claim: tc.c, Peers: []string{"a", "b"}, Strict: tc.strict, WaitElapsed: true}
 		for _, w := range tc.words {
-			s.Take(w)
+			s.AddResponse(w)
 		}
 		if d, why := s.Decide(); d != tc.want || why == "" {
 			t.Errorf("%s: %s (%s), want %s", name, d, why, tc.want)
 		}
 	}
-	hasty := Seeker{Claim: old, Others: []string{"a", "b"}}
-	hasty.Take(good("a"))
-	if d, _ := hasty.Decide(); d != Wait {
+	hasty := Joiner{Claim: old, Peers: []string{"a", "b"}}
+	hasty.AddResponse(good("a"))
+	if d, _ := hasty.Decide(); d != DecisionWait {
 		t.Errorf("one of two peers accepts before the wait has elapsed: %s", d)
 	}
-	hasty.Take(good("b"))
-	if d, _ := hasty.Decide(); d != Start {
+	hasty.AddResponse(good("b"))
+	if d, _ := hasty.Decide(); d != DecisionStart {
 		t.Errorf("all peers accept before the wait has elapsed: %s", d)
 	}
 	for n, want := range map[int][2]int{0: {0, 0}, 2: {1, 2}, 4: {2, 3}, 6: {3, 4}} {
-		s := Seeker{Others: make([]string, n)}
+		s := Joiner{Peers: make([]string, n)}
 		plain := s.Need()
 		s.Strict = true
 		if strict := s.Need(); plain != want[0] || strict != want[1] {
@@ -167,11 +169,11 @@
 // that starts as a voter has all entries that it ever had as a voter.
 type world struct {
 	n     int
-	disk  []Claim  // the present data directory of each replica
-	kept  []*Claim // its backup; nil: none
-	most  []Mark   // the latest state that each replica had as a voter
-	up    []bool   // the process runs and takes part in the cluster
-	w     []*Witness
+	disk  []Claim          // the present data directory of each replica
+	kept  []*Claim         // its backup; nil: none
+	most  []DirectoryState // the latest state that each replica had as a voter
+	up    []bool           // the process runs and takes part in the cluster
+	w     []*Verifier
 	votes []bool
 	procs int
 	last  uint64
@@ -181,13 +183,13 @@
 }
 
 func newWorld(n int, plant string) *world {
-	w := &world{n: n, disk: make([]Claim, n), kept: make([]*Claim, n), most: make([]Mark, n), up: make([]bool, n), w: make([]*Witness, n),
+	w := &world{n: n, disk: make([]Claim, n), kept: make([]*Claim, n), most: make([]DirectoryState, n), up: make([]bool, n), w: make([]*Verifier, n),
 		votes: make([]bool, n), last: 10, plant: plant}
 	for i := range n {
-		w.w[i] = NewWitness(id(i), nil)
+		w.w[i] = NewVerifier(id(i), nil)
 		w.votes[i], w.up[i] = true, true
-		w.disk[i] = Claim{ID: id(i), Addr: "at-" + id(i), Mark: Mark{Folder: fmt.Sprint("f", i), Life: 1, Proc: fmt.Sprint("p", i), Term: 1, Last: 10}}
-		w.most[i] = w.disk[i].Mark
+		w.disk[i] = Claim{ID: id(i), Addr: "at-" + id(i), DirectoryState: DirectoryState{DirectoryID: fmt.Sprint("f", i), OpenCount: 1, ProcessID: fmt.Sprint("p", i), Term: 1, LastIndex: 10}}
+		w.most[i] = w.disk[i].DirectoryState
 	}
 	for i := range n {
 		w.report(i)
@@ -198,18 +200,18 @@
 func id(i int) string { return string(rune('a' + i)) }
 
 func (w *world) view(i int) View {
-	v := View{Begun: true, Last: w.disk[i].Last, Of: map[string]Member{}}
+	v := View{Bootstrapped: true, LastIndex: w.disk[i].LastIndex, Members: map[string]Member{}}
 	for k := range w.n {
-		v.Of[id(k)] = Member{"at-" + id(k), w.votes[k]}
+		v.Members[id(k)] = Member{"at-" + id(k), w.votes[k]}
 	}
 	return v
 }
 
 // report sends the claim of a replica to all running ones and returns their responses.
-func (w *world) report(i int) (words []Word) {
+func (w *world) report(i int) (words []Response) {
 	for k := range w.n {
 		if k != i && w.up[k] {
-			word, _ := w.w[k].Hear(w.now, uint64(i), w.disk[i], w.view(k))
+			word, _ := w.w[k].HandleClaim(w.now, uint64(i), w.disk[i], w.view(k))
 			words = append(words, word)
 		}
 	}
@@ -223,7 +225,7 @@
 	switch {
 	case (what == "kill" || what == "promote") && !w.up[i], (what == "old" || what == "empty" || what == "start") && w.up[i],
 		what == "old" && w.kept[i] == nil, what == "keep" && w.kept[i] != nil && *w.kept[i] == *d,
-		what == "promote" && (w.votes[i] || d.Last != w.last):
+		what == "promote" && (w.votes[i] || d.LastIndex != w.last):
 		return false
 	}
 	switch what {
@@ -231,9 +233,9 @@
 		w.last++
 		for k := range w.n {
 			if w.up[k] {
-				w.disk[k].Last, w.disk[k].Fresh = w.last, false
+				w.disk[k].LastIndex, w.disk[k].Fresh = w.last, false
 				if w.votes[k] {
-					w.most[k] = w.disk[k].Mark
+					w.most[k] = w.disk[k].DirectoryState
 				}
 			}
 		}
@@ -248,17 +250,17 @@
 	case "kill":
 		w.up[i] = false
 		for k := range w.n {
-			w.w[k].Gone(id(i), uint64(i))
+			w.w[k].ConnectionClosed(id(i), uint64(i))
 		}
 	case "old":
 		*d = *w.kept[i]
 	case "empty":
-		*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true, Mark: Mark{Folder: fmt.Sprint(d.Folder, "+")}}
+		*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true, DirectoryState: DirectoryState{DirectoryID: fmt.Sprint(d.DirectoryID, "+")}}
 	case "start":
 		w.start(i)
 	case "promote":
 		w.votes[i] = true
-		w.most[i] = d.Mark
+		w.most[i] = d.DirectoryState
 	}
 	return true
 }
@@ -266,30 +268,30 @@
 func (w *world) start(i int) {
 	d := &w.disk[i]
 	w.procs++
-	d.Life++
-	d.Proc = fmt.Sprint("q", w.procs)
-	d.Rejoin, d.Runs = "", false
-	legit := d.Folder == w.most[i].Folder && !d.behind(w.most[i]) && d.Life == w.most[i].Life+1
-	s := Seeker{Claim: *d, Plant: w.plant, Waited: true}
+	d.OpenCount++
+	d.ProcessID = fmt.Sprint("q", w.procs)
+	d.RejoinReason, d.Running = "", false
+	legit := d.DirectoryID == w.most[i].DirectoryID && !d.behind(w.most[i]) && d.OpenCount == w.most[i].OpenCount+1
+	s := Joiner{Claim: *d, InjectedBug: w.plant, WaitElapsed: true}
 	for k := range w.n {
 		if k != i {
-			s.Others = append(s.Others, id(k))
+			s.Peers = append(s.Peers, id(k))
 		}
 	}
 	joined := false
 	for range 4 {
 		words := w.report(i)
 		for _, word := range words {
-			if joined && s.Rejoin != "" {
-				word.Joined = w.last
+			if joined && s.RejoinReason != "" {
+				word.JoinIndex = w.last
 			}
-			s.Take(word)
+			s.AddResponse(word)
 		}
 		decision, _ := s.Decide()
 		switch decision {
-		case Rejoin:
-			s.Rejoin = "contradicted"
-			d.Rejoin = s.Rejoin
+		case DecisionRequestRejoin:
+			s.RejoinReason = "contradicted"
+			d.RejoinReason = s.RejoinReason
 			leads := 0
 			for k := range w.n {
 				if w.up[k] && w.votes[k] {
@@ -301,14 +303,14 @@
 				w.votes[i] = false
 				joined = true
 			}
-		case Renew:
-			*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true, Mark: Mark{Folder: fmt.Sprint(d.Folder, "'", w.procs), Life: 1, Proc: d.Proc, Joined: w.last}}
+		case DecisionResetDirectory:
+			*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true, DirectoryState: DirectoryState{DirectoryID: fmt.Sprint(d.DirectoryID, "'", w.procs), OpenCount: 1, ProcessID: d.ProcessID, JoinIndex: w.last}}
 			s.Claim = *d
-			s.Forget()
-		case Start, Begin:
+			s.ClearResponses()
+		case DecisionStart, DecisionBootstrap:
 			w.up[i] = true
 			return
-		case Wait, Leave:
+		case DecisionWait, DecisionStop:
 			if legit && w.votes[i] && len(words) == w.n-1 {
 				w.long++
 			}
@@ -322,7 +324,7 @@
 func (w *world) broken() string {
 	for i := range w.n {
 		if d := w.disk[i]; w.up[i] && w.votes[i] && d.behind(w.most[i]) {
-			return fmt.Sprintf("%s votes with last entry %d, it had %d", d.ID, d.Last, w.most[i].Last)
+			return fmt.Sprintf("%s votes with last entry %d, it had %d", d.ID, d.LastIndex, w.most[i].LastIndex)
 		}
 	}
 	if w.long > 0 {
@@ -418,28 +420,28 @@
 func TestLearnerThatIsAlwaysTooSlowIsNotPromoted(t *testing.T) {
 	var slow, fast Learner
 	c := claim("c", "g", 1, 1, 0)
-	c.Runs = true
+	c.Running = true
 	for mine := uint64(100); mine < 5000; mine += 100 {
-		c.Last = mine - 150
+		c.LastIndex = mine - 150
 		if slow.Report(c, mine) {
-			t.Fatalf("promoted with entry %d of %d", c.Last, mine)
+			t.Fatalf("promoted with entry %d of %d", c.LastIndex, mine)
 		}
-		c.Last = mine - 50
+		c.LastIndex = mine - 50
 		if got, want := fast.Report(c, mine), mine >= 300; got != want {
 			t.Fatalf("leader at entry %d: promoted %v, want %v", mine, got, want)
 		}
 	}
-	if slow.Behind != 150 || fast.Behind != 50 {
+	if slow.Lag != 150 || fast.Lag != 50 {
 		t.Errorf("%+v %+v", slow, fast)
 	}
-	c.Proc = "another"
+	c.ProcessID = "another"
 	if fast.Report(c, 5000) {
 		t.Error("a new process was promoted by the reports of its predecessor")
 	}
 }
 
 func TestMajorityDecidesWhoDiffers(t *testing.T) {
-	d := func(at, sum uint64) Digest { return Digest{At: at, Sum: sum} }
+	d := func(at, sum uint64) Digest { return Digest{Index: at, Sum: sum} }
 	for name, tc := range map[string]struct {
 		of     map[string]Digest
 		voters int
@@ -458,22 +460,22 @@
 	} {
 		at := uint64(0)
 		for _, v := range tc.of {
-			at = max(at, v.At)
+			at = max(at, v.Index)
 		}
-		odd, split := Differ(at, tc.of, tc.voters)
+		odd, split := FindDivergent(at, tc.of, tc.voters)
 		if strings.Join(odd, "") != tc.odd || split != tc.split {
 			t.Errorf("%s: %q, %v", name, odd, split)
 		}
 	}
-	w := NewWitness("a", nil)
+	w := NewVerifier("a", nil)
 	c := claim("c", "f", 1, 1, 5)
-	w.Hear(0, 1, c, three)
-	w.Suspect("c")
-	if word, _ := w.Hear(1, 1, c, three); word.Verdict != Differs {
+	w.HandleClaim(0, 1, c, three)
+	w.MarkDivergent("c")
+	if word, _ := w.HandleClaim(1, 1, c, three); word.Verdict != VerdictStateDiverged {
 		t.Errorf("%+v", word)
 	}
-	c.Folder, c.Joined = "g", 30
-	if word, _ := w.Hear(2, 1, c, three); word.Verdict != Good {
+	c.DirectoryID, c.JoinIndex = "g", 30
+	if word, _ := w.HandleClaim(2, 1, c, three); word.Verdict != VerdictAccepted {
 		t.Errorf("after it rejoined: %+v", word)
 	}
 }
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Whole is the timeout for reading a complete message, counted from its first byte, and for writing one.
-const Whole = 2 * time.Second
+// MessageTimeout is the timeout for reading a complete message, counted from its first byte, and for writing one.
+const MessageTimeout = 2 * time.Second
 
 // Append encodes v as JSON and appends it to b as a message. Content of more than most bytes is an error.
 func Append(b []byte, v any, most int) ([]byte, error) {
@@ -75,7 +75,7 @@
 	if _, err := r.r.Peek(1); err != nil {
 		return nil, err
 	}
-	r.conn.SetReadDeadline(time.Now().Add(Whole))
+	r.conn.SetReadDeadline(time.Now().Add(MessageTimeout))
 	var head [4]byte
 	if _, err := io.ReadFull(r.r, head[:]); err != nil {
 		return nil, err
@@ -98,13 +98,13 @@
 	if err != nil {
 		return err
 	}
-	conn.SetWriteDeadline(time.Now().Add(Whole))
+	conn.SetWriteDeadline(time.Now().Add(MessageTimeout))
 	_, err = conn.Write(b)
 	return err
 }
 
-// Rest returns a reader of the raw bytes after the last message: first those already buffered, then those of more.
-func (r *Reader) Rest(more io.Reader) io.Reader {
+// Remainder returns a reader of the raw bytes after the last message: first those already buffered, then those of more.
+func (r *Reader) Remainder(more io.Reader) io.Reader {
 	ahead, _ := r.r.Peek(r.r.Buffered())
 	return io.MultiReader(bytes.NewReader(ahead), more)
 }
--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -38,10 +38,10 @@
 	addAll(part, "value", s.Values, add)
 	addAll(part, "effect", s.Effects.Effects, add)
 	addAll(part, "lease", s.Duties.Leases, add)
-	addAll(part, "share", s.Shares.Shares, add)
+	addAll(part, "share", s.Allocations.Shares, add)
 	addAll(part, "word", s.Config.Acknowledgements, add)
-	addAll(part, "mark", s.Marks, add)
-	addAll(part, "stale", s.Stale, add)
+	addAll(part, "mark", s.Counters, add)
+	addAll(part, "stale", s.StaleRefusals, add)
 	if s.Records.Revision() > 0 {
 		sum += s.Records.Table().PartDigest(part).Sum64()
 	}
@@ -50,7 +50,7 @@
 			add("whole", "records", r)
 		}
 		add("whole", "frozen", slices.Sorted(maps.Keys(s.Duties.Frozen)))
-		add("whole", "counts", []any{s.Duties.Last, s.Shares.Pool, s.Shares.Version, s.Effects.Seq})
+		add("whole", "counts", []any{s.Duties.Last, s.Allocations.Pool, s.Allocations.Version, s.Effects.Seq})
 		add("whole", "version", s.Config.Latest())
 	}
 	return sum
--- a/internal/state/digest_test.go
+++ b/internal/state/digest_test.go
@@ -20,22 +20,22 @@
 	}
 	for i, name := range []string{"allotter", duty.PresenceOf("a#1")} {
 		o := duty.Order{Kind: duty.Grant, Name: name, Holder: "a#1", TTL: 2000, Term: 1}
-		if r := s.Apply(Command{Op: Orders, Orders: []duty.Order{o}}, 1); r.Part[0] != "" {
-			t.Fatalf("%d: %s", i, r.Part[0])
+		if r := s.Apply(Command{Op: OpLeaseOrders, Orders: []duty.Order{o}}, 1); r.Refusals[0] != "" {
+			t.Fatalf("%d: %s", i, r.Refusals[0])
 		}
 	}
-	do(Command{Op: Set, Key: "config/a", Value: []byte("text")})
-	do(Command{Op: Set, Key: "empty"})
+	do(Command{Op: OpSet, Key: "config/a", Value: []byte("text")})
+	do(Command{Op: OpSet, Key: "empty"})
 	for i := range effects {
-		do(Command{Op: Begin, Key: fmt.Sprintf("%016x", i), Who: "a#1", Epoch: 2, Keep: true})
+		do(Command{Op: OpBeginEffect, Key: fmt.Sprintf("%016x", i), Process: "a#1", Epoch: 2, NoEviction: true})
 	}
-	do(Command{Op: End, Who: "a#1", IDs: []string{fmt.Sprintf("%016x", 0)}})
+	do(Command{Op: OpEndEffects, Process: "a#1", EffectIDs: []string{fmt.Sprintf("%016x", 0)}})
 	under := &duty.Ref{Name: "allotter", Epoch: 1}
-	do(Command{Op: Act, Fence: under, Do: []Command{{Op: Mark}}})
-	do(Command{Op: Act, Fence: under, Do: []Command{{Op: Pool, Amount: 9000}, {Op: Share, Who: "a#1", Amount: 300}}})
-	do(Command{Op: Act, Fence: under, Do: []Command{{Op: Publish, Files: []publish.File{{Name: "operator.yaml", Text: []byte("x")}}}}})
-	do(Command{Op: AcknowledgeVersion, Who: "a#1", Said: &publish.Acknowledgement{No: 1}})
-	s.Apply(Command{Op: Act, Fence: &duty.Ref{Name: "allotter", Epoch: 7}, Do: []Command{{Op: Mark}}}, 1)
+	do(Command{Op: OpFenced, Fence: under, Batch: []Command{{Op: OpIncrementCounter}}})
+	do(Command{Op: OpFenced, Fence: under, Batch: []Command{{Op: OpSetPool, Amount: 9000}, {Op: OpSetAllocation, Process: "a#1", Amount: 300}}})
+	do(Command{Op: OpFenced, Fence: under, Batch: []Command{{Op: OpPublishVersion, Files: []publish.File{{Name: "operator.yaml", Text: []byte("x")}}}}})
+	do(Command{Op: OpAcknowledgeVersion, Process: "a#1", Acknowledgement: &publish.Acknowledgement{No: 1}})
+	s.Apply(Command{Op: OpFenced, Fence: &duty.Ref{Name: "allotter", Epoch: 7}, Batch: []Command{{Op: OpIncrementCounter}}}, 1)
 	return s
 }
 
@@ -54,11 +54,11 @@
 	if before != digests(full(t, 50)) {
 		t.Error("the same entries gave other digests")
 	}
-	b, err := json.Marshal(s.Keep())
+	b, err := json.Marshal(s.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := Read(b)
+	read, err := ReadSnapshot(b)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,12 +79,12 @@
 		"a lease's holder":            func(s *State) { s.Duties.Leases["allotter"].Holder = "b#1" },
 		"the highest epoch":           func(s *State) { s.Duties.Last++ },
 		"a frozen duty":               func(s *State) { s.Duties.Frozen["x"] = true },
-		"an allocation":               func(s *State) { s.Shares.Shares["a#1"].Cap++ },
-		"the pool":                    func(s *State) { s.Shares.Pool++ },
+		"an allocation":               func(s *State) { s.Allocations.Shares["a#1"].Cap++ },
+		"the pool":                    func(s *State) { s.Allocations.Pool++ },
 		"a version's text":            func(s *State) { s.Config.Versions[0].Files[0].Text = []byte("y") },
 		"an acknowledgement":          func(s *State) { s.Config.Acknowledgements["a#1"] = publish.Acknowledgement{No: 2} },
-		"a counter":                   func(s *State) { s.Marks["allotter"]++ },
-		"a count of stale refusals":   func(s *State) { s.Stale["allotter"]++ },
+		"a counter":                   func(s *State) { s.Counters["allotter"]++ },
+		"a count of stale refusals":   func(s *State) { s.StaleRefusals["allotter"]++ },
 	} {
 		s := full(t, 50)
 		change(s)
--- a/internal/state/slopes_test.go
+++ b/internal/state/slopes_test.go
@@ -46,9 +46,9 @@
 func withServers(tb testing.TB, n int) *State {
 	s := New()
 	for i := range n {
-		apply(tb, s, entry(tb, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: duty.PresenceOf(process(i)), Holder: process(i), TTL: 3000, Term: 1}}}))
+		apply(tb, s, entry(tb, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: duty.PresenceOf(process(i)), Holder: process(i), TTL: 3000, Term: 1}}}))
 	}
-	apply(tb, s, entry(tb, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: "allotter", Holder: process(0), TTL: 3000, Term: 1}}}))
+	apply(tb, s, entry(tb, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: "allotter", Holder: process(0), TTL: 3000, Term: 1}}}))
 	return s
 }
 
@@ -61,7 +61,7 @@
 			c.Puts = append(c.Puts, tenant(i, 0))
 			i++
 		}
-		apply(tb, s, entry(tb, Command{Op: Change, Change: &c}))
+		apply(tb, s, entry(tb, Command{Op: OpChangeRecords, Change: &c}))
 	}
 	return s
 }
@@ -80,8 +80,8 @@
 				i++
 				who := process(1 + i%(n-1))
 				name := duty.PresenceOf(who)
-				apply(b, s, entry(b, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Lapse, Name: name, Epoch: s.Duties.Leases[name].Epoch, Term: 1}}}))
-				apply(b, s, entry(b, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: name, Holder: who, TTL: 3000, Term: 1}}}))
+				apply(b, s, entry(b, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Lapse, Name: name, Epoch: s.Duties.Leases[name].Epoch, Term: 1}}}))
+				apply(b, s, entry(b, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: name, Holder: who, TTL: 3000, Term: 1}}}))
 			}
 		})
 	}
@@ -93,7 +93,7 @@
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			s := withServers(b, n)
 			under := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
-			act := entry(b, Command{Op: Act, Fence: &under, Do: []Command{{Op: Mark}}})
+			act := entry(b, Command{Op: OpFenced, Fence: &under, Batch: []Command{{Op: OpIncrementCounter}}})
 			for b.Loop() {
 				apply(b, s, act)
 			}
@@ -108,19 +108,19 @@
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			s := withServers(b, n)
 			under := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
-			apply(b, s, entry(b, Command{Op: Act, Fence: &under, Do: []Command{{Op: Pool, Amount: int64(n) * 1000}}}))
+			apply(b, s, entry(b, Command{Op: OpFenced, Fence: &under, Batch: []Command{{Op: OpSetPool, Amount: int64(n) * 1000}}}))
 			fleet, bytes := []allot.Need{}, 0
 			for i := 0; b.Loop(); i++ {
 				var do []Command
 				for j := range n {
-					do = append(do, Command{Op: Share, Who: process(j), Amount: int64(100 + i%2*10)})
+					do = append(do, Command{Op: OpSetAllocation, Process: process(j), Amount: int64(100 + i%2*10)})
 				}
-				act := entry(b, Command{Op: Act, Fence: &under, Do: do})
+				act := entry(b, Command{Op: OpFenced, Fence: &under, Batch: do})
 				apply(b, s, act)
 				bytes = len(act)
 			}
-			for _, who := range s.Shares.Whos() {
-				fleet = append(fleet, allot.Need{Who: who, Share: *s.Shares.Shares[who]})
+			for _, who := range s.Allocations.Whos() {
+				fleet = append(fleet, allot.Need{Who: who, Share: *s.Allocations.Shares[who]})
 			}
 			text, err := json.Marshal(fleet)
 			if err != nil {
@@ -142,8 +142,8 @@
 			book := func() {
 				next++
 				id := fmt.Sprintf("%016x", next)
-				apply(b, s, entry(b, Command{Op: Begin, Key: id, Who: who, Epoch: epoch, Keep: true}))
-				apply(b, s, entry(b, Command{Op: End, Who: who, IDs: []string{id}}))
+				apply(b, s, entry(b, Command{Op: OpBeginEffect, Key: id, Process: who, Epoch: epoch, NoEviction: true}))
+				apply(b, s, entry(b, Command{Op: OpEndEffects, Process: who, EffectIDs: []string{id}}))
 			}
 			for range n {
 				book()
@@ -167,7 +167,7 @@
 			s := withRecords(b, n)
 			bytes := 0
 			for i := 0; b.Loop(); i++ {
-				e := entry(b, Command{Op: Change, Change: &records.Change{Puts: []records.Put{tenant(i*3%n, i), tenant((i*3+1)%n, i), tenant((i*3+2)%n, i)}}})
+				e := entry(b, Command{Op: OpChangeRecords, Change: &records.Change{Puts: []records.Put{tenant(i*3%n, i), tenant((i*3+1)%n, i), tenant((i*3+2)%n, i)}}})
 				apply(b, s, e)
 				bytes = len(e)
 			}
@@ -183,13 +183,13 @@
 		s := withRecords(b, n)
 		b.Run(fmt.Sprintf("freeze/records=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				s.Keep()
+				s.Snapshot()
 			}
 		})
 		b.Run(fmt.Sprintf("write/records=%d", n), func(b *testing.B) {
 			size := 0
 			for b.Loop() {
-				text, err := json.Marshal(s.Keep())
+				text, err := json.Marshal(s.Snapshot())
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -27,29 +27,29 @@
 
 // Kinds of commands: the values of Command.Op.
 const (
-	Set                = "set"
-	Delete             = "delete"
-	Begin              = "begin"  // record an effect that is about to run
-	End                = "end"    // record the outcome of effects
-	Orders             = "orders" // grant, release or expire leases, as decided by the grantor
-	Act                = "act"    // execute a batch of operations under a duty, fenced by its epoch
-	Ask                = "ask"    // an operator asks the holder of a duty to yield it
-	Freeze             = "freeze" // an operator asks the holder to yield, and blocks further grants
-	Thaw               = "thaw"   // allow grants again
-	Ack                = "ack"    // a process confirms that it uses no more than its allocation
-	AcknowledgeVersion = "word"   // a process has applied or rejected a configuration version
+	OpSet                   = "set"
+	OpDelete                = "delete"
+	OpBeginEffect           = "begin"  // record an effect that is about to run
+	OpEndEffects            = "end"    // record the outcome of effects
+	OpLeaseOrders           = "orders" // grant, release or expire leases, as decided by the grantor
+	OpFenced                = "act"    // execute a batch of operations under a duty, fenced by its epoch
+	OpRequestYield          = "ask"    // an operator asks the holder of a duty to yield it
+	OpFreezeDuty            = "freeze" // an operator asks the holder to yield, and blocks further grants
+	OpUnfreezeDuty          = "thaw"   // allow grants again
+	OpAcknowledgeAllocation = "ack"    // a process confirms that it uses no more than its allocation
+	OpAcknowledgeVersion    = "word"   // a process has applied or rejected a configuration version
 
-	Change = "change" // change records
+	OpChangeRecords = "change" // change records
 
-	Compare = "compare" // every replica computes the digest of one partition
+	OpCompareDigests = "compare" // every replica computes the digest of one partition
 
 	// Operations that are only allowed in the batch of a fenced command.
-	Mark    = "mark"    // increment the duty's counter
-	Share   = "share"   // set the allocation of a process
-	Pool    = "pool"    // set the capacity to be allocated
-	Settle  = "settle"  // resolve orphaned effects
-	Prune   = "prune"   // forget effects up to a sequence number
-	Publish = "publish" // publish a configuration version
+	OpIncrementCounter = "mark"    // increment the duty's counter
+	OpSetAllocation    = "share"   // set the allocation of a process
+	OpSetPool          = "pool"    // set the capacity to be allocated
+	OpResolveEffects   = "settle"  // resolve orphaned effects
+	OpPruneEffects     = "prune"   // forget effects up to a sequence number
+	OpPublishVersion   = "publish" // publish a configuration version
 )
 
 // Command is one log entry. Earlier versions wrote only the fields op, key and value; their logs are still read.
@@ -58,54 +58,54 @@
 	Key   string `json:"key,omitempty"` // the key of a value, or the id of an effect
 	Value []byte `json:"value,omitempty"`
 
-	Who    string                   `json:"who,omitempty"`   // the process that the command concerns
-	Epoch  uint64                   `json:"epoch,omitempty"` // begin: epoch of the process's presence; ack: version of its allocation
-	Keep   bool                     `json:"keep,omitempty"`  // begin: refuse the effect if the log is full, forgetting none
-	Orders []duty.Order             `json:"orders,omitempty"`
-	Fence  *duty.Ref                `json:"fence,omitempty"` // the grant under which the batch is executed
-	Do     []Command                `json:"do,omitempty"`    // the batch
-	IDs    []string                 `json:"ids,omitempty"`
-	Failed []string                 `json:"failed,omitempty"` // end: ids of effects that failed; those that succeeded are in ids
-	Amount int64                    `json:"amount,omitempty"`
-	Seq    uint64                   `json:"seq,omitempty"`
-	Files  []publish.File           `json:"files,omitempty"`
-	Said   *publish.Acknowledgement `json:"said,omitempty"`
+	Process         string                   `json:"who,omitempty"`   // the process that the command concerns
+	Epoch           uint64                   `json:"epoch,omitempty"` // begin: epoch of the process's presence; ack: version of its allocation
+	NoEviction      bool                     `json:"keep,omitempty"`  // begin: refuse the effect if the log is full, forgetting none
+	Orders          []duty.Order             `json:"orders,omitempty"`
+	Fence           *duty.Ref                `json:"fence,omitempty"` // the grant under which the batch is executed
+	Batch           []Command                `json:"do,omitempty"`    // the batch
+	EffectIDs       []string                 `json:"ids,omitempty"`
+	FailedIDs       []string                 `json:"failed,omitempty"` // end: ids of effects that failed; those that succeeded are in ids
+	Amount          int64                    `json:"amount,omitempty"`
+	Seq             uint64                   `json:"seq,omitempty"`
+	Files           []publish.File           `json:"files,omitempty"`
+	Acknowledgement *publish.Acknowledgement `json:"said,omitempty"`
 
 	Change *records.Change `json:"change,omitempty"`
 }
 
 // Result is the result of a command.
 type Result struct {
-	Fresh bool     `json:"fresh,omitempty"` // set, delete, begin: the key was absent before
-	N     uint64   `json:"n,omitempty"`     // mark, end, settle, prune: a count; publish: version; change: revision; compare: digest
-	Stale bool     `json:"stale,omitempty"` // refused: the epoch is not in force
-	Error string   `json:"error,omitempty"` // refused, and nothing was changed
-	Part  []string `json:"part,omitempty"`  // orders: the refusal of each, or ""
+	WasAbsent bool     `json:"fresh,omitempty"` // set, delete, begin: the key was absent before
+	Value     uint64   `json:"n,omitempty"`     // mark, end, settle, prune: a count; publish: version; change: revision; compare: digest
+	Stale     bool     `json:"stale,omitempty"` // refused: the epoch is not in force
+	Error     string   `json:"error,omitempty"` // refused, and nothing was changed
+	Refusals  []string `json:"part,omitempty"`  // orders: the refusal of each, or ""
 }
 
 // State is the replicated state. It is not safe for concurrent use.
 type State struct {
-	Values  map[string][]byte
-	Duties  *duty.Table
-	Shares  *allot.Ledger
-	Effects *settle.Ledger
-	Config  *publish.History
-	Records *records.Set
-	Marks   map[string]uint64 // counters, by duty
-	Stale   map[string]uint64 // commands refused for a stale epoch, by duty
+	Values        map[string][]byte
+	Duties        *duty.Table
+	Allocations   *allot.Ledger
+	Effects       *settle.Ledger
+	Config        *publish.History
+	Records       *records.Set
+	Counters      map[string]uint64 // counters, by duty
+	StaleRefusals map[string]uint64 // commands refused for a stale epoch, by duty
 
-	Plant string // an injected bug; "": none
+	InjectedBug string // an injected bug; "": none
 }
 
 // New returns an empty state.
 func New() *State {
-	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Shares: allot.NewLedger(),
+	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Allocations: allot.NewLedger(),
 		Effects: settle.NewLedger(mostEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
-		Marks: map[string]uint64{}, Stale: map[string]uint64{}}
+		Counters: map[string]uint64{}, StaleRefusals: map[string]uint64{}}
 }
 
-// Live reports whether the presence of a process with the given epoch is in force.
-func (s *State) Live(who string, epoch uint64) bool {
+// PresenceInForce reports whether the presence of a process with the given epoch is in force.
+func (s *State) PresenceInForce(who string, epoch uint64) bool {
 	l := s.Duties.Leases[duty.PresenceOf(who)]
 	return l != nil && l.Holder == who && l.Epoch == epoch
 }
@@ -113,59 +113,59 @@
 // Apply executes one log entry, which a leader appended in the given term.
 func (s *State) Apply(c Command, term uint64) Result {
 	switch c.Op {
-	case Set:
+	case OpSet:
 		_, there := s.Values[c.Key]
 		s.Values[c.Key] = c.Value
-		return Result{Fresh: !there}
-	case Delete:
+		return Result{WasAbsent: !there}
+	case OpDelete:
 		_, there := s.Values[c.Key]
 		delete(s.Values, c.Key)
-		return Result{Fresh: !there}
-	case Begin:
+		return Result{WasAbsent: !there}
+	case OpBeginEffect:
 		id := strings.TrimPrefix(c.Key, oldEffects)
-		if c.Who != "" && !s.Live(c.Who, c.Epoch) {
-			return Result{Stale: true, Error: fmt.Sprintf("state: presence epoch %d of %s is not in force", c.Epoch, c.Who)}
+		if c.Process != "" && !s.PresenceInForce(c.Process, c.Epoch) {
+			return Result{Stale: true, Error: fmt.Sprintf("state: presence epoch %d of %s is not in force", c.Epoch, c.Process)}
 		}
-		fresh, err := s.Effects.Begin(id, c.Who, c.Epoch, c.Keep)
-		return Result{Fresh: fresh, Error: text(err)}
-	case End:
+		fresh, err := s.Effects.Begin(id, c.Process, c.Epoch, c.NoEviction)
+		return Result{WasAbsent: fresh, Error: text(err)}
+	case OpEndEffects:
 		n := uint64(0)
-		for i, ids := range [][]string{c.IDs, c.Failed} {
+		for i, ids := range [][]string{c.EffectIDs, c.FailedIDs} {
 			for _, id := range ids {
-				if s.Effects.End(id, c.Who, i == 0) {
+				if s.Effects.End(id, c.Process, i == 0) {
 					n++
 				}
 			}
 		}
-		return Result{N: n}
-	case Orders:
+		return Result{Value: n}
+	case OpLeaseOrders:
 		var r Result
 		for _, o := range c.Orders {
-			r.Part = append(r.Part, text(s.order(o, term)))
+			r.Refusals = append(r.Refusals, text(s.order(o, term)))
 		}
 		return r
-	case Change:
+	case OpChangeRecords:
 		if c.Change == nil {
 			return Result{Error: "state: change command without a change"}
 		}
 		commit, err := s.Records.Apply(*c.Change)
-		return Result{N: commit.Revision, Error: text(err)}
-	case Compare:
-		return Result{N: s.Digest(c.Seq)}
-	case Ask:
+		return Result{Value: commit.Revision, Error: text(err)}
+	case OpCompareDigests:
+		return Result{Value: s.Digest(c.Seq)}
+	case OpRequestYield:
 		return Result{Error: text(s.Duties.Ask(c.Key))}
-	case Freeze, Thaw:
-		s.Duties.Freeze(c.Key, c.Op == Freeze)
+	case OpFreezeDuty, OpUnfreezeDuty:
+		s.Duties.Freeze(c.Key, c.Op == OpFreezeDuty)
 		return Result{}
-	case Ack:
-		s.Shares.Ack(c.Who, c.Epoch)
+	case OpAcknowledgeAllocation:
+		s.Allocations.Ack(c.Process, c.Epoch)
 		return Result{}
-	case AcknowledgeVersion:
-		if c.Said == nil {
+	case OpAcknowledgeVersion:
+		if c.Acknowledgement == nil {
 			return Result{Error: "state: acknowledgement command without an acknowledgement"}
 		}
-		return Result{Error: text(s.Config.Say(c.Who, *c.Said))}
-	case Act:
+		return Result{Error: text(s.Config.Say(c.Process, *c.Acknowledgement))}
+	case OpFenced:
 		return s.act(c)
 	}
 	return Result{Error: fmt.Sprintf("state: unknown command %q", c.Op)}
@@ -179,9 +179,9 @@
 	}
 	if who := duty.PresentWho(o.Name); who != "" {
 		if o.Kind == duty.Grant {
-			s.Shares.Join(who)
+			s.Allocations.Join(who)
 		} else {
-			s.Shares.Drop(who)
+			s.Allocations.Drop(who)
 			s.Config.Drop(who)
 		}
 	}
@@ -193,51 +193,51 @@
 	if c.Fence == nil {
 		return Result{Error: "state: fenced command without a fencing token"}
 	}
-	if err := s.Duties.Fence(*c.Fence); err != nil && s.Plant != duty.PlantUnfenced {
-		if s.Stale[c.Fence.Name]++; len(s.Stale) > mostMarks {
-			clear(s.Stale) // callers choose the names, so their number is unbounded
+	if err := s.Duties.Fence(*c.Fence); err != nil && s.InjectedBug != duty.PlantUnfenced {
+		if s.StaleRefusals[c.Fence.Name]++; len(s.StaleRefusals) > mostMarks {
+			clear(s.StaleRefusals) // callers choose the names, so their number is unbounded
 		}
 		return Result{Stale: true, Error: err.Error()}
 	}
 	// Only changes of allocations are expected to be refused after earlier operations of the batch took effect, so only
 	// allocations are rolled back. Copying them takes time proportional to the number of servers and is therefore done only if
 	// the batch changes them.
-	shares := s.Shares
-	if slices.ContainsFunc(c.Do, func(d Command) bool { return d.Op == Share || d.Op == Pool }) {
-		s.Shares = shares.Clone()
+	shares := s.Allocations
+	if slices.ContainsFunc(c.Batch, func(d Command) bool { return d.Op == OpSetAllocation || d.Op == OpSetPool }) {
+		s.Allocations = shares.Clone()
 	}
 	var r Result
-	for _, d := range c.Do {
+	for _, d := range c.Batch {
 		n, err := s.do(d, *c.Fence)
 		if err != nil {
-			s.Shares = shares
+			s.Allocations = shares
 			return Result{Error: err.Error()}
 		}
-		r.N = n
+		r.Value = n
 	}
 	return r
 }
 
 func (s *State) do(c Command, under duty.Ref) (uint64, error) {
 	switch c.Op {
-	case Mark:
-		if len(s.Marks) >= mostMarks && s.Marks[under.Name] == 0 {
+	case OpIncrementCounter:
+		if len(s.Counters) >= mostMarks && s.Counters[under.Name] == 0 {
 			return 0, errors.New("state: too many counters")
 		}
-		s.Marks[under.Name]++
-		return s.Marks[under.Name], nil
-	case Share:
-		return 0, s.Shares.Set(c.Who, c.Amount, s.Plant == duty.PlantEarlyGrowth)
-	case Pool:
-		return 0, s.Shares.SetPool(c.Amount)
-	case Settle:
-		if len(c.IDs) > orphansAtOne {
-			return 0, fmt.Errorf("state: %d effects to resolve exceed the limit of %d in one command", len(c.IDs), orphansAtOne)
+		s.Counters[under.Name]++
+		return s.Counters[under.Name], nil
+	case OpSetAllocation:
+		return 0, s.Allocations.Set(c.Process, c.Amount, s.InjectedBug == duty.PlantEarlyGrowth)
+	case OpSetPool:
+		return 0, s.Allocations.SetPool(c.Amount)
+	case OpResolveEffects:
+		if len(c.EffectIDs) > orphansAtOne {
+			return 0, fmt.Errorf("state: %d effects to resolve exceed the limit of %d in one command", len(c.EffectIDs), orphansAtOne)
 		}
-		return uint64(s.Effects.Settle(c.IDs, s.Live)), nil
-	case Prune:
+		return uint64(s.Effects.Settle(c.EffectIDs, s.PresenceInForce)), nil
+	case OpPruneEffects:
 		return uint64(s.Effects.Prune(c.Seq)), nil
-	case Publish:
+	case OpPublishVersion:
 		return s.Config.Publish(c.Files, c.Seq, under.Epoch)
 	}
 	return 0, fmt.Errorf("state: operation %q is not allowed in a fenced command", c.Op)
@@ -250,8 +250,8 @@
 	return err.Error()
 }
 
-// Kept is the encoded form of the state. Earlier versions wrote only the fields values and order.
-type Kept struct {
+// Snapshot is the encoded form of the state. Earlier versions wrote only the fields values and order.
+type Snapshot struct {
 	Values  map[string][]byte `json:"values"`
 	Order   []string          `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
 	Duties  *duty.Table       `json:"duties,omitempty"`
@@ -263,15 +263,15 @@
 	Stale   map[string]uint64 `json:"stale,omitempty"`
 }
 
-// Keep copies the state, so that it can be encoded while further commands are applied.
-func (s *State) Keep() *Kept {
-	return &Kept{Values: maps.Clone(s.Values), Duties: s.Duties.Clone(), Shares: s.Shares.Clone(), Effects: s.Effects.Clone(),
-		Config: s.Config.Clone(), Records: s.Records.Freeze(), Marks: maps.Clone(s.Marks), Stale: maps.Clone(s.Stale)}
+// Snapshot copies the state, so that it can be encoded while further commands are applied.
+func (s *State) Snapshot() *Snapshot {
+	return &Snapshot{Values: maps.Clone(s.Values), Duties: s.Duties.Clone(), Shares: s.Allocations.Clone(), Effects: s.Effects.Clone(),
+		Config: s.Config.Clone(), Records: s.Records.Freeze(), Marks: maps.Clone(s.Counters), Stale: maps.Clone(s.StaleRefusals)}
 }
 
-// Read decodes a snapshot, in the present format or that of earlier versions.
-func Read(b []byte) (*State, error) {
-	var k Kept
+// ReadSnapshot decodes a snapshot, in the present format or that of earlier versions.
+func ReadSnapshot(b []byte) (*State, error) {
+	var k Snapshot
 	if err := json.Unmarshal(b, &k); err != nil {
 		return nil, err
 	}
@@ -288,7 +288,7 @@
 		}
 	}
 	if k.Shares != nil && k.Shares.Shares != nil {
-		s.Shares = k.Shares
+		s.Allocations = k.Shares
 	}
 	if k.Config != nil {
 		s.Config = k.Config
@@ -307,10 +307,10 @@
 		s.Effects.Begin(strings.TrimPrefix(key, oldEffects), "", 0, false)
 	}
 	if k.Marks != nil {
-		s.Marks = k.Marks
+		s.Counters = k.Marks
 	}
 	if k.Stale != nil {
-		s.Stale = k.Stale
+		s.StaleRefusals = k.Stale
 	}
 	return s, nil
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -16,7 +16,7 @@
 	if l := s.Duties.Leases[name]; l != nil {
 		o.Epoch = l.Epoch
 	}
-	if r := s.Apply(Command{Op: Orders, Orders: []duty.Order{o}}, 3); len(r.Part) != 1 || r.Part[0] != "" {
+	if r := s.Apply(Command{Op: OpLeaseOrders, Orders: []duty.Order{o}}, 3); len(r.Refusals) != 1 || r.Refusals[0] != "" {
 		t.Fatalf("%+v", r)
 	}
 	return duty.Ref{Name: name, Epoch: s.Duties.Leases[name].Epoch}
@@ -24,37 +24,39 @@
 
 func end(t *testing.T, s *State, r duty.Ref) {
 	t.Helper()
-	if got := s.Apply(Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Lapse, Name: r.Name, Epoch: r.Epoch, Term: 3}}}, 3); got.Part[0] != "" {
+	if got := s.Apply(Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Lapse, Name: r.Name, Epoch: r.Epoch, Term: 3}}}, 3); got.Refusals[0] != "" {
 		t.Fatalf("%+v", got)
 	}
 }
 
-func act(under duty.Ref, do ...Command) Command { return Command{Op: Act, Fence: &under, Do: do} }
+func act(under duty.Ref, do ...Command) Command {
+	return Command{Op: OpFenced, Fence: &under, Batch: do}
+}
 
 func TestActsOfAnOldEpochAreRefusedAndCounted(t *testing.T) {
 	s := New()
 	first := grant(t, s, "d", "a")
-	if r := s.Apply(act(first, Command{Op: Mark}), 3); r.N != 1 || r.Error != "" {
+	if r := s.Apply(act(first, Command{Op: OpIncrementCounter}), 3); r.Value != 1 || r.Error != "" {
 		t.Fatalf("%+v", r)
 	}
 	end(t, s, first)
-	if r := s.Apply(act(first, Command{Op: Mark}), 3); !r.Stale {
+	if r := s.Apply(act(first, Command{Op: OpIncrementCounter}), 3); !r.Stale {
 		t.Errorf("after the lease ended: %+v", r)
 	}
 	second := grant(t, s, "d", "b")
 	for _, e := range []duty.Ref{first, {Name: "d", Epoch: second.Epoch + 1}, {Name: "none", Epoch: 1}} {
-		if r := s.Apply(act(e, Command{Op: Mark}), 3); !r.Stale || r.Error == "" {
+		if r := s.Apply(act(e, Command{Op: OpIncrementCounter}), 3); !r.Stale || r.Error == "" {
 			t.Errorf("%+v: %+v", e, r)
 		}
 	}
-	if s.Marks["d"] != 1 || s.Stale["d"] != 3 {
-		t.Errorf("counter is %d, %d stale refusals", s.Marks["d"], s.Stale["d"])
+	if s.Counters["d"] != 1 || s.StaleRefusals["d"] != 3 {
+		t.Errorf("counter is %d, %d stale refusals", s.Counters["d"], s.StaleRefusals["d"])
 	}
-	if r := s.Apply(Command{Op: Act, Do: []Command{{Op: Mark}}}, 3); r.Error == "" {
+	if r := s.Apply(Command{Op: OpFenced, Batch: []Command{{Op: OpIncrementCounter}}}, 3); r.Error == "" {
 		t.Error("a command without a fencing token was accepted")
 	}
-	s.Plant = duty.PlantUnfenced
-	if r := s.Apply(act(first, Command{Op: Mark}), 3); r.Stale || s.Marks["d"] != 2 {
+	s.InjectedBug = duty.PlantUnfenced
+	if r := s.Apply(act(first, Command{Op: OpIncrementCounter}), 3); r.Stale || s.Counters["d"] != 2 {
 		t.Error("the injected bug has no effect")
 	}
 }
@@ -64,35 +66,35 @@
 	s := New()
 	a, b := grant(t, s, duty.PresenceOf("a"), "a"), grant(t, s, duty.PresenceOf("b"), "b")
 	allot := grant(t, s, "allotter", "a")
-	if r := s.Apply(act(allot, Command{Op: Pool, Amount: 100}, Command{Op: Share, Who: "a", Amount: 60}), 3); r.Error != "" {
+	if r := s.Apply(act(allot, Command{Op: OpSetPool, Amount: 100}, Command{Op: OpSetAllocation, Process: "a", Amount: 60}), 3); r.Error != "" {
 		t.Fatalf("%+v", r)
 	}
-	if r := s.Apply(act(allot, Command{Op: Share, Who: "a", Amount: 30}, Command{Op: Share, Who: "b", Amount: 70}), 3); r.Error == "" {
+	if r := s.Apply(act(allot, Command{Op: OpSetAllocation, Process: "a", Amount: 30}, Command{Op: OpSetAllocation, Process: "b", Amount: 70}), 3); r.Error == "" {
 		t.Error("allocations exceed the pool: a reduced one counts in full until its process acknowledges the reduction")
 	}
-	if v := s.Shares.Shares["a"]; v.Want != 60 || v.Cap != 60 {
+	if v := s.Allocations.Shares["a"]; v.Want != 60 || v.Cap != 60 {
 		t.Errorf("part of a refused batch took effect: %+v", v)
 	}
-	if r := s.Apply(act(allot, Command{Op: Share, Who: "a", Amount: 30}), 3); r.Error != "" {
+	if r := s.Apply(act(allot, Command{Op: OpSetAllocation, Process: "a", Amount: 30}), 3); r.Error != "" {
 		t.Fatalf("%+v", r)
 	}
-	s.Apply(Command{Op: Ack, Who: "a", Epoch: s.Shares.Shares["a"].Version}, 3)
-	if r := s.Apply(act(allot, Command{Op: Share, Who: "b", Amount: 70}), 3); r.Error != "" {
+	s.Apply(Command{Op: OpAcknowledgeAllocation, Process: "a", Epoch: s.Allocations.Shares["a"].Version}, 3)
+	if r := s.Apply(act(allot, Command{Op: OpSetAllocation, Process: "b", Amount: 70}), 3); r.Error != "" {
 		t.Errorf("after the reduction was acknowledged: %+v", r)
 	}
 	end(t, s, b)
-	if s.Shares.Sum() != 30 {
-		t.Errorf("%d allocated after a presence ended", s.Shares.Sum())
+	if s.Allocations.Sum() != 30 {
+		t.Errorf("%d allocated after a presence ended", s.Allocations.Sum())
 	}
-	if r := s.Apply(Command{Op: Begin, Key: "e1", Who: "a", Epoch: a.Epoch, Keep: true}, 3); !r.Fresh {
+	if r := s.Apply(Command{Op: OpBeginEffect, Key: "e1", Process: "a", Epoch: a.Epoch, NoEviction: true}, 3); !r.WasAbsent {
 		t.Errorf("%+v", r)
 	}
 	end(t, s, a)
-	if r := s.Apply(Command{Op: Begin, Key: "e2", Who: "a", Epoch: a.Epoch, Keep: true}, 3); !r.Stale || r.Fresh {
+	if r := s.Apply(Command{Op: OpBeginEffect, Key: "e2", Process: "a", Epoch: a.Epoch, NoEviction: true}, 3); !r.Stale || r.WasAbsent {
 		t.Errorf("an effect of a process that is no longer present: %+v", r)
 	}
 	settler := grant(t, s, "settler", "b")
-	if r := s.Apply(act(settler, Command{Op: Settle, IDs: []string{"e1", "e2"}}), 3); r.N != 1 {
+	if r := s.Apply(act(settler, Command{Op: OpResolveEffects, EffectIDs: []string{"e1", "e2"}}), 3); r.Value != 1 {
 		t.Errorf("%+v", r)
 	}
 	if r := s.Apply(Command{Op: "nonsense"}, 3); r.Error == "" {
@@ -102,24 +104,24 @@
 
 func TestSnapshotsHoldEverything(t *testing.T) {
 	s := New()
-	s.Apply(Command{Op: Set, Key: "k", Value: []byte("v")}, 1)
+	s.Apply(Command{Op: OpSet, Key: "k", Value: []byte("v")}, 1)
 	a := grant(t, s, duty.PresenceOf("a"), "a")
 	p := grant(t, s, "publisher", "a")
-	s.Apply(Command{Op: Begin, Key: "e1", Who: "a", Epoch: a.Epoch, Keep: true}, 3)
-	s.Apply(act(p, Command{Op: Publish, Files: []publish.File{{Name: "f", Text: []byte("x")}}}, Command{Op: Mark}), 3)
-	s.Apply(Command{Op: AcknowledgeVersion, Who: "a", Said: &publish.Acknowledgement{No: 1, Reason: "no"}}, 3)
-	s.Apply(Command{Op: Freeze, Key: "publisher"}, 3)
-	s.Apply(act(duty.Ref{Name: "publisher", Epoch: 99}, Command{Op: Mark}), 3)
-	b, err := json.Marshal(s.Keep())
+	s.Apply(Command{Op: OpBeginEffect, Key: "e1", Process: "a", Epoch: a.Epoch, NoEviction: true}, 3)
+	s.Apply(act(p, Command{Op: OpPublishVersion, Files: []publish.File{{Name: "f", Text: []byte("x")}}}, Command{Op: OpIncrementCounter}), 3)
+	s.Apply(Command{Op: OpAcknowledgeVersion, Process: "a", Acknowledgement: &publish.Acknowledgement{No: 1, Reason: "no"}}, 3)
+	s.Apply(Command{Op: OpFreezeDuty, Key: "publisher"}, 3)
+	s.Apply(act(duty.Ref{Name: "publisher", Epoch: 99}, Command{Op: OpIncrementCounter}), 3)
+	b, err := json.Marshal(s.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := Read(b)
+	back, err := ReadSnapshot(b)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(s, back) {
-		t.Errorf("\n%s\n%s", b, must(json.Marshal(back.Keep())))
+		t.Errorf("\n%s\n%s", b, must(json.Marshal(back.Snapshot())))
 	}
 	last := back.Duties.Last
 	if r := grant(t, back, "other", "b"); r.Epoch <= last {
@@ -131,7 +133,7 @@
 
 // Snapshots and logs written by earlier versions are still read.
 func TestEarlierFormsAreRead(t *testing.T) {
-	s, err := Read([]byte(`{"values":{"config/n1":"eA==","effects/0a":null,"effects/0b":null},"order":["effects/0b","effects/0a"]}`))
+	s, err := ReadSnapshot([]byte(`{"values":{"config/n1":"eA==","effects/0a":null,"effects/0b":null},"order":["effects/0b","effects/0a"]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,10 +144,10 @@
 	if err := json.Unmarshal([]byte(`{"op":"begin","key":"effects/0a"}`), &c); err != nil {
 		t.Fatal(err)
 	}
-	if r := s.Apply(c, 1); r.Fresh || r.Error != "" {
+	if r := s.Apply(c, 1); r.WasAbsent || r.Error != "" {
 		t.Errorf("an effect begun before: %+v", r)
 	}
-	if _, err := Read([]byte(`{"values":`)); err == nil || !strings.Contains(err.Error(), "unexpected end") {
+	if _, err := ReadSnapshot([]byte(`{"values":`)); err == nil || !strings.Contains(err.Error(), "unexpected end") {
 		t.Errorf("a truncated snapshot: %v", err)
 	}
 }
