--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -7,16 +7,18 @@
 	"testing"
 )
 
-func claim(id, folder string, life, term, last uint64) Claim {
-	return Claim{ID: id, Addr: "at-" + id, DirectoryState: DirectoryState{DirectoryID: folder, OpenCount: life, ProcessID: fmt.Sprint(folder, "/", life), Term: term, LastIndex: last}}
+func newClaim(id, directoryID string, openCount, term, lastIndex uint64) Claim {
+	return Claim{ID: id, Addr: "at-" + id, DirectoryState: DirectoryState{DirectoryID: directoryID, OpenCount: openCount,
+		ProcessID: fmt.Sprint(directoryID, "/", openCount), Term: term, LastIndex: lastIndex}}
 }
 
-var three = View{Bootstrapped: true, LastIndex: 50, ClusterName: "set", Members: map[string]Member{"a": {"at-a", true}, "b": {"at-b", true}, "c": {"at-c", true}}}
+var threeVoters = View{Bootstrapped: true, LastIndex: 50, ClusterName: "set",
+	Members: map[string]Member{"a": {"at-a", true}, "b": {"at-b", true}, "c": {"at-c", true}}}
 
-func TestWhatAWitnessRemembersSpeaksAgainstAFolder(t *testing.T) {
-	before := claim("c", "f", 3, 7, 40)
+func TestVerifierContradictsClaims(t *testing.T) {
+	before := newClaim("c", "f", 3, 7, 40)
 	changed := func(do func(*Claim)) Claim {
-		c := claim("c", "f", 4, 7, 40)
+		c := newClaim("c", "f", 4, 7, 40)
 		do(&c)
 		return c
 	}
@@ -29,385 +31,389 @@
 		"one entry missing":                       {changed(func(c *Claim) { c.LastIndex = 39 }), VerdictOutdated},
 		"earlier term":                            {changed(func(c *Claim) { c.Term, c.LastIndex = 6, 45 }), VerdictOutdated},
 		"open count repeated":                     {changed(func(c *Claim) { c.OpenCount, c.ProcessID = 3, "another" }), VerdictOutdated},
-		"empty directory":                         {changed(func(c *Claim) { *c = claim("c", "g", 1, 0, 0); c.Fresh = true }), VerdictOtherDirectory},
+		"empty directory":                         {changed(func(c *Claim) { *c = newClaim("c", "g", 1, 0, 0); c.Fresh = true }), VerdictOtherDirectory},
 		"directory of another replica":            {changed(func(c *Claim) { c.DirectoryID = "g" }), VerdictOtherDirectory},
 		"rejoined through the leader":             {changed(func(c *Claim) { c.DirectoryID, c.JoinIndex = "g", 30 }), VerdictAccepted},
 		"another address":                         {changed(func(c *Claim) { c.Addr = "at-x" }), VerdictOtherAddress},
 		"directory of another cluster":            {changed(func(c *Claim) { c.ClusterName = "another" }), VerdictOtherCluster},
 		"directory of this cluster":               {changed(func(c *Claim) { c.ClusterName = "set" }), VerdictAccepted},
-		"id that is not a member":                 {claim("x", "f", 1, 7, 40), VerdictNotMember},
+		"id that is not a member":                 {newClaim("x", "f", 1, 7, 40), VerdictNotMember},
 		"same process, log tail truncated":        {func() Claim { c := before; c.LastIndex = 30; return c }(), VerdictAccepted},
 		"same process, emptied disk":              {func() Claim { c := before; c.DirectoryID = "g"; return c }(), VerdictOtherDirectory},
 		"valid directory that requests to rejoin": {changed(func(c *Claim) { c.RejoinReason = "damaged" }), VerdictAccepted},
 	} {
 		w := NewVerifier("a", nil)
-		if word, keep := w.HandleClaim(0, 1, before, three); word.Verdict != VerdictAccepted || !keep {
-			t.Fatalf("first claim: %+v, persist %v", word, keep)
+		if response, persist := w.HandleClaim(0, 1, before, threeVoters); response.Verdict != VerdictAccepted || !persist {
+			t.Fatalf("first claim: %+v, persist %v", response, persist)
 		}
 		w.ConnectionClosed("c", 1)
-		if word, _ := w.HandleClaim(10, 2, tc.c, three); word.Verdict != tc.want {
-			t.Errorf("%s: %+v, want %s", name, word, tc.want)
+		if response, _ := w.HandleClaim(10, 2, tc.c, threeVoters); response.Verdict != tc.want {
+			t.Errorf("%s: %+v, want %s", name, response, tc.want)
 		}
 	}
 }
 
 // A remembered directory state that contradicts a claim is not overwritten by that claim, since the claim may be repeated.
-func TestRefusedClaimsAreNotRemembered(t *testing.T) {
-	w := NewVerifier("a", map[string]DirectoryState{"c": claim("c", "f", 3, 7, 40).DirectoryState})
-	old := claim("c", "f", 3, 6, 20)
+func TestRejectedClaimsAreNotRemembered(t *testing.T) {
+	w := NewVerifier("a", map[string]DirectoryState{"c": newClaim("c", "f", 3, 7, 40).DirectoryState})
+	old := newClaim("c", "f", 3, 6, 20)
 	old.ProcessID = "old"
 	for range 3 {
-		if word, keep := w.HandleClaim(0, 1, old, three); word.Verdict != VerdictOutdated || keep {
-			t.Errorf("%+v %v", word, keep)
+		if response, persist := w.HandleClaim(0, 1, old, threeVoters); response.Verdict != VerdictOutdated || persist {
+			t.Errorf("%+v %v", response, persist)
 		}
 	}
 	if w.Directories["c"].LastIndex != 40 {
 		t.Errorf("%+v", w.Directories["c"])
 	}
-	nobody := View{}
-	if word, _ := w.HandleClaim(0, 1, old, nobody); word.Verdict != VerdictOutdated {
-		t.Errorf("verifier without a configuration: %+v", word)
+	unconfigured := View{}
+	if response, _ := w.HandleClaim(0, 1, old, unconfigured); response.Verdict != VerdictOutdated {
+		t.Errorf("verifier without a configuration: %+v", response)
 	}
 }
 
-func TestOneProcessOfAnID(t *testing.T) {
+func TestOnlyOneProcessPerIDIsAccepted(t *testing.T) {
 	w := NewVerifier("a", nil)
-	first, second := claim("c", "f", 1, 1, 5), claim("c", "g", 1, 1, 5)
-	w.HandleClaim(0, 1, first, three)
-	if word, _ := w.HandleClaim(AliveFor-1, 2, second, three); word.Verdict != VerdictDuplicateProcess {
-		t.Errorf("second process while the first is alive: %+v", word)
+	first, second := newClaim("c", "f", 1, 1, 5), newClaim("c", "g", 1, 1, 5)
+	w.HandleClaim(0, 1, first, threeVoters)
+	if response, _ := w.HandleClaim(AliveTimeoutMS-1, 2, second, threeVoters); response.Verdict != VerdictDuplicateProcess {
+		t.Errorf("second process while the first is alive: %+v", response)
 	}
 	w.ConnectionClosed("c", 2)
-	if word, _ := w.HandleClaim(AliveFor-1, 3, second, three); word.Verdict != VerdictDuplicateProcess {
-		t.Errorf("second process after its own connection ended: %+v", word)
+	if response, _ := w.HandleClaim(AliveTimeoutMS-1, 3, second, threeVoters); response.Verdict != VerdictDuplicateProcess {
+		t.Errorf("second process after its own connection ended: %+v", response)
 	}
-	if word, _ := w.HandleClaim(AliveFor, 3, second, three); word.Verdict != VerdictOtherDirectory {
-		t.Errorf("second process after the first has timed out: %+v", word)
+	if response, _ := w.HandleClaim(AliveTimeoutMS, 3, second, threeVoters); response.Verdict != VerdictOtherDirectory {
+		t.Errorf("second process after the first has timed out: %+v", response)
 	}
-	if word, _ := w.HandleClaim(AliveFor+1, 1, first, three); word.Verdict != VerdictProcessReplaced {
-		t.Errorf("first process, resumed: %+v", word)
+	if response, _ := w.HandleClaim(AliveTimeoutMS+1, 1, first, threeVoters); response.Verdict != VerdictProcessReplaced {
+		t.Errorf("first process, resumed: %+v", response)
 	}
 	w.ConnectionClosed("c", 3)
-	if word, _ := w.HandleClaim(AliveFor+2, 1, first, three); word.Verdict != VerdictAccepted {
-		t.Errorf("first process after the second has ended: %+v", word)
+	if response, _ := w.HandleClaim(AliveTimeoutMS+2, 1, first, threeVoters); response.Verdict != VerdictAccepted {
+		t.Errorf("first process after the second has ended: %+v", response)
 	}
 }
 
 // Each combination of claim and responses leads to one decision.
-func TestSeekerDecides(t *testing.T) {
-	good := func(from string) Response {
+func TestJoinerDecidesByResponses(t *testing.T) {
+	accepts := func(from string) Response {
 		return Response{From: from, Verdict: VerdictAccepted, Bootstrapped: true, LastIndex: 50}
 	}
-	bad := func(from string, v Verdict) Response {
+	rejects := func(from string, v Verdict) Response {
 		return Response{From: from, Verdict: v, Reason: "the reason", Bootstrapped: true, LastIndex: 50}
 	}
-	fresh := func(from string) Response { return Response{From: from, Verdict: VerdictAccepted} }
-	old, empty := claim("c", "f", 4, 7, 40), Claim{ID: "c", Fresh: true}
-	learner := claim("c", "g", 1, 0, 0)
-	learner.JoinIndex, learner.Fresh = 45, true
-	named := old
+	unbootstrapped := func(from string) Response { return Response{From: from, Verdict: VerdictAccepted} }
+	restarted, empty := newClaim("c", "f", 4, 7, 40), Claim{ID: "c", Fresh: true}
+	rejoined := newClaim("c", "g", 1, 0, 0)
+	rejoined.JoinIndex, rejoined.Fresh = 45, true
+	named := restarted
 	named.ClusterName = "set"
-	asking := old
-	asking.RejoinReason = "older"
+	rejoining := restarted
+	rejoining.RejoinReason = "older"
 	for name, tc := range map[string]struct {
-		c      Claim
-		strict bool
-		words  []Response
-		want   Decision
+		c         Claim
+		strict    bool
+		responses []Response
+		want      Decision
 	}{
-		"no responses":                                {old, false, nil, DecisionWait},
-		"one of two accepts":                          {old, false, []Response{good("a")}, DecisionStart},
-		"state differs":                               {old, false, []Response{good("a"), bad("b", VerdictStateDiverged)}, DecisionRequestRejoin},
-		"one of two accepts, strict":                  {old, true, []Response{good("a")}, DecisionWait},
-		"both accept, strict":                         {old, true, []Response{good("a"), good("b")}, DecisionStart},
-		"one contradicts":                             {old, false, []Response{good("a"), bad("b", VerdictOutdated)}, DecisionRequestRejoin},
-		"accepted by a replica that is no peer":       {old, false, []Response{good("x")}, DecisionWait},
-		"another process is alive":                    {old, false, []Response{good("a"), bad("b", VerdictDuplicateProcess)}, DecisionWait},
-		"replaced by another process":                 {old, false, []Response{good("a"), bad("b", VerdictProcessReplaced)}, DecisionStop},
-		"directory of another cluster":                {old, false, []Response{bad("a", VerdictOtherCluster), bad("b", VerdictOtherCluster)}, DecisionWait},
-		"accepted by peers without a cluster":         {named, false, []Response{fresh("a"), fresh("b")}, DecisionWait},
-		"rejoined, other address at one peer":         {asking, false, []Response{bad("a", VerdictOtherAddress), {From: "b", Verdict: VerdictOtherDirectory, Bootstrapped: true, JoinIndex: 45}}, DecisionResetDirectory},
-		"one peer is of another cluster":              {old, false, []Response{good("a"), bad("b", VerdictOtherCluster)}, DecisionStart},
-		"removed":                                     {old, false, []Response{good("a"), bad("b", VerdictNotMember)}, DecisionWait},
-		"empty, one peer empty":                       {empty, false, []Response{fresh("a")}, DecisionWait},
-		"all empty":                                   {empty, false, []Response{fresh("a"), fresh("b")}, DecisionBootstrap},
-		"empty, cluster bootstrapped":                 {empty, false, []Response{fresh("a"), good("b")}, DecisionRequestRejoin},
-		"empty, cluster bootstrapped with it":         {empty, false, []Response{fresh("a"), {From: "b", Verdict: VerdictAccepted, Bootstrapped: true, KnowsDirectory: true}}, DecisionBootstrap},
-		"rejoin requested":                            {asking, false, []Response{good("a"), bad("b", VerdictOutdated)}, DecisionWait},
-		"rejoin requested and granted":                {asking, false, []Response{{From: "a", Verdict: VerdictAccepted, Bootstrapped: true, JoinIndex: 45}}, DecisionResetDirectory},
-		"rejoined, not known to one peer yet":         {learner, false, []Response{good("a"), {From: "b", Verdict: VerdictOtherDirectory, Bootstrapped: true, LastIndex: 44}}, DecisionStart},
-		"rejoined, contradicted by a peer that knows": {learner, false, []Response{good("a"), bad("b", VerdictOtherDirectory)}, DecisionRequestRejoin},
+		"no responses":                                {restarted, false, nil, DecisionWait},
+		"one of two accepts":                          {restarted, false, []Response{accepts("a")}, DecisionStart},
+		"state differs":                               {restarted, false, []Response{accepts("a"), rejects("b", VerdictStateDiverged)}, DecisionRequestRejoin},
+		"one of two accepts, strict":                  {restarted, true, []Response{accepts("a")}, DecisionWait},
+		"both accept, strict":                         {restarted, true, []Response{accepts("a"), accepts("b")}, DecisionStart},
+		"one contradicts":                             {restarted, false, []Response{accepts("a"), rejects("b", VerdictOutdated)}, DecisionRequestRejoin},
+		"accepted by a replica that is no peer":       {restarted, false, []Response{accepts("x")}, DecisionWait},
+		"another process is alive":                    {restarted, false, []Response{accepts("a"), rejects("b", VerdictDuplicateProcess)}, DecisionWait},
+		"replaced by another process":                 {restarted, false, []Response{accepts("a"), rejects("b", VerdictProcessReplaced)}, DecisionStop},
+		"directory of another cluster":                {restarted, false, []Response{rejects("a", VerdictOtherCluster), rejects("b", VerdictOtherCluster)}, DecisionWait},
+		"accepted by peers without a cluster":         {named, false, []Response{unbootstrapped("a"), unbootstrapped("b")}, DecisionWait},
+		"rejoined, other address at one peer":         {rejoining, false, []Response{rejects("a", VerdictOtherAddress), {From: "b", Verdict: VerdictOtherDirectory, Bootstrapped: true, JoinIndex: 45}}, DecisionResetDirectory},
+		"one peer is of another cluster":              {restarted, false, []Response{accepts("a"), rejects("b", VerdictOtherCluster)}, DecisionStart},
+		"removed":                                     {restarted, false, []Response{accepts("a"), rejects("b", VerdictNotMember)}, DecisionWait},
+		"empty, one peer empty":                       {empty, false, []Response{unbootstrapped("a")}, DecisionWait},
+		"all empty":                                   {empty, false, []Response{unbootstrapped("a"), unbootstrapped("b")}, DecisionBootstrap},
+		"empty, cluster bootstrapped":                 {empty, false, []Response{unbootstrapped("a"), accepts("b")}, DecisionRequestRejoin},
+		"empty, cluster bootstrapped with it":         {empty, false, []Response{unbootstrapped("a"), {From: "b", Verdict: VerdictAccepted, Bootstrapped: true, KnowsDirectory: true}}, DecisionBootstrap},
+		"rejoin requested":                            {rejoining, false, []Response{accepts("a"), rejects("b", VerdictOutdated)}, DecisionWait},
+		"rejoin requested and granted":                {rejoining, false, []Response{{From: "a", Verdict: VerdictAccepted, Bootstrapped: true, JoinIndex: 45}}, DecisionResetDirectory},
+		"rejoined, not known to one peer yet":         {rejoined, false, []Response{accepts("a"), {From: "b", Verdict: VerdictOtherDirectory, Bootstrapped: true, LastIndex: 44}}, DecisionStart},
+		"rejoined, contradicted by a peer that knows": {rejoined, false, []Response{accepts("a"), rejects("b", VerdictOtherDirectory)}, DecisionRequestRejoin},
 	} {
 		s := Joiner{Claim: tc.c, Peers: []string{"a", "b"}, Strict: tc.strict, WaitElapsed: true}
-		for _, w := range tc.words {
+		for _, w := range tc.responses {
 			s.AddResponse(w)
 		}
 		if d, why := s.Decide(); d != tc.want || why == "" {
 			t.Errorf("%s: %s (%s), want %s", name, d, why, tc.want)
 		}
 	}
-	hasty := Joiner{Claim: old, Peers: []string{"a", "b"}}
-	hasty.AddResponse(good("a"))
-	if d, _ := hasty.Decide(); d != DecisionWait {
+	early := Joiner{Claim: restarted, Peers: []string{"a", "b"}}
+	early.AddResponse(accepts("a"))
+	if d, _ := early.Decide(); d != DecisionWait {
 		t.Errorf("one of two peers accepts before the wait has elapsed: %s", d)
 	}
-	hasty.AddResponse(good("b"))
-	if d, _ := hasty.Decide(); d != DecisionStart {
+	early.AddResponse(accepts("b"))
+	if d, _ := early.Decide(); d != DecisionStart {
 		t.Errorf("all peers accept before the wait has elapsed: %s", d)
 	}
 	for n, want := range map[int][2]int{0: {0, 0}, 2: {1, 2}, 4: {2, 3}, 6: {3, 4}} {
 		s := Joiner{Peers: make([]string, n)}
-		plain := s.Need()
+		plain := s.RequiredResponses()
 		s.Strict = true
-		if strict := s.Need(); plain != want[0] || strict != want[1] {
+		if strict := s.RequiredResponses(); plain != want[0] || strict != want[1] {
 			t.Errorf("%d peers: %d required, %d if strict, want %v", n, plain, strict, want)
 		}
 	}
 }
 
-// world models a cluster whose data directories are written, backed up, restored and emptied. The invariant checked: a replica
-// that starts as a voter has all entries that it ever had as a voter.
-type world struct {
-	n     int
-	disk  []Claim          // the present data directory of each replica
-	kept  []*Claim         // its backup; nil: none
-	most  []DirectoryState // the latest state that each replica had as a voter
-	up    []bool           // the process runs and takes part in the cluster
-	w     []*Verifier
-	votes []bool
-	procs int
-	last  uint64
-	now   float64
-	plant string
-	long  int // plain restarts that were rejected although all peers responded
+// clusterModel models a cluster whose data directories are written, backed up, restored and emptied. The invariant checked: a
+// replica that starts as a voter has all entries that it ever had as a voter.
+type clusterModel struct {
+	size             int
+	directories      []Claim          // the present data directory of each replica
+	backups          []*Claim         // its backup; nil: none
+	latestAsVoter    []DirectoryState // the latest state that each replica had as a voter
+	running          []bool           // the process runs and takes part in the cluster
+	verifiers        []*Verifier
+	voters           []bool
+	processCount     int
+	lastIndex        uint64
+	nowMS            float64
+	injectedBug      string
+	rejectedRestarts int // plain restarts that were rejected although all peers responded
 }
 
-func newWorld(n int, plant string) *world {
-	w := &world{n: n, disk: make([]Claim, n), kept: make([]*Claim, n), most: make([]DirectoryState, n), up: make([]bool, n), w: make([]*Verifier, n),
-		votes: make([]bool, n), last: 10, plant: plant}
+func newClusterModel(n int, injectedBug string) *clusterModel {
+	w := &clusterModel{size: n, directories: make([]Claim, n), backups: make([]*Claim, n), latestAsVoter: make([]DirectoryState, n),
+		running: make([]bool, n), verifiers: make([]*Verifier, n),
+		voters: make([]bool, n), lastIndex: 10, injectedBug: injectedBug}
 	for i := range n {
-		w.w[i] = NewVerifier(id(i), nil)
-		w.votes[i], w.up[i] = true, true
-		w.disk[i] = Claim{ID: id(i), Addr: "at-" + id(i), DirectoryState: DirectoryState{DirectoryID: fmt.Sprint("f", i), OpenCount: 1, ProcessID: fmt.Sprint("p", i), Term: 1, LastIndex: 10}}
-		w.most[i] = w.disk[i].DirectoryState
+		w.verifiers[i] = NewVerifier(replicaID(i), nil)
+		w.voters[i], w.running[i] = true, true
+		w.directories[i] = Claim{ID: replicaID(i), Addr: "at-" + replicaID(i),
+			DirectoryState: DirectoryState{DirectoryID: fmt.Sprint("f", i), OpenCount: 1, ProcessID: fmt.Sprint("p", i), Term: 1, LastIndex: 10}}
+		w.latestAsVoter[i] = w.directories[i].DirectoryState
 	}
 	for i := range n {
-		w.report(i)
+		w.sendClaims(i)
 	}
 	return w
 }
 
-func id(i int) string { return string(rune('a' + i)) }
+func replicaID(i int) string { return string(rune('a' + i)) }
 
-func (w *world) view(i int) View {
-	v := View{Bootstrapped: true, LastIndex: w.disk[i].LastIndex, Members: map[string]Member{}}
-	for k := range w.n {
-		v.Members[id(k)] = Member{"at-" + id(k), w.votes[k]}
+func (w *clusterModel) view(i int) View {
+	v := View{Bootstrapped: true, LastIndex: w.directories[i].LastIndex, Members: map[string]Member{}}
+	for k := range w.size {
+		v.Members[replicaID(k)] = Member{"at-" + replicaID(k), w.voters[k]}
 	}
 	return v
 }
 
-// report sends the claim of a replica to all running ones and returns their responses.
-func (w *world) report(i int) (words []Response) {
-	for k := range w.n {
-		if k != i && w.up[k] {
-			word, _ := w.w[k].HandleClaim(w.now, uint64(i), w.disk[i], w.view(k))
-			words = append(words, word)
+// sendClaims sends the claim of a replica to all running ones and returns their responses.
+func (w *clusterModel) sendClaims(i int) (responses []Response) {
+	for k := range w.size {
+		if k != i && w.running[k] {
+			response, _ := w.verifiers[k].HandleClaim(w.nowMS, uint64(i), w.directories[i], w.view(k))
+			responses = append(responses, response)
 		}
 	}
-	return words
+	return responses
 }
 
-// step executes one step and reports whether it was applicable.
-func (w *world) step(what string, i int) bool {
-	w.now += 100
-	d := &w.disk[i]
+// execute executes one step and reports whether it was applicable.
+func (w *clusterModel) execute(kind string, i int) bool {
+	w.nowMS += 100
+	d := &w.directories[i]
 	switch {
-	case (what == "kill" || what == "promote") && !w.up[i], (what == "old" || what == "empty" || what == "start") && w.up[i],
-		what == "old" && w.kept[i] == nil, what == "keep" && w.kept[i] != nil && *w.kept[i] == *d,
-		what == "promote" && (w.votes[i] || d.LastIndex != w.last):
+	case (kind == "kill" || kind == "promote") && !w.running[i], (kind == "old" || kind == "empty" || kind == "start") && w.running[i],
+		kind == "old" && w.backups[i] == nil, kind == "keep" && w.backups[i] != nil && *w.backups[i] == *d,
+		kind == "promote" && (w.voters[i] || d.LastIndex != w.lastIndex):
 		return false
 	}
-	switch what {
+	switch kind {
 	case "write": // all running replicas append an entry and send claims
-		w.last++
-		for k := range w.n {
-			if w.up[k] {
-				w.disk[k].LastIndex, w.disk[k].Fresh = w.last, false
-				if w.votes[k] {
-					w.most[k] = w.disk[k].DirectoryState
+		w.lastIndex++
+		for k := range w.size {
+			if w.running[k] {
+				w.directories[k].LastIndex, w.directories[k].Fresh = w.lastIndex, false
+				if w.voters[k] {
+					w.latestAsVoter[k] = w.directories[k].DirectoryState
 				}
 			}
 		}
-		for k := range w.n {
-			if w.up[k] {
-				w.report(k)
+		for k := range w.size {
+			if w.running[k] {
+				w.sendClaims(k)
 			}
 		}
 	case "keep":
 		c := *d
-		w.kept[i] = &c
+		w.backups[i] = &c
 	case "kill":
-		w.up[i] = false
-		for k := range w.n {
-			w.w[k].ConnectionClosed(id(i), uint64(i))
+		w.running[i] = false
+		for k := range w.size {
+			w.verifiers[k].ConnectionClosed(replicaID(i), uint64(i))
 		}
 	case "old":
-		*d = *w.kept[i]
+		*d = *w.backups[i]
 	case "empty":
 		*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true, DirectoryState: DirectoryState{DirectoryID: fmt.Sprint(d.DirectoryID, "+")}}
 	case "start":
-		w.start(i)
+		w.startReplica(i)
 	case "promote":
-		w.votes[i] = true
-		w.most[i] = d.DirectoryState
+		w.voters[i] = true
+		w.latestAsVoter[i] = d.DirectoryState
 	}
 	return true
 }
 
-func (w *world) start(i int) {
-	d := &w.disk[i]
-	w.procs++
+func (w *clusterModel) startReplica(i int) {
+	d := &w.directories[i]
+	w.processCount++
 	d.OpenCount++
-	d.ProcessID = fmt.Sprint("q", w.procs)
+	d.ProcessID = fmt.Sprint("q", w.processCount)
 	d.RejoinReason, d.Running = "", false
-	legit := d.DirectoryID == w.most[i].DirectoryID && !d.behind(w.most[i]) && d.OpenCount == w.most[i].OpenCount+1
-	s := Joiner{Claim: *d, InjectedBug: w.plant, WaitElapsed: true}
-	for k := range w.n {
+	plainRestart := d.DirectoryID == w.latestAsVoter[i].DirectoryID && !d.behind(w.latestAsVoter[i]) &&
+		d.OpenCount == w.latestAsVoter[i].OpenCount+1
+	s := Joiner{Claim: *d, InjectedBug: w.injectedBug, WaitElapsed: true}
+	for k := range w.size {
 		if k != i {
-			s.Peers = append(s.Peers, id(k))
+			s.Peers = append(s.Peers, replicaID(k))
 		}
 	}
-	joined := false
+	demoted := false
 	for range 4 {
-		words := w.report(i)
-		for _, word := range words {
-			if joined && s.RejoinReason != "" {
-				word.JoinIndex = w.last
+		responses := w.sendClaims(i)
+		for _, response := range responses {
+			if demoted && s.RejoinReason != "" {
+				response.JoinIndex = w.lastIndex
 			}
-			s.AddResponse(word)
+			s.AddResponse(response)
 		}
 		decision, _ := s.Decide()
 		switch decision {
 		case DecisionRequestRejoin:
 			s.RejoinReason = "contradicted"
 			d.RejoinReason = s.RejoinReason
-			leads := 0
-			for k := range w.n {
-				if w.up[k] && w.votes[k] {
-					leads++
+			runningVoters := 0
+			for k := range w.size {
+				if w.running[k] && w.voters[k] {
+					runningVoters++
 				}
 			}
-			if 2*leads > w.n { // a leader makes the replica a non-voter
-				w.last++
-				w.votes[i] = false
-				joined = true
+			if 2*runningVoters > w.size { // a leader makes the replica a non-voter
+				w.lastIndex++
+				w.voters[i] = false
+				demoted = true
 			}
 		case DecisionResetDirectory:
-			*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true, DirectoryState: DirectoryState{DirectoryID: fmt.Sprint(d.DirectoryID, "'", w.procs), OpenCount: 1, ProcessID: d.ProcessID, JoinIndex: w.last}}
+			*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true,
+				DirectoryState: DirectoryState{DirectoryID: fmt.Sprint(d.DirectoryID, "'", w.processCount), OpenCount: 1, ProcessID: d.ProcessID, JoinIndex: w.lastIndex}}
 			s.Claim = *d
 			s.ClearResponses()
 		case DecisionStart, DecisionBootstrap:
-			w.up[i] = true
+			w.running[i] = true
 			return
 		case DecisionWait, DecisionStop:
-			if legit && w.votes[i] && len(words) == w.n-1 {
-				w.long++
+			if plainRestart && w.voters[i] && len(responses) == w.size-1 {
+				w.rejectedRestarts++
 			}
 			return
 		}
 	}
 }
 
-// broken describes a violated invariant, or returns "": a voter takes part without entries that it had as a voter, or a plain
+// violation describes a violated invariant, or returns "": a voter takes part without entries that it had as a voter, or a plain
 // restart was rejected.
-func (w *world) broken() string {
-	for i := range w.n {
-		if d := w.disk[i]; w.up[i] && w.votes[i] && d.behind(w.most[i]) {
-			return fmt.Sprintf("%s votes with last entry %d, it had %d", d.ID, d.LastIndex, w.most[i].LastIndex)
+func (w *clusterModel) violation() string {
+	for i := range w.size {
+		if d := w.directories[i]; w.running[i] && w.voters[i] && d.behind(w.latestAsVoter[i]) {
+			return fmt.Sprintf("%s votes with last entry %d, it had %d", d.ID, d.LastIndex, w.latestAsVoter[i].LastIndex)
 		}
 	}
-	if w.long > 0 {
+	if w.rejectedRestarts > 0 {
 		return "a plain restart was rejected although all peers responded"
 	}
 	return ""
 }
 
-var moves = []string{"write", "keep", "kill", "old", "empty", "start", "promote"}
+var stepKinds = []string{"write", "keep", "kill", "old", "empty", "start", "promote"}
 
-// play executes steps and returns the violated invariant, and whether the last step was applicable. A replica is only killed,
+// runSteps executes steps and returns the violated invariant, and whether the last step was applicable. A replica is only killed,
 // restored or emptied while a majority of voters besides it runs: what no running replica remembers cannot be detected, a limit
 // that the page on the store documents.
-func play(n int, way []string, plant string) (why string, taken bool) {
-	w := newWorld(n, plant)
-	for at, s := range way {
-		taken = false
-		what, who, _ := strings.Cut(s, " ")
-		i := int(who[0] - 'a')
-		if what == "old" || what == "empty" || what == "kill" {
-			others := 0
+func runSteps(n int, steps []string, injectedBug string) (violation string, applicable bool) {
+	w := newClusterModel(n, injectedBug)
+	for at, s := range steps {
+		applicable = false
+		kind, replica, _ := strings.Cut(s, " ")
+		i := int(replica[0] - 'a')
+		if kind == "old" || kind == "empty" || kind == "kill" {
+			otherVoters := 0
 			for k := range n {
-				if k != i && w.up[k] && w.votes[k] {
-					others++
+				if k != i && w.running[k] && w.voters[k] {
+					otherVoters++
 				}
 			}
-			if 2*others <= n {
+			if 2*otherVoters <= n {
 				continue
 			}
 		}
-		taken = w.step(what, i)
-		if why := w.broken(); why != "" {
-			return fmt.Sprintf("%s after %q", why, way[:at+1]), taken
+		applicable = w.execute(kind, i)
+		if violation := w.violation(); violation != "" {
+			return fmt.Sprintf("%s after %q", violation, steps[:at+1]), applicable
 		}
 	}
-	return "", taken
+	return "", applicable
 }
 
 // Exhaustive search of all step sequences up to a depth on one replica while its peers run: it never votes without entries that
 // it had as a voter. Sequences are not extended after a step that is not applicable.
-func TestEveryWayOfFoldersKeepsTheVoteFromWhatWasForgotten(t *testing.T) {
+func TestNoStepSequenceLetsAnOutdatedReplicaVote(t *testing.T) {
 	const depth = 8
-	seen := 0
-	var down func(way []string) string
-	down = func(way []string) string {
-		for _, m := range moves {
-			next := append(way[:len(way):len(way)], m+" c")
-			why, taken := play(3, next, "")
-			if why != "" {
-				return why
+	sequences := 0
+	var extend func(steps []string) string
+	extend = func(steps []string) string {
+		for _, kind := range stepKinds {
+			next := append(steps[:len(steps):len(steps)], kind+" c")
+			violation, applicable := runSteps(3, next, "")
+			if violation != "" {
+				return violation
 			}
-			if seen++; taken && len(next) < depth {
-				if why := down(next); why != "" {
-					return why
+			if sequences++; applicable && len(next) < depth {
+				if violation := extend(next); violation != "" {
+					return violation
 				}
 			}
 		}
 		return ""
 	}
-	if why := down(nil); why != "" {
-		t.Error(why)
+	if violation := extend(nil); violation != "" {
+		t.Error(violation)
 	}
-	t.Logf("%d sequences up to depth %d", seen, depth)
-	found, _ := play(3, []string{"keep c", "write c", "kill c", "old c", "start c"}, PlantAnyFolder)
+	t.Logf("%d sequences up to depth %d", sequences, depth)
+	found, _ := runSteps(3, []string{"keep c", "write c", "kill c", "old c", "start c"}, BugAnyDirectory)
 	if !strings.Contains(found, "c votes with last entry 10, it had 11") {
 		t.Errorf("injected bug: got %q", found)
 	}
 }
 
 // Long random step sequences over three and five replicas violate no invariant, and reveal the injected bug.
-func TestLongWaysOfFolders(t *testing.T) {
+func TestRandomStepSequencesKeepOutdatedReplicasFromVoting(t *testing.T) {
 	found := 0
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		n := 3 + 2*int(seed%2)
-		var way []string
+		var steps []string
 		for range 60 {
-			way = append(way, moves[rng.IntN(len(moves))]+" "+id(rng.IntN(n)))
+			steps = append(steps, stepKinds[rng.IntN(len(stepKinds))]+" "+replicaID(rng.IntN(n)))
 		}
-		if why, _ := play(n, way, ""); why != "" {
-			t.Fatalf("seed %d: %s", seed, why)
+		if violation, _ := runSteps(n, steps, ""); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
-		if why, _ := play(n, way, PlantAnyFolder); why != "" {
+		if violation, _ := runSteps(n, steps, BugAnyDirectory); violation != "" {
 			found++
 		}
 	}
@@ -417,18 +423,18 @@
 }
 
 // A learner is promoted once it keeps up with the leader, and never while it stays slightly behind.
-func TestLearnerThatIsAlwaysTooSlowIsNotPromoted(t *testing.T) {
+func TestLaggingLearnerIsNotPromoted(t *testing.T) {
 	var slow, fast Learner
-	c := claim("c", "g", 1, 1, 0)
+	c := newClaim("c", "g", 1, 1, 0)
 	c.Running = true
-	for mine := uint64(100); mine < 5000; mine += 100 {
-		c.LastIndex = mine - 150
-		if slow.Report(c, mine) {
-			t.Fatalf("promoted with entry %d of %d", c.LastIndex, mine)
+	for leaderLastIndex := uint64(100); leaderLastIndex < 5000; leaderLastIndex += 100 {
+		c.LastIndex = leaderLastIndex - 150
+		if slow.Report(c, leaderLastIndex) {
+			t.Fatalf("promoted with entry %d of %d", c.LastIndex, leaderLastIndex)
 		}
-		c.LastIndex = mine - 50
-		if got, want := fast.Report(c, mine), mine >= 300; got != want {
-			t.Fatalf("leader at entry %d: promoted %v, want %v", mine, got, want)
+		c.LastIndex = leaderLastIndex - 50
+		if got, want := fast.Report(c, leaderLastIndex), leaderLastIndex >= 300; got != want {
+			t.Fatalf("leader at entry %d: promoted %v, want %v", leaderLastIndex, got, want)
 		}
 	}
 	if slow.Lag != 150 || fast.Lag != 50 {
@@ -440,13 +446,13 @@
 	}
 }
 
-func TestMajorityDecidesWhoDiffers(t *testing.T) {
-	d := func(at, sum uint64) Digest { return Digest{Index: at, Sum: sum} }
+func TestReplicasThatDifferFromAMajorityAreFound(t *testing.T) {
+	d := func(index, sum uint64) Digest { return Digest{Index: index, Sum: sum} }
 	for name, tc := range map[string]struct {
-		of     map[string]Digest
-		voters int
-		odd    string
-		split  bool
+		digests   map[string]Digest
+		voters    int
+		divergent string
+		split     bool
 	}{
 		"all equal":                 {map[string]Digest{"a": d(9, 1), "b": d(9, 1), "c": d(9, 1)}, 3, "", false},
 		"one differs":               {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1)}, 3, "b", false},
@@ -458,24 +464,24 @@
 		"two against two and one":                 {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1), "d": d(9, 2), "e": d(9, 3)}, 5, "", true},
 		"no digests yet":                          {map[string]Digest{"a": d(0, 0), "b": d(0, 0)}, 3, "", false},
 	} {
-		at := uint64(0)
-		for _, v := range tc.of {
-			at = max(at, v.Index)
+		index := uint64(0)
+		for _, v := range tc.digests {
+			index = max(index, v.Index)
 		}
-		odd, split := FindDivergent(at, tc.of, tc.voters)
-		if strings.Join(odd, "") != tc.odd || split != tc.split {
-			t.Errorf("%s: %q, %v", name, odd, split)
+		divergent, split := FindDivergent(index, tc.digests, tc.voters)
+		if strings.Join(divergent, "") != tc.divergent || split != tc.split {
+			t.Errorf("%s: %q, %v", name, divergent, split)
 		}
 	}
 	w := NewVerifier("a", nil)
-	c := claim("c", "f", 1, 1, 5)
-	w.HandleClaim(0, 1, c, three)
+	c := newClaim("c", "f", 1, 1, 5)
+	w.HandleClaim(0, 1, c, threeVoters)
 	w.MarkDivergent("c")
-	if word, _ := w.HandleClaim(1, 1, c, three); word.Verdict != VerdictStateDiverged {
-		t.Errorf("%+v", word)
+	if response, _ := w.HandleClaim(1, 1, c, threeVoters); response.Verdict != VerdictStateDiverged {
+		t.Errorf("%+v", response)
 	}
 	c.DirectoryID, c.JoinIndex = "g", 30
-	if word, _ := w.HandleClaim(2, 1, c, three); word.Verdict != VerdictAccepted {
-		t.Errorf("after it rejoined: %+v", word)
+	if response, _ := w.HandleClaim(2, 1, c, threeVoters); response.Verdict != VerdictAccepted {
+		t.Errorf("after it rejoined: %+v", response)
 	}
 }
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -17,35 +17,35 @@
 // MessageTimeout is the timeout for reading a complete message, counted from its first byte, and for writing one.
 const MessageTimeout = 2 * time.Second
 
-// Append encodes v as JSON and appends it to b as a message. Content of more than most bytes is an error.
-func Append(b []byte, v any, most int) ([]byte, error) {
+// Append encodes v as JSON and appends it to b as a message. Content of more than maxSize bytes is an error.
+func Append(b []byte, v any, maxSize int) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return b, err
 	}
-	return AppendBytes(b, text, most)
+	return AppendBytes(b, text, maxSize)
 }
 
-// AppendBytes appends a message with already encoded content to b. Content of more than most bytes is an error.
-func AppendBytes(b, content []byte, most int) ([]byte, error) {
-	if len(content) > most {
-		return b, fmt.Errorf("frame: message of %d bytes exceeds the limit of %d", len(content), most)
+// AppendBytes appends a message with already encoded content to b. Content of more than maxSize bytes is an error.
+func AppendBytes(b, content []byte, maxSize int) ([]byte, error) {
+	if len(content) > maxSize {
+		return b, fmt.Errorf("frame: message of %d bytes exceeds the limit of %d", len(content), maxSize)
 	}
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(content))), content...), nil
 }
 
 // Reader reads messages from a connection.
 type Reader struct {
-	conn net.Conn
-	r    *bufio.Reader
-	idle time.Duration
-	most int
+	conn        net.Conn
+	r           *bufio.Reader
+	idleTimeout time.Duration
+	maxSize     int
 }
 
-// NewReader returns a reader of messages with at most most bytes of content. The first byte of each message must arrive within
-// idle; 0 means no limit.
-func NewReader(conn net.Conn, idle time.Duration, most int) *Reader {
-	return &Reader{conn: conn, r: bufio.NewReaderSize(conn, 16<<10), idle: idle, most: most}
+// NewReader returns a reader of messages with at most maxSize bytes of content. The first byte of each message must arrive within
+// idleTimeout; 0 means no limit.
+func NewReader(conn net.Conn, idleTimeout time.Duration, maxSize int) *Reader {
+	return &Reader{conn: conn, r: bufio.NewReaderSize(conn, 16<<10), idleTimeout: idleTimeout, maxSize: maxSize}
 }
 
 // Next reads one message and decodes its JSON content.
@@ -67,22 +67,22 @@
 
 // NextBytes reads one message and returns its content undecoded.
 func (r *Reader) NextBytes() ([]byte, error) {
-	var until time.Time
-	if r.idle > 0 {
-		until = time.Now().Add(r.idle)
+	var deadline time.Time
+	if r.idleTimeout > 0 {
+		deadline = time.Now().Add(r.idleTimeout)
 	}
-	r.conn.SetReadDeadline(until)
+	r.conn.SetReadDeadline(deadline)
 	if _, err := r.r.Peek(1); err != nil {
 		return nil, err
 	}
 	r.conn.SetReadDeadline(time.Now().Add(MessageTimeout))
-	var head [4]byte
-	if _, err := io.ReadFull(r.r, head[:]); err != nil {
+	var header [4]byte
+	if _, err := io.ReadFull(r.r, header[:]); err != nil {
 		return nil, err
 	}
-	n := int64(binary.BigEndian.Uint32(head[:]))
-	if n == 0 || n > int64(r.most) {
-		return nil, fmt.Errorf("frame: message length %d is not between 1 and %d", n, r.most)
+	n := int64(binary.BigEndian.Uint32(header[:]))
+	if n == 0 || n > int64(r.maxSize) {
+		return nil, fmt.Errorf("frame: message length %d is not between 1 and %d", n, r.maxSize)
 	}
 	// The buffer grows with the bytes that arrive: a length prefix alone must not allocate memory.
 	var b bytes.Buffer
@@ -93,8 +93,8 @@
 }
 
 // Send encodes v as JSON and writes it as one message.
-func Send(conn net.Conn, v any, most int) error {
-	b, err := Append(nil, v, most)
+func Send(conn net.Conn, v any, maxSize int) error {
+	b, err := Append(nil, v, maxSize)
 	if err != nil {
 		return err
 	}
@@ -105,6 +105,6 @@
 
 // Remainder returns a reader of the raw bytes after the last message: first those already buffered, then those of more.
 func (r *Reader) Remainder(more io.Reader) io.Reader {
-	ahead, _ := r.r.Peek(r.r.Buffered())
-	return io.MultiReader(bytes.NewReader(ahead), more)
+	buffered, _ := r.r.Peek(r.r.Buffered())
+	return io.MultiReader(bytes.NewReader(buffered), more)
 }
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -10,8 +10,8 @@
 )
 
 // A message that is too large, empty, malformed or truncated, or whose sender stalls within it, is an error.
-func TestNoWholeMessage(t *testing.T) {
-	whole, err := Append(nil, map[string]int{"n": 7}, 100)
+func TestReaderRejectsInvalidMessages(t *testing.T) {
+	valid, err := Append(nil, map[string]int{"n": 7}, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,13 +22,13 @@
 		b     []byte
 		stall bool
 	}{
-		"whole":     {whole, false},
+		"valid":     {valid, false},
 		"too large": {[]byte{0, 0, 1, 0}, false},
 		"huge":      {[]byte{0xff, 0xff, 0xff, 0xff}, false},
 		"empty":     {[]byte{0, 0, 0, 0}, false},
 		"malformed": {[]byte{0, 0, 0, 1, '{'}, false},
-		"truncated": {whole[:len(whole)-1], false},
-		"stalled":   {whole[:len(whole)-1], true},
+		"truncated": {valid[:len(valid)-1], false},
+		"stalled":   {valid[:len(valid)-1], true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -43,7 +43,7 @@
 			}()
 			var got struct{ N int }
 			err := NewReader(b, 0, 100).Next(&got)
-			if name == "whole" {
+			if name == "valid" {
 				if err != nil || got.N != 7 {
 					t.Errorf("%+v %v", got, err)
 				}
--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -8,22 +8,22 @@
 	"slices"
 )
 
-// Parts is the number of partitions of the state. Replicas compare the digests of one partition at a time.
-const Parts = 16
+// DigestPartitions is the number of partitions of the state. Replicas compare the digests of one partition at a time.
+const DigestPartitions = 16
 
-// partOf returns the partition of a key: FNV-1a, written out because hash/fnv requires a copy of each key.
-func partOf(key string) uint64 {
+// partitionOf returns the partition of a key: FNV-1a, written out because hash/fnv requires a copy of each key.
+func partitionOf(key string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(key) {
 		h = (h ^ uint64(key[i])) * 1099511628211
 	}
-	return h % Parts
+	return h % DigestPartitions
 }
 
 // Digest returns a checksum of one partition, computed from the state in memory, so that memory corruption of any cause is
 // detected. Replicas that applied the same entries have equal digests.
-func (s *State) Digest(part uint64) (sum uint64) {
-	part %= Parts
+func (s *State) Digest(partition uint64) (sum uint64) {
+	partition %= DigestPartitions
 	var b []byte
 	add := func(kind, key string, v any) {
 		text, err := json.Marshal(v)
@@ -32,20 +32,20 @@
 		}
 		b = append(append(append(b[:0], kind...), 0), key...)
 		b = append(append(b, 0), text...)
-		full := sha256.Sum256(b)
-		sum += binary.BigEndian.Uint64(full[:])
+		hash := sha256.Sum256(b)
+		sum += binary.BigEndian.Uint64(hash[:])
 	}
-	addAll(part, "value", s.Values, add)
-	addAll(part, "effect", s.Effects.Effects, add)
-	addAll(part, "lease", s.Duties.Leases, add)
-	addAll(part, "share", s.Allocations.Shares, add)
-	addAll(part, "word", s.Config.Acknowledgements, add)
-	addAll(part, "mark", s.Counters, add)
-	addAll(part, "stale", s.StaleRefusals, add)
+	addAll(partition, "value", s.Values, add)
+	addAll(partition, "effect", s.Effects.Effects, add)
+	addAll(partition, "lease", s.Duties.Leases, add)
+	addAll(partition, "share", s.Allocations.Shares, add)
+	addAll(partition, "word", s.Config.Acknowledgements, add)
+	addAll(partition, "mark", s.Counters, add)
+	addAll(partition, "stale", s.StaleRefusals, add)
 	if s.Records.Revision() > 0 {
-		sum += s.Records.Table().PartDigest(part).Sum64()
+		sum += s.Records.Table().PartDigest(partition).Sum64()
 	}
-	if part == 0 {
+	if partition == 0 {
 		if r := s.Records.Revision(); r > 0 {
 			add("whole", "records", r)
 		}
@@ -56,9 +56,9 @@
 	return sum
 }
 
-func addAll[V any](part uint64, kind string, of map[string]V, add func(kind, key string, v any)) {
-	for key, v := range of {
-		if partOf(key) == part {
+func addAll[V any](partition uint64, kind string, entries map[string]V, add func(kind, key string, v any)) {
+	for key, v := range entries {
+		if partitionOf(key) == partition {
 			add(kind, key, v)
 		}
 	}
--- a/internal/state/digest_test.go
+++ b/internal/state/digest_test.go
@@ -9,11 +9,11 @@
 	"puffinsaddle/internal/publish"
 )
 
-// full returns a state that contains every kind of data.
-func full(t testing.TB, effects int) *State {
+// populatedState returns a state that contains every kind of data.
+func populatedState(t testing.TB, effects int) *State {
 	t.Helper()
 	s := New()
-	do := func(c Command) {
+	apply := func(c Command) {
 		if r := s.Apply(c, 1); r.Error != "" {
 			t.Fatalf("%s: %s", c.Op, r.Error)
 		}
@@ -24,22 +24,22 @@
 			t.Fatalf("%d: %s", i, r.Refusals[0])
 		}
 	}
-	do(Command{Op: OpSet, Key: "config/a", Value: []byte("text")})
-	do(Command{Op: OpSet, Key: "empty"})
+	apply(Command{Op: OpSet, Key: "config/a", Value: []byte("text")})
+	apply(Command{Op: OpSet, Key: "empty"})
 	for i := range effects {
-		do(Command{Op: OpBeginEffect, Key: fmt.Sprintf("%016x", i), Process: "a#1", Epoch: 2, NoEviction: true})
+		apply(Command{Op: OpBeginEffect, Key: fmt.Sprintf("%016x", i), Process: "a#1", Epoch: 2, NoEviction: true})
 	}
-	do(Command{Op: OpEndEffects, Process: "a#1", EffectIDs: []string{fmt.Sprintf("%016x", 0)}})
-	under := &duty.Ref{Name: "allotter", Epoch: 1}
-	do(Command{Op: OpFenced, Fence: under, Batch: []Command{{Op: OpIncrementCounter}}})
-	do(Command{Op: OpFenced, Fence: under, Batch: []Command{{Op: OpSetPool, Amount: 9000}, {Op: OpSetAllocation, Process: "a#1", Amount: 300}}})
-	do(Command{Op: OpFenced, Fence: under, Batch: []Command{{Op: OpPublishVersion, Files: []publish.File{{Name: "operator.yaml", Text: []byte("x")}}}}})
-	do(Command{Op: OpAcknowledgeVersion, Process: "a#1", Acknowledgement: &publish.Acknowledgement{No: 1}})
+	apply(Command{Op: OpEndEffects, Process: "a#1", EffectIDs: []string{fmt.Sprintf("%016x", 0)}})
+	fence := &duty.Ref{Name: "allotter", Epoch: 1}
+	apply(Command{Op: OpFenced, Fence: fence, Batch: []Command{{Op: OpIncrementCounter}}})
+	apply(Command{Op: OpFenced, Fence: fence, Batch: []Command{{Op: OpSetPool, Amount: 9000}, {Op: OpSetAllocation, Process: "a#1", Amount: 300}}})
+	apply(Command{Op: OpFenced, Fence: fence, Batch: []Command{{Op: OpPublishVersion, Files: []publish.File{{Name: "operator.yaml", Text: []byte("x")}}}}})
+	apply(Command{Op: OpAcknowledgeVersion, Process: "a#1", Acknowledgement: &publish.Acknowledgement{No: 1}})
 	s.Apply(Command{Op: OpFenced, Fence: &duty.Ref{Name: "allotter", Epoch: 7}, Batch: []Command{{Op: OpIncrementCounter}}}, 1)
 	return s
 }
 
-func digests(s *State) (all [Parts]uint64) {
+func digests(s *State) (all [DigestPartitions]uint64) {
 	for i := range all {
 		all[i] = s.Digest(uint64(i))
 	}
@@ -48,27 +48,27 @@
 
 // Equal entries give equal digests, also for a replica restored from a snapshot; a single difference changes the digest of one
 // partition, or of two where a key moves.
-func TestDigestsShowWhatDiffers(t *testing.T) {
-	s := full(t, 50)
+func TestDigestsRevealEveryDifference(t *testing.T) {
+	s := populatedState(t, 50)
 	before := digests(s)
-	if before != digests(full(t, 50)) {
+	if before != digests(populatedState(t, 50)) {
 		t.Error("the same entries gave other digests")
 	}
 	b, err := json.Marshal(s.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := ReadSnapshot(b)
+	restored, err := ReadSnapshot(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if before != digests(read) {
+	if before != digests(restored) {
 		t.Error("a state that was read from a snapshot has other digests")
 	}
-	if s.Digest(3) != s.Digest(3+Parts) {
+	if s.Digest(3) != s.Digest(3+DigestPartitions) {
 		t.Error("the partition number does not wrap around")
 	}
-	for what, change := range map[string]func(*State){
+	for name, change := range map[string]func(*State){
 		"a value":                     func(s *State) { s.Values["config/a"] = []byte("texu") },
 		"a value's name":              func(s *State) { s.Values["config/b"], s.Values["config/a"] = s.Values["config/a"], nil },
 		"an effect's owner":           func(s *State) { s.Effects.Effects["0000000000000007"].Owner = "b#1" },
@@ -86,7 +86,7 @@
 		"a counter":                   func(s *State) { s.Counters["allotter"]++ },
 		"a count of stale refusals":   func(s *State) { s.StaleRefusals["allotter"]++ },
 	} {
-		s := full(t, 50)
+		s := populatedState(t, 50)
 		change(s)
 		differ := 0
 		for i, sum := range digests(s) {
@@ -95,14 +95,14 @@
 			}
 		}
 		if differ == 0 || differ > 2 { // a renamed key may affect two partitions
-			t.Errorf("%s: %d partitions differ", what, differ)
+			t.Errorf("%s: %d partitions differ", name, differ)
 		}
 	}
 }
 
 // BenchmarkDigest measures the digest of one partition with a full effect log; applying further entries waits for it.
 func BenchmarkDigest(b *testing.B) {
-	s := full(b, mostEffects)
+	s := populatedState(b, maxEffects)
 	for i := uint64(0); b.Loop(); i++ {
 		s.Digest(i)
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	mostEffects  = 1 << 16    // effects retained
-	oldEffects   = "effects/" // key prefix of effects in the values of earlier versions
-	mostMarks    = 256        // duties with a counter
-	orphansAtOne = 256        // orphaned effects resolved by one command
+	maxEffects           = 1 << 16    // effects retained
+	legacyEffectPrefix   = "effects/" // key prefix of effects in the values of earlier versions
+	maxCounters          = 256        // duties with a counter
+	maxOrphansPerCommand = 256        // orphaned effects resolved by one command
 )
 
 // Kinds of commands: the values of Command.Op.
@@ -62,10 +62,10 @@
 	Epoch           uint64                   `json:"epoch,omitempty"` // begin: epoch of the process's presence; ack: version of its allocation
 	NoEviction      bool                     `json:"keep,omitempty"`  // begin: refuse the effect if the log is full, forgetting none
 	Orders          []duty.Order             `json:"orders,omitempty"`
-	Fence           *duty.Ref                `json:"fence,omitempty"` // the grant under which the batch is executed
-	Batch           []Command                `json:"do,omitempty"`    // the batch
-	EffectIDs       []string                 `json:"ids,omitempty"`
-	FailedIDs       []string                 `json:"failed,omitempty"` // end: ids of effects that failed; those that succeeded are in ids
+	Fence           *duty.Ref                `json:"fence,omitempty"`  // the grant under which the batch is executed
+	Batch           []Command                `json:"do,omitempty"`     // act: the operations
+	EffectIDs       []string                 `json:"ids,omitempty"`    // end: ids of effects that succeeded; settle: of those to resolve
+	FailedIDs       []string                 `json:"failed,omitempty"` // end: ids of effects that failed
 	Amount          int64                    `json:"amount,omitempty"`
 	Seq             uint64                   `json:"seq,omitempty"`
 	Files           []publish.File           `json:"files,omitempty"`
@@ -100,34 +100,34 @@
 // New returns an empty state.
 func New() *State {
 	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Allocations: allot.NewLedger(),
-		Effects: settle.NewLedger(mostEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
+		Effects: settle.NewLedger(maxEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
 		Counters: map[string]uint64{}, StaleRefusals: map[string]uint64{}}
 }
 
 // PresenceInForce reports whether the presence of a process with the given epoch is in force.
-func (s *State) PresenceInForce(who string, epoch uint64) bool {
-	l := s.Duties.Leases[duty.PresenceOf(who)]
-	return l != nil && l.Holder == who && l.Epoch == epoch
+func (s *State) PresenceInForce(process string, epoch uint64) bool {
+	l := s.Duties.Leases[duty.PresenceOf(process)]
+	return l != nil && l.Holder == process && l.Epoch == epoch
 }
 
 // Apply executes one log entry, which a leader appended in the given term.
 func (s *State) Apply(c Command, term uint64) Result {
 	switch c.Op {
 	case OpSet:
-		_, there := s.Values[c.Key]
+		_, exists := s.Values[c.Key]
 		s.Values[c.Key] = c.Value
-		return Result{WasAbsent: !there}
+		return Result{WasAbsent: !exists}
 	case OpDelete:
-		_, there := s.Values[c.Key]
+		_, exists := s.Values[c.Key]
 		delete(s.Values, c.Key)
-		return Result{WasAbsent: !there}
+		return Result{WasAbsent: !exists}
 	case OpBeginEffect:
-		id := strings.TrimPrefix(c.Key, oldEffects)
+		id := strings.TrimPrefix(c.Key, legacyEffectPrefix)
 		if c.Process != "" && !s.PresenceInForce(c.Process, c.Epoch) {
 			return Result{Stale: true, Error: fmt.Sprintf("state: presence epoch %d of %s is not in force", c.Epoch, c.Process)}
 		}
 		fresh, err := s.Effects.Begin(id, c.Process, c.Epoch, c.NoEviction)
-		return Result{WasAbsent: fresh, Error: text(err)}
+		return Result{WasAbsent: fresh, Error: errorText(err)}
 	case OpEndEffects:
 		n := uint64(0)
 		for i, ids := range [][]string{c.EffectIDs, c.FailedIDs} {
@@ -141,7 +141,7 @@
 	case OpLeaseOrders:
 		var r Result
 		for _, o := range c.Orders {
-			r.Refusals = append(r.Refusals, text(s.order(o, term)))
+			r.Refusals = append(r.Refusals, errorText(s.applyLeaseOrder(o, term)))
 		}
 		return r
 	case OpChangeRecords:
@@ -149,11 +149,11 @@
 			return Result{Error: "state: change command without a change"}
 		}
 		commit, err := s.Records.Apply(*c.Change)
-		return Result{Value: commit.Revision, Error: text(err)}
+		return Result{Value: commit.Revision, Error: errorText(err)}
 	case OpCompareDigests:
 		return Result{Value: s.Digest(c.Seq)}
 	case OpRequestYield:
-		return Result{Error: text(s.Duties.Ask(c.Key))}
+		return Result{Error: errorText(s.Duties.Ask(c.Key))}
 	case OpFreezeDuty, OpUnfreezeDuty:
 		s.Duties.Freeze(c.Key, c.Op == OpFreezeDuty)
 		return Result{}
@@ -164,37 +164,37 @@
 		if c.Acknowledgement == nil {
 			return Result{Error: "state: acknowledgement command without an acknowledgement"}
 		}
-		return Result{Error: text(s.Config.Say(c.Process, *c.Acknowledgement))}
+		return Result{Error: errorText(s.Config.Say(c.Process, *c.Acknowledgement))}
 	case OpFenced:
-		return s.act(c)
+		return s.applyFenced(c)
 	}
 	return Result{Error: fmt.Sprintf("state: unknown command %q", c.Op)}
 }
 
-// order applies one decision of the grantor. A process's presence also opens and closes its allocation, and its end removes
-// the process's acknowledgement.
-func (s *State) order(o duty.Order, term uint64) error {
+// applyLeaseOrder applies one decision of the grantor. A process's presence also opens and closes its allocation, and its end
+// removes the process's acknowledgement.
+func (s *State) applyLeaseOrder(o duty.Order, term uint64) error {
 	if err := s.Duties.Apply(o, term); err != nil {
 		return err
 	}
-	if who := duty.PresentWho(o.Name); who != "" {
+	if process := duty.PresentWho(o.Name); process != "" {
 		if o.Kind == duty.Grant {
-			s.Allocations.Join(who)
+			s.Allocations.Join(process)
 		} else {
-			s.Allocations.Drop(who)
-			s.Config.Drop(who)
+			s.Allocations.Drop(process)
+			s.Config.Drop(process)
 		}
 	}
 	return nil
 }
 
-// act checks the fencing token and executes the batch atomically, within this log entry.
-func (s *State) act(c Command) Result {
+// applyFenced checks the fencing token and executes the batch atomically, within this log entry.
+func (s *State) applyFenced(c Command) Result {
 	if c.Fence == nil {
 		return Result{Error: "state: fenced command without a fencing token"}
 	}
 	if err := s.Duties.Fence(*c.Fence); err != nil && s.InjectedBug != duty.PlantUnfenced {
-		if s.StaleRefusals[c.Fence.Name]++; len(s.StaleRefusals) > mostMarks {
+		if s.StaleRefusals[c.Fence.Name]++; len(s.StaleRefusals) > maxCounters {
 			clear(s.StaleRefusals) // callers choose the names, so their number is unbounded
 		}
 		return Result{Stale: true, Error: err.Error()}
@@ -202,15 +202,15 @@
 	// Only changes of allocations are expected to be refused after earlier operations of the batch took effect, so only
 	// allocations are rolled back. Copying them takes time proportional to the number of servers and is therefore done only if
 	// the batch changes them.
-	shares := s.Allocations
+	allocations := s.Allocations
 	if slices.ContainsFunc(c.Batch, func(d Command) bool { return d.Op == OpSetAllocation || d.Op == OpSetPool }) {
-		s.Allocations = shares.Clone()
+		s.Allocations = allocations.Clone()
 	}
 	var r Result
 	for _, d := range c.Batch {
-		n, err := s.do(d, *c.Fence)
+		n, err := s.execute(d, *c.Fence)
 		if err != nil {
-			s.Allocations = shares
+			s.Allocations = allocations
 			return Result{Error: err.Error()}
 		}
 		r.Value = n
@@ -218,32 +218,33 @@
 	return r
 }
 
-func (s *State) do(c Command, under duty.Ref) (uint64, error) {
+func (s *State) execute(c Command, fence duty.Ref) (uint64, error) {
 	switch c.Op {
 	case OpIncrementCounter:
-		if len(s.Counters) >= mostMarks && s.Counters[under.Name] == 0 {
+		if len(s.Counters) >= maxCounters && s.Counters[fence.Name] == 0 {
 			return 0, errors.New("state: too many counters")
 		}
-		s.Counters[under.Name]++
-		return s.Counters[under.Name], nil
+		s.Counters[fence.Name]++
+		return s.Counters[fence.Name], nil
 	case OpSetAllocation:
 		return 0, s.Allocations.Set(c.Process, c.Amount, s.InjectedBug == duty.PlantEarlyGrowth)
 	case OpSetPool:
 		return 0, s.Allocations.SetPool(c.Amount)
 	case OpResolveEffects:
-		if len(c.EffectIDs) > orphansAtOne {
-			return 0, fmt.Errorf("state: %d effects to resolve exceed the limit of %d in one command", len(c.EffectIDs), orphansAtOne)
+		if len(c.EffectIDs) > maxOrphansPerCommand {
+			return 0, fmt.Errorf("state: %d effects to resolve exceed the limit of %d in one command",
+				len(c.EffectIDs), maxOrphansPerCommand)
 		}
 		return uint64(s.Effects.Settle(c.EffectIDs, s.PresenceInForce)), nil
 	case OpPruneEffects:
 		return uint64(s.Effects.Prune(c.Seq)), nil
 	case OpPublishVersion:
-		return s.Config.Publish(c.Files, c.Seq, under.Epoch)
+		return s.Config.Publish(c.Files, c.Seq, fence.Epoch)
 	}
 	return 0, fmt.Errorf("state: operation %q is not allowed in a fenced command", c.Op)
 }
 
-func text(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -252,21 +253,21 @@
 
 // Snapshot is the encoded form of the state. Earlier versions wrote only the fields values and order.
 type Snapshot struct {
-	Values  map[string][]byte `json:"values"`
-	Order   []string          `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
-	Duties  *duty.Table       `json:"duties,omitempty"`
-	Shares  *allot.Ledger     `json:"shares,omitempty"`
-	Effects *settle.Ledger    `json:"effects,omitempty"`
-	Config  *publish.History  `json:"config,omitempty"`
-	Records *records.Frozen   `json:"records,omitempty"`
-	Marks   map[string]uint64 `json:"marks,omitempty"`
-	Stale   map[string]uint64 `json:"stale,omitempty"`
+	Values        map[string][]byte `json:"values"`
+	EffectOrder   []string          `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
+	Duties        *duty.Table       `json:"duties,omitempty"`
+	Allocations   *allot.Ledger     `json:"shares,omitempty"`
+	Effects       *settle.Ledger    `json:"effects,omitempty"`
+	Config        *publish.History  `json:"config,omitempty"`
+	Records       *records.Frozen   `json:"records,omitempty"`
+	Counters      map[string]uint64 `json:"marks,omitempty"`
+	StaleRefusals map[string]uint64 `json:"stale,omitempty"`
 }
 
 // Snapshot copies the state, so that it can be encoded while further commands are applied.
 func (s *State) Snapshot() *Snapshot {
-	return &Snapshot{Values: maps.Clone(s.Values), Duties: s.Duties.Clone(), Shares: s.Allocations.Clone(), Effects: s.Effects.Clone(),
-		Config: s.Config.Clone(), Records: s.Records.Freeze(), Marks: maps.Clone(s.Counters), Stale: maps.Clone(s.StaleRefusals)}
+	return &Snapshot{Values: maps.Clone(s.Values), Duties: s.Duties.Clone(), Allocations: s.Allocations.Clone(), Effects: s.Effects.Clone(),
+		Config: s.Config.Clone(), Records: s.Records.Freeze(), Counters: maps.Clone(s.Counters), StaleRefusals: maps.Clone(s.StaleRefusals)}
 }
 
 // ReadSnapshot decodes a snapshot, in the present format or that of earlier versions.
@@ -277,7 +278,7 @@
 	}
 	s := New()
 	for key, v := range k.Values {
-		if !strings.HasPrefix(key, oldEffects) {
+		if !strings.HasPrefix(key, legacyEffectPrefix) {
 			s.Values[key] = v
 		}
 	}
@@ -287,8 +288,8 @@
 			s.Duties.Frozen = map[string]bool{}
 		}
 	}
-	if k.Shares != nil && k.Shares.Shares != nil {
-		s.Allocations = k.Shares
+	if k.Allocations != nil && k.Allocations.Shares != nil {
+		s.Allocations = k.Allocations
 	}
 	if k.Config != nil {
 		s.Config = k.Config
@@ -301,16 +302,16 @@
 	}
 	if k.Effects != nil {
 		s.Effects = k.Effects
-		s.Effects.Restored(mostEffects)
+		s.Effects.Restored(maxEffects)
 	}
-	for _, key := range k.Order {
-		s.Effects.Begin(strings.TrimPrefix(key, oldEffects), "", 0, false)
+	for _, key := range k.EffectOrder {
+		s.Effects.Begin(strings.TrimPrefix(key, legacyEffectPrefix), "", 0, false)
 	}
-	if k.Marks != nil {
-		s.Counters = k.Marks
+	if k.Counters != nil {
+		s.Counters = k.Counters
 	}
-	if k.Stale != nil {
-		s.StaleRefusals = k.Stale
+	if k.StaleRefusals != nil {
+		s.StaleRefusals = k.StaleRefusals
 	}
 	return s, nil
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -10,9 +10,9 @@
 	"puffinsaddle/internal/publish"
 )
 
-func grant(t *testing.T, s *State, name, who string) duty.Ref {
+func grantLease(t *testing.T, s *State, name, holder string) duty.Ref {
 	t.Helper()
-	o := duty.Order{Kind: duty.Grant, Name: name, Holder: who, TTL: 2000, Term: 3}
+	o := duty.Order{Kind: duty.Grant, Name: name, Holder: holder, TTL: 2000, Term: 3}
 	if l := s.Duties.Leases[name]; l != nil {
 		o.Epoch = l.Epoch
 	}
@@ -22,30 +22,30 @@
 	return duty.Ref{Name: name, Epoch: s.Duties.Leases[name].Epoch}
 }
 
-func end(t *testing.T, s *State, r duty.Ref) {
+func endLease(t *testing.T, s *State, r duty.Ref) {
 	t.Helper()
 	if got := s.Apply(Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Lapse, Name: r.Name, Epoch: r.Epoch, Term: 3}}}, 3); got.Refusals[0] != "" {
 		t.Fatalf("%+v", got)
 	}
 }
 
-func act(under duty.Ref, do ...Command) Command {
-	return Command{Op: OpFenced, Fence: &under, Batch: do}
+func fenced(fence duty.Ref, batch ...Command) Command {
+	return Command{Op: OpFenced, Fence: &fence, Batch: batch}
 }
 
-func TestActsOfAnOldEpochAreRefusedAndCounted(t *testing.T) {
+func TestStaleEpochsAreRefusedAndCounted(t *testing.T) {
 	s := New()
-	first := grant(t, s, "d", "a")
-	if r := s.Apply(act(first, Command{Op: OpIncrementCounter}), 3); r.Value != 1 || r.Error != "" {
+	first := grantLease(t, s, "d", "a")
+	if r := s.Apply(fenced(first, Command{Op: OpIncrementCounter}), 3); r.Value != 1 || r.Error != "" {
 		t.Fatalf("%+v", r)
 	}
-	end(t, s, first)
-	if r := s.Apply(act(first, Command{Op: OpIncrementCounter}), 3); !r.Stale {
+	endLease(t, s, first)
+	if r := s.Apply(fenced(first, Command{Op: OpIncrementCounter}), 3); !r.Stale {
 		t.Errorf("after the lease ended: %+v", r)
 	}
-	second := grant(t, s, "d", "b")
+	second := grantLease(t, s, "d", "b")
 	for _, e := range []duty.Ref{first, {Name: "d", Epoch: second.Epoch + 1}, {Name: "none", Epoch: 1}} {
-		if r := s.Apply(act(e, Command{Op: OpIncrementCounter}), 3); !r.Stale || r.Error == "" {
+		if r := s.Apply(fenced(e, Command{Op: OpIncrementCounter}), 3); !r.Stale || r.Error == "" {
 			t.Errorf("%+v: %+v", e, r)
 		}
 	}
@@ -56,45 +56,45 @@
 		t.Error("a command without a fencing token was accepted")
 	}
 	s.InjectedBug = duty.PlantUnfenced
-	if r := s.Apply(act(first, Command{Op: OpIncrementCounter}), 3); r.Stale || s.Counters["d"] != 2 {
+	if r := s.Apply(fenced(first, Command{Op: OpIncrementCounter}), 3); r.Stale || s.Counters["d"] != 2 {
 		t.Error("the injected bug has no effect")
 	}
 }
 
 // A fenced batch takes effect completely or not at all, and an allocation ends with its process's presence.
-func TestActsAreWhole(t *testing.T) {
+func TestFencedBatchesAreAtomic(t *testing.T) {
 	s := New()
-	a, b := grant(t, s, duty.PresenceOf("a"), "a"), grant(t, s, duty.PresenceOf("b"), "b")
-	allot := grant(t, s, "allotter", "a")
-	if r := s.Apply(act(allot, Command{Op: OpSetPool, Amount: 100}, Command{Op: OpSetAllocation, Process: "a", Amount: 60}), 3); r.Error != "" {
+	a, b := grantLease(t, s, duty.PresenceOf("a"), "a"), grantLease(t, s, duty.PresenceOf("b"), "b")
+	allotter := grantLease(t, s, "allotter", "a")
+	if r := s.Apply(fenced(allotter, Command{Op: OpSetPool, Amount: 100}, Command{Op: OpSetAllocation, Process: "a", Amount: 60}), 3); r.Error != "" {
 		t.Fatalf("%+v", r)
 	}
-	if r := s.Apply(act(allot, Command{Op: OpSetAllocation, Process: "a", Amount: 30}, Command{Op: OpSetAllocation, Process: "b", Amount: 70}), 3); r.Error == "" {
+	if r := s.Apply(fenced(allotter, Command{Op: OpSetAllocation, Process: "a", Amount: 30}, Command{Op: OpSetAllocation, Process: "b", Amount: 70}), 3); r.Error == "" {
 		t.Error("allocations exceed the pool: a reduced one counts in full until its process acknowledges the reduction")
 	}
 	if v := s.Allocations.Shares["a"]; v.Want != 60 || v.Cap != 60 {
 		t.Errorf("part of a refused batch took effect: %+v", v)
 	}
-	if r := s.Apply(act(allot, Command{Op: OpSetAllocation, Process: "a", Amount: 30}), 3); r.Error != "" {
+	if r := s.Apply(fenced(allotter, Command{Op: OpSetAllocation, Process: "a", Amount: 30}), 3); r.Error != "" {
 		t.Fatalf("%+v", r)
 	}
 	s.Apply(Command{Op: OpAcknowledgeAllocation, Process: "a", Epoch: s.Allocations.Shares["a"].Version}, 3)
-	if r := s.Apply(act(allot, Command{Op: OpSetAllocation, Process: "b", Amount: 70}), 3); r.Error != "" {
+	if r := s.Apply(fenced(allotter, Command{Op: OpSetAllocation, Process: "b", Amount: 70}), 3); r.Error != "" {
 		t.Errorf("after the reduction was acknowledged: %+v", r)
 	}
-	end(t, s, b)
+	endLease(t, s, b)
 	if s.Allocations.Sum() != 30 {
 		t.Errorf("%d allocated after a presence ended", s.Allocations.Sum())
 	}
 	if r := s.Apply(Command{Op: OpBeginEffect, Key: "e1", Process: "a", Epoch: a.Epoch, NoEviction: true}, 3); !r.WasAbsent {
 		t.Errorf("%+v", r)
 	}
-	end(t, s, a)
+	endLease(t, s, a)
 	if r := s.Apply(Command{Op: OpBeginEffect, Key: "e2", Process: "a", Epoch: a.Epoch, NoEviction: true}, 3); !r.Stale || r.WasAbsent {
 		t.Errorf("an effect of a process that is no longer present: %+v", r)
 	}
-	settler := grant(t, s, "settler", "b")
-	if r := s.Apply(act(settler, Command{Op: OpResolveEffects, EffectIDs: []string{"e1", "e2"}}), 3); r.Value != 1 {
+	settler := grantLease(t, s, "settler", "b")
+	if r := s.Apply(fenced(settler, Command{Op: OpResolveEffects, EffectIDs: []string{"e1", "e2"}}), 3); r.Value != 1 {
 		t.Errorf("%+v", r)
 	}
 	if r := s.Apply(Command{Op: "nonsense"}, 3); r.Error == "" {
@@ -102,29 +102,29 @@
 	}
 }
 
-func TestSnapshotsHoldEverything(t *testing.T) {
+func TestSnapshotsAreComplete(t *testing.T) {
 	s := New()
 	s.Apply(Command{Op: OpSet, Key: "k", Value: []byte("v")}, 1)
-	a := grant(t, s, duty.PresenceOf("a"), "a")
-	p := grant(t, s, "publisher", "a")
+	a := grantLease(t, s, duty.PresenceOf("a"), "a")
+	p := grantLease(t, s, "publisher", "a")
 	s.Apply(Command{Op: OpBeginEffect, Key: "e1", Process: "a", Epoch: a.Epoch, NoEviction: true}, 3)
-	s.Apply(act(p, Command{Op: OpPublishVersion, Files: []publish.File{{Name: "f", Text: []byte("x")}}}, Command{Op: OpIncrementCounter}), 3)
+	s.Apply(fenced(p, Command{Op: OpPublishVersion, Files: []publish.File{{Name: "f", Text: []byte("x")}}}, Command{Op: OpIncrementCounter}), 3)
 	s.Apply(Command{Op: OpAcknowledgeVersion, Process: "a", Acknowledgement: &publish.Acknowledgement{No: 1, Reason: "no"}}, 3)
 	s.Apply(Command{Op: OpFreezeDuty, Key: "publisher"}, 3)
-	s.Apply(act(duty.Ref{Name: "publisher", Epoch: 99}, Command{Op: OpIncrementCounter}), 3)
+	s.Apply(fenced(duty.Ref{Name: "publisher", Epoch: 99}, Command{Op: OpIncrementCounter}), 3)
 	b, err := json.Marshal(s.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := ReadSnapshot(b)
+	restored, err := ReadSnapshot(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(s, back) {
-		t.Errorf("\n%s\n%s", b, must(json.Marshal(back.Snapshot())))
+	if !reflect.DeepEqual(s, restored) {
+		t.Errorf("\n%s\n%s", b, must(json.Marshal(restored.Snapshot())))
 	}
-	last := back.Duties.Last
-	if r := grant(t, back, "other", "b"); r.Epoch <= last {
+	last := restored.Duties.Last
+	if r := grantLease(t, restored, "other", "b"); r.Epoch <= last {
 		t.Errorf("epoch %d was granted after a snapshot with %d", r.Epoch, last)
 	}
 }
@@ -132,7 +132,7 @@
 func must(b []byte, err error) string { return string(b) }
 
 // Snapshots and logs written by earlier versions are still read.
-func TestEarlierFormsAreRead(t *testing.T) {
+func TestSnapshotsAndLogsOfEarlierVersionsAreRead(t *testing.T) {
 	s, err := ReadSnapshot([]byte(`{"values":{"config/n1":"eA==","effects/0a":null,"effects/0b":null},"order":["effects/0b","effects/0a"]}`))
 	if err != nil {
 		t.Fatal(err)
