--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,6 +1,6 @@
-// Package frame is the one form of messages between processes of this program: a length of four bytes, the highest first,
-// and so many bytes, which are JSON unless both sides agree on another encoding. What is malformed, too large or too slow in
-// coming is an error, after which the connection is of no use.
+// Package frame implements the length-prefixed messages that processes of this program exchange: a big-endian length of four
+// bytes followed by the content, which is JSON unless both sides agree on another encoding. A message that is malformed, too
+// large or too slow is an error, after which the connection cannot be used any further.
 package frame
 
 import (
@@ -14,40 +14,41 @@
 	"time"
 )
 
-// Whole is the time in which a message is read whole from its first byte, or written.
-const Whole = 2 * time.Second
+// MessageTimeout is the timeout for reading a complete message, counted from its first byte, and for writing one.
+const MessageTimeout = 2 * time.Second
 
-// Append writes a message behind what b holds; most bounds its bytes.
-func Append(b []byte, v any, most int) ([]byte, error) {
+// Append encodes v as JSON and appends it to b as a message. Content of more than maxSize bytes is an error.
+func Append(b []byte, v any, maxSize int) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return b, err
 	}
-	return AppendBytes(b, text, most)
+	return AppendBytes(b, text, maxSize)
 }
 
-// AppendBytes writes a message whose content is encoded already behind what b holds; most bounds its bytes.
-func AppendBytes(b, content []byte, most int) ([]byte, error) {
-	if len(content) > most {
-		return b, fmt.Errorf("frame: a message of %d bytes, %d at most", len(content), most)
+// AppendBytes appends a message with already encoded content to b. Content of more than maxSize bytes is an error.
+func AppendBytes(b, content []byte, maxSize int) ([]byte, error) {
+	if len(content) > maxSize {
+		return b, fmt.Errorf("frame: message of %d bytes exceeds the limit of %d", len(content), maxSize)
 	}
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(content))), content...), nil
 }
 
 // Reader reads messages from a connection.
 type Reader struct {
-	conn net.Conn
-	r    *bufio.Reader
-	idle time.Duration
-	most int
+	conn        net.Conn
+	r           *bufio.Reader
+	idleTimeout time.Duration
+	maxSize     int
 }
 
-// NewReader reads messages of so many bytes at most. idle is how long the first byte of one may take; 0: any time.
-func NewReader(conn net.Conn, idle time.Duration, most int) *Reader {
-	return &Reader{conn: conn, r: bufio.NewReaderSize(conn, 16<<10), idle: idle, most: most}
+// NewReader returns a reader of messages with at most maxSize bytes of content. The first byte of each message must arrive within
+// idleTimeout; 0 means no limit.
+func NewReader(conn net.Conn, idleTimeout time.Duration, maxSize int) *Reader {
+	return &Reader{conn: conn, r: bufio.NewReaderSize(conn, 16<<10), idleTimeout: idleTimeout, maxSize: maxSize}
 }
 
-// Next reads one message.
+// Next reads one message and decodes its JSON content.
 func (r *Reader) Next(into any) error {
 	b, err := r.NextBytes()
 	if err != nil {
@@ -56,34 +57,34 @@
 	return Decode(b, into)
 }
 
-// Decode reads the content of a message.
+// Decode decodes the JSON content of a message.
 func Decode(content []byte, into any) error {
 	if err := json.Unmarshal(content, into); err != nil {
-		return fmt.Errorf("frame: malformed: %w", err)
+		return fmt.Errorf("frame: malformed message: %w", err)
 	}
 	return nil
 }
 
-// NextBytes reads the content of one message, of whatever encoding.
+// NextBytes reads one message and returns its content undecoded.
 func (r *Reader) NextBytes() ([]byte, error) {
-	var until time.Time
-	if r.idle > 0 {
-		until = time.Now().Add(r.idle)
+	var deadline time.Time
+	if r.idleTimeout > 0 {
+		deadline = time.Now().Add(r.idleTimeout)
 	}
-	r.conn.SetReadDeadline(until)
+	r.conn.SetReadDeadline(deadline)
 	if _, err := r.r.Peek(1); err != nil {
 		return nil, err
 	}
-	r.conn.SetReadDeadline(time.Now().Add(Whole))
-	var head [4]byte
-	if _, err := io.ReadFull(r.r, head[:]); err != nil {
+	r.conn.SetReadDeadline(time.Now().Add(MessageTimeout))
+	var header [4]byte
+	if _, err := io.ReadFull(r.r, header[:]); err != nil {
 		return nil, err
 	}
-	n := int64(binary.BigEndian.Uint32(head[:]))
-	if n == 0 || n > int64(r.most) {
-		return nil, fmt.Errorf("frame: a message of %d bytes, %d at most", n, r.most)
+	n := int64(binary.BigEndian.Uint32(header[:]))
+	if n == 0 || n > int64(r.maxSize) {
+		return nil, fmt.Errorf("frame: message length %d is not between 1 and %d", n, r.maxSize)
 	}
-	// Read as it comes: a length alone must take no memory.
+	// The buffer grows with the bytes that arrive: a length prefix alone must not allocate memory.
 	var b bytes.Buffer
 	if _, err := io.CopyN(&b, r.r, n); err != nil {
 		return nil, err
@@ -91,19 +92,19 @@
 	return b.Bytes(), nil
 }
 
-// Send writes one message.
-func Send(conn net.Conn, v any, most int) error {
-	b, err := Append(nil, v, most)
+// Send encodes v as JSON and writes it as one message.
+func Send(conn net.Conn, v any, maxSize int) error {
+	b, err := Append(nil, v, maxSize)
 	if err != nil {
 		return err
 	}
-	conn.SetWriteDeadline(time.Now().Add(Whole))
+	conn.SetWriteDeadline(time.Now().Add(MessageTimeout))
 	_, err = conn.Write(b)
 	return err
 }
 
-// Rest is what comes behind the last message, of whatever form; more is where it goes on once what was read ahead is used up.
-func (r *Reader) Rest(more io.Reader) io.Reader {
-	ahead, _ := r.r.Peek(r.r.Buffered())
-	return io.MultiReader(bytes.NewReader(ahead), more)
+// Remainder returns a reader of the raw bytes after the last message: first those already buffered, then those of more.
+func (r *Reader) Remainder(more io.Reader) io.Reader {
+	buffered, _ := r.r.Peek(r.r.Buffered())
+	return io.MultiReader(bytes.NewReader(buffered), more)
 }
--- a/internal/state/digest_test.go
+++ b/internal/state/digest_test.go
@@ -9,83 +9,84 @@
 	"puffinsaddle/internal/publish"
 )
 
-// full is a state with something of every kind.
-func full(t testing.TB, effects int) *State {
+// populatedState returns a state that contains every kind of data.
+func populatedState(t testing.TB, effects int) *State {
 	t.Helper()
 	s := New()
-	do := func(c Command) {
+	apply := func(c Command) {
 		if r := s.Apply(c, 1); r.Error != "" {
 			t.Fatalf("%s: %s", c.Op, r.Error)
 		}
 	}
 	for i, name := range []string{"allotter", duty.PresenceOf("a#1")} {
 		o := duty.Order{Kind: duty.Grant, Name: name, Holder: "a#1", TTL: 2000, Term: 1}
-		if r := s.Apply(Command{Op: Orders, Orders: []duty.Order{o}}, 1); r.Part[0] != "" {
-			t.Fatalf("%d: %s", i, r.Part[0])
+		if r := s.Apply(Command{Op: OpLeaseOrders, Orders: []duty.Order{o}}, 1); r.Refusals[0] != "" {
+			t.Fatalf("%d: %s", i, r.Refusals[0])
 		}
 	}
-	do(Command{Op: Set, Key: "config/a", Value: []byte("text")})
-	do(Command{Op: Set, Key: "empty"})
+	apply(Command{Op: OpSet, Key: "config/a", Value: []byte("text")})
+	apply(Command{Op: OpSet, Key: "empty"})
 	for i := range effects {
-		do(Command{Op: Begin, Key: fmt.Sprintf("%016x", i), Who: "a#1", Epoch: 2, Keep: true})
+		apply(Command{Op: OpBeginEffect, Key: fmt.Sprintf("%016x", i), Process: "a#1", Epoch: 2, NoEviction: true})
 	}
-	do(Command{Op: End, Who: "a#1", IDs: []string{fmt.Sprintf("%016x", 0)}})
-	under := &duty.Ref{Name: "allotter", Epoch: 1}
-	do(Command{Op: Act, Fence: under, Do: []Command{{Op: Mark}}})
-	do(Command{Op: Act, Fence: under, Do: []Command{{Op: Pool, Amount: 9000}, {Op: Share, Who: "a#1", Amount: 300}}})
-	do(Command{Op: Act, Fence: under, Do: []Command{{Op: Publish, Files: []publish.File{{Name: "operator.yaml", Text: []byte("x")}}}}})
-	do(Command{Op: AcknowledgeVersion, Who: "a#1", Said: &publish.Acknowledgement{No: 1}})
-	s.Apply(Command{Op: Act, Fence: &duty.Ref{Name: "allotter", Epoch: 7}, Do: []Command{{Op: Mark}}}, 1)
+	apply(Command{Op: OpEndEffects, Process: "a#1", EffectIDs: []string{fmt.Sprintf("%016x", 0)}})
+	fence := &duty.Ref{Name: "allotter", Epoch: 1}
+	apply(Command{Op: OpFenced, Fence: fence, Batch: []Command{{Op: OpIncrementCounter}}})
+	apply(Command{Op: OpFenced, Fence: fence, Batch: []Command{{Op: OpSetPool, Amount: 9000}, {Op: OpSetAllocation, Process: "a#1", Amount: 300}}})
+	apply(Command{Op: OpFenced, Fence: fence, Batch: []Command{{Op: OpPublishVersion, Files: []publish.File{{Name: "operator.yaml", Text: []byte("x")}}}}})
+	apply(Command{Op: OpAcknowledgeVersion, Process: "a#1", Acknowledgement: &publish.Acknowledgement{No: 1}})
+	s.Apply(Command{Op: OpFenced, Fence: &duty.Ref{Name: "allotter", Epoch: 7}, Batch: []Command{{Op: OpIncrementCounter}}}, 1)
 	return s
 }
 
-func digests(s *State) (all [Parts]uint64) {
+func digests(s *State) (all [DigestPartitions]uint64) {
 	for i := range all {
 		all[i] = s.Digest(uint64(i))
 	}
 	return all
 }
 
-// The same entries give the same sums, also where a copy got them by a snapshot; any one thing that differs shows in one part.
-func TestDigestsShowWhatDiffers(t *testing.T) {
-	s := full(t, 50)
+// Equal entries give equal digests, also for a replica restored from a snapshot; a single difference changes the digest of one
+// partition, or of two where a key moves.
+func TestDigestsRevealEveryDifference(t *testing.T) {
+	s := populatedState(t, 50)
 	before := digests(s)
-	if before != digests(full(t, 50)) {
-		t.Error("the same entries have other sums")
+	if before != digests(populatedState(t, 50)) {
+		t.Error("the same entries gave other digests")
 	}
-	b, err := json.Marshal(s.Keep())
+	b, err := json.Marshal(s.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := Read(b)
+	restored, err := ReadSnapshot(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if before != digests(read) {
-		t.Error("a state that was read from a snapshot has other sums")
+	if before != digests(restored) {
+		t.Error("a state that was read from a snapshot has other digests")
 	}
-	if s.Digest(3) != s.Digest(3+Parts) {
-		t.Error("parts do not come round")
+	if s.Digest(3) != s.Digest(3+DigestPartitions) {
+		t.Error("the partition number does not wrap around")
 	}
-	for what, change := range map[string]func(*State){
-		"a value":              func(s *State) { s.Values["config/a"] = []byte("texu") },
-		"a value's name":       func(s *State) { s.Values["config/b"], s.Values["config/a"] = s.Values["config/a"], nil },
-		"an effect's owner":    func(s *State) { s.Effects.Effects["0000000000000007"].Owner = "b#1" },
-		"an effect's number":   func(s *State) { s.Effects.Effects["0000000000000007"].Seq ^= 4 },
-		"an effect's end":      func(s *State) { s.Effects.Effects["0000000000000000"].State = "failed" },
-		"an effect is missing": func(s *State) { delete(s.Effects.Effects, "0000000000000009") },
-		"a lease's epoch":      func(s *State) { s.Duties.Leases["allotter"].Epoch++ },
-		"a lease's holder":     func(s *State) { s.Duties.Leases["allotter"].Holder = "b#1" },
-		"the highest epoch":    func(s *State) { s.Duties.Last++ },
-		"a frozen duty":        func(s *State) { s.Duties.Frozen["x"] = true },
-		"a share":              func(s *State) { s.Shares.Shares["a#1"].Cap++ },
-		"the pool":             func(s *State) { s.Shares.Pool++ },
-		"a version's text":     func(s *State) { s.Config.Versions[0].Files[0].Text = []byte("y") },
-		"a word":               func(s *State) { s.Config.Acknowledgements["a#1"] = publish.Acknowledgement{No: 2} },
-		"a mark":               func(s *State) { s.Marks["allotter"]++ },
-		"a count of refusals":  func(s *State) { s.Stale["allotter"]++ },
+	for name, change := range map[string]func(*State){
+		"a value":                     func(s *State) { s.Values["config/a"] = []byte("texu") },
+		"a value's name":              func(s *State) { s.Values["config/b"], s.Values["config/a"] = s.Values["config/a"], nil },
+		"an effect's owner":           func(s *State) { s.Effects.Effects["0000000000000007"].Owner = "b#1" },
+		"an effect's sequence number": func(s *State) { s.Effects.Effects["0000000000000007"].Seq ^= 4 },
+		"an effect's state":           func(s *State) { s.Effects.Effects["0000000000000000"].State = "failed" },
+		"a missing effect":            func(s *State) { delete(s.Effects.Effects, "0000000000000009") },
+		"a lease's epoch":             func(s *State) { s.Duties.Leases["allotter"].Epoch++ },
+		"a lease's holder":            func(s *State) { s.Duties.Leases["allotter"].Holder = "b#1" },
+		"the highest epoch":           func(s *State) { s.Duties.Last++ },
+		"a frozen duty":               func(s *State) { s.Duties.Frozen["x"] = true },
+		"an allocation":               func(s *State) { s.Allocations.Shares["a#1"].Cap++ },
+		"the pool":                    func(s *State) { s.Allocations.Pool++ },
+		"a version's text":            func(s *State) { s.Config.Versions[0].Files[0].Text = []byte("y") },
+		"an acknowledgement":          func(s *State) { s.Config.Acknowledgements["a#1"] = publish.Acknowledgement{No: 2} },
+		"a counter":                   func(s *State) { s.Counters["allotter"]++ },
+		"a count of stale refusals":   func(s *State) { s.StaleRefusals["allotter"]++ },
 	} {
-		s := full(t, 50)
+		s := populatedState(t, 50)
 		change(s)
 		differ := 0
 		for i, sum := range digests(s) {
@@ -93,15 +94,15 @@
 				differ++
 			}
 		}
-		if differ == 0 || differ > 2 { // a name that moved may be in two parts
-			t.Errorf("%s: %d parts differ", what, differ)
+		if differ == 0 || differ > 2 { // a renamed key may affect two partitions
+			t.Errorf("%s: %d partitions differ", name, differ)
 		}
 	}
 }
 
-// BenchmarkDigest measures one part of a state with a full record of effects; entries wait for so long.
+// BenchmarkDigest measures the digest of one partition with a full effect log; applying further entries waits for it.
 func BenchmarkDigest(b *testing.B) {
-	s := full(b, mostEffects)
+	s := populatedState(b, maxEffects)
 	for i := uint64(0); b.Loop(); i++ {
 		s.Digest(i)
 	}
--- a/internal/state/slopes_test.go
+++ b/internal/state/slopes_test.go
@@ -10,14 +10,14 @@
 	"puffinsaddle/internal/records"
 )
 
-// The sizes of the slopes in docs/CAPACITY.md.
+// The sizes for which docs/CAPACITY.md gives slopes.
 var (
 	serverSizes = []int{300, 1000, 2000, 4300}
 	recordSizes = []int{30000, 100000, 240000, 477000}
 )
 
-// entry is a command as the log has it.
-func entry(tb testing.TB, c Command) []byte {
+// encodeEntry encodes a command as it is stored in the log.
+func encodeEntry(tb testing.TB, c Command) []byte {
 	tb.Helper()
 	b, err := json.Marshal(c)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return b
 }
 
-// apply carries an entry out as a copy does: it is decoded, then applied.
-func apply(tb testing.TB, s *State, b []byte) Result {
+// applyEntry decodes and applies an entry, as a replica does.
+func applyEntry(tb testing.TB, s *State, b []byte) Result {
 	tb.Helper()
 	var c Command
 	if err := json.Unmarshal(b, &c); err != nil {
@@ -40,86 +40,87 @@
 	return r
 }
 
-func process(i int) string { return fmt.Sprintf("os-%04d#%016x", i, i) }
+func processID(i int) string { return fmt.Sprintf("os-%04d#%016x", i, i) }
 
-// withServers is a state with so many processes present.
-func withServers(tb testing.TB, n int) *State {
+// stateWithServers returns a state in which n processes are present.
+func stateWithServers(tb testing.TB, n int) *State {
 	s := New()
 	for i := range n {
-		apply(tb, s, entry(tb, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: duty.PresenceOf(process(i)), Holder: process(i), TTL: 3000, Term: 1}}}))
+		applyEntry(tb, s, encodeEntry(tb, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: duty.PresenceOf(processID(i)), Holder: processID(i), TTL: 3000, Term: 1}}}))
 	}
-	apply(tb, s, entry(tb, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: "allotter", Holder: process(0), TTL: 3000, Term: 1}}}))
+	applyEntry(tb, s, encodeEntry(tb, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: "allotter", Holder: processID(0), TTL: 3000, Term: 1}}}))
 	return s
 }
 
-// withRecords is a state with so many records.
-func withRecords(tb testing.TB, n int) *State {
+// stateWithRecords returns a state with n records.
+func stateWithRecords(tb testing.TB, n int) *State {
 	s := New()
 	for i := 0; i < n; {
 		var c records.Change
 		for range min(records.MaxChangeKeys, n-i) {
-			c.Puts = append(c.Puts, tenant(i, 0))
+			c.Puts = append(c.Puts, tenantPut(i, 0))
 			i++
 		}
-		apply(tb, s, entry(tb, Command{Op: Change, Change: &c}))
+		applyEntry(tb, s, encodeEntry(tb, Command{Op: OpChangeRecords, Change: &c}))
 	}
 	return s
 }
 
-func tenant(i, version int) records.Put {
+func tenantPut(i, version int) records.Put {
 	return records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i)}, Value: fmt.Appendf(nil, `{"share":0.0000025,"limit":%d.5}`, version%500)}
 }
 
-// BenchmarkRestarts measures what a process's end and another's beginning cost a copy, by servers.
+// BenchmarkRestarts measures the cost at a replica of one process ending and another starting, by the number of servers.
 func BenchmarkRestarts(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			s := withServers(b, n)
+			s := stateWithServers(b, n)
 			i := 0
 			for b.Loop() {
 				i++
-				who := process(1 + i%(n-1))
-				name := duty.PresenceOf(who)
-				apply(b, s, entry(b, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Lapse, Name: name, Epoch: s.Duties.Leases[name].Epoch, Term: 1}}}))
-				apply(b, s, entry(b, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: name, Holder: who, TTL: 3000, Term: 1}}}))
+				process := processID(1 + i%(n-1))
+				name := duty.PresenceOf(process)
+				applyEntry(b, s, encodeEntry(b, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Lapse, Name: name, Epoch: s.Duties.Leases[name].Epoch, Term: 1}}}))
+				applyEntry(b, s, encodeEntry(b, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: name, Holder: process, TTL: 3000, Term: 1}}}))
 			}
 		})
 	}
 }
 
-// BenchmarkMarks measures an act that touches no share, by servers.
+// BenchmarkMarks measures a fenced command that changes no allocation, by the number of servers.
 func BenchmarkMarks(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			s := withServers(b, n)
-			under := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
-			act := entry(b, Command{Op: Act, Fence: &under, Do: []Command{{Op: Mark}}})
+			s := stateWithServers(b, n)
+			fence := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
+			act := encodeEntry(b, Command{Op: OpFenced, Fence: &fence, Batch: []Command{{Op: OpIncrementCounter}}})
 			for b.Loop() {
-				apply(b, s, act)
+				applyEntry(b, s, act)
 			}
 		})
 	}
 }
 
-// BenchmarkShares measures a plan that gives every server another share, in one act, and the fleet as the allotter reads it.
+// BenchmarkShares measures one fenced command that changes the allocation of every server, and reports the size of the
+// allocations as the allotter reads them.
 func BenchmarkShares(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			s := withServers(b, n)
-			under := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
-			apply(b, s, entry(b, Command{Op: Act, Fence: &under, Do: []Command{{Op: Pool, Amount: int64(n) * 1000}}}))
+			s := stateWithServers(b, n)
+			fence := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
+			applyEntry(b, s, encodeEntry(b, Command{Op: OpFenced, Fence: &fence, Batch: []Command{{Op: OpSetPool, Amount: int64(n) * 1000}}}))
 			fleet, bytes := []allot.Need{}, 0
 			for i := 0; b.Loop(); i++ {
-				var do []Command
+				var batch []Command
 				for j := range n {
-					do = append(do, Command{Op: Share, Who: process(j), Amount: int64(100 + i%2*10)})
+					batch = append(batch, Command{Op: OpSetAllocation, Process: processID(j), Amount: int64(100 + i%2*10)})
 				}
-				act := entry(b, Command{Op: Act, Fence: &under, Do: do})
-				apply(b, s, act)
+				act := encodeEntry(b, Command{Op: OpFenced, Fence: &fence, Batch: batch})
+				applyEntry(b, s, act)
 				bytes = len(act)
 			}
-			for _, who := range s.Shares.Whos() {
-				fleet = append(fleet, allot.Need{Who: who, Share: *s.Shares.Shares[who]})
+			for _, process := range s.Allocations.Whos() {
+				fleet = append(fleet, allot.Need{Who: process, Share: *s.Allocations.Shares[process]})
 			}
 			text, err := json.Marshal(fleet)
 			if err != nil {
@@ -131,18 +132,18 @@
 	}
 }
 
-// BenchmarkBookings measures a booking's two entries at a copy, by the effects that are kept.
+// BenchmarkBookings measures the two entries of one effect, begin and end, at a replica, by the number of effects retained.
 func BenchmarkBookings(b *testing.B) {
 	for _, n := range []int{1000, 8000, 30000, 60000} {
 		b.Run(fmt.Sprintf("kept=%d", n), func(b *testing.B) {
-			s := withServers(b, 12)
-			who, next := process(0), 0
-			epoch := s.Duties.Leases[duty.PresenceOf(who)].Epoch
+			s := stateWithServers(b, 12)
+			process, next := processID(0), 0
+			epoch := s.Duties.Leases[duty.PresenceOf(process)].Epoch
 			book := func() {
 				next++
 				id := fmt.Sprintf("%016x", next)
-				apply(b, s, entry(b, Command{Op: Begin, Key: id, Who: who, Epoch: epoch, Keep: true}))
-				apply(b, s, entry(b, Command{Op: End, Who: who, IDs: []string{id}}))
+				applyEntry(b, s, encodeEntry(b, Command{Op: OpBeginEffect, Key: id, Process: process, Epoch: epoch, NoEviction: true}))
+				applyEntry(b, s, encodeEntry(b, Command{Op: OpEndEffects, Process: process, EffectIDs: []string{id}}))
 			}
 			for range n {
 				book()
@@ -159,15 +160,15 @@
 	}
 }
 
-// BenchmarkChanges measures a change of three records at a copy, by the records that are held.
+// BenchmarkChanges measures a change of three records at a replica, by the number of records.
 func BenchmarkChanges(b *testing.B) {
 	for _, n := range recordSizes {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
-			s := withRecords(b, n)
+			s := stateWithRecords(b, n)
 			bytes := 0
 			for i := 0; b.Loop(); i++ {
-				e := entry(b, Command{Op: Change, Change: &records.Change{Puts: []records.Put{tenant(i*3%n, i), tenant((i*3+1)%n, i), tenant((i*3+2)%n, i)}}})
-				apply(b, s, e)
+				e := encodeEntry(b, Command{Op: OpChangeRecords, Change: &records.Change{Puts: []records.Put{tenantPut(i*3%n, i), tenantPut((i*3+1)%n, i), tenantPut((i*3+2)%n, i)}}})
+				applyEntry(b, s, e)
 				bytes = len(e)
 			}
 			b.ReportMetric(float64(bytes), "entry-bytes")
@@ -175,19 +176,20 @@
 	}
 }
 
-// BenchmarkSnapshots measures a copy's snapshot by its records: the pause in which it is frozen, and the writing beside.
+// BenchmarkSnapshots measures a replica's snapshot by the number of records: the pause while the state is copied, and the
+// encoding, which runs concurrently with further commands.
 func BenchmarkSnapshots(b *testing.B) {
 	for _, n := range recordSizes {
-		s := withRecords(b, n)
+		s := stateWithRecords(b, n)
 		b.Run(fmt.Sprintf("freeze/records=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				s.Keep()
+				s.Snapshot()
 			}
 		})
 		b.Run(fmt.Sprintf("write/records=%d", n), func(b *testing.B) {
 			size := 0
 			for b.Loop() {
-				text, err := json.Marshal(s.Keep())
+				text, err := json.Marshal(s.Snapshot())
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -198,11 +200,11 @@
 	}
 }
 
-// BenchmarkComparing measures one part of what copies compare, by records.
+// BenchmarkComparing measures the digest of one partition, by the number of records.
 func BenchmarkComparing(b *testing.B) {
 	for _, n := range recordSizes {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
-			s := withRecords(b, n)
+			s := stateWithRecords(b, n)
 			for i := uint64(0); b.Loop(); i++ {
 				s.Digest(i)
 			}
