--- a/internal/net/executor/executor.go
+++ b/internal/net/executor/executor.go
@@ -1,5 +1,5 @@
-// Package executor speaks with the executor, which does the work: one link that is held open, on which
-// commands and notices are lines of words.
+// Package executor is the client of the executor, which runs requests. It keeps one TCP connection, the link, open.
+// Commands go out and notices come in as lines of space-separated words, some of them followed by a body.
 package executor
 
 import (
@@ -25,17 +25,19 @@
 
 const (
 	redial      = 20 * time.Millisecond
-	dialFor     = 2 * time.Second // an address that takes no connection is tried anew after so long
-	mostPayload = 1 << 20         // bytes of a result or a call's body; the protocol has 4 KiB
-	mostWaiting = 4 << 20         // bytes of commands that wait for a slow executor; past this the link is made anew
-	anewSlack   = time.Second     // a clock may be set; an executor that begins anew takes longer
-	mostAsked   = 64              // gauges and checks asked for at once
-	silentFor   = 3 * time.Second // the module reads the gauges twice a second; a link that brings nothing so long is dead
+	dialFor     = 2 * time.Second // of one attempt to connect; the address is dialled again afterwards
+	mostPayload = 1 << 20         // of a result or the body of a call; the protocol allows 4 KiB
+	mostWaiting = 4 << 20         // of commands queued for a slow executor; beyond this the link is reconnected
+	anewSlack   = time.Second     // tolerates clock adjustments; a restart of the executor takes longer
+	mostAsked   = 64              // METER callbacks, and as many DIAG callbacks, that may be outstanding
+	silentFor   = 3 * time.Second // the policy module reads the gauges twice a second, so a link silent for this long is dead
 )
 
-// Link is the link to the executor, made anew whenever it breaks.
+// Link is the connection to the executor. It is re-established whenever it breaks.
 type Link struct {
-	Silent time.Duration // a link that brings nothing for so long after its WELCOME is made anew; set before Run
+	// Silent bounds the silence of the executor after its WELCOME; a link that receives nothing for this long is
+	// reconnected. It must be set before Run.
+	Silent time.Duration
 
 	log  zerolog.Logger
 	up   func(cold, another bool)
@@ -43,40 +45,41 @@
 
 	mu      sync.Mutex
 	address string
-	leave   func() // ends the present link, or the dialing for it
+	leave   func() // cancels the current connection, or the dial in progress
 	conn    net.Conn
-	ready   bool      // the fence has passed: every command goes out as it is given
-	fence   string    // tag of the METER that closes what the executor tells of the time without a link
-	out     []byte    // commands for the writer
-	last    uint64    // the last notice that was read
-	met     time.Time // when an executor last welcomed us
-	another bool      // the one that welcomes us next is another
-	seq     uint64
-	runs    map[string]*run
-	acks    map[string]*run // by tag of the METER behind a reply that was handed to it
-	meters  map[string]func([]float64)
-	checks  map[string]func(bool)
+	ready   bool                       // the barrier has passed: commands are sent as they are submitted
+	fence   string                     // tag of the METER whose answer follows all notices from the time without a link
+	out     []byte                     // commands queued for the writer
+	last    uint64                     // number of the last notice read
+	met     time.Time                  // time of the last WELCOME
+	another bool                       // the executor was replaced; reported with the next WELCOME
+	seq     uint64                     // source of tags, and the order in which attempts were started
+	runs    map[string]*run            // by request id
+	acks    map[string]*run            // by the tag of the METER that was sent after the reply to a call
+	meters  map[string]func([]float64) // by the tag of the METER
+	checks  map[string]func(bool)      // by the tag of the DIAG
 }
 
-// run is an attempt that the executor has, or should have.
+// run is an attempt that was given to the executor, or is queued for it.
 type run struct {
 	attempt *core.Attempt
 	seq     uint64
-	command []byte // the last command, until a notice shows that it arrived, or the answer to a later one does
-	sent    bool   // it went out on a link, maybe one that broke
-	begun   bool   // one of its commands went out
-	call    uint64 // it is the reply to the call of this notice; 0: it is none
-	ack     string // tag of the METER that went out behind it
+	command []byte // the last command; nil once a notice, or the answer to a later command, confirms its arrival
+	sent    bool   // the last command was written to a link, possibly one that broke
+	begun   bool   // any command of the attempt was sent
+	call    uint64 // number of the notice whose call the last command replies to; 0: it is not a reply
+	ack     string // tag of the METER sent after the last command
 }
 
-// New makes a link; up is called at each WELCOME, and told whether another executor than at the last one gives it.
+// New returns a link to the executor at address; Run has to be called next. The function up is called at each WELCOME:
+// cold means that the executor is still booting, another that it is not the executor of the previous WELCOME.
 func New(address string, log zerolog.Logger, up func(cold, another bool)) *Link {
 	return &Link{Silent: silentFor, address: address, leave: func() {}, log: log, up: up, kick: make(chan struct{}, 1), runs: map[string]*run{},
 		acks: map[string]*run{}, meters: map[string]func([]float64){}, checks: map[string]func(bool){}}
 }
 
-// Move takes the link to a new address of the same executor: runs and the numbers of notices go on, and what
-// was on its way over the old link is found out as after any break.
+// Move reconnects the link to a new address of the same executor. Attempts and the numbering of notices continue; what
+// was in transit on the old connection is recovered as after any break.
 func (l *Link) Move(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +89,7 @@
 	}
 }
 
-// Run keeps the link until the context ends.
+// Run keeps the link connected until the context ends.
 func (l *Link) Run(ctx context.Context) {
 	d := net.Dialer{Timeout: dialFor}
 	for ctx.Err() == nil {
@@ -104,20 +107,20 @@
 			l.log.Warn().Err(err).Str("at", address).Msg("executor link ended")
 		}
 		select {
-		case <-here.Done(): // moved: the new address is tried at once
+		case <-here.Done(): // the address changed: dial the new one at once
 		case <-time.After(redial):
 		}
 		leave()
 	}
 }
 
-// hold joins and serves one connection to its end.
+// hold joins the executor on one connection and serves the connection until it ends.
 func (l *Link) hold(conn net.Conn) error {
 	l.mu.Lock()
 	l.conn, l.ready, l.fence = conn, false, ""
 	l.out = append(l.out[:0], fmt.Sprintf("JOIN %d\r\n", l.last)...)
 	clear(l.acks)
-	clear(l.meters) // asked on a link that is gone; nothing waits for them
+	clear(l.meters) // requested on the previous connection; nothing waits for them
 	l.mu.Unlock()
 	done := make(chan struct{})
 	defer func() {
@@ -143,7 +146,7 @@
 	for {
 		select {
 		case <-done:
-			l.wake() // the kick may have been meant for the next link's writer
+			l.wake() // the signal may have been meant for the writer of the next connection
 			return
 		case <-l.kick:
 		}
@@ -165,13 +168,13 @@
 	}
 }
 
-// send queues a command; the lock is held.
+// send queues a command for the writer. The caller holds the lock.
 func (l *Link) send(b []byte) {
 	if l.conn == nil {
 		return
 	}
 	if len(l.out)+len(b) > mostWaiting {
-		l.log.Error().Msg("the executor does not read; linking anew")
+		l.log.Error().Msg("executor does not read commands; reconnecting")
 		l.conn.Close()
 		return
 	}
@@ -179,7 +182,8 @@
 	l.wake()
 }
 
-// command gives a run's command, and keeps it until a notice shows that it arrived.
+// command sends a command of an attempt, or keeps it until the link is ready. The command is retained until a notice
+// confirms that it arrived.
 func (l *Link) command(id string, call uint64, b []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,8 +197,8 @@
 	}
 }
 
-// give sends a run's command, and behind a reply to a call a METER: commands are read in their order, so its answer
-// shows that the reply arrived. The lock is held.
+// give sends the last command of an attempt, and after the reply to a call a METER: the executor reads commands in
+// order, so the answer to the METER confirms that the reply arrived. The caller holds the lock.
 func (l *Link) give(r *run) {
 	r.sent, r.begun = true, true
 	l.send(r.command)
@@ -206,9 +210,10 @@
 	}
 }
 
-// again sends what the last link may have lost; true: a reply to a call that can't be sent again, nor left out. A RETURN
-// names no call: a second one whose first did arrive would be taken for the reply to the run's next call. The call that
-// a BYPASS leaves out is named, so it does nothing where the reply arrived. The lock is held.
+// again sends once more what the previous connection may have lost. It reports true for a reply to a call that can be
+// neither resent nor skipped. A RETURN does not name its call: if the first one arrived, a second one would be taken for
+// the reply to the next call of the attempt. A BYPASS names the call that it skips, so it has no effect if the reply
+// arrived. The caller holds the lock.
 func (l *Link) again(r *run) (lost bool) {
 	if r.sent && r.call > 0 {
 		if !r.attempt.Skippable {
@@ -221,7 +226,7 @@
 	return false
 }
 
-// Start runs a request.
+// Start sends the request of an attempt to the executor.
 func (l *Link) Start(a *core.Attempt) {
 	q := a.Request
 	l.mu.Lock()
@@ -233,21 +238,21 @@
 	l.command(q.ID, 0, append(append(b, q.Body...), "\r\n"...))
 }
 
-// Return hands a run the reply to its call.
+// Return sends the reply to the call of a notice.
 func (l *Link) Return(a *core.Attempt, notice uint64, reply []byte) {
 	b := fmt.Appendf(make([]byte, 0, len(reply)+40), "RETURN %s %d\r\n", a.Request.ID, len(reply))
 	l.command(a.Request.ID, notice, append(append(b, reply...), "\r\n"...))
 }
 
-// Skip lets a run go on without a call.
+// Skip lets an attempt continue without the call of a notice.
 func (l *Link) Skip(a *core.Attempt, notice uint64) {
 	l.command(a.Request.ID, 0, fmt.Appendf(nil, "BYPASS %s %d\r\n", a.Request.ID, notice))
 }
 
-// Drop does nothing: the executor sees for itself whose caller has gone or got an answer.
+// Drop does nothing: the executor detects by itself that a caller disconnected or got its answer.
 func (l *Link) Drop(*core.Attempt) {}
 
-// Meter asks for the gauges.
+// Meter requests the gauges.
 func (l *Link) Meter(got func([]float64)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -260,7 +265,7 @@
 	l.send([]byte("METER " + tag + "\r\n"))
 }
 
-// Diagnose does the work of a deep check.
+// Diagnose requests a deep health check. It reports false if none can be requested now.
 func (l *Link) Diagnose(answer func(good bool)) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -274,11 +279,11 @@
 	return true
 }
 
-// read takes notices until the link ends or breaks the protocol.
+// read handles notices until the connection ends or the executor violates the protocol.
 func (l *Link) read(conn net.Conn) error {
 	r, welcomed := bufio.NewReaderSize(conn, 64<<10), false
 	for {
-		if welcomed { // guards against a peer that is gone with nothing to tell of it; one that boots may take its time
+		if welcomed { // detects a peer that vanished without closing the connection; one that boots may stay silent
 			if err := conn.SetReadDeadline(time.Now().Add(l.Silent)); err != nil {
 				return err
 			}
@@ -295,7 +300,7 @@
 		if words[0] == "EXIT" || words[0] == "CALLOUT" {
 			n, err := strconv.Atoi(words[len(words)-1])
 			if err != nil || n < 0 || n > mostPayload {
-				return fmt.Errorf("no length: %q", line)
+				return fmt.Errorf("invalid body length: %q", line)
 			}
 			body = pool.Get(n)
 			if _, err := io.ReadFull(r, body); err != nil {
@@ -306,7 +311,7 @@
 				return err
 			}
 			if !bytes.Equal(end[:], []byte("\r\n")) {
-				return errors.New("a body does not end where it should")
+				return errors.New("body is not terminated by CRLF")
 			}
 		}
 		if err := l.notice(words, body); err != nil {
@@ -316,8 +321,9 @@
 	}
 }
 
-// anew tells that the executor began after one had welcomed us, so that it is another: it numbers its notices from 1,
-// and of what the one before ran nothing more is heard. Whether that had its effect nobody can tell.
+// anew reports whether the executor started after the previous WELCOME and therefore replaced the one that sent it.
+// Such an executor numbers its notices from 1 and reports nothing about the attempts of its predecessor. These fail here,
+// since it is unknown whether they had their effect.
 func (l *Link) anew(now time.Time, ageMs float64) bool {
 	l.mu.Lock()
 	began := now.Add(-time.Duration(ageMs * float64(time.Millisecond)))
@@ -335,13 +341,13 @@
 	}
 	l.mu.Unlock()
 	for _, r := range gone {
-		l.log.Warn().Str("id", r.attempt.Request.ID).Msg("its executor is gone: failed")
+		l.log.Warn().Str("id", r.attempt.Request.ID).Msg("executor was replaced; attempt failed")
 		r.attempt.Notify(core.Notice{Ended: true, Outcome: policy.Failed})
 	}
 	return another
 }
 
-var errAnew = errors.New("another executor: joining as at a start")
+var errAnew = errors.New("executor was replaced; joining again from its first notice")
 
 var errMalformed = errors.New("malformed notice")
 
@@ -363,8 +369,8 @@
 		l.up(w[1] == "booting", another)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		// What the executor got of the last link's commands shows only in its notices. The answer to
-		// this METER comes after all of them, so what then has no notice did not arrive.
+		// Only notices show which commands of the previous connection reached the executor. The answer to this METER
+		// follows all of those notices, so a command that has none by then did not arrive.
 		l.seq++
 		l.fence = "f" + strconv.FormatUint(l.seq, 10)
 		l.send([]byte("METER " + l.fence + "\r\n"))
@@ -391,15 +397,15 @@
 	case w[0] == "DIAGNOSED" && len(w) == 3:
 		l.diagnosed(w[1], w[2] == "success")
 	case w[0] == "BAD" && len(w) >= 3:
-		l.log.Debug().Strs("notice", w).Msg("command not carried out") // bad clients bring any number of these
-		if w[1] == "EXEC" {                                            // it never ran, and nothing else will tell its end
+		l.log.Debug().Strs("notice", w).Msg("executor rejected a command") // debug level: faulty clients can cause any number of these
+		if w[1] == "EXEC" {                                                // the request never ran, and no EXIT will follow
 			l.tell(0, w[2], core.Notice{Ended: true, Outcome: policy.Moot, Forged: true})
 		}
-		if w[1] == "METER" { // a site may have no gauges; the fence stands all the same
+		if w[1] == "METER" { // a site may have no gauges; the answer serves as barrier and acknowledgement all the same
 			l.metered(w[2], nil)
 		}
 		if w[1] == "DIAG" {
-			l.diagnosed(w[2], true) // nothing speaks against it
+			l.diagnosed(w[2], true) // an executor without deep checks counts as healthy
 		}
 	case w[0] == "BAD":
 	case w[0] == "LOG" && len(w) >= 2:
@@ -413,7 +419,7 @@
 	return nil
 }
 
-// tell passes a notice on once; a new link may bring some again.
+// tell delivers a notice to its attempt once; after a reconnect, the executor may repeat notices.
 func (l *Link) tell(n uint64, id string, notice core.Notice) {
 	l.mu.Lock()
 	if n > 0 {
@@ -472,7 +478,7 @@
 				lost = append(lost, r)
 			}
 		}
-		for tag := range l.checks { // a broken link is no sign of sickness: ask again
+		for tag := range l.checks { // a broken link does not make the executor unhealthy: request the check again
 			l.send([]byte("DIAG " + tag + "\r\n"))
 		}
 	}
@@ -480,7 +486,7 @@
 	delete(l.meters, tag)
 	l.mu.Unlock()
 	for _, r := range lost {
-		l.log.Warn().Str("id", r.attempt.Request.ID).Msg("a reply to a call may be lost with the link, and can't be sent again: failed")
+		l.log.Warn().Str("id", r.attempt.Request.ID).Msg("reply to a call may be lost with the link and cannot be resent; attempt failed")
 		r.attempt.Notify(core.Notice{Lost: true})
 	}
 	if got == nil {
@@ -490,7 +496,7 @@
 	for i, v := range values {
 		x, err := strconv.ParseFloat(v, 64)
 		if err != nil {
-			x = -1 // a gauge that is not told
+			x = -1 // a gauge without a value
 		}
 		gauges[i] = x
 	}
--- a/internal/net/respfront/codec.go
+++ b/internal/net/respfront/codec.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	mostBody   = 2 << 10 // bytes of a body, by the protocol
-	mostNumber = 1 << 53 // up to here a floating-point number tells whole ones apart
+	mostBody   = 2 << 10 // by the protocol
+	mostNumber = 1 << 53 // up to here a float64 represents every integer
 )
 
-// errValue marks a request that can be read, and whose figures make no sense.
+// errValue marks a well-formed request with an invalid value.
 var errValue = errors.New("value out of range")
 
-// fields are the pairs that go with a request: a=1,b=2.
+// fields are the key-value pairs of a command, such as a=1,b=2.
 type fields map[string]string
 
 func parseFields(b []byte) (fields, error) {
@@ -38,19 +38,20 @@
 	return f, nil
 }
 
-// number reads a figure of 0 or more that has to be there.
+// number parses a required number from 0 to below mostNumber.
 func (f fields) number(key string, err *error) float64 {
 	x, e := strconv.ParseFloat(f[key], 64)
-	if !(e == nil && x >= 0 && x < mostNumber) && *err == nil { // so that NaN is out too
+	if !(e == nil && x >= 0 && x < mostNumber) && *err == nil { // written so that it also rejects NaN
 		*err = fmt.Errorf("%w: field %q", errValue, key)
 	}
 	return x
 }
 
-// request reads REQ TAG CLASS FIELDS BODY. It keeps no part of the arguments but the body.
+// request parses the arguments REQ TAG CLASS FIELDS BODY; the body may be missing. The result refers to the arguments
+// only by its body.
 func request(args [][]byte, now float64) (*core.Request, error) {
 	if len(args) < 4 || len(args) > 5 {
-		return nil, errors.New("REQ takes a tag, a class, fields and a body")
+		return nil, errors.New("REQ requires a tag, a class, fields and an optional body")
 	}
 	f, err := parseFields(args[3])
 	if err != nil {
@@ -61,7 +62,7 @@
 		Retry: f["retry"] == "1", KB: f.number("kb", &err), Rank: f.number("rank", &err), Key: strings.Clone(f["key"]),
 		Once: strings.Clone(f["once"]), For: strings.Clone(f["tenant"]),
 	}
-	for key, to := range map[string]*float64{"wait": &q.Wait, "cost": &q.Cost} { // may be absent, and are above 0
+	for key, to := range map[string]*float64{"wait": &q.Wait, "cost": &q.Cost} { // optional, and above 0 if present
 		if _, told := f[key]; told {
 			if *to = f.number(key, &err); *to == 0 && err == nil {
 				err = fmt.Errorf("%w: field %q", errValue, key)
@@ -77,9 +78,9 @@
 	switch {
 	case err != nil:
 	case !wireID(q.ID):
-		err = fmt.Errorf(`%w: field "id" is not 16 hex digits`, errValue)
+		err = fmt.Errorf(`%w: field "id" is not 16 hexadecimal digits`, errValue)
 	case len(args) == 5 && len(args[4]) > mostBody:
-		err = fmt.Errorf("%w: the body is too long", errValue)
+		err = fmt.Errorf("%w: body is too long", errValue)
 	}
 	if err != nil {
 		return nil, err
@@ -90,6 +91,7 @@
 	return q, nil
 }
 
+// wireID reports whether s consists of 16 hexadecimal digits.
 func wireID(s string) bool {
 	if len(s) != 16 {
 		return false
@@ -102,7 +104,7 @@
 	return true
 }
 
-// word is what an outcome is called on this wire.
+// word returns the protocol's name of an outcome.
 func word(o core.Outcome) string {
 	switch o.Verdict {
 	case core.Served:
@@ -113,7 +115,8 @@
 	return "error"
 }
 
-// appendAnswer writes TAG WORD FIELDS BODY.
+// appendAnswer appends the answer to a request: its tag, the name of the outcome, the fields and, if it was served, the
+// result. The field say carries the hint to callers, if there is one.
 func appendAnswer(b []byte, tag uint64, say float64, says bool, o core.Outcome) []byte {
 	parts := 3
 	if o.Verdict == core.Served {
@@ -142,6 +145,7 @@
 	return b
 }
 
+// appendHealth appends the answer to a health check: its tag, the state and the hint to callers, if there is one.
 func appendHealth(b []byte, tag uint64, say float64, says, good bool) []byte {
 	state := "sick"
 	if good {
@@ -156,7 +160,7 @@
 	return redcon.AppendBulk(b, nil)
 }
 
-// appendClosing writes the array that asks for no new request on a connection.
+// appendClosing appends the array that asks a router to send no new requests on the connection.
 func appendClosing(b []byte) []byte {
 	b = redcon.AppendArray(b, 2)
 	b = redcon.AppendBulkString(b, "0")
--- a/internal/net/respfront/frame.go
+++ b/internal/net/respfront/frame.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	mostWords = 8         // of a command; the protocol's have 5 at most
-	mostBulk  = 4 << 10   // bytes of a word; a body has 2 KiB at most
-	mostLine  = 32        // bytes of a line that tells a number
-	mostFrame = pool.Size // bytes of a whole command
+	mostWords = 8         // arguments of a command, its name included; the protocol uses at most 5
+	mostBulk  = 4 << 10   // of an argument; a body has at most 2 KiB
+	mostLine  = 32        // of a line with a count or a length
+	mostFrame = pool.Size // of a complete command
 )
 
 var errFrame = errors.New("malformed command")
 
-// readFrame reads the bytes of one command, and only of one whose counts and lengths are within bounds, into a
-// buffer that has room for it. redcon's parser is given nothing else: a count of 9e18 keeps it busy for good
-// on two dozen bytes, and a length near the largest integer makes it panic.
+// readFrame reads the bytes of one command into b, whose capacity must be mostFrame or more. It rejects counts and lengths
+// that are out of bounds. The parser of redcon must receive only such checked commands: a count of 9e18 makes it loop
+// practically forever on some 24 bytes, and a length near the largest integer makes it panic.
 func readFrame(r *bufio.Reader, b []byte) ([]byte, error) {
 	b, words, err := readNumber(r, b[:0], '*', mostWords)
 	if err != nil {
@@ -34,20 +34,20 @@
 		}
 		begin := len(b)
 		if begin+size+2 > mostFrame {
-			return nil, fmt.Errorf("%w: too long", errFrame)
+			return nil, fmt.Errorf("%w: too many bytes", errFrame)
 		}
 		b = b[:begin+size+2]
 		if _, err := io.ReadFull(r, b[begin:]); err != nil {
 			return nil, err
 		}
 		if b[len(b)-2] != '\r' || b[len(b)-1] != '\n' {
-			return nil, fmt.Errorf("%w: a word does not end where it should", errFrame)
+			return nil, fmt.Errorf("%w: argument is not terminated by CRLF", errFrame)
 		}
 	}
 	return b, nil
 }
 
-// readNumber reads a line such as $12 and tells its number, from 0 to most.
+// readNumber appends to b a line such as $12, which begins with kind, and returns the line's number, from 0 to most.
 func readNumber(r *bufio.Reader, b []byte, kind byte, most int) ([]byte, int, error) {
 	begin := len(b)
 	for {
@@ -56,7 +56,7 @@
 			return nil, 0, err
 		}
 		if len(b) == begin && c != kind || len(b)-begin >= mostLine || len(b) >= mostFrame {
-			return nil, 0, fmt.Errorf("%w: no line with %q and a number", errFrame, kind)
+			return nil, 0, fmt.Errorf("%w: expected a line with %q and a number", errFrame, kind)
 		}
 		if b = append(b, c); c == '\n' {
 			break
--- a/internal/net/respfront/front.go
+++ b/internal/net/respfront/front.go
@@ -1,8 +1,8 @@
 // Package respfront is the front for the platform's routers: RESP arrays over TCP, answered in any order.
 //
-// It stands on redcon's parser and writers, on connections that are its own from the start. redcon's server
-// loop is not used: it answers in order, and it ends connections by itself when it stops. Nor is its reader:
-// some two dozen bytes keep it busy for good, others make it panic (see readFrame and the tests).
+// It uses the parser and the writers of redcon on connections that it manages itself. It does not use redcon's server
+// loop, which answers in order and closes connections by itself when it stops, nor redcon's reader, which loops
+// practically forever on some inputs of two dozen bytes and panics on others (see readFrame and the tests).
 package respfront
 
 import (
@@ -29,25 +29,25 @@
 )
 
 const (
-	mostOpen   = 32        // open requests on a connection, by the protocol
-	mostUnsent = 512 << 10 // bytes of answers that wait for a slow reader; its connection ends then
-	sweepMs    = 500       // how often idle connections are looked for
-	idleMs     = 5000      // a connection that carries nothing for so long is asked to close, whoever holds it
-	closeMs    = 1000      // and closed so long after the asking: some never heed it
-	mostFaults = 8         // requests that make no sense, after which a connection ends
-	faultPause = 50.0      // milliseconds for which no more is read after each of them
-
-	firstFor = 2 * time.Second // a new connection sends its first whole command within this
-	wholeFor = 2 * time.Second // and any command is whole so long after it began
+	mostOpen   = 32        // on a connection, by the protocol
+	mostUnsent = 512 << 10 // of queued answers; the connection of a slower reader is closed
+	sweepMs    = 500       // between two searches for idle connections
+	idleMs     = 5000      // after this, an idle connection is asked to close, also if the platform sets a longer time
+	closeMs    = 1000      // from that request until the front closes the connection; some routers ignore the request
+	mostFaults = 8         // on a connection; the next one ends it
+	faultPause = 50.0      // pause in reading after each invalid request
+
+	firstFor = 2 * time.Second // until the first command of a new connection is complete
+	wholeFor = 2 * time.Second // from the first byte of a command to its last
 )
 
-// Front accepts routers.
+// Front serves the connections of routers.
 type Front struct {
 	core  *core.Core
 	clock *clock.Clock
 	log   zerolog.Logger
 	ln    *accept.Listener
-	most  int // connections
+	most  int
 
 	mu       sync.Mutex
 	conns    map[*conn]bool
@@ -55,12 +55,12 @@
 	closed   bool
 }
 
-// New makes a front on a listening socket; Serve has to be called next.
+// New returns a front on a listening socket that keeps at most most connections; Serve has to be called next.
 func New(ln *accept.Listener, most int, c *core.Core, clk *clock.Clock, log zerolog.Logger) *Front {
 	return &Front{core: c, clock: clk, log: log, ln: ln, most: most, conns: map[*conn]bool{}}
 }
 
-// Addr is where the front listens.
+// Addr returns the address that the front listens on.
 func (f *Front) Addr() net.Addr { return f.ln.Addr() }
 
 // Serve accepts connections until the front is shut.
@@ -73,13 +73,13 @@
 	c := &conn{front: f, nc: nc, open: map[uint64]*core.Handler{}, kick: make(chan struct{}, 1), used: f.clock.Now(), since: time.Now()}
 	var err error
 	if c.raw, err = nc.(*net.TCPConn).SyscallConn(); err != nil {
-		nc.Close() // it is closed already
+		nc.Close() // the connection is closed already
 		return
 	}
 	f.mu.Lock()
 	if len(f.conns) >= f.most && !f.makeRoom() {
 		f.mu.Unlock()
-		nc.Close() // nothing was read; routers hold to fewer
+		nc.Close() // nothing was read; routers keep to fewer connections
 		return
 	}
 	f.conns[c] = true
@@ -91,9 +91,10 @@
 	go c.read()
 }
 
-// makeRoom gives up the connection that is missed least: one that never sent a command, the oldest of these
-// first, so that a router that has just connected has time to speak; else the one that was idle for longest.
-// Guards against clients that open connections and say nothing, or nothing more.
+// makeRoom closes one idle connection and reports whether it did. Connections that never sent a command go first, the
+// oldest before the others so that a router that has just connected has time to send one; then the one that was idle for
+// longest. This guards against clients that open connections and send nothing, or nothing more. The caller holds the
+// front's lock.
 func (f *Front) makeRoom() bool {
 	var worst *conn
 	for c := range f.conns {
@@ -104,21 +105,23 @@
 	return worst != nil && f.end(worst)
 }
 
-// end closes a connection with nothing open. What has just come on it would be a request cut off, so then it
-// is left alone: bytes still in the socket, a part of a command that was read, or a whole one that is being taken. Its
-// lock is held from the first look to the decision, after which nothing more is taken; the reader takes bytes from the
-// socket under the same lock, so a command is seen in one of these places. One that crosses the close on the wire is
-// sent once more by who sent it. The front's lock is held.
+// end closes a connection unless it has open requests, unsent answers or new input, and reports whether it did. Closing
+// would cut off a request that has just arrived: as bytes in the socket, as a command read in part, or as a complete one
+// being handled.
+// giveUp holds the connection's lock from its first check to its decision, after which nothing more is read. The reader
+// takes bytes from the socket under the same lock, so a command is always seen in one of these places. A command that
+// crosses the close on the wire is sent again by its router. The caller holds the front's lock.
 func (f *Front) end(c *conn) bool {
 	if !c.giveUp() {
 		return false
 	}
-	c.nc.Close() // not under its lock, for which the reader may wait
+	c.nc.Close() // without the connection's lock, which the reader may be waiting for
 	delete(f.conns, c)
 	return true
 }
 
-// giveUp takes nothing more from a connection on which nothing is open.
+// giveUp stops reading from a connection without open requests or input, asks its router to send no more, and reports
+// whether it did so.
 func (c *conn) giveUp() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +131,7 @@
 	c.broken = true
 	if c.spoke && !c.told {
 		c.told = true
-		c.raw.Write(func(fd uintptr) bool { // nothing waits before it, so there is room; else it goes without
+		c.raw.Write(func(fd uintptr) bool { // nothing is queued before it, so the socket buffer has room; otherwise it is omitted
 			syscall.Write(int(fd), appendClosing(nil))
 			return true
 		})
@@ -136,8 +139,8 @@
 	return true
 }
 
-// Drain asks all routers for no new requests. The listener stays open: to close it would reset what waits in
-// its queue, which the machine has accepted and we therefore owe answers.
+// Drain asks all routers to send no new requests. The listener stays open: closing it would reset the connections in its
+// queue, which the kernel has accepted and whose requests are therefore owed answers.
 func (f *Front) Drain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,13 +153,13 @@
 // Shut closes the listener once its queue is empty.
 func (f *Front) Shut() { f.ln.Shut() }
 
-// Yield leaves new connections to the process that shares the socket, and asks all routers to go there.
+// Yield leaves new connections to the process that shares the listening socket, and asks all routers to connect there.
 func (f *Front) Yield() {
 	f.ln.Yield()
 	f.Drain()
 }
 
-// Flushed tells that all answers are written, and that nothing lies unread.
+// Flushed reports whether all answers are written and all input is read.
 func (f *Front) Flushed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,7 +171,7 @@
 	return true
 }
 
-// Close ends all connections.
+// Close closes the listener and all connections.
 func (f *Front) Close() {
 	f.ln.Close()
 	f.mu.Lock()
@@ -183,8 +186,9 @@
 	}
 }
 
-// sweep asks for the end of what was idle for longer than the module wants, or than anyone needs. Who heeds it
-// closes the connection himself, so that no request crosses the close; who does not is closed a while later.
+// sweep asks routers to close connections that were idle for longer than the policy module wants, or than idleMs. A router
+// that complies closes the connection itself, so no request crosses the close. The front closes the connection of a router
+// that has not complied after closeMs.
 func (f *Front) sweep() {
 	f.mu.Lock()
 	closed := f.closed
@@ -208,43 +212,44 @@
 	}
 }
 
+// leave removes a connection that has ended.
 func (f *Front) leave(c *conn) {
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
 }
 
-// conn is one connection: one goroutine reads it, one writes it, and answers come from handlers in any order.
+// conn is one connection: one goroutine reads it, one writes it, and handlers queue answers in any order.
 type conn struct {
 	front *Front
 	nc    net.Conn
 	raw   syscall.RawConn
 	kick  chan struct{}
 
-	// The reader's own.
-	since  time.Time // when the command that is being read began, or the waiting for the first
+	// Used by the reader only.
+	since  time.Time // start of the command being read, or of the wait for the first one
 	faults int
 
-	forged atomic.Bool // a request came that the executor does not know, before any was served
+	forged atomic.Bool // the executor did not know a request of this connection, before any was served
 
 	mu      sync.Mutex
-	within  bool // a part of a command was read, or a whole one is being taken; only the reader sets it
-	open    map[uint64]*core.Handler
+	within  bool                     // a command was read in part, or a complete one is being handled; set by the reader only
+	open    map[uint64]*core.Handler // by tag; nil until the handler is known
 	out     []byte
 	writing bool
-	told    bool // 'closing' was sent
-	toldAt  float64
-	ended   bool // no more is read
-	broken  bool
-	spoke   bool    // a whole command came
-	served  bool    // one of its requests was
-	used    float64 // when a command or an answer last passed
+	told    bool    // the closing message was sent or queued
+	toldAt  float64 // in Unix milliseconds
+	ended   bool    // nothing more is read
+	broken  bool    // nothing more is read or written
+	spoke   bool    // a complete command arrived
+	served  bool    // at least one request was served
+	used    float64 // time of the last command or answer, in Unix milliseconds
 }
 
-// errFaults ends the reading of a connection. What was read before is owed its answer all the same.
-var errFaults = errors.New("too many requests that make no sense")
+// errFaults ends the reading of a connection. The requests read before still get their answers.
+var errFaults = errors.New("too many invalid requests")
 
-// Read bounds for how long a command may be on its way.
+// Read reads from the connection; its deadlines bound the time that a command takes to arrive.
 func (c *conn) Read(b []byte) (n int, err error) {
 	within := c.within
 	for n == 0 && err == nil {
@@ -259,9 +264,10 @@
 	return n, err
 }
 
-// limit is when a command has to be whole, or the first of a connection. Half a command keeps a place and a buffer; of a
-// router that was served here, or whose requests are open, it is taken for one on a network that is cut, and its rest is
-// waited for as long as routers keep connections: what it completes is then owed an answer.
+// limit returns the time by which the current command, or the first one of a connection, has to be complete; zero: no
+// limit. A partial command occupies a connection and a buffer. If the router was served on this connection, or has open
+// requests, the network is presumed interrupted, and the rest is awaited for as long as routers keep idle connections,
+// since the completed request is owed an answer.
 func (c *conn) limit() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -276,7 +282,7 @@
 	return c.since.Add(wholeFor)
 }
 
-// take reads what there is.
+// take waits for input and reads what there is.
 func (c *conn) take(b []byte) (n int, err error) {
 	closed := c.raw.Read(func(fd uintptr) bool {
 		n, err = c.pull(fd, b)
@@ -288,9 +294,9 @@
 	return n, err
 }
 
-// last takes what came before the time was up. A process that got no time meanwhile finds both at once, and the library
-// looks at the time first: a whole request would be closed on. Where there is nothing, no more is taken from now on, or,
-// with neither bytes nor an error, the limit is a later one by now.
+// last reads, after the deadline, what arrived before it. A process that was not scheduled in the meantime finds both the
+// input and the expired deadline, and the net package checks the deadline first, so that a complete request would be lost.
+// Without input it returns os.ErrDeadlineExceeded, or neither bytes nor an error if the limit has moved to a later time.
 func (c *conn) last(b []byte) (n int, err error) {
 	closed := c.raw.Control(func(fd uintptr) {
 		if n, err = c.pull(fd, b); err != syscall.EAGAIN {
@@ -307,7 +313,7 @@
 	return n, err
 }
 
-// pull reads once, without waiting. That bytes were taken out of the socket is noted in the same step.
+// pull reads once without waiting. It sets within under the same lock under which it takes bytes out of the socket.
 func (c *conn) pull(fd uintptr, b []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -323,18 +329,19 @@
 	return max(n, 0), err
 }
 
-// read takes commands until the router ends the connection or sends what is none.
+// read handles commands until the router closes the connection or violates the protocol.
 func (c *conn) read() {
 	err := c.commands()
 	c.mu.Lock()
 	c.ended = true
 	var left []*core.Handler
 	c.within = false
-	plain := err == io.EOF || err == io.ErrUnexpectedEOF // between two commands, or within one
+	plain := err == io.EOF || err == io.ErrUnexpectedEOF // between two commands or within one
 	if !plain && !errors.Is(err, os.ErrDeadlineExceeded) && err != errFaults {
-		// Broken, or not understood: nobody reads answers here any more. After a plain end the router may
-		// still do so, and an answer that nobody wants does no harm. The same holds where a command got stuck, or
-		// too many made no sense: what was read before is owed its answer, and the connection ends after that.
+		// On a broken connection, or after a protocol violation, answers are not read any more. After an orderly end of
+		// input the router may still read them, and an unwanted answer does no harm. The same applies after a time-out of
+		// a partial command and after too many invalid requests: the requests read before are owed their answers, and the
+		// connection is closed after that.
 		c.broken = true
 		for tag, l := range c.open {
 			left = append(left, l)
@@ -348,9 +355,10 @@
 	c.wake()
 }
 
+// commands handles commands until reading fails.
 func (c *conn) commands() (err error) {
 	defer func() {
-		if p := recover(); p != nil { // one connection's fault must not end the others
+		if p := recover(); p != nil { // a panic on one connection must not end the others
 			err = fmt.Errorf("malformed command: %v", p)
 		}
 		if err != nil && err != io.EOF && !errors.Is(err, net.ErrClosed) {
@@ -369,9 +377,9 @@
 	}
 }
 
-// next reads one command and takes it.
+// next reads one command and handles it.
 func (c *conn) next(r *bufio.Reader) error {
-	if _, err := r.Peek(1); err != nil { // so that a connection without one holds no buffer
+	if _, err := r.Peek(1); err != nil { // so that a connection without input occupies no buffer
 		return err
 	}
 	b := pool.Get(mostFrame)
@@ -390,13 +398,14 @@
 	return c.command(cmd.Args)
 }
 
+// command handles one command; an error ends the connection.
 func (c *conn) command(args [][]byte) error {
 	if len(args) < 2 {
-		return errors.New("no tag")
+		return errors.New("command without a tag")
 	}
 	tag, err := strconv.ParseUint(string(args[1]), 10, 64)
 	if err != nil || tag == 0 {
-		return fmt.Errorf("tag %q is not a number from 1 up", args[1])
+		return fmt.Errorf("tag %q is not a positive integer", args[1])
 	}
 	switch {
 	case bytes.Equal(args[0], []byte("REQ")):
@@ -428,6 +437,7 @@
 	return fmt.Errorf("unknown command %q", args[0])
 }
 
+// request handles the command REQ.
 func (c *conn) request(tag uint64, args [][]byte) error {
 	q, err := request(args, c.front.clock.Now())
 	if errors.Is(err, errValue) {
@@ -436,10 +446,10 @@
 	if err != nil {
 		return err
 	}
-	if c.forged.Load() { // guards against a flood of them, which would take the room of true ones
+	if c.forged.Load() { // guards against a flood of forged requests, which would displace genuine ones
 		return c.fault(tag, errFaults)
 	}
-	q.Body = pool.Copy(q.Body) // the arguments are redcon's
+	q.Body = pool.Copy(q.Body) // the buffer of the arguments is reused
 	c.mu.Lock()
 	_, twice := c.open[tag]
 	crowded := len(c.open) >= mostOpen
@@ -448,7 +458,7 @@
 	}
 	c.mu.Unlock()
 	if twice {
-		return fmt.Errorf("tag %d is in use", tag)
+		return fmt.Errorf("tag %d is already in use", tag)
 	}
 	if crowded {
 		c.answer(tag, core.Outcome{Verdict: core.Refused, After: 1})
@@ -463,8 +473,8 @@
 	return nil
 }
 
-// fault answers a request whose figures make no sense; none of it gets to the module. Who sends many is read
-// slowly, and then no more: guards against clients that send the same again as soon as it is turned away.
+// fault answers an invalid request, which does not reach the policy module. A connection with many of them is read slowly
+// and then no longer. This guards against clients that repeat a request as soon as it is rejected.
 func (c *conn) fault(tag uint64, err error) error {
 	c.mu.Lock()
 	_, twice := c.open[tag]
@@ -482,7 +492,7 @@
 	return nil
 }
 
-// answer gives a request its one answer.
+// answer sends a request its only answer.
 func (c *conn) answer(tag uint64, o core.Outcome) {
 	say, says := c.front.core.Say()
 	c.send(func(b []byte) []byte {
@@ -493,7 +503,7 @@
 		return appendAnswer(b, tag, say, says, o)
 	})
 	if o.Forged && !c.forged.Swap(true) {
-		// What came beside it is most likely as false: it fails, but for what runs already.
+		// The other requests of this connection are most likely forged too: those that have not started fail.
 		c.mu.Lock()
 		var beside []*core.Handler
 		for _, l := range c.open {
@@ -508,7 +518,7 @@
 	}
 }
 
-// send queues bytes for the writer and never waits.
+// send queues what add appends for the writer. It never blocks.
 func (c *conn) send(add func([]byte) []byte) {
 	c.mu.Lock()
 	c.out = add(c.out)
@@ -518,7 +528,7 @@
 	}
 	c.mu.Unlock()
 	if full {
-		c.nc.Close() // it does not read its answers
+		c.nc.Close() // the router does not read its answers
 	}
 	c.wake()
 }
@@ -530,7 +540,7 @@
 	}
 }
 
-// closing asks the router for no new requests.
+// closing asks the router, once, to send no new requests on this connection.
 func (c *conn) closing() {
 	c.mu.Lock()
 	told := c.told
@@ -543,19 +553,21 @@
 	}
 }
 
+// idleSince reports whether the connection has been idle since ms, in Unix milliseconds.
 func (c *conn) idleSince(ms float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open) == 0 && !c.within && !c.writing && len(c.out) == 0 && c.used <= ms
 }
 
+// wasTold reports whether the closing message was sent at ms or before, in Unix milliseconds.
 func (c *conn) wasTold(ms float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.told && c.toldAt <= ms
 }
 
-// missedLess orders idle connections by how little their end would harm.
+// missedLess reports whether c is to be evicted before o.
 func (c *conn) missedLess(o *conn) bool {
 	spoke, used := c.state()
 	otherSpoke, otherUsed := o.state()
@@ -565,19 +577,21 @@
 	return used < otherUsed
 }
 
+// state returns what decides which connection is evicted first.
 func (c *conn) state() (spoke bool, used float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.spoke, c.used
 }
 
+// unsettled reports whether answers remain to be written, or input to be read or handled.
 func (c *conn) unsettled() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.broken && (c.writing || len(c.out) > 0 || !c.ended && (c.within || !accept.Quiet(c.nc)))
 }
 
-// write sends what is queued, and closes the connection when nothing more can come.
+// write sends what is queued, and closes the connection once no further answers are due.
 func (c *conn) write() {
 	defer c.front.leave(c)
 	defer c.nc.Close()
@@ -609,7 +623,7 @@
 				return
 			}
 			if cap(buf) > pool.Size {
-				buf = nil // a burst must not stay in memory
+				buf = nil // release the memory of a burst
 			}
 		}
 	}
--- a/internal/net/respfront/front_test.go
+++ b/internal/net/respfront/front_test.go
@@ -20,9 +20,9 @@
 	"puffinsaddle/policy"
 )
 
-const start = 1.7e12 // where the clock stands at first
+const start = 1.7e12 // the initial time of the manual clock, in Unix milliseconds
 
-// echo is a Runner that ends each run at once with its body.
+// echo is a Runner that ends each attempt at once, with the request's body as the result.
 type echo struct{}
 
 func (echo) Start(a *core.Attempt) {
@@ -37,9 +37,10 @@
 	return policy.Unreached, nil
 }
 
-// one builds a front with room for one connection, on a clock that the test sets.
+// one starts a front that keeps at most one connection, on a clock that the test sets.
 func one(t *testing.T) (*Front, *clock.Clock) { return oneWith(t, echo{}) }
 
+// oneWith does the same with another runner.
 func oneWith(t *testing.T, runner core.Runner) (*Front, *clock.Clock) {
 	clk := clock.Manual(start)
 	c := core.New(clk, zerolog.Nop(), policy.Settings{
@@ -69,11 +70,13 @@
 	return conn
 }
 
+// req returns a REQ command with the body "b".
 func req(tag int) string {
 	fields := fmt.Sprintf("id=%016x,at=%.0f,from=4,kb=10,rank=0.5", tag, start)
 	return fmt.Sprintf("*5\r\n$3\r\nREQ\r\n$1\r\n%d\r\n$4\r\nread\r\n$%d\r\n%s\r\n$1\r\nb\r\n", tag, len(fields), fields)
 }
 
+// want reads as many bytes as answer has, and fails the test unless they are equal to it.
 func want(t *testing.T, conn net.Conn, answer string) {
 	t.Helper()
 	b := make([]byte, len(answer))
@@ -82,12 +85,14 @@
 	}
 }
 
+// done returns the answer to a served request whose result is "b".
 func done(tag int) string {
 	return fmt.Sprintf("*4\r\n$1\r\n%d\r\n$4\r\ndone\r\n$0\r\n\r\n$1\r\nb\r\n", tag)
 }
 
 const closing = "*2\r\n$1\r\n0\r\n$7\r\nclosing\r\n"
 
+// only returns the front's only connection.
 func only(f *Front) *conn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,8 +102,8 @@
 	return nil
 }
 
-// A router's request is halfway through the door, read in part and so no longer in the socket, when another connection
-// needs its place and when its idle time is over: it was cut off and its request lost.
+// Guards against closing a connection on which a command was read in part, so that its bytes are no longer in the socket:
+// neither the arrival of another connection at the limit nor the idle time-out may cut off the request.
 func TestHalfARequestKeepsItsConnection(t *testing.T) {
 	f, clk := one(t)
 	conn := dial(t, f)
@@ -106,14 +111,14 @@
 	want(t, conn, done(1))
 	c := only(f)
 	io.WriteString(conn, req(2)[:20])
-	for within := false; !within; runtime.Gosched() { // all of it is out of the socket
+	for within := false; !within; runtime.Gosched() { // all of it was read from the socket
 		c.mu.Lock()
 		within = c.within && accept.Quiet(c.nc)
 		c.mu.Unlock()
 	}
 	other := dial(t, f)
 	if n, err := io.Copy(io.Discard, other); n > 0 {
-		t.Errorf("the one too many got %d bytes, %v", n, err)
+		t.Errorf("connection over the limit: read %d bytes, %v; want none", n, err)
 	}
 	for now := start; now < start+4*idleMs; now += sweepMs {
 		clk.Set(now)
@@ -122,14 +127,15 @@
 	want(t, conn, done(2))
 }
 
-// The place of an idle connection is needed: it hears that it closes, so that what crosses is sent once more.
+// An idle connection that is evicted for a new one must receive the closing message first, so that its router resends a
+// request that crosses the close.
 func TestRoomIsMadeBehindClosing(t *testing.T) {
 	f, _ := one(t)
 	conn := dial(t, f)
 	io.WriteString(conn, req(1))
 	want(t, conn, done(1))
 	c := only(f)
-	for idle := false; !idle; runtime.Gosched() { // the writer and the reader are through
+	for idle := false; !idle; runtime.Gosched() { // the reader and the writer have finished with the request
 		idle = c.idleSince(start)
 	}
 	other := dial(t, f)
@@ -137,12 +143,12 @@
 	want(t, other, done(2))
 	want(t, conn, closing)
 	if n, err := io.Copy(io.Discard, conn); n > 0 || err != nil {
-		t.Errorf("%d bytes more, %v", n, err)
+		t.Errorf("after the closing message: read %d bytes, %v; want EOF", n, err)
 	}
 }
 
-// A request comes between the look at its idle connection and the close: once given up, nothing is taken from it, so it
-// is not read and forgotten.
+// A request that arrives between the check of its idle connection and the close must stay unread: one that is read there
+// would run without an answer.
 func TestNothingIsTakenFromWhatIsGivenUp(t *testing.T) {
 	f, _ := one(t)
 	conn := dial(t, f)
@@ -155,15 +161,15 @@
 	io.WriteString(conn, req(2))
 	want(t, conn, closing)
 	if n, err := io.Copy(io.Discard, conn); n > 0 {
-		t.Errorf("%d bytes more, %v", n, err)
+		t.Errorf("after the closing message: read %d bytes, %v; want none", n, err)
 	}
 	if n := f.core.Figures().Tries; n != 1 {
-		t.Errorf("%d runs", n)
+		t.Errorf("%d attempts; want 1", n)
 	}
 }
 
-// A request lies unread behind one that makes no sense, for which the front rests, and later half a request is at hand,
-// when the process looks whether it may end: it is not through.
+// Flushed must report false while a request is unread during the pause after an invalid one, and while a command was read
+// in part; otherwise the process would exit and lose the request.
 func TestWhatLiesUnreadIsNotThrough(t *testing.T) {
 	f, clk := one(t)
 	conn := dial(t, f)
@@ -173,7 +179,7 @@
 	io.WriteString(conn, req(1)[:20])
 	for range 100 {
 		if f.Flushed() {
-			t.Fatal("through, with a request unread")
+			t.Fatal("Flushed with an unread request")
 		}
 		runtime.Gosched()
 	}
@@ -184,7 +190,7 @@
 		c.mu.Unlock()
 	}
 	if f.Flushed() {
-		t.Error("through, with half a request at hand")
+		t.Error("Flushed with a partly read request")
 	}
 	io.WriteString(conn, req(1)[20:])
 	want(t, conn, done(1))
@@ -193,7 +199,7 @@
 	}
 }
 
-// slow is a Runner whose runs the test ends.
+// slow is a Runner whose attempts are ended by the test.
 type slow struct {
 	echo
 	started chan *core.Attempt
@@ -201,8 +207,8 @@
 
 func (s slow) Start(a *core.Attempt) { s.started <- a }
 
-// A router ends its side in the middle of a command, while its request runs: what it still reads is the answer. Where
-// the end fell between two lines it got one, within a line it did not.
+// A router that closes its side within a command, while an earlier request runs, must still get the answer to that
+// request, whether the input ends between two lines of the command or within one.
 func TestEndWithinACommandLeavesTheRest(t *testing.T) {
 	half := req(2)
 	for _, n := range []int{1, len("*5\r\n$3\r\n"), len("*5\r\n$3\r\nRE"), len(half) - 2} {
@@ -222,12 +228,12 @@
 		run.Notify(core.Notice{Ended: true, Outcome: policy.OK, Body: pool.Copy([]byte("b"))})
 		want(t, conn, done(1))
 		if n, err := io.Copy(io.Discard, conn); n > 0 || err != nil {
-			t.Errorf("%d bytes more, %v", n, err)
+			t.Errorf("after the answer: read %d bytes, %v; want EOF", n, err)
 		}
 	}
 }
 
-// pair is a connection with both its ends, of which nobody reads the server's but the test.
+// pair returns both ends of a connection; only the test reads the server's end, c.
 func pair(t *testing.T, f *Front) (client net.Conn, c *conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -250,7 +256,8 @@
 	return client, c
 }
 
-// A request lies in the socket when its time is over, since the process got none to read it: it was closed on unread.
+// Input that arrived before the read deadline must be read even if the process was not scheduled until after the deadline.
+// Otherwise the connection is closed on an unread request.
 func TestWhatCameInTimeIsReadLate(t *testing.T) {
 	f, _ := one(t)
 	for _, within := range []bool{false, true} {
@@ -266,14 +273,14 @@
 		}
 		c.since = time.Now().Add(-time.Hour)
 		if n, err := c.Read(b); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("nothing there: %d bytes, %v", n, err)
+			t.Errorf("without input after the deadline: read %d bytes, %v; want a time-out", n, err)
 		}
 	}
 }
 
-// The network is cut in the middle of a router's command, for seconds: on a connection that served it, or on which its
-// request runs, the rest is waited for as long as routers keep connections. It was closed on, and a request that its rest
-// had completed was lost. Who was never served has less.
+// When the network fails for seconds within a command, the rest must be awaited for as long as routers keep idle
+// connections, if the router was served on this connection or has a request open. Otherwise the connection is closed and
+// the request is lost. A client that was never served gets only the shorter time for a command.
 func TestHalfACommandOfARouterIsWaitedFor(t *testing.T) {
 	f, _ := one(t)
 	since := time.Now().Add(-wholeFor - time.Second)
@@ -291,8 +298,8 @@
 		}()
 		select {
 		case got := <-read:
-			t.Errorf("given up: %s", got)
-		case <-time.After(50 * time.Millisecond): // what gives up does so at once
+			t.Errorf("stopped waiting for the rest of the command: %s", got)
+		case <-time.After(50 * time.Millisecond): // a reader that stops waiting does so at once
 			io.WriteString(client, "rest")
 			if got := <-read; got != "rest<nil>" {
 				t.Errorf("read %s", got)
@@ -302,6 +309,6 @@
 	_, c := pair(t, f)
 	c.spoke, c.within, c.since = true, true, since
 	if _, err := c.Read(make([]byte, 10)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("one that was never served: %v", err)
+		t.Errorf("client that was never served: %v; want a time-out", err)
 	}
 }
--- a/internal/net/uwsgi/codec.go
+++ b/internal/net/uwsgi/codec.go
@@ -1,7 +1,7 @@
-// Package uwsgi speaks the uwsgi protocol on both sides: a front that takes requests from gateways, and a
-// runner that sends requests on to uwsgi servers. A packet is a header of four bytes (modifier1, the size of
-// the variables as a little-endian u16, modifier2), the variables, and a body of CONTENT_LENGTH bytes; the
-// answer is an HTTP response, after which the connection ends.
+// Package uwsgi implements both sides of the uwsgi protocol: a front that accepts requests from gateways, and a runner
+// that forwards requests to uwsgi servers. A packet is a header of four bytes (modifier1, the size of the variables as a
+// little-endian uint16, modifier2), the variables, and a body of CONTENT_LENGTH bytes. The answer is an HTTP response,
+// after which the connection is closed.
 package uwsgi
 
 import (
@@ -15,24 +15,24 @@
 	"puffinsaddle/internal/pool"
 )
 
-// The variables that tell what a request is. A gateway sets them itself; it must not take them from its
-// callers' headers. All but the class may be absent.
+// The variables that describe a request. The gateway sets them itself and must not copy them from headers of its callers.
+// All are optional; without varClass, the last element of the path names the class.
 const (
-	varClass = "ORDER_CLASS" // else the path names it: /book-delivery
-	varID    = "ORDER_ID"    // 16 hex digits; else one is drawn
-	varAt    = "ORDER_AT"    // when it reached the machine, in Unix milliseconds; else now
-	varWait  = "ORDER_WAIT"  // how long the caller waits from then, in milliseconds; else the class's deadline
-	varFrom  = "ORDER_FROM"  // the number of the caller
-	varRetry = "ORDER_RETRY" // 1: a further try
-	varKey   = "ORDER_KEY"   // what a read is about
-	varKB    = "ORDER_KB"    // memory booked while it is held
-	varRank  = "ORDER_RANK"
-	varOnce  = "ORDER_ONCE"   // in keyed classes: the same for all tries of one request
+	varClass = "ORDER_CLASS"  // the class; default: from the path, such as /book-delivery
+	varID    = "ORDER_ID"     // 16 hexadecimal digits; default: random
+	varAt    = "ORDER_AT"     // arrival at the machine, in Unix milliseconds; default: now
+	varWait  = "ORDER_WAIT"   // how long the caller waits from then on, in milliseconds; default: the deadline of the class
+	varFrom  = "ORDER_FROM"   // the number of the caller
+	varRetry = "ORDER_RETRY"  // 1: a retry
+	varKey   = "ORDER_KEY"    // the subject of a read
+	varKB    = "ORDER_KB"     // memory reserved for the request, in KB
+	varRank  = "ORDER_RANK"   // the rank, from 0 to below 1
+	varOnce  = "ORDER_ONCE"   // in keyed classes: the idempotency key, the same for all attempts of one request
 	varFor   = "ORDER_TENANT" // the tenant
-	varCost  = "ORDER_COST"   // the work to expect, in milliseconds on one core
+	varCost  = "ORDER_COST"   // the expected work, in milliseconds on one core
 )
 
-// mostVars is the largest size that the header can tell.
+// mostVars is the largest size of the variables that the header can express.
 const mostVars = 1<<16 - 1
 
 var (
@@ -40,20 +40,21 @@
 	errOversized = errors.New("packet too large")
 )
 
-// packet is one request as it stands on the wire.
+// packet is one request as sent on the wire.
 type packet struct {
 	vars map[string]string
 	body []byte // from the pool
 }
 
-// readPacket reads one packet whose body has at most so many bytes.
+// readPacket reads one packet with a body of at most mostBody bytes. It returns io.EOF if the connection ends before the
+// first byte of the packet.
 func readPacket(r io.Reader, mostBody int) (*packet, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, err
 	}
 	if head[0] != 0 || head[3] != 0 {
-		return nil, fmt.Errorf("%w: modifiers %d and %d are not for requests", errMalformed, head[0], head[3])
+		return nil, fmt.Errorf("%w: modifiers %d and %d are not those of a request", errMalformed, head[0], head[3])
 	}
 	block := make([]byte, binary.LittleEndian.Uint16(head[1:3]))
 	if _, err := io.ReadFull(r, block); err != nil {
@@ -66,7 +67,7 @@
 	length := 0
 	if s := vars["CONTENT_LENGTH"]; s != "" {
 		if length, err = strconv.Atoi(s); err != nil || length < 0 {
-			return nil, fmt.Errorf("%w: CONTENT_LENGTH is not a length", errMalformed)
+			return nil, fmt.Errorf("%w: CONTENT_LENGTH is not a valid length", errMalformed)
 		}
 	}
 	if length > mostBody {
@@ -80,7 +81,7 @@
 	return &packet{vars, body}, nil
 }
 
-// ReadPacket reads one request as a server does: its variables and its body.
+// ReadPacket reads one request, as a server does, and returns its variables and its body.
 func ReadPacket(r io.Reader, mostBody int) (map[string]string, []byte, error) {
 	p, err := readPacket(r, mostBody)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return p.vars, p.body, nil
 }
 
-// noEOF tells an end within a packet from one before it.
+// noEOF turns io.EOF within a packet into io.ErrUnexpectedEOF.
 func noEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -114,18 +115,18 @@
 	for len(b) > 0 {
 		k, ok := word()
 		if !ok || k == "" {
-			return nil, fmt.Errorf("%w: a variable's name", errMalformed)
+			return nil, fmt.Errorf("%w: empty or truncated name of a variable", errMalformed)
 		}
 		v, ok := word()
 		if !ok {
-			return nil, fmt.Errorf("%w: the value of %q", errMalformed, k)
+			return nil, fmt.Errorf("%w: truncated value of %q", errMalformed, k)
 		}
 		vars[k] = v
 	}
 	return vars, nil
 }
 
-// AppendPacket writes a packet without its body; the variables go in order of their names.
+// AppendPacket appends a packet without its body to b. The variables are sorted by name.
 func AppendPacket(b []byte, vars map[string]string) ([]byte, error) {
 	names := make([]string, 0, len(vars))
 	size := 0
--- a/internal/net/uwsgi/front.go
+++ b/internal/net/uwsgi/front.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	lingerFor  = 200 * time.Millisecond // an answer given before all was read gets so long to be taken
-	lingerMost = 1 << 20
-	writeFor   = 2 * time.Second // a caller that does not read its answer holds nothing for longer
-	midRank    = 0.5
+	lingerFor  = 200 * time.Millisecond // lets the caller read its answer before the connection is closed
+	lingerMost = 1 << 20                // of input that is discarded meanwhile
+	writeFor   = 2 * time.Second        // for a caller that does not read its answer
+	midRank    = 0.5                    // the middle of the ranks, for requests without one
 )
 
-// Front takes requests from gateways, one on each connection.
+// Front accepts requests from gateways, one on each connection.
 type Front struct {
 	set   config.UWSGI
 	core  *core.Core
@@ -44,21 +44,21 @@
 	shutAll bool
 }
 
-// New makes a front on a listening socket; Serve has to be called next.
+// New returns a front on a listening socket; Serve has to be called next.
 func New(ln *accept.Listener, set config.UWSGI, c *core.Core, clk *clock.Clock, log zerolog.Logger) *Front {
 	return &Front{set: set, core: c, clock: clk, log: log, ln: ln, conns: map[net.Conn]bool{}}
 }
 
-// Addr is where the front listens.
+// Addr returns the address that the front listens on.
 func (f *Front) Addr() net.Addr { return f.ln.Addr() }
 
-// Serve takes requests until the front is shut.
+// Serve accepts requests until the front is shut.
 func (f *Front) Serve() {
 	f.ln.Serve(func(conn net.Conn) {
 		f.mu.Lock()
 		open := len(f.conns)
 		full := open >= f.set.Conns
-		if open >= 2*f.set.Conns { // even those to be turned away hold a descriptor each for a while
+		if open >= 2*f.set.Conns { // refused connections also hold a descriptor while their answer is written
 			f.mu.Unlock()
 			conn.Close()
 			return
@@ -82,10 +82,10 @@
 	})
 }
 
-// Drain does nothing: each connection carries one request, and the module decides on those that still come.
+// Drain does nothing: each connection carries one request, and the policy module decides on those that still arrive.
 func (f *Front) Drain() {}
 
-// Shut closes the listener, and ends the reading of what is not yet a whole request: its caller hears 408.
+// Shut closes the listener and stops reading incomplete requests, which are answered with status 408.
 func (f *Front) Shut() {
 	f.ln.Shut()
 	f.mu.Lock()
@@ -98,17 +98,17 @@
 	}
 }
 
-// Yield leaves new connections to the process that shares the socket; those that are open go on.
+// Yield leaves new connections to the process that shares the listening socket. Open connections continue.
 func (f *Front) Yield() { f.ln.Yield() }
 
-// Flushed tells that all answers are written.
+// Flushed reports whether all answers are written.
 func (f *Front) Flushed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns) == 0
 }
 
-// Close ends all connections.
+// Close closes the listener and all connections.
 func (f *Front) Close() {
 	f.ln.Close()
 	f.mu.Lock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// serve reads one request and gives it one answer, whatever it looks like.
+// serve reads one request and writes exactly one answer, also to a malformed request.
 func (f *Front) serve(conn net.Conn) {
 	reached := f.clock.Now()
 	f.mu.Lock()
@@ -144,7 +144,7 @@
 		if errors.As(err, &ne) && ne.Timeout() {
 			status = http.StatusRequestTimeout
 		}
-		f.log.Debug().Err(err).Int("status", status).Msg("no uwsgi request")
+		f.log.Debug().Err(err).Int("status", status).Msg("invalid uwsgi request")
 		respond(conn, status, 0, nil)
 		linger(conn)
 		return
@@ -160,7 +160,7 @@
 		respond(conn, status, after, o.Result)
 		close(answered)
 	})
-	// The caller's close ends the waiting; what it sends besides is none of the request.
+	// The request is abandoned when the caller closes the connection; anything else that the caller sends is discarded.
 	left := make(chan struct{})
 	go func() {
 		io.Copy(io.Discard, conn)
@@ -175,7 +175,8 @@
 	linger(conn)
 }
 
-// request reads the variables of a packet.
+// request builds the request that the variables of a packet describe. It arrived at reached, in Unix milliseconds, unless
+// the packet names an earlier time.
 func (f *Front) request(p *packet, reached float64) (*core.Request, error) {
 	v := p.vars
 	q := &core.Request{ID: v[varID], Class: v[varClass], At: reached, Retry: v[varRetry] == "1", KB: f.set.KB,
@@ -192,7 +193,7 @@
 		rand.Read(b[:])
 		q.ID = hex.EncodeToString(b[:])
 	} else if b, err := hex.DecodeString(q.ID); err != nil || len(b) != 8 {
-		return nil, fmt.Errorf("%w: %s is not 16 hex digits", errMalformed, varID)
+		return nil, fmt.Errorf("%w: %s is not 16 hexadecimal digits", errMalformed, varID)
 	}
 	var from float64
 	for _, n := range []struct {
@@ -205,7 +206,7 @@
 		}
 		x, err := strconv.ParseFloat(s, 64)
 		if err != nil || !(x >= 0 && x < 1<<53) {
-			return nil, fmt.Errorf("%w: %s is not a number of 0 or more", errMalformed, n.name)
+			return nil, fmt.Errorf("%w: %s is not a number from 0 to below 2^53", errMalformed, n.name)
 		}
 		*n.to = x
 	}
@@ -213,11 +214,11 @@
 	if err := q.Check(reached); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	q.At = min(q.At, reached) // a gateway whose clock is ahead must not lengthen the wait
+	q.At = min(q.At, reached) // a gateway whose clock is ahead must not prolong the wait
 	return q, nil
 }
 
-// status maps an outcome; after is in seconds.
+// status returns the HTTP status of an outcome and, after, the value of Retry-After in seconds; 0: none.
 func status(o core.Outcome) (status, after int) {
 	switch {
 	case o.Verdict == core.Served:
@@ -232,7 +233,7 @@
 	return http.StatusBadGateway, 0
 }
 
-// respond writes the one answer.
+// respond writes the answer, with a Retry-After header of after seconds unless that is 0.
 func respond(conn net.Conn, status, after int, body []byte) {
 	b := pool.Get(pool.Size)[:0]
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
@@ -246,8 +247,8 @@
 	pool.Put(b)
 }
 
-// linger ends a connection so that the caller can read the answer: closing it with bytes unread would reset
-// it, and the answer with it.
+// linger closes the writing side and discards input for a while before the connection is closed. Closing a connection with
+// unread bytes would reset it, and the caller could lose the answer.
 func linger(conn net.Conn) {
 	if t, ok := conn.(*net.TCPConn); ok {
 		t.CloseWrite()
--- a/internal/net/uwsgi/runner.go
+++ b/internal/net/uwsgi/runner.go
@@ -21,7 +21,7 @@
 	"puffinsaddle/policy"
 )
 
-// Runner runs requests by sending them to uwsgi servers.
+// Runner runs requests by forwarding them to uwsgi servers.
 type Runner struct {
 	servers    atomic.Pointer[[]string]
 	mostResult int
@@ -31,30 +31,30 @@
 	next       atomic.Uint32
 }
 
-// NewRunner makes a runner behind the core.
+// NewRunner returns a runner that uses the servers and the limit of results in set.
 func NewRunner(set config.UWSGI, clk *clock.Clock, log zerolog.Logger) *Runner {
 	r := &Runner{mostResult: set.MaxResult, clock: clk, log: log}
 	r.Move(set.Servers)
 	return r
 }
 
-// Move sends what starts from now on to other servers.
+// Move replaces the list of servers; attempts in flight stay on their connections.
 func (r *Runner) Move(servers []string) { r.servers.Store(&servers) }
 
-// Start sends the request on, and tells the end.
+// Start forwards the request of an attempt and notifies the attempt of its end.
 func (r *Runner) Start(a *core.Attempt) {
 	go func() {
 		begun := r.clock.Now()
 		outcome, result, err := r.run(a)
 		if err != nil {
-			r.log.Warn().Err(err).Str("id", a.Request.ID).Msg("run failed")
+			r.log.Warn().Err(err).Str("id", a.Request.ID).Msg("attempt failed")
 		}
 		a.Notify(core.Notice{Ended: true, Outcome: outcome, Took: r.clock.Now() - begun, Body: result})
 	}()
 }
 
-// run makes one attempt. Another server is tried only while no byte can have left for the last one: after
-// that the request may have had its effect.
+// run makes one attempt. It moves on to the next server only if the connection to the previous one failed: once bytes
+// may have been sent, the request may have had its effect.
 func (r *Runner) run(a *core.Attempt) (policy.Outcome, []byte, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -73,7 +73,7 @@
 	}
 	var conn net.Conn
 	first, servers := r.next.Add(1), *r.servers.Load()
-	err = errors.New("no uwsgi server is left")
+	err = errors.New("no uwsgi servers are configured")
 	for i := range servers {
 		at := servers[(int(first)+i)%len(servers)]
 		if conn, err = r.dialer.DialContext(ctx, "tcp", at); err == nil {
@@ -92,7 +92,7 @@
 	return r.response(conn)
 }
 
-// response reads the HTTP response of a server.
+// response reads the HTTP response of a server and returns a copy of its body in a buffer from the pool.
 func (r *Runner) response(conn net.Conn) (policy.Outcome, []byte, error) {
 	resp, err := http.ReadResponse(bufio.NewReaderSize(conn, 4096), nil)
 	if err != nil {
@@ -100,29 +100,29 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return policy.Failed, nil, fmt.Errorf("the server answered %s", resp.Status)
+		return policy.Failed, nil, fmt.Errorf("uwsgi server answered with status %s", resp.Status)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(r.mostResult)+1))
 	if err == nil && len(body) > r.mostResult {
-		err = errors.New("the result is too long")
+		err = errors.New("result is larger than uwsgi.max_result")
 	}
 	if err != nil {
-		return policy.Failed, nil, err // cut short: not the result that the run made
+		return policy.Failed, nil, err // truncated: not the result that the server produced
 	}
 	return policy.OK, pool.Copy(body), nil
 }
 
-// Return is for runs that make calls; these make none that we see.
+// Return does nothing: uwsgi servers make no downstream calls through the order server.
 func (r *Runner) Return(*core.Attempt, uint64, []byte) {}
 
-// Skip is for runs that make calls.
+// Skip does nothing: uwsgi servers make no downstream calls through the order server.
 func (r *Runner) Skip(*core.Attempt, uint64) {}
 
-// Drop lets the run go on to its end or its due time: to break it off would not undo it.
+// Drop does nothing: the attempt continues to its end or to its due time, since breaking it off would not undo it.
 func (r *Runner) Drop(*core.Attempt) {}
 
-// Meter tells nothing: a uwsgi server has no gauges, and the module then counts its own starts.
+// Meter never calls back: uwsgi servers have no gauges, and without gauges the policy module counts its own starts.
 func (r *Runner) Meter(func([]float64)) {}
 
-// Diagnose can't tell.
+// Diagnose always reports false: uwsgi servers offer no deep health check.
 func (r *Runner) Diagnose(func(bool)) bool { return false }
--- a/internal/net/vault/vault.go
+++ b/internal/net/vault/vault.go
@@ -1,9 +1,9 @@
-// Package vault makes calls to the vault over HTTP/1.1, each on a connection of its own. A call is given up by
-// closing its connection, and none is ever sent twice from here: repeats are the module's choice.
+// Package vault makes calls to the vault over HTTP/1.1, each on its own connection. A call is cancelled by closing its
+// connection. The package never retries a call: retries are decided by the policy module.
 //
-// A connection is not used again. What may follow a good reply (a second copy, noise) can come at any time
-// later, so no look at an idle connection proves that the next reply read from it belongs to the next call;
-// and one that the vault has forgotten spoils the call that finds it so.
+// Connections are not reused. Stray bytes after a valid reply (a duplicate, garbage) can arrive at any later time, so no
+// check of an idle connection proves that the next reply read from it belongs to the next call. A connection that the
+// vault has dropped without notice would also fail the call that reuses it.
 package vault
 
 import (
@@ -23,13 +23,15 @@
 )
 
 const (
-	mostReply   = 64 << 10 // bytes of a reply's body; true ones are a few KiB
-	mostHeads   = 16 << 10 // bytes of all heads before it
-	mostInterim = 8        // 1xx heads before the final one
-	unseen      = "X-Refused-Unseen"
+	mostReply   = 64 << 10 // of a reply's body; genuine ones have a few KiB
+	mostHeads   = 16 << 10 // of all status lines and headers of a reply, 1xx responses included
+	mostInterim = 8        // 1xx responses before the final one
+
+	// unseen is the header of replies with status 503 or 409 to calls that the vault refused and did not run.
+	unseen = "X-Refused-Unseen"
 )
 
-// Client makes the calls.
+// Client makes calls to one vault.
 type Client struct {
 	clock  *clock.Clock
 	dialer net.Dialer
@@ -38,17 +40,18 @@
 	address string
 }
 
-// New makes a client of one vault.
+// New returns a client of the vault at address.
 func New(address string, clk *clock.Clock) *Client { return &Client{address: address, clock: clk} }
 
-// Move sends the calls to come to a new address; those under way go on where they are.
+// Move directs future calls to a new address; calls in flight stay on their connections.
 func (c *Client) Move(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.address = address
 }
 
-// Call makes one call and tells how it ended. The reply's buffer is the caller's.
+// Call makes one call of at most maxMs milliseconds and returns its outcome and the reply. The caller owns the buffer of
+// the reply.
 func (c *Client) Call(ctx context.Context, id string, maxMs float64, body []byte) (policy.Outcome, []byte) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -60,7 +63,7 @@
 	c.mu.Unlock()
 	conn, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return policy.Unreached, nil // never connected, so no call ran, whatever ended the dialing
+		return policy.Unreached, nil // never connected, so no call ran, whatever the cause
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
@@ -71,7 +74,7 @@
 	return outcome, reply
 }
 
-// exchange sends one call on a connection and reads the reply; a break tells nothing about what ran.
+// exchange sends one call on a connection and reads the reply. If the connection breaks, it is unknown whether the call ran.
 func exchange(conn net.Conn, id string, maxMs float64, body []byte) (policy.Outcome, []byte) {
 	b := pool.Get(pool.Size)[:0]
 	b = fmt.Appendf(b, "POST /v2/read HTTP/1.1\r\nHost: vault\r\nX-Ticket: %s\r\nX-Max-Ms: %d\r\nContent-Length: %d\r\n\r\n",
@@ -82,12 +85,12 @@
 	if err != nil {
 		return policy.CutOff, nil
 	}
-	// Guards against heads without end, and against replies that keep coming.
+	// The limit guards against endless headers and endless replies.
 	resp, err := finalHead(bufio.NewReaderSize(io.LimitReader(conn, mostHeads+mostReply), 4096))
 	if err != nil {
 		return policy.CutOff, nil
 	}
-	reply, err := readBody(resp) // never closed: to close a body of 3 GB reads it to its end
+	reply, err := readBody(resp) // never closed: closing a body of 3 GB would read it to its end
 	if err != nil {
 		pool.Put(reply)
 		return policy.CutOff, nil
@@ -109,7 +112,7 @@
 	return outcome, nil
 }
 
-// finalHead reads past the 1xx heads, which come before the answer and are none.
+// finalHead skips the interim 1xx responses and returns the final one.
 func finalHead(r *bufio.Reader) (*http.Response, error) {
 	for range mostInterim + 1 {
 		resp, err := http.ReadResponse(r, nil)
@@ -117,14 +120,14 @@
 			return resp, err
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols || resp.StatusCode < http.StatusContinue {
-			return nil, fmt.Errorf("status %d", resp.StatusCode)
+			return nil, fmt.Errorf("unexpected status %d", resp.StatusCode)
 		}
 	}
-	return nil, errors.New("no end of 1xx heads")
+	return nil, errors.New("too many 1xx responses")
 }
 
-// readBody reads a body whose end is told: one that ends with its connection may have been cut short, and a
-// cut reply must not reach a run.
+// readBody reads a body of declared length or in chunked encoding. A body that ends with its connection may be
+// truncated, and a truncated reply must not reach an attempt.
 func readBody(resp *http.Response) ([]byte, error) {
 	n := resp.ContentLength
 	switch {
@@ -135,7 +138,7 @@
 		_, err := io.ReadFull(resp.Body, b)
 		return b, err
 	case len(resp.TransferEncoding) == 0:
-		return nil, errors.New("no length")
+		return nil, errors.New("reply has neither a length nor chunked encoding")
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, mostReply+1))
 	if err == nil && len(b) > mostReply {
