--- a/internal/net/executor/executor.go
+++ b/internal/net/executor/executor.go
@@ -35,9 +35,9 @@
 
 // Link is the connection to the executor. It is re-established whenever it breaks.
 type Link struct {
-	// Silent bounds the silence of the executor after its WELCOME; a link that receives nothing for this long is
+	// ReadTimeout bounds the silence of the executor after its WELCOME; a link that receives nothing for this long is
 	// reconnected. It must be set before Run.
-	Silent time.Duration
+	ReadTimeout time.Duration
 
 	log  zerolog.Logger
 	up   func(cold, another bool)
@@ -74,13 +74,13 @@
 // New returns a link to the executor at address; Run has to be called next. The function up is called at each WELCOME:
 // cold means that the executor is still booting, another that it is not the executor of the previous WELCOME.
 func New(address string, log zerolog.Logger, up func(cold, another bool)) *Link {
-	return &Link{Silent: silentFor, address: address, leave: func() {}, log: log, up: up, kick: make(chan struct{}, 1), runs: map[string]*run{},
+	return &Link{ReadTimeout: silentFor, address: address, leave: func() {}, log: log, up: up, kick: make(chan struct{}, 1), runs: map[string]*run{},
 		acks: map[string]*run{}, meters: map[string]func([]float64){}, checks: map[string]func(bool){}}
 }
 
-// Move reconnects the link to a new address of the same executor. Attempts and the numbering of notices continue; what
+// SetAddress reconnects the link to a new address of the same executor. Attempts and the numbering of notices continue; what
 // was in transit on the old connection is recovered as after any break.
-func (l *Link) Move(address string) {
+func (l *Link) SetAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.address != address {
@@ -284,7 +284,7 @@
 	r, welcomed := bufio.NewReaderSize(conn, 64<<10), false
 	for {
 		if welcomed { // detects a peer that vanished without closing the connection; one that boots may stay silent
-			if err := conn.SetReadDeadline(time.Now().Add(l.Silent)); err != nil {
+			if err := conn.SetReadDeadline(time.Now().Add(l.ReadTimeout)); err != nil {
 				return err
 			}
 		}
--- a/internal/net/uwsgi/runner.go
+++ b/internal/net/uwsgi/runner.go
@@ -34,12 +34,12 @@
 // NewRunner returns a runner that uses the servers and the limit of results in set.
 func NewRunner(set config.UWSGI, clk *clock.Clock, log zerolog.Logger) *Runner {
 	r := &Runner{mostResult: set.MaxResult, clock: clk, log: log}
-	r.Move(set.Servers)
+	r.SetServers(set.Servers)
 	return r
 }
 
-// Move replaces the list of servers; attempts in flight stay on their connections.
-func (r *Runner) Move(servers []string) { r.servers.Store(&servers) }
+// SetServers replaces the list of servers; attempts in flight stay on their connections.
+func (r *Runner) SetServers(servers []string) { r.servers.Store(&servers) }
 
 // Start forwards the request of an attempt and notifies the attempt of its end.
 func (r *Runner) Start(a *core.Attempt) {
--- a/internal/net/vault/vault.go
+++ b/internal/net/vault/vault.go
@@ -43,8 +43,8 @@
 // New returns a client of the vault at address.
 func New(address string, clk *clock.Clock) *Client { return &Client{address: address, clock: clk} }
 
-// Move directs future calls to a new address; calls in flight stay on their connections.
-func (c *Client) Move(address string) {
+// SetAddress directs future calls to a new address; calls in flight stay on their connections.
+func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.address = address
