--- a/internal/net/executor/executor.go
+++ b/internal/net/executor/executor.go
@@ -24,13 +24,13 @@
 )
 
 const (
-	redial      = 20 * time.Millisecond
-	dialFor     = 2 * time.Second // of one attempt to connect; the address is dialled again afterwards
-	mostPayload = 1 << 20         // of a result or the body of a call; the protocol allows 4 KiB
-	mostWaiting = 4 << 20         // of commands queued for a slow executor; beyond this the link is reconnected
-	anewSlack   = time.Second     // tolerates clock adjustments; a restart of the executor takes longer
-	mostAsked   = 64              // METER callbacks, and as many DIAG callbacks, that may be outstanding
-	silentFor   = 3 * time.Second // the policy module reads the gauges twice a second, so a link silent for this long is dead
+	redialDelay        = 20 * time.Millisecond
+	dialTimeout        = 2 * time.Second // of one attempt to connect; the address is dialled again afterwards
+	maxPayloadBytes    = 1 << 20         // of a result or the body of a call; the protocol allows 4 KiB
+	maxUnsentBytes     = 4 << 20         // of commands queued for a slow executor; beyond this the link is reconnected
+	restartTolerance   = time.Second     // tolerates clock adjustments; a restart of the executor takes longer
+	maxPendingQueries  = 64              // METER callbacks, and as many DIAG callbacks, that may be outstanding
+	defaultReadTimeout = 3 * time.Second // the policy module reads the gauges twice a second, so a link silent for this long is dead
 )
 
 // Link is the connection to the executor. It is re-established whenever it breaks.
@@ -39,88 +39,89 @@
 	// reconnected. It must be set before Run.
 	ReadTimeout time.Duration
 
-	log  zerolog.Logger
-	up   func(cold, another bool)
-	kick chan struct{}
-
-	mu      sync.Mutex
-	address string
-	leave   func() // cancels the current connection, or the dial in progress
-	conn    net.Conn
-	ready   bool                       // the barrier has passed: commands are sent as they are submitted
-	fence   string                     // tag of the METER whose answer follows all notices from the time without a link
-	out     []byte                     // commands queued for the writer
-	last    uint64                     // number of the last notice read
-	met     time.Time                  // time of the last WELCOME
-	another bool                       // the executor was replaced; reported with the next WELCOME
-	seq     uint64                     // source of tags, and the order in which attempts were started
-	runs    map[string]*run            // by request id
-	acks    map[string]*run            // by the tag of the METER that was sent after the reply to a call
-	meters  map[string]func([]float64) // by the tag of the METER
-	checks  map[string]func(bool)      // by the tag of the DIAG
+	log       zerolog.Logger
+	onWelcome func(cold, replaced bool)
+	wakeup    chan struct{}
+
+	mu             sync.Mutex
+	address        string
+	disconnect     func() // cancels the current connection, or the dial in progress
+	conn           net.Conn
+	ready          bool                       // the barrier has passed: commands are sent as they are submitted
+	barrierTag     string                     // tag of the METER whose answer follows all notices from the time without a link
+	unsent         []byte                     // commands queued for the writer
+	lastNotice     uint64                     // number of the last notice read
+	lastWelcome    time.Time                  // time of the last WELCOME
+	replaced       bool                       // the executor was replaced; reported with the next WELCOME
+	seq            uint64                     // source of tags, and the order in which attempts were started
+	runs           map[string]*run            // by request id
+	replyAcks      map[string]*run            // by the tag of the METER that was sent after the reply to a call
+	meterCallbacks map[string]func([]float64) // by the tag of the METER
+	diagCallbacks  map[string]func(bool)      // by the tag of the DIAG
 }
 
 // run is an attempt that was given to the executor, or is queued for it.
 type run struct {
-	attempt *core.Attempt
-	seq     uint64
-	command []byte // the last command; nil once a notice, or the answer to a later command, confirms its arrival
-	sent    bool   // the last command was written to a link, possibly one that broke
-	begun   bool   // any command of the attempt was sent
-	call    uint64 // number of the notice whose call the last command replies to; 0: it is not a reply
-	ack     string // tag of the METER sent after the last command
+	attempt     *core.Attempt
+	seq         uint64
+	unconfirmed []byte // the last command; nil once a notice, or the answer to a later command, confirms its arrival
+	sent        bool   // the last command was queued on a connection, possibly one that broke
+	started     bool   // any command of the attempt was sent
+	replyTo     uint64 // number of the notice whose call the last command replies to; 0: it is not a reply
+	ackTag      string // tag of the METER sent after the last command
 }
 
-// New returns a link to the executor at address; Run has to be called next. The function up is called at each WELCOME:
-// cold means that the executor is still booting, another that it is not the executor of the previous WELCOME.
-func New(address string, log zerolog.Logger, up func(cold, another bool)) *Link {
-	return &Link{ReadTimeout: silentFor, address: address, leave: func() {}, log: log, up: up, kick: make(chan struct{}, 1), runs: map[string]*run{},
-		acks: map[string]*run{}, meters: map[string]func([]float64){}, checks: map[string]func(bool){}}
+// New returns a link to the executor at address; Run has to be called next. The link calls onWelcome at each WELCOME: cold
+// means that the executor is still booting, replaced that it is not the executor of the previous WELCOME.
+func New(address string, log zerolog.Logger, onWelcome func(cold, replaced bool)) *Link {
+	return &Link{ReadTimeout: defaultReadTimeout, address: address, disconnect: func() {}, log: log, onWelcome: onWelcome,
+		wakeup: make(chan struct{}, 1), runs: map[string]*run{}, replyAcks: map[string]*run{},
+		meterCallbacks: map[string]func([]float64){}, diagCallbacks: map[string]func(bool){}}
 }
 
-// SetAddress reconnects the link to a new address of the same executor. Attempts and the numbering of notices continue; what
-// was in transit on the old connection is recovered as after any break.
+// SetAddress reconnects the link to a new address of the same executor. Attempts and the numbering of notices continue;
+// what was in transit on the old connection is recovered as after any break.
 func (l *Link) SetAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.address != address {
 		l.address = address
-		l.leave()
+		l.disconnect()
 	}
 }
 
 // Run keeps the link connected until the context ends.
 func (l *Link) Run(ctx context.Context) {
-	d := net.Dialer{Timeout: dialFor}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	for ctx.Err() == nil {
-		here, leave := context.WithCancel(ctx)
+		connCtx, cancel := context.WithCancel(ctx)
 		l.mu.Lock()
 		address := l.address
-		l.leave = leave
+		l.disconnect = cancel
 		l.mu.Unlock()
-		conn, err := d.DialContext(here, "tcp", address)
+		conn, err := dialer.DialContext(connCtx, "tcp", address)
 		if err == nil {
-			stop := context.AfterFunc(here, func() { conn.Close() })
-			err = l.hold(conn)
+			stop := context.AfterFunc(connCtx, func() { conn.Close() })
+			err = l.serve(conn)
 			stop()
 			conn.Close()
 			l.log.Warn().Err(err).Str("at", address).Msg("executor link ended")
 		}
 		select {
-		case <-here.Done(): // the address changed: dial the new one at once
-		case <-time.After(redial):
+		case <-connCtx.Done(): // the address changed: dial the new one at once
+		case <-time.After(redialDelay):
 		}
-		leave()
+		cancel()
 	}
 }
 
-// hold joins the executor on one connection and serves the connection until it ends.
-func (l *Link) hold(conn net.Conn) error {
+// serve joins the executor on one connection and serves the connection until it ends.
+func (l *Link) serve(conn net.Conn) error {
 	l.mu.Lock()
-	l.conn, l.ready, l.fence = conn, false, ""
-	l.out = append(l.out[:0], fmt.Sprintf("JOIN %d\r\n", l.last)...)
-	clear(l.acks)
-	clear(l.meters) // requested on the previous connection; nothing waits for them
+	l.conn, l.ready, l.barrierTag = conn, false, ""
+	l.unsent = append(l.unsent[:0], fmt.Sprintf("JOIN %d\r\n", l.lastNotice)...)
+	clear(l.replyAcks)
+	clear(l.meterCallbacks) // requested on the previous connection; nothing waits for them
 	l.mu.Unlock()
 	done := make(chan struct{})
 	defer func() {
@@ -129,34 +130,36 @@
 		l.mu.Unlock()
 		close(done)
 	}()
-	go l.write(conn, done)
-	l.wake()
-	return l.read(conn)
+	go l.writeLoop(conn, done)
+	l.wakeWriter()
+	return l.readLoop(conn)
 }
 
-func (l *Link) wake() {
+// wakeWriter signals the writer that commands are queued. It never blocks.
+func (l *Link) wakeWriter() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (l *Link) write(conn net.Conn, done <-chan struct{}) {
+// writeLoop writes queued commands to conn until the connection ends.
+func (l *Link) writeLoop(conn net.Conn, done <-chan struct{}) {
 	var buf []byte
 	for {
 		select {
 		case <-done:
-			l.wake() // the signal may have been meant for the writer of the next connection
+			l.wakeWriter() // the signal may have been meant for the writer of the next connection
 			return
-		case <-l.kick:
+		case <-l.wakeup:
 		}
 		l.mu.Lock()
 		if l.conn != conn {
 			l.mu.Unlock()
-			l.wake()
+			l.wakeWriter()
 			return
 		}
-		buf, l.out = l.out, buf[:0]
+		buf, l.unsent = l.unsent, buf[:0]
 		l.mu.Unlock()
 		if len(buf) == 0 {
 			continue
@@ -168,61 +171,61 @@
 	}
 }
 
-// send queues a command for the writer. The caller holds the lock.
-func (l *Link) send(b []byte) {
+// enqueue queues a command for the writer. The caller holds the lock.
+func (l *Link) enqueue(b []byte) {
 	if l.conn == nil {
 		return
 	}
-	if len(l.out)+len(b) > mostWaiting {
+	if len(l.unsent)+len(b) > maxUnsentBytes {
 		l.log.Error().Msg("executor does not read commands; reconnecting")
 		l.conn.Close()
 		return
 	}
-	l.out = append(l.out, b...)
-	l.wake()
+	l.unsent = append(l.unsent, b...)
+	l.wakeWriter()
 }
 
-// command sends a command of an attempt, or keeps it until the link is ready. The command is retained until a notice
+// submit sends a command of an attempt, or keeps it until the link is ready. The command is retained until a notice
 // confirms that it arrived.
-func (l *Link) command(id string, call uint64, b []byte) {
+func (l *Link) submit(id string, replyTo uint64, command []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.runs[id]
 	if r == nil {
 		return
 	}
-	r.command, r.call, r.sent = b, call, false
+	r.unconfirmed, r.replyTo, r.sent = command, replyTo, false
 	if l.ready {
-		l.give(r)
+		l.sendCommand(r)
 	}
 }
 
-// give sends the last command of an attempt, and after the reply to a call a METER: the executor reads commands in
+// sendCommand queues the last command of an attempt and, after the reply to a call, a METER: the executor reads commands in
 // order, so the answer to the METER confirms that the reply arrived. The caller holds the lock.
-func (l *Link) give(r *run) {
-	r.sent, r.begun = true, true
-	l.send(r.command)
-	if r.call > 0 {
+func (l *Link) sendCommand(r *run) {
+	r.sent, r.started = true, true
+	l.enqueue(r.unconfirmed)
+	if r.replyTo > 0 {
 		l.seq++
-		r.ack = "a" + strconv.FormatUint(l.seq, 10)
-		l.acks[r.ack] = r
-		l.send([]byte("METER " + r.ack + "\r\n"))
+		r.ackTag = "a" + strconv.FormatUint(l.seq, 10)
+		l.replyAcks[r.ackTag] = r
+		l.enqueue([]byte("METER " + r.ackTag + "\r\n"))
 	}
 }
 
-// again sends once more what the previous connection may have lost. It reports true for a reply to a call that can be
+// resend sends again what the previous connection may have lost. It reports true for a reply to a call that can be
 // neither resent nor skipped. A RETURN does not name its call: if the first one arrived, a second one would be taken for
 // the reply to the next call of the attempt. A BYPASS names the call that it skips, so it has no effect if the reply
 // arrived. The caller holds the lock.
-func (l *Link) again(r *run) (lost bool) {
-	if r.sent && r.call > 0 {
+func (l *Link) resend(r *run) (lost bool) {
+	if r.sent && r.replyTo > 0 {
 		if !r.attempt.Skippable {
-			r.command = nil
+			r.unconfirmed = nil
 			return true
 		}
-		r.command, r.call = fmt.Appendf(nil, "BYPASS %s %d\r\n", r.attempt.Request.ID, r.call), 0
+		r.unconfirmed, r.replyTo = fmt.Appendf(nil, "BYPASS %s %d\r\n", r.attempt.Request.ID, r.replyTo), 0
 	}
-	l.give(r)
+	l.sendCommand(r)
 	return false
 }
 
@@ -235,52 +238,52 @@
 	l.mu.Unlock()
 	b := make([]byte, 0, len(q.Body)+len(q.Class)+40)
 	b = fmt.Appendf(b, "EXEC %s %s %d\r\n", q.ID, q.Class, len(q.Body))
-	l.command(q.ID, 0, append(append(b, q.Body...), "\r\n"...))
+	l.submit(q.ID, 0, append(append(b, q.Body...), "\r\n"...))
 }
 
 // Return sends the reply to the call of a notice.
 func (l *Link) Return(a *core.Attempt, notice uint64, reply []byte) {
 	b := fmt.Appendf(make([]byte, 0, len(reply)+40), "RETURN %s %d\r\n", a.Request.ID, len(reply))
-	l.command(a.Request.ID, notice, append(append(b, reply...), "\r\n"...))
+	l.submit(a.Request.ID, notice, append(append(b, reply...), "\r\n"...))
 }
 
 // Skip lets an attempt continue without the call of a notice.
 func (l *Link) Skip(a *core.Attempt, notice uint64) {
-	l.command(a.Request.ID, 0, fmt.Appendf(nil, "BYPASS %s %d\r\n", a.Request.ID, notice))
+	l.submit(a.Request.ID, 0, fmt.Appendf(nil, "BYPASS %s %d\r\n", a.Request.ID, notice))
 }
 
 // Drop does nothing: the executor detects by itself that a caller disconnected or got its answer.
 func (l *Link) Drop(*core.Attempt) {}
 
 // Meter requests the gauges.
-func (l *Link) Meter(got func([]float64)) {
+func (l *Link) Meter(callback func([]float64)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.ready || len(l.meters) >= mostAsked {
+	if !l.ready || len(l.meterCallbacks) >= maxPendingQueries {
 		return
 	}
 	l.seq++
 	tag := "m" + strconv.FormatUint(l.seq, 10)
-	l.meters[tag] = got
-	l.send([]byte("METER " + tag + "\r\n"))
+	l.meterCallbacks[tag] = callback
+	l.enqueue([]byte("METER " + tag + "\r\n"))
 }
 
 // Diagnose requests a deep health check. It reports false if none can be requested now.
-func (l *Link) Diagnose(answer func(good bool)) bool {
+func (l *Link) Diagnose(callback func(healthy bool)) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.ready || len(l.checks) >= mostAsked {
+	if !l.ready || len(l.diagCallbacks) >= maxPendingQueries {
 		return false
 	}
 	l.seq++
 	tag := "d" + strconv.FormatUint(l.seq, 10)
-	l.checks[tag] = answer
-	l.send([]byte("DIAG " + tag + "\r\n"))
+	l.diagCallbacks[tag] = callback
+	l.enqueue([]byte("DIAG " + tag + "\r\n"))
 	return true
 }
 
-// read handles notices until the connection ends or the executor violates the protocol.
-func (l *Link) read(conn net.Conn) error {
+// readLoop handles notices until the connection ends or the executor violates the protocol.
+func (l *Link) readLoop(conn net.Conn) error {
 	r, welcomed := bufio.NewReaderSize(conn, 64<<10), false
 	for {
 		if welcomed { // detects a peer that vanished without closing the connection; one that boots may stay silent
@@ -299,7 +302,7 @@
 		var body []byte
 		if words[0] == "EXIT" || words[0] == "CALLOUT" {
 			n, err := strconv.Atoi(words[len(words)-1])
-			if err != nil || n < 0 || n > mostPayload {
+			if err != nil || n < 0 || n > maxPayloadBytes {
 				return fmt.Errorf("invalid body length: %q", line)
 			}
 			body = pool.Get(n)
@@ -314,125 +317,127 @@
 				return errors.New("body is not terminated by CRLF")
 			}
 		}
-		if err := l.notice(words, body); err != nil {
+		if err := l.handleNotice(words, body); err != nil {
 			return fmt.Errorf("%w: %q", err, words)
 		}
 		welcomed = welcomed || words[0] == "WELCOME"
 	}
 }
 
-// anew reports whether the executor started after the previous WELCOME and therefore replaced the one that sent it.
-// Such an executor numbers its notices from 1 and reports nothing about the attempts of its predecessor. These fail here,
-// since it is unknown whether they had their effect.
-func (l *Link) anew(now time.Time, ageMs float64) bool {
+// checkReplaced reports whether the executor started after the previous WELCOME and therefore replaced the one that sent
+// it. Such an executor numbers its notices from 1 and reports nothing about the attempts of its predecessor. These fail
+// here, since it is unknown whether they had their effect.
+func (l *Link) checkReplaced(now time.Time, ageMS float64) bool {
 	l.mu.Lock()
-	began := now.Add(-time.Duration(ageMs * float64(time.Millisecond)))
-	another := !l.met.IsZero() && began.After(l.met.Add(anewSlack))
-	l.met = now
-	var gone []*run
-	if another {
-		l.last, l.another = 0, true
+	startedAt := now.Add(-time.Duration(ageMS * float64(time.Millisecond)))
+	replaced := !l.lastWelcome.IsZero() && startedAt.After(l.lastWelcome.Add(restartTolerance))
+	l.lastWelcome = now
+	var abandoned []*run
+	if replaced {
+		l.lastNotice, l.replaced = 0, true
 		for id, r := range l.runs {
-			if r.begun {
-				gone = append(gone, r)
+			if r.started {
+				abandoned = append(abandoned, r)
 				delete(l.runs, id)
 			}
 		}
 	}
 	l.mu.Unlock()
-	for _, r := range gone {
+	for _, r := range abandoned {
 		l.log.Warn().Str("id", r.attempt.Request.ID).Msg("executor was replaced; attempt failed")
 		r.attempt.Notify(core.Notice{Ended: true, Outcome: policy.Failed})
 	}
-	return another
+	return replaced
 }
 
-var errAnew = errors.New("executor was replaced; joining again from its first notice")
+var errExecutorReplaced = errors.New("executor was replaced; joining again from its first notice")
 
 var errMalformed = errors.New("malformed notice")
 
-func (l *Link) notice(w []string, body []byte) error {
+// handleNotice handles one notice; an error ends the connection.
+func (l *Link) handleNotice(words []string, body []byte) error {
 	switch {
-	case w[0] == "WELCOME" && len(w) == 3:
-		ms, err := strconv.ParseFloat(w[2], 64)
+	case words[0] == "WELCOME" && len(words) == 3:
+		ms, err := strconv.ParseFloat(words[2], 64)
 		if err != nil {
 			return errMalformed
 		}
-		l.log.Info().Str("state", w[1]).Float64("age_ms", ms).Msg("executor link up")
-		if l.anew(time.Now(), ms) {
-			return errAnew
+		l.log.Info().Str("state", words[1]).Float64("age_ms", ms).Msg("executor link up")
+		if l.checkReplaced(time.Now(), ms) {
+			return errExecutorReplaced
 		}
 		l.mu.Lock()
-		another := l.another
-		l.another = false
+		replaced := l.replaced
+		l.replaced = false
 		l.mu.Unlock()
-		l.up(w[1] == "booting", another)
+		l.onWelcome(words[1] == "booting", replaced)
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		// Only notices show which commands of the previous connection reached the executor. The answer to this METER
 		// follows all of those notices, so a command that has none by then did not arrive.
 		l.seq++
-		l.fence = "f" + strconv.FormatUint(l.seq, 10)
-		l.send([]byte("METER " + l.fence + "\r\n"))
-	case w[0] == "EXIT" && len(w) == 6:
-		n, err := strconv.ParseUint(w[1], 10, 64)
-		ms, err2 := strconv.ParseFloat(w[4], 64)
+		l.barrierTag = "f" + strconv.FormatUint(l.seq, 10)
+		l.enqueue([]byte("METER " + l.barrierTag + "\r\n"))
+	case words[0] == "EXIT" && len(words) == 6:
+		n, err := strconv.ParseUint(words[1], 10, 64)
+		ms, err2 := strconv.ParseFloat(words[4], 64)
 		if err != nil || err2 != nil {
 			return errMalformed
 		}
 		outcome, ok := map[string]policy.Outcome{"success": policy.OK, "failure": policy.Failed,
-			"interrupted": policy.Cancelled, "nothing": policy.Moot}[w[3]]
+			"interrupted": policy.Cancelled, "nothing": policy.Moot}[words[3]]
 		if !ok {
 			return errMalformed
 		}
-		l.tell(n, w[2], core.Notice{Ended: true, N: n, Outcome: outcome, Took: ms, Body: body})
-	case w[0] == "CALLOUT" && len(w) == 4:
-		n, err := strconv.ParseUint(w[1], 10, 64)
+		l.deliver(n, words[2], core.Notice{Ended: true, N: n, Outcome: outcome, Took: ms, Body: body})
+	case words[0] == "CALLOUT" && len(words) == 4:
+		n, err := strconv.ParseUint(words[1], 10, 64)
 		if err != nil {
 			return errMalformed
 		}
-		l.tell(n, w[2], core.Notice{N: n, Body: body})
-	case w[0] == "METERS" && len(w) >= 2:
-		l.metered(w[1], w[2:])
-	case w[0] == "DIAGNOSED" && len(w) == 3:
-		l.diagnosed(w[1], w[2] == "success")
-	case w[0] == "BAD" && len(w) >= 3:
-		l.log.Debug().Strs("notice", w).Msg("executor rejected a command") // debug level: faulty clients can cause any number of these
-		if w[1] == "EXEC" {                                                // the request never ran, and no EXIT will follow
-			l.tell(0, w[2], core.Notice{Ended: true, Outcome: policy.Moot, Forged: true})
+		l.deliver(n, words[2], core.Notice{N: n, Body: body})
+	case words[0] == "METERS" && len(words) >= 2:
+		l.handleMeters(words[1], words[2:])
+	case words[0] == "DIAGNOSED" && len(words) == 3:
+		l.handleDiagnosed(words[1], words[2] == "success")
+	case words[0] == "BAD" && len(words) >= 3:
+		// Logged at debug level, since faulty clients can cause any number of these.
+		l.log.Debug().Strs("notice", words).Msg("executor rejected a command")
+		if words[1] == "EXEC" { // the request never ran, and no EXIT will follow
+			l.deliver(0, words[2], core.Notice{Ended: true, Outcome: policy.Moot, Forged: true})
 		}
-		if w[1] == "METER" { // a site may have no gauges; the answer serves as barrier and acknowledgement all the same
-			l.metered(w[2], nil)
+		if words[1] == "METER" { // a site may have no gauges; the answer serves as barrier and acknowledgement all the same
+			l.handleMeters(words[2], nil)
 		}
-		if w[1] == "DIAG" {
-			l.diagnosed(w[2], true) // an executor without deep checks counts as healthy
+		if words[1] == "DIAG" {
+			l.handleDiagnosed(words[2], true) // an executor without deep checks counts as healthy
 		}
-	case w[0] == "BAD":
-	case w[0] == "LOG" && len(w) >= 2:
-		if n, err := strconv.ParseUint(w[1], 10, 64); err == nil {
-			l.tell(n, "", core.Notice{})
+	case words[0] == "BAD":
+	case words[0] == "LOG" && len(words) >= 2:
+		if n, err := strconv.ParseUint(words[1], 10, 64); err == nil {
+			l.deliver(n, "", core.Notice{})
 		}
-		l.log.Debug().Strs("notice", w).Msg("executor")
+		l.log.Debug().Strs("notice", words).Msg("executor")
 	default:
 		return errMalformed
 	}
 	return nil
 }
 
-// tell delivers a notice to its attempt once; after a reconnect, the executor may repeat notices.
-func (l *Link) tell(n uint64, id string, notice core.Notice) {
+// deliver delivers a notice to its attempt once; after a reconnect, the executor may repeat notices.
+func (l *Link) deliver(n uint64, id string, notice core.Notice) {
 	l.mu.Lock()
 	if n > 0 {
-		if n <= l.last {
+		if n <= l.lastNotice {
 			l.mu.Unlock()
 			pool.Put(notice.Body)
 			return
 		}
-		l.last = n
+		l.lastNotice = n
 	}
 	r := l.runs[id]
 	if r != nil {
-		r.command = nil
+		r.unconfirmed = nil
 		if notice.Ended {
 			delete(l.runs, id)
 		}
@@ -445,51 +450,55 @@
 	r.attempt.Notify(notice)
 }
 
-func (l *Link) diagnosed(tag string, good bool) {
+// handleDiagnosed passes the result of a deep health check to its callback.
+func (l *Link) handleDiagnosed(tag string, healthy bool) {
 	l.mu.Lock()
-	answer := l.checks[tag]
-	delete(l.checks, tag)
+	callback := l.diagCallbacks[tag]
+	delete(l.diagCallbacks, tag)
 	l.mu.Unlock()
-	if answer != nil {
-		answer(good)
+	if callback != nil {
+		callback(healthy)
 	}
 }
 
-func (l *Link) metered(tag string, values []string) {
+// handleMeters handles the answer to a METER. Depending on its tag, it confirms the reply to a call, ends the barrier after a
+// reconnect, upon which unconfirmed commands are sent again, or passes the gauges to their callback.
+func (l *Link) handleMeters(tag string, values []string) {
 	l.mu.Lock()
-	if r := l.acks[tag]; r != nil {
-		delete(l.acks, tag)
-		if r.ack == tag && r.call > 0 {
-			r.command = nil
+	if r := l.replyAcks[tag]; r != nil {
+		delete(l.replyAcks, tag)
+		if r.ackTag == tag && r.replyTo > 0 {
+			r.unconfirmed = nil
 		}
 	}
 	var lost []*run
-	if tag == l.fence && !l.ready {
+	if tag == l.barrierTag && !l.ready {
 		l.ready = true
-		var again []*run
+		var toResend []*run
 		for _, r := range l.runs {
-			if r.command != nil {
-				again = append(again, r)
+			if r.unconfirmed != nil {
+				toResend = append(toResend, r)
 			}
 		}
-		sort.Slice(again, func(i, j int) bool { return again[i].seq < again[j].seq })
-		for _, r := range again {
-			if l.again(r) {
+		sort.Slice(toResend, func(i, j int) bool { return toResend[i].seq < toResend[j].seq })
+		for _, r := range toResend {
+			if l.resend(r) {
 				lost = append(lost, r)
 			}
 		}
-		for tag := range l.checks { // a broken link does not make the executor unhealthy: request the check again
-			l.send([]byte("DIAG " + tag + "\r\n"))
+		for tag := range l.diagCallbacks { // a broken link does not make the executor unhealthy: request the check again
+			l.enqueue([]byte("DIAG " + tag + "\r\n"))
 		}
 	}
-	got := l.meters[tag]
-	delete(l.meters, tag)
+	callback := l.meterCallbacks[tag]
+	delete(l.meterCallbacks, tag)
 	l.mu.Unlock()
 	for _, r := range lost {
-		l.log.Warn().Str("id", r.attempt.Request.ID).Msg("reply to a call may be lost with the link and cannot be resent; attempt failed")
+		l.log.Warn().Str("id", r.attempt.Request.ID).
+			Msg("reply to a call may be lost with the link and cannot be resent; attempt failed")
 		r.attempt.Notify(core.Notice{Lost: true})
 	}
-	if got == nil {
+	if callback == nil {
 		return
 	}
 	gauges := make([]float64, len(values))
@@ -500,5 +509,5 @@
 		}
 		gauges[i] = x
 	}
-	got(gauges)
+	callback(gauges)
 }
--- a/internal/net/respfront/codec.go
+++ b/internal/net/respfront/codec.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	mostBody   = 2 << 10 // by the protocol
-	mostNumber = 1 << 53 // up to here a float64 represents every integer
+	maxBodyBytes    = 2 << 10 // by the protocol
+	maxExactInteger = 1 << 53 // up to here a float64 represents every integer
 )
 
-// errValue marks a well-formed request with an invalid value.
-var errValue = errors.New("value out of range")
+// errInvalidValue marks a well-formed request with an invalid value.
+var errInvalidValue = errors.New("value out of range")
 
 // fields are the key-value pairs of a command, such as a=1,b=2.
 type fields map[string]string
 
+// parseFields parses the fields of a command.
 func parseFields(b []byte) (fields, error) {
 	f := fields{}
 	if len(b) == 0 {
@@ -38,49 +39,49 @@
 	return f, nil
 }
 
-// number parses a required number from 0 to below mostNumber.
+// number parses a required number from 0 to below maxExactInteger.
 func (f fields) number(key string, err *error) float64 {
 	x, e := strconv.ParseFloat(f[key], 64)
-	if !(e == nil && x >= 0 && x < mostNumber) && *err == nil { // written so that it also rejects NaN
-		*err = fmt.Errorf("%w: field %q", errValue, key)
+	if !(e == nil && x >= 0 && x < maxExactInteger) && *err == nil { // written so that it also rejects NaN
+		*err = fmt.Errorf("%w: field %q", errInvalidValue, key)
 	}
 	return x
 }
 
-// request parses the arguments REQ TAG CLASS FIELDS BODY; the body may be missing. The result refers to the arguments
+// parseRequest parses the arguments REQ TAG CLASS FIELDS BODY; the body may be missing. The result refers to the arguments
 // only by its body.
-func request(args [][]byte, now float64) (*core.Request, error) {
+func parseRequest(args [][]byte, now float64) (*core.Request, error) {
 	if len(args) < 4 || len(args) > 5 {
 		return nil, errors.New("REQ requires a tag, a class, fields and an optional body")
 	}
 	f, err := parseFields(args[3])
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errValue, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidValue, err)
 	}
 	q := &core.Request{
 		ID: strings.Clone(f["id"]), Class: string(args[2]), At: f.number("at", &err), From: int64(f.number("from", &err)),
 		Retry: f["retry"] == "1", KB: f.number("kb", &err), Rank: f.number("rank", &err), Key: strings.Clone(f["key"]),
 		Once: strings.Clone(f["once"]), For: strings.Clone(f["tenant"]),
 	}
-	for key, to := range map[string]*float64{"wait": &q.Wait, "cost": &q.Cost} { // optional, and above 0 if present
-		if _, told := f[key]; told {
-			if *to = f.number(key, &err); *to == 0 && err == nil {
-				err = fmt.Errorf("%w: field %q", errValue, key)
+	for key, target := range map[string]*float64{"wait": &q.Wait, "cost": &q.Cost} { // optional, and above 0 if present
+		if _, present := f[key]; present {
+			if *target = f.number(key, &err); *target == 0 && err == nil {
+				err = fmt.Errorf("%w: field %q", errInvalidValue, key)
 			}
 		}
 	}
-	if _, told := f["once"]; told && q.Once == "" && err == nil {
-		err = fmt.Errorf("%w: field %q", errValue, "once")
+	if _, present := f["once"]; present && q.Once == "" && err == nil {
+		err = fmt.Errorf("%w: field %q", errInvalidValue, "once")
 	}
 	if e := q.Check(now); e != nil && err == nil {
-		err = fmt.Errorf("%w: %w", errValue, e)
+		err = fmt.Errorf("%w: %w", errInvalidValue, e)
 	}
 	switch {
 	case err != nil:
-	case !wireID(q.ID):
-		err = fmt.Errorf(`%w: field "id" is not 16 hexadecimal digits`, errValue)
-	case len(args) == 5 && len(args[4]) > mostBody:
-		err = fmt.Errorf("%w: body is too long", errValue)
+	case !isRequestID(q.ID):
+		err = fmt.Errorf(`%w: field "id" is not 16 hexadecimal digits`, errInvalidValue)
+	case len(args) == 5 && len(args[4]) > maxBodyBytes:
+		err = fmt.Errorf("%w: body is too long", errInvalidValue)
 	}
 	if err != nil {
 		return nil, err
@@ -91,8 +92,8 @@
 	return q, nil
 }
 
-// wireID reports whether s consists of 16 hexadecimal digits.
-func wireID(s string) bool {
+// isRequestID reports whether s consists of 16 hexadecimal digits.
+func isRequestID(s string) bool {
 	if len(s) != 16 {
 		return false
 	}
@@ -104,8 +105,8 @@
 	return true
 }
 
-// word returns the protocol's name of an outcome.
-func word(o core.Outcome) string {
+// outcomeName returns the protocol's name of an outcome.
+func outcomeName(o core.Outcome) string {
 	switch o.Verdict {
 	case core.Served:
 		return "done"
@@ -117,17 +118,17 @@
 
 // appendAnswer appends the answer to a request: its tag, the name of the outcome, the fields and, if it was served, the
 // result. The field say carries the hint to callers, if there is one.
-func appendAnswer(b []byte, tag uint64, say float64, says bool, o core.Outcome) []byte {
-	parts := 3
+func appendAnswer(b []byte, tag uint64, hint float64, hasHint bool, o core.Outcome) []byte {
+	elements := 3
 	if o.Verdict == core.Served {
-		parts = 4
+		elements = 4
 	}
-	b = redcon.AppendArray(b, parts)
+	b = redcon.AppendArray(b, elements)
 	b = redcon.AppendBulk(b, strconv.AppendUint(nil, tag, 10))
-	b = redcon.AppendBulkString(b, word(o))
+	b = redcon.AppendBulkString(b, outcomeName(o))
 	var f []byte
-	if says {
-		f = fmt.Appendf(f, ",say=%s", strconv.FormatFloat(say, 'f', -1, 64))
+	if hasHint {
+		f = fmt.Appendf(f, ",say=%s", strconv.FormatFloat(hint, 'f', -1, 64))
 	}
 	if o.Verdict == core.Refused && o.After > 0 {
 		f = fmt.Appendf(f, ",after=%d", int64(math.Ceil(o.After)))
@@ -146,16 +147,16 @@
 }
 
 // appendHealth appends the answer to a health check: its tag, the state and the hint to callers, if there is one.
-func appendHealth(b []byte, tag uint64, say float64, says, good bool) []byte {
+func appendHealth(b []byte, tag uint64, hint float64, hasHint, healthy bool) []byte {
 	state := "sick"
-	if good {
+	if healthy {
 		state = "healthy"
 	}
 	b = redcon.AppendArray(b, 3)
 	b = redcon.AppendBulk(b, strconv.AppendUint(nil, tag, 10))
 	b = redcon.AppendBulkString(b, state)
-	if says {
-		return redcon.AppendBulkString(b, "say="+strconv.FormatFloat(say, 'f', -1, 64))
+	if hasHint {
+		return redcon.AppendBulkString(b, "say="+strconv.FormatFloat(hint, 'f', -1, 64))
 	}
 	return redcon.AppendBulk(b, nil)
 }
--- a/internal/net/uwsgi/codec.go
+++ b/internal/net/uwsgi/codec.go
@@ -18,22 +18,22 @@
 // The variables that describe a request. The gateway sets them itself and must not copy them from headers of its callers.
 // All are optional; without varClass, the last element of the path names the class.
 const (
-	varClass = "ORDER_CLASS"  // the class; default: from the path, such as /book-delivery
-	varID    = "ORDER_ID"     // 16 hexadecimal digits; default: random
-	varAt    = "ORDER_AT"     // arrival at the machine, in Unix milliseconds; default: now
-	varWait  = "ORDER_WAIT"   // how long the caller waits from then on, in milliseconds; default: the deadline of the class
-	varFrom  = "ORDER_FROM"   // the number of the caller
-	varRetry = "ORDER_RETRY"  // 1: a retry
-	varKey   = "ORDER_KEY"    // the subject of a read
-	varKB    = "ORDER_KB"     // memory reserved for the request, in KB
-	varRank  = "ORDER_RANK"   // the rank, from 0 to below 1
-	varOnce  = "ORDER_ONCE"   // in keyed classes: the idempotency key, the same for all attempts of one request
-	varFor   = "ORDER_TENANT" // the tenant
-	varCost  = "ORDER_COST"   // the expected work, in milliseconds on one core
+	varClass          = "ORDER_CLASS"  // the class; default: from the path, such as /book-delivery
+	varID             = "ORDER_ID"     // 16 hexadecimal digits; default: random
+	varArrival        = "ORDER_AT"     // arrival at the machine, in Unix milliseconds; default: now
+	varWait           = "ORDER_WAIT"   // how long the caller waits from then on, in milliseconds; default: the deadline of the class
+	varCaller         = "ORDER_FROM"   // the number of the caller
+	varRetry          = "ORDER_RETRY"  // 1: a retry
+	varKey            = "ORDER_KEY"    // the subject of a read
+	varKB             = "ORDER_KB"     // memory reserved for the request, in KB
+	varRank           = "ORDER_RANK"   // the rank, from 0 to below 1
+	varIdempotencyKey = "ORDER_ONCE"   // in keyed classes: the idempotency key, the same for all attempts of one request
+	varTenant         = "ORDER_TENANT" // the tenant
+	varCost           = "ORDER_COST"   // the expected work, in milliseconds on one core
 )
 
-// mostVars is the largest size of the variables that the header can express.
-const mostVars = 1<<16 - 1
+// maxVarsBytes is the largest size of the variables that the header can express.
+const maxVarsBytes = 1<<16 - 1
 
 var (
 	errMalformed = errors.New("malformed packet")
@@ -46,19 +46,19 @@
 	body []byte // from the pool
 }
 
-// readPacket reads one packet with a body of at most mostBody bytes. It returns io.EOF if the connection ends before the
-// first byte of the packet.
-func readPacket(r io.Reader, mostBody int) (*packet, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+// readPacket reads one packet with a body of at most maxBodyBytes. It returns io.EOF if the connection ends before the first
+// byte of the packet.
+func readPacket(r io.Reader, maxBodyBytes int) (*packet, error) {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
-	if head[0] != 0 || head[3] != 0 {
-		return nil, fmt.Errorf("%w: modifiers %d and %d are not those of a request", errMalformed, head[0], head[3])
+	if header[0] != 0 || header[3] != 0 {
+		return nil, fmt.Errorf("%w: modifiers %d and %d are not those of a request", errMalformed, header[0], header[3])
 	}
-	block := make([]byte, binary.LittleEndian.Uint16(head[1:3]))
+	block := make([]byte, binary.LittleEndian.Uint16(header[1:3]))
 	if _, err := io.ReadFull(r, block); err != nil {
-		return nil, noEOF(err)
+		return nil, unexpectedEOF(err)
 	}
 	vars, err := parseVars(block)
 	if err != nil {
@@ -70,37 +70,38 @@
 			return nil, fmt.Errorf("%w: CONTENT_LENGTH is not a valid length", errMalformed)
 		}
 	}
-	if length > mostBody {
+	if length > maxBodyBytes {
 		return nil, fmt.Errorf("%w: a body of %d bytes", errOversized, length)
 	}
 	body := pool.Get(length)
 	if _, err := io.ReadFull(r, body); err != nil {
 		pool.Put(body)
-		return nil, noEOF(err)
+		return nil, unexpectedEOF(err)
 	}
 	return &packet{vars, body}, nil
 }
 
-// ReadPacket reads one request, as a server does, and returns its variables and its body.
-func ReadPacket(r io.Reader, mostBody int) (map[string]string, []byte, error) {
-	p, err := readPacket(r, mostBody)
+// ReadPacket reads one request, as a server does, and returns its variables and its body of at most maxBodyBytes.
+func ReadPacket(r io.Reader, maxBodyBytes int) (map[string]string, []byte, error) {
+	p, err := readPacket(r, maxBodyBytes)
 	if err != nil {
 		return nil, nil, err
 	}
 	return p.vars, p.body, nil
 }
 
-// noEOF turns io.EOF within a packet into io.ErrUnexpectedEOF.
-func noEOF(err error) error {
+// unexpectedEOF turns io.EOF within a packet into io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
+// parseVars parses the block of variables of a packet: names and values in turn, each preceded by its length.
 func parseVars(b []byte) (map[string]string, error) {
 	vars := map[string]string{}
-	word := func() (string, bool) {
+	readString := func() (string, bool) {
 		if len(b) < 2 {
 			return "", false
 		}
@@ -113,11 +114,11 @@
 		return s, true
 	}
 	for len(b) > 0 {
-		k, ok := word()
+		k, ok := readString()
 		if !ok || k == "" {
 			return nil, fmt.Errorf("%w: empty or truncated name of a variable", errMalformed)
 		}
-		v, ok := word()
+		v, ok := readString()
 		if !ok {
 			return nil, fmt.Errorf("%w: truncated value of %q", errMalformed, k)
 		}
@@ -134,7 +135,7 @@
 		names = append(names, k)
 		size += 4 + len(k) + len(v)
 	}
-	if size > mostVars {
+	if size > maxVarsBytes {
 		return b, fmt.Errorf("%w: variables of %d bytes", errOversized, size)
 	}
 	sort.Strings(names)
--- a/internal/net/vault/vault.go
+++ b/internal/net/vault/vault.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	mostReply   = 64 << 10 // of a reply's body; genuine ones have a few KiB
-	mostHeads   = 16 << 10 // of all status lines and headers of a reply, 1xx responses included
-	mostInterim = 8        // 1xx responses before the final one
+	maxReplyBytes       = 64 << 10 // of a reply's body; genuine ones have a few KiB
+	maxHeaderBytes      = 16 << 10 // of all status lines and headers of a reply, 1xx responses included
+	maxInterimResponses = 8        // 1xx responses before the final one
 
-	// unseen is the header of replies with status 503 or 409 to calls that the vault refused and did not run.
-	unseen = "X-Refused-Unseen"
+	// refusedUnseenHeader is the header of replies with status 503 or 409 to calls that the vault refused and did not run.
+	refusedUnseenHeader = "X-Refused-Unseen"
 )
 
 // Client makes calls to one vault.
@@ -50,12 +50,12 @@
 	c.address = address
 }
 
-// Call makes one call of at most maxMs milliseconds and returns its outcome and the reply. The caller owns the buffer of
+// Call makes one call of at most timeoutMS milliseconds and returns its outcome and the reply. The caller owns the buffer of
 // the reply.
-func (c *Client) Call(ctx context.Context, id string, maxMs float64, body []byte) (policy.Outcome, []byte) {
+func (c *Client) Call(ctx context.Context, id string, timeoutMS float64, body []byte) (policy.Outcome, []byte) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := c.clock.After(maxMs, func() { cancel(context.DeadlineExceeded) })
+	timer := c.clock.After(timeoutMS, func() { cancel(context.DeadlineExceeded) })
 	defer timer.Stop()
 
 	c.mu.Lock()
@@ -67,18 +67,18 @@
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
-	outcome, reply := exchange(conn, id, maxMs, body)
+	outcome, reply := roundTrip(conn, id, timeoutMS, body)
 	if !stop() && outcome == policy.CutOff && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		outcome = policy.TimedOut
 	}
 	return outcome, reply
 }
 
-// exchange sends one call on a connection and reads the reply. If the connection breaks, it is unknown whether the call ran.
-func exchange(conn net.Conn, id string, maxMs float64, body []byte) (policy.Outcome, []byte) {
+// roundTrip sends one call on a connection and reads the reply. If the connection breaks, it is unknown whether the call ran.
+func roundTrip(conn net.Conn, id string, timeoutMS float64, body []byte) (policy.Outcome, []byte) {
 	b := pool.Get(pool.Size)[:0]
 	b = fmt.Appendf(b, "POST /v2/read HTTP/1.1\r\nHost: vault\r\nX-Ticket: %s\r\nX-Max-Ms: %d\r\nContent-Length: %d\r\n\r\n",
-		id, int64(max(math.Ceil(maxMs), 1)), len(body))
+		id, int64(max(math.Ceil(timeoutMS), 1)), len(body))
 	b = append(b, body...)
 	_, err := conn.Write(b)
 	pool.Put(b)
@@ -86,7 +86,7 @@
 		return policy.CutOff, nil
 	}
 	// The limit guards against endless headers and endless replies.
-	resp, err := finalHead(bufio.NewReaderSize(io.LimitReader(conn, mostHeads+mostReply), 4096))
+	resp, err := readFinalResponse(bufio.NewReaderSize(io.LimitReader(conn, maxHeaderBytes+maxReplyBytes), 4096))
 	if err != nil {
 		return policy.CutOff, nil
 	}
@@ -99,9 +99,9 @@
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return policy.OK, reply
-	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(unseen) == "1":
+	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(refusedUnseenHeader) == "1":
 		outcome = policy.Full
-	case resp.StatusCode == http.StatusConflict && resp.Header.Get(unseen) == "1":
+	case resp.StatusCode == http.StatusConflict && resp.Header.Get(refusedUnseenHeader) == "1":
 		outcome = policy.Moot
 	case resp.StatusCode == http.StatusGatewayTimeout:
 		outcome = policy.TimedOut
@@ -112,9 +112,9 @@
 	return outcome, nil
 }
 
-// finalHead skips the interim 1xx responses and returns the final one.
-func finalHead(r *bufio.Reader) (*http.Response, error) {
-	for range mostInterim + 1 {
+// readFinalResponse skips the interim 1xx responses and returns the final one.
+func readFinalResponse(r *bufio.Reader) (*http.Response, error) {
+	for range maxInterimResponses + 1 {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil || resp.StatusCode >= http.StatusOK {
 			return resp, err
@@ -131,7 +131,7 @@
 func readBody(resp *http.Response) ([]byte, error) {
 	n := resp.ContentLength
 	switch {
-	case n > mostReply:
+	case n > maxReplyBytes:
 		return nil, errors.New("reply too long")
 	case n >= 0:
 		b := pool.Get(int(n))
@@ -140,8 +140,8 @@
 	case len(resp.TransferEncoding) == 0:
 		return nil, errors.New("reply has neither a length nor chunked encoding")
 	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, mostReply+1))
-	if err == nil && len(b) > mostReply {
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
+	if err == nil && len(b) > maxReplyBytes {
 		err = errors.New("reply too long")
 	}
 	return b, err
