--- a/internal/net/executor/executor.go
+++ b/internal/net/executor/executor.go
@@ -24,13 +24,13 @@
 )
 
 const (
-	redialDelay        = 20 * time.Millisecond
-	dialTimeout        = 2 * time.Second // of one attempt to connect; the address is dialled again afterwards
-	maxPayloadBytes    = 1 << 20         // of a result or the body of a call; the protocol allows 4 KiB
-	maxUnsentBytes     = 4 << 20         // of commands queued for a slow executor; beyond this the link is reconnected
-	restartTolerance   = time.Second     // tolerates clock adjustments; a restart of the executor takes longer
-	maxPendingQueries  = 64              // METER callbacks, and as many DIAG callbacks, that may be outstanding
-	defaultReadTimeout = 3 * time.Second // the policy module reads the gauges twice a second, so a link silent for this long is dead
+	redialDelay        = 20 * time.Millisecond // between two attempts to connect
+	dialTimeout        = 2 * time.Second       // of one attempt to connect; the address is dialled again afterwards
+	maxPayloadBytes    = 1 << 20               // of a result or the body of a call; the protocol allows 4 KiB
+	maxSendBufferBytes = 4 << 20               // of commands queued for a slow executor; beyond this the link is reconnected
+	restartTolerance   = time.Second           // tolerates clock adjustments; a restart of the executor takes longer
+	maxPendingQueries  = 64                    // METER callbacks, and as many DIAG callbacks, that may be outstanding
+	defaultReadTimeout = 3 * time.Second       // the policy module reads the gauges twice a second, so a link this silent is dead
 )
 
 // Link is the connection to the executor. It is re-established whenever it breaks.
@@ -49,7 +49,7 @@
 	conn           net.Conn
 	ready          bool                       // the barrier has passed: commands are sent as they are submitted
 	barrierTag     string                     // tag of the METER whose answer follows all notices from the time without a link
-	unsent         []byte                     // commands queued for the writer
+	sendBuffer     []byte                     // commands queued for the writer
 	lastNotice     uint64                     // number of the last notice read
 	lastWelcome    time.Time                  // time of the last WELCOME
 	replaced       bool                       // the executor was replaced; reported with the next WELCOME
@@ -119,7 +119,7 @@
 func (l *Link) serve(conn net.Conn) error {
 	l.mu.Lock()
 	l.conn, l.ready, l.barrierTag = conn, false, ""
-	l.unsent = append(l.unsent[:0], fmt.Sprintf("JOIN %d\r\n", l.lastNotice)...)
+	l.sendBuffer = append(l.sendBuffer[:0], fmt.Sprintf("JOIN %d\r\n", l.lastNotice)...)
 	clear(l.replyAcks)
 	clear(l.meterCallbacks) // requested on the previous connection; nothing waits for them
 	l.mu.Unlock()
@@ -159,7 +159,7 @@
 			l.wakeWriter()
 			return
 		}
-		buf, l.unsent = l.unsent, buf[:0]
+		buf, l.sendBuffer = l.sendBuffer, buf[:0]
 		l.mu.Unlock()
 		if len(buf) == 0 {
 			continue
@@ -176,12 +176,12 @@
 	if l.conn == nil {
 		return
 	}
-	if len(l.unsent)+len(b) > maxUnsentBytes {
+	if len(l.sendBuffer)+len(b) > maxSendBufferBytes {
 		l.log.Error().Msg("executor does not read commands; reconnecting")
 		l.conn.Close()
 		return
 	}
-	l.unsent = append(l.unsent, b...)
+	l.sendBuffer = append(l.sendBuffer, b...)
 	l.wakeWriter()
 }
 
--- a/internal/net/respfront/front.go
+++ b/internal/net/respfront/front.go
@@ -30,12 +30,12 @@
 
 const (
 	maxOpenRequests       = 32        // on a connection, by the protocol
-	maxUnsentBytes        = 512 << 10 // of queued answers; the connection of a slower reader is closed
+	maxSendBufferBytes    = 512 << 10 // of queued answers; the connection of a slower reader is closed
 	sweepIntervalMS       = 500       // between two searches for idle connections
 	idleTimeoutMS         = 5000      // after this, an idle connection is asked to close, also if the platform sets a longer time
-	closeGraceMS          = 1000      // from that request until the front closes the connection; some routers ignore the request
+	closeGraceMS          = 1000      // from the closing message until the front closes the connection; some routers ignore it
 	maxInvalidRequests    = 8         // on a connection; the next one ends it
-	invalidRequestDelayMS = 50.0      // pause in reading after each invalid request
+	invalidRequestDelayMS = 50.0      // reading stops for this long after each invalid request
 
 	firstCommandTimeout = 2 * time.Second // until the first command of a new connection is complete
 	commandTimeout      = 2 * time.Second // from the first byte of a command to its last
@@ -107,11 +107,11 @@
 	return victim != nil && f.closeIfIdle(victim)
 }
 
-// closeIfIdle closes a connection unless it has open requests, unsent answers or new input, and reports whether it did.
+// closeIfIdle closes a connection unless it has open requests, queued answers or new input, and reports whether it did.
 // Closing would cut off a request that has just arrived: as bytes in the socket, as a command read in part, or as a
 // complete one being handled. stopIfIdle holds the connection's lock from its first check to its decision, after which
 // nothing more is read. The reader takes bytes from the socket under the same lock, so a command is always seen in one of
-// these places. A command that crosses the close on the wire is sent again by its router. The caller holds the front's
+// these places. A command that crosses the close on the wire is retried by its router. The caller holds the front's
 // lock.
 func (f *Front) closeIfIdle(c *conn) bool {
 	if !c.stopIfIdle() {
@@ -122,12 +122,12 @@
 	return true
 }
 
-// stopIfIdle stops reading from a connection without open requests, unsent answers or input, asks its router to send no
+// stopIfIdle stops reading from a connection without open requests, queued answers or input, asks its router to send no
 // more, and reports whether it did so.
 func (c *conn) stopIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.inCommand || len(c.openRequests) > 0 || c.writing || len(c.unsent) > 0 || !accept.Quiet(c.nc) {
+	if c.inCommand || len(c.openRequests) > 0 || c.writing || len(c.sendBuffer) > 0 || !accept.Quiet(c.nc) {
 		return false
 	}
 	c.broken = true
@@ -237,7 +237,7 @@
 	mu              sync.Mutex
 	inCommand       bool                     // a command was partly read, or a complete one is being handled; set by the reader only
 	openRequests    map[uint64]*core.Handler // by tag; nil until the handler is known
-	unsent          []byte
+	sendBuffer      []byte
 	writing         bool
 	closingSent     bool    // the closing message was sent or queued
 	closingSentMS   float64 // in Unix milliseconds
@@ -522,13 +522,13 @@
 	}
 }
 
-// enqueue queues for the writer what appendTo appends to the unsent bytes. It never blocks.
+// enqueue queues for the writer what appendTo appends to the send buffer. It never blocks.
 func (c *conn) enqueue(appendTo func([]byte) []byte) {
 	c.mu.Lock()
-	c.unsent = appendTo(c.unsent)
-	overflow := !c.broken && len(c.unsent) > maxUnsentBytes
+	c.sendBuffer = appendTo(c.sendBuffer)
+	overflow := !c.broken && len(c.sendBuffer) > maxSendBufferBytes
 	if c.broken = c.broken || overflow; c.broken {
-		c.unsent = nil
+		c.sendBuffer = nil
 	}
 	c.mu.Unlock()
 	if overflow {
@@ -562,7 +562,7 @@
 func (c *conn) idleSince(ms float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.openRequests) == 0 && !c.inCommand && !c.writing && len(c.unsent) == 0 && c.lastUsedMS <= ms
+	return len(c.openRequests) == 0 && !c.inCommand && !c.writing && len(c.sendBuffer) == 0 && c.lastUsedMS <= ms
 }
 
 // closingSentBy reports whether the closing message was sent at ms or before, in Unix milliseconds.
@@ -593,7 +593,7 @@
 func (c *conn) hasPendingData() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.broken && (c.writing || len(c.unsent) > 0 || !c.readDone && (c.inCommand || !accept.Quiet(c.nc)))
+	return !c.broken && (c.writing || len(c.sendBuffer) > 0 || !c.readDone && (c.inCommand || !accept.Quiet(c.nc)))
 }
 
 // writeLoop sends what is queued, and closes the connection once no further answers are due.
@@ -604,7 +604,7 @@
 	for range c.wakeup {
 		for {
 			c.mu.Lock()
-			buf, c.unsent = c.unsent, buf[:0]
+			buf, c.sendBuffer = c.sendBuffer, buf[:0]
 			c.writing = len(buf) > 0
 			finished := c.broken || c.readDone && len(c.openRequests) == 0 && len(buf) == 0
 			c.mu.Unlock()
