--- a/internal/net/uwsgi/codec.go
+++ b/internal/net/uwsgi/codec.go
@@ -1,7 +1,7 @@
-// Package uwsgi speaks the uwsgi protocol on both sides: a front that takes requests from gateways, and a
-// runner that sends requests on to uwsgi servers. A packet is a header of four bytes (modifier1, the size of
-// the variables as a little-endian u16, modifier2), the variables, and a body of CONTENT_LENGTH bytes; the
-// answer is an HTTP response, after which the connection ends.
+// Package uwsgi implements both sides of the uwsgi protocol: a front that accepts requests from gateways, and a runner
+// that forwards requests to uwsgi servers. A packet is a header of four bytes (modifier1, the size of the variables as a
+// little-endian uint16, modifier2), the variables, and a body of CONTENT_LENGTH bytes. The answer is an HTTP response,
+// after which the connection is closed.
 package uwsgi
 
 import (
@@ -15,49 +15,50 @@
 	"puffinsaddle/internal/pool"
 )
 
-// The variables that tell what a request is. A gateway sets them itself; it must not take them from its
-// callers' headers. All but the class may be absent.
+// The variables that describe a request. The gateway sets them itself and must not copy them from headers of its callers.
+// All are optional; without varClass, the last element of the path names the class.
 const (
-	varClass = "ORDER_CLASS" // else the path names it: /book-delivery
-	varID    = "ORDER_ID"    // 16 hex digits; else one is drawn
-	varAt    = "ORDER_AT"    // when it reached the machine, in Unix milliseconds; else now
-	varWait  = "ORDER_WAIT"  // how long the caller waits from then, in milliseconds; else the class's deadline
-	varFrom  = "ORDER_FROM"  // the number of the caller
-	varRetry = "ORDER_RETRY" // 1: a further try
-	varKey   = "ORDER_KEY"   // what a read is about
-	varKB    = "ORDER_KB"    // memory booked while it is held
-	varRank  = "ORDER_RANK"
-	varOnce  = "ORDER_ONCE"   // in keyed classes: the same for all tries of one request
-	varFor   = "ORDER_TENANT" // the tenant
-	varCost  = "ORDER_COST"   // the work to expect, in milliseconds on one core
+	varClass          = "ORDER_CLASS"  // the class; default: from the path, such as /book-delivery
+	varID             = "ORDER_ID"     // 16 hexadecimal digits; default: random
+	varArrival        = "ORDER_AT"     // arrival at the machine, in Unix milliseconds; default: now
+	varWait           = "ORDER_WAIT"   // how long the caller waits from then on, in milliseconds; default: the deadline of the class
+	varCaller         = "ORDER_FROM"   // the number of the caller
+	varRetry          = "ORDER_RETRY"  // 1: a retry
+	varKey            = "ORDER_KEY"    // the subject of a read
+	varKB             = "ORDER_KB"     // memory reserved for the request, in KB
+	varRank           = "ORDER_RANK"   // the rank, from 0 to below 1
+	varIdempotencyKey = "ORDER_ONCE"   // in keyed classes: the idempotency key, the same for all attempts of one request
+	varTenant         = "ORDER_TENANT" // the tenant
+	varCost           = "ORDER_COST"   // the expected work, in milliseconds on one core
 )
 
-// mostVars is the largest size that the header can tell.
-const mostVars = 1<<16 - 1
+// maxVarsBytes is the largest size of the variables that the header can express.
+const maxVarsBytes = 1<<16 - 1
 
 var (
 	errMalformed = errors.New("malformed packet")
 	errOversized = errors.New("packet too large")
 )
 
-// packet is one request as it stands on the wire.
+// packet is one request as sent on the wire.
 type packet struct {
 	vars map[string]string
 	body []byte // from the pool
 }
 
-// readPacket reads one packet whose body has at most so many bytes.
-func readPacket(r io.Reader, mostBody int) (*packet, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+// readPacket reads one packet with a body of at most maxBodyBytes. It returns io.EOF if the connection ends before the first
+// byte of the packet.
+func readPacket(r io.Reader, maxBodyBytes int) (*packet, error) {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
-	if head[0] != 0 || head[3] != 0 {
-		return nil, fmt.Errorf("%w: modifiers %d and %d are not for requests", errMalformed, head[0], head[3])
+	if header[0] != 0 || header[3] != 0 {
+		return nil, fmt.Errorf("%w: modifiers %d and %d are not those of a request", errMalformed, header[0], header[3])
 	}
-	block := make([]byte, binary.LittleEndian.Uint16(head[1:3]))
+	block := make([]byte, binary.LittleEndian.Uint16(header[1:3]))
 	if _, err := io.ReadFull(r, block); err != nil {
-		return nil, noEOF(err)
+		return nil, unexpectedEOF(err)
 	}
 	vars, err := parseVars(block)
 	if err != nil {
@@ -66,40 +67,41 @@
 	length := 0
 	if s := vars["CONTENT_LENGTH"]; s != "" {
 		if length, err = strconv.Atoi(s); err != nil || length < 0 {
-			return nil, fmt.Errorf("%w: CONTENT_LENGTH is not a length", errMalformed)
+			return nil, fmt.Errorf("%w: CONTENT_LENGTH is not a valid length", errMalformed)
 		}
 	}
-	if length > mostBody {
+	if length > maxBodyBytes {
 		return nil, fmt.Errorf("%w: a body of %d bytes", errOversized, length)
 	}
 	body := pool.Get(length)
 	if _, err := io.ReadFull(r, body); err != nil {
 		pool.Put(body)
-		return nil, noEOF(err)
+		return nil, unexpectedEOF(err)
 	}
 	return &packet{vars, body}, nil
 }
 
-// ReadPacket reads one request as a server does: its variables and its body.
-func ReadPacket(r io.Reader, mostBody int) (map[string]string, []byte, error) {
-	p, err := readPacket(r, mostBody)
+// ReadPacket reads one request, as a server does, and returns its variables and its body of at most maxBodyBytes.
+func ReadPacket(r io.Reader, maxBodyBytes int) (map[string]string, []byte, error) {
+	p, err := readPacket(r, maxBodyBytes)
 	if err != nil {
 		return nil, nil, err
 	}
 	return p.vars, p.body, nil
 }
 
-// noEOF tells an end within a packet from one before it.
-func noEOF(err error) error {
+// unexpectedEOF turns io.EOF within a packet into io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
+// parseVars parses the block of variables of a packet: names and values in turn, each preceded by its length.
 func parseVars(b []byte) (map[string]string, error) {
 	vars := map[string]string{}
-	word := func() (string, bool) {
+	readString := func() (string, bool) {
 		if len(b) < 2 {
 			return "", false
 		}
@@ -112,20 +114,20 @@
 		return s, true
 	}
 	for len(b) > 0 {
-		k, ok := word()
+		k, ok := readString()
 		if !ok || k == "" {
-			return nil, fmt.Errorf("%w: a variable's name", errMalformed)
+			return nil, fmt.Errorf("%w: empty or truncated name of a variable", errMalformed)
 		}
-		v, ok := word()
+		v, ok := readString()
 		if !ok {
-			return nil, fmt.Errorf("%w: the value of %q", errMalformed, k)
+			return nil, fmt.Errorf("%w: truncated value of %q", errMalformed, k)
 		}
 		vars[k] = v
 	}
 	return vars, nil
 }
 
-// AppendPacket writes a packet without its body; the variables go in order of their names.
+// AppendPacket appends a packet without its body to b. The variables are sorted by name.
 func AppendPacket(b []byte, vars map[string]string) ([]byte, error) {
 	names := make([]string, 0, len(vars))
 	size := 0
@@ -133,7 +135,7 @@
 		names = append(names, k)
 		size += 4 + len(k) + len(v)
 	}
-	if size > mostVars {
+	if size > maxVarsBytes {
 		return b, fmt.Errorf("%w: variables of %d bytes", errOversized, size)
 	}
 	sort.Strings(names)
