--- a/policy/api.go
+++ b/policy/api.go
@@ -2,151 +2,151 @@
 
 import "time"
 
-// ID names a request. The host picks it; no two requests of one instance share an ID.
+// ID identifies a request. The host assigns it; it is unique within an instance.
 type ID uint32
 
-// Safety says what a second run of a request would do.
+// Safety says whether a request may run more than once.
 type Safety int
 
-// The three kinds of safety.
+// The values of Safety.
 const (
 	Safe   Safety = iota // may run any number of times
-	Keyed                // carries a key; runs once within KeyTTL
-	Unsafe               // runs once, and nothing ties its tries together
+	Keyed                // carries an idempotency key; runs once within KeyTTL
+	Unsafe               // runs once; its attempts carry nothing that identifies them as one
 )
 
-// Hint says what callers make of the value sent with Advise.
+// Hint says how callers interpret the value of SetHint.
 type Hint int
 
-// The kinds of hint.
+// The values of Hint.
 const (
-	HintNone   Hint = iota // Advise must not be used
-	HintLevel              // callers send nothing whose Rank is under the value
-	HintCredit             // each caller has at most so many requests here
-	HintWeight             // the chance that a caller does not pass this instance over
+	HintNone   Hint = iota // SetHint must not be used
+	HintLevel              // callers send no request whose Rank is below the value
+	HintCredit             // maximum number of open requests of each caller
+	HintWeight             // probability that a caller considers this instance
 )
 
-// Class is one class of requests.
+// Class holds the settings of one class of requests.
 type Class struct {
 	Name       string
 	Aim        time.Duration // an answer within this earns the full worth
-	AimStretch float64       // Aim grows by this many times the request's own work
-	Deadline   time.Duration // how long a client waits altogether
+	AimStretch float64       // Aim grows by this multiple of the work of the request
+	Deadline   time.Duration // total time that a client waits
 	Worth      float64
-	LateValue  float64 // part of Worth earned after Aim and before Deadline
+	LateValue  float64 // part of Worth earned between Aim and Deadline
 	Safety     Safety
-	KeyTTL     time.Duration // for Keyed: how long a repeat may come
-	Calls      bool          // its requests may call what lies below
-	SkipWorth  float64       // part of Worth earned when a call is left out; 0: never leave out
+	KeyTTL     time.Duration // for Keyed: how long after the first attempt a repeat may arrive
+	Calls      bool          // its requests may make downstream calls
+	SkipWorth  float64       // part of Worth earned when a call is skipped; 0: calls are required
 }
 
-// Tenant is one of those who share the service.
+// Tenant holds the settings of one tenant of the service.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second inside its share, over all instances
+	Quota float64 // requests per second within its share, over all instances
 	Share float64
 }
 
-// Settings is all that an instance is told at its start.
+// Settings configures an instance.
 type Settings struct {
 	Classes        []Class
 	Tenants        []Tenant
-	Servers        int     // instances of this tier at the start
-	Callers        int     // callers of this tier at the start
-	Cores          int     // cores of this machine
-	MemoryKB       float64 // memory for held and running requests and remembered entries
-	EntryKB        float64 // memory of one remembered entry
-	RunFactor      float64 // memory of a running request over that of a held one
-	FreshFor       time.Duration
-	JustStarted    bool          // the instance starts cold
-	Cold           time.Duration // it is warm after this at the latest
-	ColdShare      float64       // part of its speed that a cold instance begins with
-	FallMultiple   float64       // running requests a core that a warm instance survives
-	FallSpan       time.Duration // the span over which they are averaged
-	AnswerSlack    time.Duration
-	DrainGrace     time.Duration
-	Tick           time.Duration // shortest gap between two calls of Handle
-	PassesDeadline bool          // Arrived.Left is told
-	MarksRetry     bool          // Arrived.Resent is told
-	Below          bool          // there is something below to call
-	BelowShare     float64       // this instance's share of calls that what lies below survives; 0: not told
-	CallSpan       time.Duration // the span over which these calls are averaged
-	Linger         time.Duration // a call given up stays there so long at most
+	Servers        int           // initial number of instances of this tier
+	Callers        int           // initial number of callers of this tier
+	Cores          int           // cores of this machine
+	MemoryKB       float64       // memory for queued and running requests and key table entries
+	EntryKB        float64       // memory of one key table entry
+	RunFactor      float64       // memory of a running request relative to a queued one
+	FreshFor       time.Duration // how long the result of a safe request may be shared
+	JustStarted    bool          // the machine is cold when the instance starts
+	Cold           time.Duration // time after which the machine is warm at the latest
+	ColdShare      float64       // initial speed of a cold instance relative to a warm one
+	FallMultiple   float64       // mean running requests per core above which a warm instance collapses
+	FallSpan       time.Duration // period of that mean
+	AnswerSlack    time.Duration // how long after its deadline an answer still counts
+	DrainGrace     time.Duration // requests that arrive later than this after DrainNotice never run
+	Tick           time.Duration // minimum interval between calls of Handle
+	PassesDeadline bool          // callers send Arrived.TimeLeft
+	MarksRetry     bool          // callers send Arrived.IsRetry
+	Below          bool          // there is a downstream tier to call
+	BelowShare     float64       // concurrent downstream calls allotted to this instance; 0: unlimited
+	CallSpan       time.Duration // period over which concurrent calls are averaged
+	Linger         time.Duration // maximum time that an abandoned call keeps running downstream
 	Hint           Hint
-	HintFor        time.Duration // how long a caller remembers the hint
-	Idle           time.Duration // callers close idle connections after this; 0: not told
-	MaxPause       time.Duration // longest advice to stay away that is heeded; 0: none is
-	OverShareWorth float64       // worth of a request over its tenant's share, as a part of its class's
-	WorthByWork    bool          // worth counts for each unit of work
-	BusyGauge      int           // place of each gauge in Woke.Gauges; -1: absent
+	HintFor        time.Duration // how long a caller applies a hint
+	Idle           time.Duration // callers close idle connections after this; 0: unknown
+	MaxPause       time.Duration // longest Refuse.RetryAfter that callers respect; 0: they ignore it
+	OverShareWorth float64       // worth of a request beyond its tenant's share, relative to its class
+	WorthByWork    bool          // Class.Worth is per unit of work, not per request
+	BusyGauge      int           // index of each gauge in TimerFired.Gauges; -1: absent
 	RunnableGauge  int
 	MemoryGauge    int
 	ConnGauge      int
 }
 
-// Outcome is how a run or a call ended.
+// Outcome is the result of a run or of a call.
 type Outcome int
 
-// The outcomes. Full, Unreached and Moot prove that nothing ran.
+// The values of Outcome. Full, Unreachable and NotRun prove that nothing ran.
 const (
-	OK Outcome = iota
-	Failed
-	Full
-	TimedOut
-	Unreached
-	CutOff
-	Cancelled
-	Moot
+	OK        Outcome = iota
+	Failed            // ran or may have run, and failed
+	Full              // refused for lack of capacity
+	TimedOut          // no reply within the time limit
+	Unreached         // no connection was established
+	CutOff            // the connection broke or the reply was malformed; the call may have run
+	Cancelled         // stopped before its end
+	Moot              // ended before it began
 )
 
-// Event is something that reached the instance.
+// Event is an input of an instance.
 type Event interface{ event() }
 
-// Arrived tells that a request was read and is now held.
+// Arrived reports that a request was read.
 type Arrived struct {
 	ID       ID
 	Class    string
 	Tenant   string
 	Caller   int64
-	Size     time.Duration // expected work; 0: not told
-	Waited   time.Duration // how long ago it reached the machine
-	Left     time.Duration // how long its caller still waits; 0: not told
-	KB       float64       // memory while held
-	Rank     float64       // place among all requests, 0 (least worth) to 1
-	Key      string        // what it is about; empty: not told
-	Write    bool
-	Resent   bool // known to be a further try
-	Original ID   // the remembered request that it repeats
-	Repeats  bool // Original is set
+	Size     time.Duration // expected work; 0: unknown
+	Waited   time.Duration // time since it reached the machine
+	Left     time.Duration // how long its caller still waits; 0: unknown
+	KB       float64       // memory while queued
+	Rank     float64       // rank among all requests, from 0 (least worth) to 1
+	Key      string        // the resource that it concerns; empty: unknown
+	Write    bool          // it changes the resource
+	Resent   bool          // marked as a retry by its caller
+	Original ID            // the request in the key table that it repeats
+	Repeats  bool          // Original is set
 }
 
-// Finished tells that a run, or a shared result, is over.
+// Finished reports that a run ended or that a shared result was sent.
 type Finished struct {
 	ID      ID
 	Outcome Outcome
 	Took    time.Duration
 }
 
-// CallNeeded tells that a running request stands at a call.
+// CallNeeded reports that a running request waits for a downstream call to be made.
 type CallNeeded struct{ ID ID }
 
-// CallReturned tells how a call ended.
+// CallReturned reports the outcome of a downstream call.
 type CallReturned struct {
 	ID      ID
 	Outcome Outcome
 	Took    time.Duration
 }
 
-// CallerGone tells that nobody waits for the request.
+// CallerGone reports that the caller no longer waits for the request.
 type CallerGone struct{ ID ID }
 
-// DrainNotice tells that the instance will be stopped.
+// DrainNotice reports that the process will be stopped.
 type DrainNotice struct {
-	Left time.Duration
-	Ago  time.Duration // how long ago the notice came
+	Left time.Duration // until the stop
+	Ago  time.Duration // since the notice was received
 }
 
-// Woke is the answer to WakeAt.
+// Woke reports that the timer of a SetTimer action fired, with the current gauges.
 type Woke struct {
 	Token  uint64
 	Gauges []float64
@@ -160,62 +160,62 @@
 func (DrainNotice) event()  {}
 func (Woke) event()         {}
 
-// Action is something that the host has to do, in the order given.
+// Action is an output of an instance. The host carries out actions in the given order.
 type Action interface{ action() }
 
-// Start runs a held request.
+// Start runs a queued request.
 type Start struct{ ID ID }
 
-// ShareResult answers a held request with the result of the one it repeats.
+// ShareResult answers a request with the result of the one that it repeats.
 type ShareResult struct{ ID ID }
 
-// Refuse turns a request away that never ran.
+// Refuse rejects a request that never ran.
 type Refuse struct {
 	ID      ID
-	Pause   time.Duration // advice to stay away; 0: none
-	NoRetry bool          // advice not to try elsewhere
+	Pause   time.Duration // how long the caller should wait before a retry; 0: no advice
+	NoRetry bool          // the caller should not retry at another server
 }
 
-// Fail answers a request with an error that promises nothing.
+// Fail answers a request with an error; the request may have run.
 type Fail struct{ ID ID }
 
-// Remember puts a request in the table of repeats.
+// Remember adds a request to the key table, in which the host looks up repeats.
 type Remember struct {
 	ID   ID
 	Span time.Duration
 }
 
-// Forget takes a request out of the table.
+// Forget removes a request from the key table.
 type Forget struct{ ID ID }
 
-// CallOut makes the call that a request waits for.
+// CallOut makes the downstream call that a request waits for.
 type CallOut struct {
 	ID      ID
 	MaxWait time.Duration
 }
 
-// SkipCall lets a request go on without its call.
+// SkipCall resumes a request without its downstream call.
 type SkipCall struct{ ID ID }
 
-// Health sets what checks hear from now on.
+// Health sets the answer to health checks from now on.
 type Health struct {
-	Shallow bool // answer from this setting alone
+	Shallow bool // answer from this setting alone, without running a request
 	Good    bool
 }
 
-// Advise sets the hint sent with every answer from now on.
+// Advise sets the hint sent with every answer from now on; Settings.Hint says how callers interpret it.
 type Advise struct{ Value float64 }
 
-// CloseIdle closes connections that carried nothing for this long.
+// CloseIdle closes connections that have been idle for this long, from now on.
 type CloseIdle struct{ After time.Duration }
 
-// WakeAt asks for a Woke event.
+// WakeAt requests a TimerFired event.
 type WakeAt struct {
 	At    time.Duration
 	Token uint64
 }
 
-// Note is a line for the operators' log.
+// Note writes a line to the log.
 type Note struct{ Text string }
 
 func (Start) action()       {}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkHandleFullHold measures one arrival and one end while the hold is full.
+// BenchmarkHandleFullHold measures one arrival and one end of a run while the queue is full.
 func BenchmarkHandleFullHold(b *testing.B) {
 	set := testSettings()
 	set.Cores, set.MemoryKB = 64, 1e9
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"puffinsaddle/policy"
 )
 
-// A host feeds what happened and carries out what comes back.
+// A host passes events to the instance and carries out the actions that it returns.
 func Example() {
 	n, err := policy.New(policy.Settings{
 		Classes: []policy.Class{
@@ -23,18 +23,18 @@
 		fmt.Println(err)
 		return
 	}
-	now := 5 * time.Second // any clock that does not go backwards
+	now := 5 * time.Second // of any monotonic clock
 	carryOut := func(actions []policy.Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
 			case policy.Start:
 				fmt.Println("run", a.ID)
 			case policy.Refuse:
-				fmt.Println("turn away", a.ID)
+				fmt.Println("refuse", a.ID)
 			case policy.Fail:
-				fmt.Println("answer with an error", a.ID)
+				fmt.Println("fail", a.ID)
 			case policy.WakeAt:
-				// Set a timer; then: n.Handle(a.At, []policy.Event{policy.Woke{Token: a.Token, Gauges: gauges}})
+				// Set a timer that calls n.Handle(a.At, []policy.Event{policy.Woke{Token: a.Token, Gauges: gauges}}).
 			}
 		}
 	}
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -13,7 +13,7 @@
 	a.Left = 300 * ms
 	r.do(a)
 	r.want(r.after(290 * ms))
-	r.want(r.after(8*ms), "Fail 1") // a tick before it is due
+	r.want(r.after(8*ms), "Fail 1") // one tick before its deadline
 	r.want(r.after(500*ms, done(1)))
 }
 
@@ -28,15 +28,15 @@
 		got = append(got, r.after(20*ms, gauges(1, 2, 0))...)
 	}
 	if !has(got, "Refuse 3") {
-		t.Errorf("no answer 3.2 s after it reached the machine: %q", got)
+		t.Errorf("no refusal within 3.2 s of the arrival at the machine: %q", got)
 	}
 	a.ID, a.Waited = 4, 9000*ms
-	r.want(r.do(a), "Refuse 4") // already due when read
+	r.want(r.do(a), "Refuse 4") // past its deadline when read
 }
 
 func TestWakesGoOnWhenOneComesEarly(t *testing.T) {
-	// A host with a coarser clock wakes the instance just before the time asked for, which once
-	// left requests without an answer: no further wake was asked for.
+	// A timer of a host with a coarser clock fires just before the requested time. Without a further timer
+	// requests get no answer.
 	r := newRig(t, nil)
 	var wake WakeAt
 	next := func(events ...Event) {
@@ -54,7 +54,7 @@
 		r.now = wake.At - 1
 		next(Woke{Token: wake.Token})
 		if wake == asked {
-			t.Fatal("no wake was asked for after one came early")
+			t.Fatal("no further timer was set after one fired early")
 		}
 		if r.now > 1000*time.Second+time.Second {
 			return
@@ -63,7 +63,7 @@
 }
 
 func TestWakesOftenOnlyWhileSomethingIsHeld(t *testing.T) {
-	// A timer costs in each of hundreds of servers; held work waits for the gauge.
+	// Timers cost time on each of hundreds of servers; only queued requests wait for the gauges.
 	for _, held := range []bool{false, true} {
 		r := newRig(t, nil)
 		full(r)
@@ -86,7 +86,7 @@
 			}
 		}
 		if held && wakes < 10 || !held && wakes > 4 {
-			t.Errorf("held %v: %d wakes in 300 ms", held, wakes)
+			t.Errorf("queued request: %v, %d timers in 300 ms", held, wakes)
 		}
 	}
 }
@@ -94,14 +94,14 @@
 func TestLostWakeIsAskedForAgain(t *testing.T) {
 	r := newRig(t, nil)
 	asked := false
-	r.now += time.Second // no Woke came
+	r.now += time.Second // the timer does not fire
 	for _, a := range r.n.Handle(r.now, []Event{iron(1)}) {
 		if w, ok := a.(WakeAt); ok && w.At > r.now {
 			asked = true
 		}
 	}
 	if !asked {
-		t.Error("a timer that never came is waited for for ever")
+		t.Error("no further timer was set after one did not fire")
 	}
 }
 
@@ -123,7 +123,7 @@
 		if outcome == OK {
 			r.want(got, "Share 2")
 		} else {
-			r.want(got, "Fail 2") // it may have had its effect: not refused, not run
+			r.want(got, "Fail 2") // the first may have had its effect: neither refused nor run
 		}
 	}
 }
@@ -133,17 +133,17 @@
 	r.do(gold(1), gold(2))
 	r.after(100*ms, done(1), Finished{ID: 2, Outcome: Failed})
 	r.want(r.after(4000*ms, goldAgain(3, 1), goldAgain(4, 2)), "Share 3", "Fail 4")
-	r.want(r.after(ms, goldAgain(5, 77)), "Share 5") // one we no longer know has run, or is held
+	r.want(r.after(ms, goldAgain(5, 77)), "Share 5") // an unknown original may have run or be queued
 }
 
 func TestTwoOfOneKeyInOneBatch(t *testing.T) {
 	r := newRig(t, nil)
 	got := r.do(goldAgain(1, 2), goldAgain(2, 1))
 	if len(starts(got)) != 1 {
-		t.Errorf("want one start: %q", got)
+		t.Errorf("got %q, want one start", got)
 	}
 	if has(got, "Start 1") == has(got, "Refuse 1") || has(got, "Start 2") == has(got, "Refuse 2") {
-		t.Errorf("each is started or refused: %q", got)
+		t.Errorf("got %q, want each request either started or refused", got)
 	}
 }
 
@@ -154,7 +154,7 @@
 	r.do(goldAgain(4, 3), goldAgain(5, 3))
 	got := r.after(ms, done(1), done(2))
 	if len(starts(got)) != 1 {
-		t.Errorf("one effect, so one start: %q", got)
+		t.Errorf("got %q, want one start for one effect", got)
 	}
 }
 
@@ -192,7 +192,7 @@
 	r.want(r.after(100*ms, done(1)), "Share 2")
 	r.want(r.after(100*ms, read(3, 1)), "Share 3")
 	r.want(starts(r.after(600*ms, read(4, 1))), "Start 4") // no longer fresh
-	// The one they wait for fails: the next of them runs.
+	// The primary fails: the next request runs.
 	r.do(read(5, 4))
 	r.want(starts(r.after(10*ms, Finished{ID: 4, Outcome: Failed})), "Start 5")
 	// A write is not shared.
@@ -200,7 +200,7 @@
 	w.Write = true
 	for _, s := range r.do(w) {
 		if strings.HasPrefix(s, "Remember") {
-			t.Error("a write was remembered for reads")
+			t.Error("a write was added to the key table")
 		}
 	}
 }
@@ -221,13 +221,13 @@
 		}
 	}
 	if r.n.memory > 1000 {
-		t.Errorf("%v kB used of 1000", r.n.memory)
+		t.Errorf("%v kB of 1000 kB used", r.n.memory)
 	}
 	if refused == 0 {
-		t.Errorf("%d of 190 refused", refused)
+		t.Errorf("%d of 190 requests refused, want some", refused)
 	}
 	if len(starts(r.after(ms, done(1), gauges(1, 1, 0)))) == 0 {
-		t.Error("the hold left no room for a run")
+		t.Error("queued requests left no memory for a run")
 	}
 }
 
@@ -245,15 +245,15 @@
 		}
 		r.after(0, done(id))
 		if r.n.memory > 500 {
-			t.Fatalf("%v kB used of 500", r.n.memory)
+			t.Fatalf("%v kB of 500 kB used", r.n.memory)
 		}
 	}
 	if ran < 20 || refused == 0 {
-		t.Errorf("%d ran, %d refused", ran, refused)
+		t.Errorf("%d requests ran and %d were refused, want 20 or more and some", ran, refused)
 	}
 	r.after(20 * time.Second)
 	if r.n.memory != 0 || len(r.n.requests) != 0 {
-		t.Errorf("%v kB and %d requests are kept after every window", r.n.memory, len(r.n.requests))
+		t.Errorf("%v kB and %d requests kept after all entries expired", r.n.memory, len(r.n.requests))
 	}
 }
 
@@ -264,16 +264,16 @@
 	r.want(r.do(DrainNotice{Left: 2000 * ms}), "Health false")
 	r.want(starts(r.after(100*ms, iron(4), done(1))), "Start 3")
 	late := iron(5)
-	r.want(r.after(600*ms, late), "Refuse 5") // reached the machine after the grace
+	r.want(r.after(600*ms, late), "Refuse 5") // arrived after the grace
 	early := gold(6)
-	early.Waited = 300 * ms // it came within the grace and was read late
+	early.Waited = 300 * ms // arrived within the grace, read later
 	r.want(starts(r.after(10*ms, early, done(2))), "Start 6")
 	var got []string
 	for range 70 {
 		got = append(got, r.after(20*ms, gauges(1, 2, 0))...)
 	}
 	if !has(got, "Fail 3") || !has(got, "Fail 6") {
-		t.Errorf("running work was not answered before the stop: %q", got)
+		t.Errorf("running requests were not answered before the stop: %q", got)
 	}
 	r.want(r.do(iron(7)), "Refuse 7")
 }
@@ -298,7 +298,7 @@
 		}
 		again := has(got, "Call 1")
 		if proven := o == Full || o == Unreached || o == Moot; again != proven {
-			t.Errorf("outcome %d: repeated %v", o, again)
+			t.Errorf("outcome %d: call retried: %v, want %v", o, again, proven)
 		}
 	}
 }
@@ -309,7 +309,7 @@
 	r.after(10*ms, CallNeeded{1}, CallNeeded{2})
 	r.want(r.after(10*ms, CallReturned{ID: 1, Outcome: TimedOut}, CallReturned{ID: 2, Outcome: TimedOut}),
 		"Fail 1", "Skip 2")
-	// What may not be left out is never left out.
+	// A required call is never skipped.
 	r = newRig(t, func(s *Settings) { s.Classes[0].SkipWorth = 0 })
 	r.do(iron(2))
 	r.after(10*ms, CallNeeded{2})
@@ -353,7 +353,7 @@
 	r.want(r.after(3*time.Second, Finished{ID: 4, Outcome: Cancelled}), "Fail 2")
 	r.do(done(2))
 	if r.n.running != 0 || r.n.calling != 0 || r.n.memory != 0 {
-		t.Errorf("running %d, at calls %d, memory %v", r.n.running, r.n.calling, r.n.memory)
+		t.Errorf("%d running, %d at calls, %v kB used after all requests ended", r.n.running, r.n.calling, r.n.memory)
 	}
 }
 
@@ -361,18 +361,18 @@
 	r := newRig(t, nil)
 	r.want(r.do(done(9), CallNeeded{9}, CallReturned{ID: 9}, CallerGone{9}))
 	full(r)
-	r.want(r.do(iron(1)))             // an ID that is known
+	r.want(r.do(iron(1)))             // a known ID
 	r.want(r.do(CallReturned{ID: 1})) // not at a call
-	r.now -= time.Hour                // a clock that goes backwards stands still
+	r.now -= time.Hour                // a clock that goes backwards
 	r.want(r.do(iron(3)))
 	r.now += time.Hour
-	r.want(r.do(Arrived{ID: 4, Class: "tin", KB: 1}), "Refuse 4")
+	r.want(r.do(Arrived{ID: 4, Class: "other", KB: 1}), "Refuse 4")
 	if r.n.running != 2 {
-		t.Errorf("%d running", r.n.running)
+		t.Errorf("%d running, want 2", r.n.running)
 	}
 }
 
-// sharedBelow makes all classes call one shared dependency, with a share under one call.
+// sharedBelow makes the calls of all classes required and limits them to half a concurrent call.
 func sharedBelow(s *Settings) {
 	for i := range s.Classes {
 		s.Classes[i].SkipWorth = 0
@@ -380,9 +380,9 @@
 	s.BelowShare, s.CallSpan, s.Linger = 0.5, 5*time.Second, 200*ms
 }
 
-// mostBelow plays a minute of arrivals with a dependency that takes so long for a call, and gives the
-// highest mean of calls in hand over the span of the rule, those given up included, and how many were
-// served.
+// mostBelow simulates a minute of arrivals with a downstream tier whose calls take the given time. It returns the
+// highest mean of concurrent calls over the period of the call limit, abandoned calls included, and the number of
+// requests served.
 func mostBelow(t *testing.T, set func(*Settings), took func(now time.Duration) time.Duration) (float64, int) {
 	r := newRig(t, set)
 	const step = 10 * ms
@@ -456,7 +456,7 @@
 }
 
 func TestCallsBelowStayWithinTheShare(t *testing.T) {
-	// A shared dependency that slowed fell over: runs stood at calls up to the ceiling of the crowd.
+	// Guards against overload of a slow downstream tier by concurrent calls up to the concurrency limit of each server.
 	slows := func(now time.Duration) time.Duration {
 		if now > 1010*time.Second && now < 1030*time.Second {
 			return 700 * ms
@@ -466,14 +466,14 @@
 	dead := func(time.Duration) time.Duration { return time.Hour }
 	most, served := mostBelow(t, sharedBelow, slows)
 	if most > 0.5 || served < 150 {
-		t.Errorf("slow for a while: %.2f calls in hand, %d of 600 served", most, served)
+		t.Errorf("slow for 20 s: %.2f concurrent calls, %d of 600 requests served", most, served)
 	}
 	if most, _ = mostBelow(t, sharedBelow, dead); most > 0.5 {
-		t.Errorf("never answers: %.2f calls in hand", most)
+		t.Errorf("no replies: %.2f concurrent calls", most)
 	}
 	tiny := func(s *Settings) { sharedBelow(s); s.BelowShare = 0.1 }
 	if most, served = mostBelow(t, tiny, slows); most > 0.1 || served < 8 {
-		t.Errorf("a share of 0.1: %.3f calls in hand, %d served", most, served)
+		t.Errorf("share of 0.1: %.3f concurrent calls, %d requests served", most, served)
 	}
 }
 
@@ -481,17 +481,17 @@
 	r := newRig(t, func(s *Settings) { sharedBelow(s); s.BelowShare, s.Classes[0].Calls = 0.3, false })
 	r.do(gold(1))
 	r.do(CallNeeded{1})
-	r.after(900 * ms) // the call stands for as long as the share allows
+	r.after(900 * ms) // the call takes all the time that the share allows
 	r.want(starts(r.do(gold(2), iron(3))), "Start 3")
 	r.after(10*ms, CallReturned{ID: 1, Outcome: TimedOut, Took: 900 * ms}, Finished{ID: 1, Outcome: Cancelled})
 	r.want(starts(r.after(8*time.Second, gold(4))), "Start 4")
 }
 
-// A dependency that slowed took the room for calls: runs stood waiting for it while their class may do without.
+// Guards against runs that wait for a slow downstream tier though their calls are optional.
 func TestNoRoomForACallLeavesItOut(t *testing.T) {
 	r := newRig(t, func(s *Settings) { sharedBelow(s); s.BelowShare, s.Classes[1].SkipWorth = 0.3, 0.3 })
 	for i := range r.n.set.Classes {
-		if c := r.n.classes[i]; c.Name == "iron" {
+		if c := r.n.classes[i]; c.Name == "safe" {
 			c.SkipWorth = 0.3
 		}
 	}
@@ -501,18 +501,18 @@
 	r.want(r.after(ms, CallNeeded{3}), "Skip 3")
 }
 
-// mixedBelow is a shared dependency whose calls gold can't leave out and iron can.
+// mixedBelow is sharedBelow with optional calls in the class "safe".
 func mixedBelow(s *Settings) {
 	sharedBelow(s)
 	for i := range s.Classes {
-		if s.Classes[i].Name == "iron" {
+		if s.Classes[i].Name == "safe" {
 			s.Classes[i].SkipWorth = 0.3
 		}
 	}
 }
 
-// In a slow spell calls that could be left out took the room of the whole span, and requests whose calls
-// could not be failed for seconds.
+// While the downstream tier is slow, optional calls could fill the whole period of the call limit, so that requests
+// with required calls would fail for seconds.
 func TestOptionalCallsLeaveRoomToThoseThatCant(t *testing.T) {
 	r := newRig(t, mixedBelow)
 	id, out := ID(0), 0
@@ -527,7 +527,7 @@
 		r.after(100*ms, CallReturned{ID: id, Outcome: OK, Took: 100 * ms}, done(id))
 		return true
 	}
-	for range 40 { // some five spans of the rule; the optional calls alone would fill the room
+	for range 40 { // about five periods of the call limit; the optional calls alone would fill them
 		r.after(400 * ms)
 		for range 3 {
 			if slow(iron(0)) {
@@ -535,36 +535,36 @@
 			}
 		}
 		if !slow(gold(0)) {
-			t.Fatalf("at %v no room for a call that can't be left out", r.now)
+			t.Fatalf("at %v: no room for a required call", r.now)
 		}
 	}
 	if out < 10 {
-		t.Errorf("%d optional calls made, though there was room", out)
+		t.Errorf("%d optional calls made, want 10 or more", out)
 	}
 }
 
-// A slow spell taught a long time for a call; calls were left out for it long after the spell, since what is
-// left out takes no time that could correct it.
+// A long call time learned while the downstream tier is slow must not cause skips long after that: skipped calls take
+// no time that could correct it.
 func TestTimeOfCallsIsForgottenWhileTheyAreLeftOut(t *testing.T) {
 	r := newRig(t, mixedBelow)
 	learned := float64(700 * ms)
 	r.n.callRun = learned
 	r.after(2 * time.Second)
 	if r.n.callRun != learned {
-		t.Errorf("forgotten though no call was left out: %v", time.Duration(r.n.callRun))
+		t.Errorf("call time decayed to %v though no call was skipped", time.Duration(r.n.callRun))
 	}
 	for id := ID(1); id < 200; id++ {
-		r.n.breakEnd = r.now + time.Second // what leaves it out here is the breaker
+		r.n.breakEnd = r.now + time.Second // the open breaker causes the skip
 		r.do(iron(id))
 		r.want(r.do(CallNeeded{id}), fmt.Sprint("Skip ", id))
 		r.after(100*ms, done(id))
 	}
 	if got, want := time.Duration(r.n.callRun), callBackoff/skipPatience; got != want {
-		t.Errorf("after 20 s without a call: %v, want %v", got, want)
+		t.Errorf("call time after 20 s without a call: %v, want %v", got, want)
 	}
 }
 
-// A reply that came spoilt proves nothing: only what may run twice makes its call again, and once.
+// A malformed reply proves nothing: only safe requests, which may run twice, retry the call, and once.
 func TestSpoiltCallIsMadeOnceMoreWhereThatIsSafe(t *testing.T) {
 	r := newRig(t, nil)
 	r.do(gold(1), iron(2))
@@ -575,28 +575,28 @@
 		got = append(got, r.after(10*ms)...)
 	}
 	if !has(got, "Call 2") {
-		t.Errorf("the call was not made again: %q", got)
+		t.Errorf("the call was not retried: %q", got)
 	}
 	r.want(r.after(10*ms, CallReturned{ID: 2, Outcome: CutOff}), "Skip 2")
 }
 
-// Replies that never came held the room for calls for half of the time left, so that others had none.
+// A missing reply could take up the call share for half of the time left, at the expense of other calls.
 func TestOptionalCallIsNotWaitedForLong(t *testing.T) {
 	r := newRig(t, nil)
 	r.do(iron(1))
 	r.now += 10 * ms
 	for _, a := range r.n.Handle(r.now, []Event{CallNeeded{1}}) {
 		if c, ok := a.(CallOut); ok && c.MaxWait > skipPatience*callBackoff {
-			t.Errorf("a call that may be left out is waited for %v", c.MaxWait)
+			t.Errorf("time limit of an optional call: %v", c.MaxWait)
 		} else if ok {
 			return
 		}
 	}
-	t.Error("no call")
+	t.Error("no call was made")
 }
 
-// A few clients more patient than the rest made each try of the others look like a further one, though the
-// site marks these: the fleet then seemed short, and refusals asked for no other server.
+// A few clients that wait longer than the others make first attempts of the others look like retries. Where retries are
+// marked, this must not be taken for an overloaded fleet, whose refusals advise against retries.
 func TestShortWaitIsNoFurtherTryWhereThoseAreMarked(t *testing.T) {
 	for _, marked := range []bool{false, true} {
 		r := newRig(t, func(s *Settings) { s.MarksRetry = marked })
@@ -619,12 +619,12 @@
 			}
 		}
 		if refused == 0 || (last == 0) != marked {
-			t.Errorf("marked %v: %d of %d refusals ask for no further try", marked, last, refused)
+			t.Errorf("retries marked: %v, %d of %d refusals advise against a retry", marked, last, refused)
 		}
 	}
 }
 
-// blockedBelow leaves gold, which can't do without its call, with no room for one.
+// blockedBelow leaves no room for calls of the class "keyed", whose calls are required.
 func blockedBelow(t *testing.T) *rig {
 	r := newRig(t, func(s *Settings) {
 		sharedBelow(s)
@@ -636,7 +636,7 @@
 	return r
 }
 
-// While what lies below was slow, the requests that must call it filled the hold, and all others were refused.
+// While the downstream tier is slow, requests that must call it could fill the queue, so that all others are refused.
 func TestClassWithNoRoomForCallsLeavesTheHoldToOthers(t *testing.T) {
 	r := blockedBelow(t)
 	r.want(starts(r.do(iron(2), iron(3), gauges(1, 3, 0))), "Start 2", "Start 3")
@@ -646,7 +646,7 @@
 	}
 	got = append(got, r.after(ms, iron(8), iron(9), gauges(1, 3, 0))...)
 	if has(got, "Refuse 8") || has(got, "Refuse 9") {
-		t.Errorf("refused behind what can't run: %q", got)
+		t.Errorf("requests refused because of others that cannot run: %q", got)
 	}
 	refused := 0
 	for _, s := range got {
@@ -655,11 +655,11 @@
 		}
 	}
 	if refused != 1 {
-		t.Errorf("%d of 4 refused that can't run now; the hold takes three for two cores: %q", refused, got)
+		t.Errorf("%d of 4 requests that cannot run refused, want 1, as the queue takes three for two cores: %q", refused, got)
 	}
 }
 
-// The same requests, refused unrun, had the callers told to stay away from idle cores.
+// Refusals for lack of downstream capacity must not make callers avoid idle cores.
 func TestWhatLiesBelowSendsNoCallersAway(t *testing.T) {
 	r := blockedBelow(t)
 	refused := 0
@@ -669,16 +669,16 @@
 				refused++
 			}
 			if strings.HasPrefix(s, "Advise") {
-				t.Fatalf("%s with idle cores", s)
+				t.Fatalf("%s on idle cores", s)
 			}
 		}
 	}
 	if refused < 50 {
-		t.Errorf("%d of 100 refused", refused)
+		t.Errorf("%d of 100 requests refused, want 50 or more", refused)
 	}
 }
 
-// One call that was to be tried again kept the whole class from its cores.
+// A call that waits for its retry must not keep other requests of the class from the cores.
 func TestCallThatIsTriedAgainHoldsNoStartBack(t *testing.T) {
 	r := newRig(t, nil)
 	r.do(gold(1))
@@ -687,10 +687,10 @@
 	r.want(starts(r.after(ms, gold(2))), "Start 2")
 }
 
-// A count of calls that faded left half of the share unused: calls were left out that had room.
+// An exponentially decaying count of calls would leave half of the share unused and skip calls that have room.
 func TestSteadyCallsMayUseMostOfTheShare(t *testing.T) {
 	r := newRig(t, func(s *Settings) { s.BelowShare, s.CallSpan, s.Linger = 1, 5*time.Second, 200*ms })
-	for id := ID(1); id <= 200; id++ { // six tenths of a call in hand for 20 s
+	for id := ID(1); id <= 200; id++ { // 0.6 concurrent calls for 20 s
 		r.want(starts(r.do(iron(id), gauges(0, 0, 0))), fmt.Sprint("Start ", id))
 		r.want(r.do(CallNeeded{id}), fmt.Sprint("Call ", id))
 		r.after(60*ms, CallReturned{ID: id, Took: 60 * ms}, Finished{ID: id, Took: 60 * ms})
@@ -698,8 +698,8 @@
 	}
 }
 
-// While the vault had room for half of the calls, tries again of those that may be left out took it from the
-// others, which gave up after four.
+// While the vault has capacity for half of the calls, retries of optional calls would take it from required ones,
+// which fail after a limited number of attempts.
 func TestFullBelowGivesItsRoomToThoseThatCannotDoWithout(t *testing.T) {
 	r := newRig(t, nil)
 	r.do(gold(1), iron(2))
@@ -713,11 +713,11 @@
 		}
 	}
 	if calls < 5 {
-		t.Errorf("%d more calls within the time for them", calls)
+		t.Errorf("%d retries of a required call within 800 ms, want 5 or more", calls)
 	}
 }
 
-// Each optional call that found room in a vault nearly full kept out one that can't be left out.
+// In a nearly full vault each optional call would keep out a required one.
 func TestOptionalCallsWaitOutANeedyOneAtAFullVault(t *testing.T) {
 	r := newRig(t, nil)
 	r.do(gold(1), iron(2))
@@ -729,8 +729,7 @@
 	r.want(r.after(10*ms, CallNeeded{3}), "Call 3")
 }
 
-// A share smaller than the time for which a call given up lingers allowed no call at all.
-// A server whose share ran out had no bound on its calls: 0 stood for a share that nobody told.
+// A server whose allocation is 0 makes no calls, though a share of 0 in the settings means unlimited calls.
 func TestShareOfNothingAllowsNoCall(t *testing.T) {
 	r := newRig(t, mixedBelow)
 	r.do(iron(1))
@@ -741,10 +740,11 @@
 	r.want(r.do(CallNeeded{2}), "Call 2")
 }
 
+// A share smaller than the time for which an abandoned call keeps running must still allow calls.
 func TestTinyShareAllowsCalls(t *testing.T) {
 	tiny := func(s *Settings) { sharedBelow(s); s.BelowShare = 0.05 }
 	quick := func(time.Duration) time.Duration { return 10 * ms }
 	if most, served := mostBelow(t, tiny, quick); most > 0.05 || served < 8 {
-		t.Errorf("%.3f calls in hand, %d served in a minute", most, served)
+		t.Errorf("%.3f concurrent calls, %d requests served in a minute", most, served)
 	}
 }
--- a/policy/heap.go
+++ b/policy/heap.go
@@ -1,6 +1,6 @@
 package policy
 
-// orderedHeap is a binary heap; less says what comes first.
+// orderedHeap is a binary heap whose first item is the least by less.
 type orderedHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
@@ -8,7 +8,7 @@
 
 func (h *orderedHeap[T]) len() int { return len(h.items) }
 
-// top is the first item; the heap must not be empty.
+// top returns the first item; the heap must not be empty.
 func (h *orderedHeap[T]) top() T { return h.items[0] }
 
 func (h *orderedHeap[T]) push(x T) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// pop takes the first item out.
+// pop removes and returns the first item; the heap must not be empty.
 func (h *orderedHeap[T]) pop() T {
 	first := h.items[0]
 	last := h.popLeaf()
@@ -49,7 +49,7 @@
 	return first
 }
 
-// popLeaf takes out an item that has none behind it.
+// popLeaf removes and returns an item without children; the heap must not be empty.
 func (h *orderedHeap[T]) popLeaf() T {
 	var none T
 	last := h.items[len(h.items)-1]
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,5 @@
-// The decision module. Its interface (settings, events, actions) is in api.go.
-
-// Package policy decides, inside one server, which requests are taken, run and turned away.
+// Package policy decides, within one server, which requests are admitted, run and refused. "The paper" is
+// "Profit-driven Service Differentiation in Transient Environments". api.go has the interface.
 package policy
 
 import (
@@ -11,56 +10,56 @@
 	"time"
 )
 
-// Tuned values. Each is a share, a count or a span that holds for any site.
+// Parameters of the mechanism. Each is a share, a count or a time that applies to any site.
 const (
-	gaugeEvery    = 20 * time.Millisecond // reading of the gauges; well under their half second
+	gaugeEvery    = 20 * time.Millisecond // polling of the gauges, which average over 500 ms
 	windowSpan    = time.Second / 2       // monitoring window
-	dropTolerance = 0.2                   // PAPER's delta: noise of a ratio within one window
-	allowanceStep = 1                     // PAPER's incr
+	dropTolerance = 0.2                   // delta of the paper: noise of a ratio in one window
+	allowanceStep = 1                     // incr of the paper
 	allowanceMax  = 32                    // bounds a round, so that recovery takes few windows
-	busyHigh      = 0.95                  // starts above the floor pause from this share of busy cores
-	busyLow       = 0.80                  // and resume below this one
-	floorPerCore  = 1.0                   // runs a core below which the gate never pauses
-	crowdShare    = 0.7                   // part of the told survivable crowd that is used
-	memoryShare   = 0.92                  // part of the memory that is used
-	firstGuess    = 6                     // a run is first taken for the tightest aim over this
-	outlierMost   = 5                     // a run counts so many times the mean at most
+	busyHigh      = 0.95                  // further starts pause from this share of busy cores
+	busyLow       = 0.80                  // and resume below this share
+	floorPerCore  = 1.0                   // runs per core below which starts never pause
+	crowdShare    = 0.7                   // used part of the concurrency that a server survives
+	memoryShare   = 0.92                  // used part of the memory
+	firstGuess    = 6                     // first estimate of a run: the tightest aim over this
+	outlierMost   = 5                     // a run counts for this many times the mean at most
 	learnRate     = 0.1                   // weight of a new sample of a run
-	forgetRate    = 0.8                   // shrinks an estimate that refused everything, to test it
+	forgetRate    = 0.8                   // reduces an estimate that refused everything, to test it
 	lateMargin    = 1.0                   // hopeless: less time left than this many estimated runs
-	doubtMargin   = 2.5                   // doubtful: less than this many; gives way where others wait
-	stopMargin    = 60 * time.Millisecond // all is answered so long before the process is stopped
-	callTries     = 8                     // a call proven unrun is made so many times at most
-	callBackoff   = 30 * time.Millisecond // first wait between such tries; doubles
-	pauseShare    = 0.25                  // longest advice to stay away, as a part of what is heeded
-	pauseLeast    = 20 * time.Millisecond // shortest such advice: by then a few runs have ended
+	doubtMargin   = 2.5                   // doubtful: less than this many; refused if others wait
+	stopMargin    = 60 * time.Millisecond // all requests are answered this long before the stop
+	callTries     = 8                     // attempts of a call that provably did not run
+	callBackoff   = 30 * time.Millisecond // first wait between such attempts; doubles
+	pauseShare    = 0.25                  // longest wait advised, as a part of MaxPause
+	pauseLeast    = 20 * time.Millisecond // shortest wait advised: a few runs have ended by then
 	unreadMost    = 0.8                   // part of the tightest aim that requests may wait unread
-	skipAfter     = 0.5                   // a call that may be left out gets this part of the time left
-	breakAfter    = 5                     // failed calls in a row that open the breaker
-	shedAbove     = 0.05                  // refused share from which callers are told to send less
-	shedGain      = 0.5                   // part of the refused share that is shed more in a window
-	shedBack      = 0.05                  // share that is let back in a window without refusals
-	holdPerCore   = 1.5                   // requests held for each core
-	creditPerCore = 6.0                   // requests a core that callers have here while they shed
-	shedMost      = 0.65                  // some traffic always comes, or nothing would be learned
-	fullWaitShare = 0.95                  // a told wait under this part of the fullest is a further try's
-	retriesMany   = 0.2                   // share of further tries that shows the fleet short
-	retriesMost   = 0.4                   // and, where much is shed here too, short of room for any of them
-	keepOld       = 0.7                   // part of the earlier traffic that still counts
-	readMany      = 0.2                   // share of reading in the time of requests that makes refusals dear
-	gapMost       = 5 * time.Second       // a caller's mean gap up to which its connection is worth its keep
-	idleLeast     = time.Second           // else it closes so soon; a busier caller keeps his
-	breakSpan     = time.Second           // how long it stays open before one call tests it
-	belowPart     = 0.8                   // part of the told share of calls below that is used
-	skipPatience  = 8                     // an optional call is waited for so many learned call times
-	callParts     = 21                    // parts in which their time is kept, one more than fill the span
-	needyMargin   = 2                     // room below kept for so many times the need of calls that can't
-	needyMost     = 0.5                   // be left out, since counts are small, and at most this part of it
-	callPatience  = 4                     // a call below is made with room for so many learned call times
+	skipAfter     = 0.5                   // an optional call may take this part of the time left
+	breakAfter    = 5                     // consecutive failed calls that open the breaker
+	shedAbove     = 0.05                  // refused share above which callers shed load
+	shedGain      = 0.5                   // part of the refused share that is shed in addition
+	shedBack      = 0.05                  // decrease of the shed share per window without refusals
+	holdPerCore   = 1.5                   // queued requests per core
+	creditPerCore = 6.0                   // requests per core granted to callers while they shed
+	shedMost      = 0.65                  // some traffic must arrive, or nothing would be learned
+	fullWaitShare = 0.95                  // a wait below this part of the longest is that of a retry
+	retriesMany   = 0.2                   // share of retries that shows an overloaded fleet
+	retriesMost   = 0.4                   // and, if much is shed here too, no capacity for retries
+	keepOld       = 0.7                   // weight of earlier traffic, per window
+	readMany      = 0.2                   // share of reading in request time: refusals are costly
+	gapMost       = 5 * time.Second       // mean gap of a caller that justifies an open connection
+	idleLeast     = time.Second           // shortest idle timeout; busier callers stay connected
+	breakSpan     = time.Second           // how long the breaker is open before one call probes it
+	belowPart     = 0.8                   // used part of the share of downstream calls
+	skipPatience  = 8                     // an optional call may take this many mean call times
+	callParts     = 21                    // buckets of call time; one more than the period needs
+	needyMargin   = 2                     // required calls reserve this many times their mean need,
+	needyMost     = 0.5                   // as counts are small, and at most this part of the time
+	callPatience  = 4                     // a call needs time for this many mean call times
 )
 
-// before is the order within a class: smallest size first, ties by deadline. Without hints all are of the
-// class's one learned mean, and so tied.
+// before is the order within a class: smallest size first, then earliest aim. Requests of unknown size are
+// ordered by aim alone.
 func before(a, b *request) bool {
 	if a.Size != b.Size {
 		return a.Size < b.Size
@@ -73,7 +72,7 @@
 
 func sooner(a, b moment) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-// New checks the settings and makes an instance. The same seed and events give the same actions.
+// New validates the settings and returns an instance. The same seed and events give the same actions.
 func New(set Settings, seed uint64) (*Instance, error) {
 	if err := check(set); err != nil {
 		return nil, err
@@ -85,12 +84,12 @@
 	return n, nil
 }
 
-// Adopt puts other settings into force. Open requests keep the class that they came with.
+// Adopt replaces the settings. Open requests keep the class settings that they arrived with.
 func (n *Instance) Adopt(set Settings) error {
 	if err := check(set); err != nil {
 		return err
 	}
-	set.JustStarted = n.set.JustStarted // the machine is as cold as it was
+	set.JustStarted = n.set.JustStarted // new settings do not make the machine cold
 	n.adopt(set)
 	return nil
 }
@@ -108,7 +107,7 @@
 		if was := c; was == nil || was.Class != told {
 			guess := float64(n.tightest) / firstGuess
 			c = &class{Class: told, run: guess, size: guess, queue: orderedHeap[*request]{less: before}}
-			if was != nil { // what was learned of the work still holds
+			if was != nil { // what was learned of the work stays valid
 				c.run, c.size, c.samples = was.run, was.size, was.samples
 			}
 		}
@@ -117,7 +116,7 @@
 			n.classes = append(n.classes, c)
 		}
 	}
-	// Worth is told per unit of work where it counts so. With one mean size for all at the start, the
+	// Worth is per unit of work if WorthByWork is set. All classes start with the same mean size, so that the
 	// tighter aim is the tighter slowdown.
 	sort.SliceStable(n.classes, func(i, j int) bool {
 		a, b := n.classes[i], n.classes[j]
@@ -132,21 +131,21 @@
 	}
 }
 
-// Handle takes the events of one moment and returns what is to be done, in order. The slice
-// is good until the next call. A clock that goes backwards is taken to stand still.
+// Handle processes the events of one instant and returns the actions in order. The slice is valid until the
+// next call. If now goes backwards, the previous time is used.
 func (n *Instance) Handle(now time.Duration, events []Event) []Action {
 	n.out = n.out[:0]
 	if !n.begun {
 		n.begun, n.now, n.born, n.coldFrom = true, now, now, now
 		n.windowEnd = now + windowSpan
-		n.do(Health{Shallow: true, Good: true}) // checks must not cost work or load what lies below
+		n.do(Health{Shallow: true, Good: true}) // health checks must not use a core or call downstream
 	}
 	n.now = max(n.now, now)
 	for _, e := range events {
 		n.take(e)
 	}
 	for _, r := range n.arrivals {
-		r.first = n.requests[r.Original] // before any of the batch is turned away and forgotten
+		r.first = n.requests[r.Original] // before any of the batch is rejected and removed
 	}
 	for _, r := range n.arrivals {
 		n.admit(r)
@@ -195,14 +194,14 @@
 	}
 }
 
-// arrive opens the books on a request; admit decides on it once the whole batch is known.
+// arrive registers a request; admit decides on it once all events of the batch are known.
 func (n *Instance) arrive(e Arrived) {
 	if _, known := n.requests[e.ID]; known {
 		return
 	}
 	c := n.byName[e.Class]
 	if c == nil {
-		n.do(Refuse{ID: e.ID}) // a class nobody told us of: safe, since it is never started
+		n.do(Refuse{ID: e.ID}) // unknown class: it never ran, so a refusal is safe
 		return
 	}
 	n.seq++
@@ -226,7 +225,7 @@
 	}
 	c.fullWait = max(c.fullWait, e.Left+max(e.Waited, 0))
 	shorter := e.Left > 0 && float64(e.Left+max(e.Waited, 0)) < float64(c.fullWait)*fullWaitShare
-	// Where further tries are marked, a short wait proves nothing: guards against clients of unlike patience.
+	// Where retries are marked, a short wait proves nothing, since clients differ in how long they wait.
 	if e.Resent || shorter && !n.set.MarksRetry {
 		n.recent.resent++
 		r.again = true
@@ -236,7 +235,7 @@
 	n.arrivals = append(n.arrivals, r)
 }
 
-// admit settles what a request repeats and holds it.
+// admit resolves a repeat or enqueues the request.
 func (n *Instance) admit(r *request) {
 	if r.state != fresh {
 		return
@@ -248,8 +247,8 @@
 }
 
 func (n *Instance) hold(r *request) {
-	// A further try has used up an unknown part of its aim: while reading is dear, which brings many of
-	// them, it gives way to the first tries that wait. Guards against storms that keep themselves up.
+	// A retry has used up an unknown part of its aim. While reading takes much of the cores, which causes
+	// many retries, first attempts take precedence, or a retry storm would sustain itself.
 	old := r.again && n.short() && n.held > 2
 	if old || n.tooLateToStart(r) || n.now >= r.due-n.set.Tick {
 		n.turnAway(r)
@@ -263,16 +262,16 @@
 	n.guardMemory()
 }
 
-// tooLateToStart guards the drain rule: what reached the machine after the grace is never run.
+// tooLateToStart says that a request arrived after the drain grace, or that the stop is due: it never runs.
 func (n *Instance) tooLateToStart(r *request) bool {
 	return n.draining && (r.reached > n.drainFrom+n.set.DrainGrace || n.now >= n.stopAt)
 }
 
-// settleRepeat deals with a repeat of a remembered request; false: it is held like any other.
+// settleRepeat handles a repeat of an earlier request; false: it is to be enqueued like any other.
 func (n *Instance) settleRepeat(r *request) bool {
 	o := r.first
 	for o != nil && o != r && o.heir != nil {
-		o = o.heir // an earlier one of this batch took its place
+		o = o.heir // an earlier one of this batch replaced it
 	}
 	if o == r {
 		o = nil
@@ -280,9 +279,9 @@
 	if r.class.Safety == Safe {
 		return n.settleShared(r, o)
 	}
-	// Guards against a second effect, whatever brings the repeat: a try still held gives way to
-	// the newer one (its caller moved on); one that ran, or that we know nothing of, is never run
-	// again and its repeat never refused.
+	// A repeat must not cause a second effect. An attempt that is still queued is replaced by the newer one,
+	// since its caller has moved on. A request that ran, or of which nothing is known, is not run again, and
+	// its repeat is not refused, because a refusal says that nothing ran.
 	r.repeat = o == nil || o.repeat || o.ran
 	switch {
 	case o != nil && o.repeat && o.lead != nil:
@@ -305,7 +304,7 @@
 	return true
 }
 
-// settleShared lets a read wait for the same read, or take its result while that is fresh.
+// settleShared coalesces a safe request with an equal one, or shares the result of that while it is fresh.
 func (n *Instance) settleShared(r, o *request) bool {
 	if o == nil || n.tooLateToStart(r) {
 		return false
@@ -336,8 +335,8 @@
 	n.watch(r)
 }
 
-// remember ties later tries to this one: at the reading, since two held tries that nobody tied
-// would both run. A keyed entry lives for the whole window.
+// remember adds a request to the key table when it is enqueued, not when it starts: of two queued attempts
+// without an entry both would run. A keyed entry is valid until its KeyTTL has passed.
 func (n *Instance) remember(r *request) {
 	c := r.class
 	span := r.due - n.now
@@ -367,7 +366,7 @@
 	n.prune(r)
 }
 
-// turnAway gives a request that does not run its final answer.
+// turnAway answers a request that does not run or does not end in time: Fail if it may have run, else Refuse.
 func (n *Instance) turnAway(r *request) {
 	if r.answered {
 		return
@@ -386,18 +385,18 @@
 		n.do(Refuse{ID: r.ID, Pause: n.comeBack(), NoRetry: last})
 	}
 	if r.state == running || r.state == calling {
-		return // its memory is back with its Finished
+		return // Finished releases its memory
 	}
 	n.close(r)
 }
 
-// comeBack is the advice that goes with a refusal; it goes on to clients, which no hint reaches. Each refusal
-// has some: one without it comes back at once, to the same full hold.
+// comeBack is the wait that a refusal advises; unlike hints it reaches clients. Every refusal has one: else
+// clients retry at once, while the queue is still full.
 func (n *Instance) comeBack() time.Duration {
 	return min(max(time.Duration(n.shed*pauseShare*float64(n.set.MaxPause)), pauseLeast), n.set.MaxPause)
 }
 
-// close ends a request's books; those that follow it are served, failed or held by what it left.
+// close ends a request, releases its memory and resolves the requests that are coalesced with it.
 func (n *Instance) close(r *request) {
 	if r.state == over {
 		return
@@ -451,7 +450,7 @@
 	}
 }
 
-// prune forgets an ended request unless a repeat may still name it.
+// prune deletes an ended request unless a repeat may still refer to it.
 func (n *Instance) prune(r *request) {
 	if r.state == over && !r.stored {
 		delete(n.requests, r.ID)
@@ -475,7 +474,7 @@
 	c := r.class
 	c.ended++
 	if c.samples++; c.samples > 1/learnRate {
-		took = min(took, outlierMost*c.run) // one dear request is no slow server; several in a row are
+		took = min(took, outlierMost*c.run) // one long run is no slow server; several in a row are
 	}
 	n.recent.runs += took
 	rate := max(learnRate, 1/float64(c.samples))
@@ -502,8 +501,8 @@
 	}
 }
 
-// estimate is the run that a request would have if started now. With hints it is the learned
-// line through the mean: waits do not grow with the size, and a rough hint says little.
+// estimate is the expected duration of a run. For a known size it follows a learned line through the mean,
+// not the size itself: waits do not grow with the size, and sizes are rough.
 func (n *Instance) estimate(r *request) time.Duration {
 	c := r.class
 	run := c.run
@@ -514,7 +513,7 @@
 	return time.Duration(run)
 }
 
-// profitEnd is when an answer stops earning: the aim where late answers earn nothing.
+// profitEnd is when an answer stops earning: at the aim if late answers earn nothing, else at the deadline.
 func (n *Instance) profitEnd(r *request) time.Duration {
 	end := r.aim
 	if r.class.LateValue > 0 {
@@ -526,12 +525,12 @@
 	return end
 }
 
-// latestStart is when a request gets hopeless, by a margin of so many estimated runs.
+// latestStart is the latest start that leaves time for margin times the estimated run.
 func (n *Instance) latestStart(r *request, margin float64) time.Duration {
 	return n.profitEnd(r) - time.Duration(margin*float64(n.estimate(r)))
 }
 
-// next is when a request has to be looked at again.
+// next is when a request has to be checked again.
 func (n *Instance) next(r *request) time.Duration {
 	due := r.due - n.set.Tick
 	switch r.state {
@@ -581,21 +580,21 @@
 }
 
 func (n *Instance) endWindow() {
-	n.classes = slices.DeleteFunc(n.classes, // those that went, once none is held
+	n.classes = slices.DeleteFunc(n.classes, // removed classes without queued requests
 		func(c *class) bool { return c != n.byName[c.Name] && c.queue.len() == 0 })
 	n.retune()
 	seen, refused := 0, 0
 	for _, c := range n.classes {
-		// What lies below turned away tells nothing of room here: guards against callers sent off idle cores.
+		// Refusals for lack of downstream capacity must not make callers avoid idle cores here.
 		seen, refused = seen+c.seen, refused+c.refused-c.refusedBelow
 		if c.ended == 0 && c.refused > 0 {
-			// Guards against an estimate that refuses everything and so is never corrected: a
-			// spell of slow cores, a pause, a dead tier below.
+			// An estimate that refuses everything would never be corrected, for example after slow
+			// cores, a pause of the process or an outage of the downstream tier.
 			c.run *= forgetRate
 		}
 		c.seen, c.refused, c.refusedBelow, c.ended = 0, 0, 0, 0
 	}
-	if n.leftOut > n.timed { // what is left out never corrects its time; the wait stays a backoff at least
+	if n.leftOut > n.timed { // skipped calls never correct the mean; the wait stays at least one backoff
 		n.callRun = max(n.callRun*forgetRate, min(n.callRun, float64(callBackoff/skipPatience)))
 	}
 	n.bound, n.leftOut, n.timed = 0, 0, 0
@@ -610,9 +609,9 @@
 	n.windowEnd = n.now + windowSpan
 }
 
-// tellHealth takes a server off the list while requests wait unread for much of the tightest aim: what is
-// not read can't be refused, and no hint reaches the next of hundreds of callers. Guards against any slow
-// server. It stays where further tries are many: then all are short. Limits differ lest all leave at once.
+// tellHealth fails health checks while requests wait unread for much of the tightest aim on a slow server:
+// unread requests can't be refused, and hints reach few of hundreds of callers. While retries are many, the
+// whole fleet is overloaded and health stays. Limits differ, so that servers do not leave all at once.
 func (n *Instance) tellHealth(unread float64, seen int) {
 	late := unread > n.unreadMost || n.sick && unread > n.unreadMost/4
 	sick := late && seen > 0 && n.retryShare < retriesMost
@@ -622,10 +621,10 @@
 	}
 }
 
-// closeIdle closes connections early where, by the number of callers and what arrives, one comes back
-// too seldom to repay a connection that stands open: a table filled by callers that send nothing keeps
-// out those that do. While reading is dear they live longer, since a fuller table then keeps out what
-// would be read to be refused, whatever brings it. Harmful where handshakes are dear and tables large.
+// closeIdle lowers the idle timeout where callers send too rarely to justify an open connection: idle
+// connections that fill the connection table keep out active callers. The timeout is longer while reading is
+// costly, since a fuller table keeps out requests that would be read only to be refused. Where handshakes are
+// expensive and connection tables large, this does harm.
 func (n *Instance) closeIdle() {
 	after := time.Duration(0)
 	perWindow := n.recent.arrived * (1 - keepOld)
@@ -643,9 +642,9 @@
 	}
 }
 
-// advise sheds at the callers what would be read only to be refused: the share to stay away
-// follows the refused share of what still comes. Guards against reading, and retries of what was
-// refused, taking the cores from the work; harmful where a few callers carry all that is worth much.
+// advise asks callers to shed what would be read only to be refused: the shed share follows the refused share
+// of the remaining traffic. Else reading, and retries of refused requests, take the cores from runs. Harmful
+// where a few callers send all requests of high worth.
 func (n *Instance) advise(drop float64) {
 	shed := n.shed
 	if drop > shedAbove {
@@ -653,7 +652,7 @@
 	} else {
 		shed = max(shed-shedBack, 0)
 		if n.held == 0 && n.running < n.set.Cores {
-			shed /= 2 // guards against callers sent off idle cores for seconds after a burst
+			shed /= 2 // else callers avoid idle cores for seconds after a burst
 		}
 	}
 	if shed == n.shed {
@@ -669,14 +668,14 @@
 		if shed > 0 {
 			n.do(Advise{Value: n.credit(shed)})
 		} else {
-			n.do(Advise{Value: float64(n.ceiling())}) // one caller alone may fill the crowd
+			n.do(Advise{Value: float64(n.ceiling())}) // a single caller may use all of the concurrency
 		}
 	}
 }
 
-// credit parts among the callers what this server has room for, less the share to stay away: runs, held and
-// unread, for callers never all have theirs. Guards against starving the cores where a handful of callers
-// carry all traffic; of hundreds each has a credit under 1, which counts by chance.
+// credit divides the requests that this server takes among its callers, less the shed share. The total covers
+// running, queued and unread requests, as callers never all use theirs, so that a few callers that send all
+// traffic keep the cores busy. With hundreds of callers a credit is below 1, which they apply at random.
 func (n *Instance) credit(shed float64) float64 {
 	room := creditPerCore * float64(n.set.Cores) / float64(max(n.set.Callers, 1))
 	return (1 - shed) * max(room, 1)
@@ -686,7 +685,7 @@
 	return float64(c.refused) / float64(max(c.seen, c.refused, 1))
 }
 
-// retune is PAPER's figure 2, with ratios multiplied out so that no refusals divide nothing.
+// retune is figure 2 of the paper, with ratios multiplied out to avoid a division by zero refusals.
 func (n *Instance) retune() {
 	sum, least := 0, n.classes[len(n.classes)-1].allowance
 	for i := len(n.classes) - 2; i >= 0; i-- {
@@ -707,7 +706,7 @@
 	}
 }
 
-// dropAim is d, the wanted ratio of a's drops to b's: 1/(p a). Two classes of no worth have none.
+// dropAim is d of the paper, the target ratio of drops of a to b: 1/(p a). It is NaN if neither has worth.
 func (n *Instance) dropAim(a, b *class) float64 {
 	pay := a.Worth / b.Worth
 	agree := (float64(a.Aim) / a.size) / (float64(b.Aim) / b.size)
@@ -728,7 +727,7 @@
 	n.paused = busy >= busyHigh || n.paused && busy > busyLow
 }
 
-// warmth is 1 once the machine is surely warm.
+// warmth is how warm the machine is, from 0 (just started) to 1.
 func (n *Instance) warmth() float64 {
 	if !n.set.JustStarted || n.set.Cold <= 0 {
 		return 1
@@ -736,21 +735,21 @@
 	return min(float64(n.now-n.coldFrom)/float64(n.set.Cold), 1)
 }
 
-// short tells that reading takes much of the cores: what is refused here and tried again is read at
-// the cost of runs. A cold server reads slowly while others have room.
+// short says that the fleet is overloaded: reading takes much of the cores, and retries are read at the cost
+// of runs. It is false on a cold server, which reads slowly while others have capacity.
 func (n *Instance) short() bool {
 	return n.readShare > readMany && n.retryShare > retriesMany/2 && n.warmth() == 1
 }
 
-// ceiling is the crowd that is let in: a part of what the machine survives, less while it is cold.
+// ceiling is the concurrency limit: a part of what the machine survives, which is less while it is cold.
 func (n *Instance) ceiling() int {
 	share := n.set.ColdShare + (1-n.set.ColdShare)*n.warmth()
 	crowd := float64(n.set.Cores) * (1 + (n.set.FallMultiple-1)*share) * crowdShare
 	return max(int(crowd), 1)
 }
 
-// gateOpen says whether one more start fits: under the ceiling always, and either below the
-// floor or with the gauge low and few starts in this window, since the gauge shows them late.
+// gateOpen says whether one more run may start: below the concurrency limit, and either below the minimum per
+// core, or with idle cores and few starts in this window, as gauges show these late.
 func (n *Instance) gateOpen() bool {
 	if n.running >= n.ceiling() {
 		return false
@@ -762,7 +761,7 @@
 	return onCores < floorPerCore*float64(n.set.Cores) || !n.paused && n.bound < (n.set.Cores+1)/2
 }
 
-// nextQueue is the scan of the round: the first class with held work and allowance left.
+// nextQueue returns the first class that has queued requests and allowance left in this round.
 func (n *Instance) nextQueue() *class {
 	for range 2 {
 		spent := false
@@ -786,8 +785,8 @@
 	return nil
 }
 
-// trim drops from the top of a queue what is no longer held, and refuses what is hopeless. About
-// half of all runs outlast their mean, so while others wait for each core a doubtful one gives way.
+// trim removes ended requests from the head of a queue and refuses hopeless ones. About half of all runs
+// take longer than the mean, so doubtful requests are refused too while others wait.
 func (n *Instance) trim(c *class) {
 	margin := lateMargin
 	if n.held > 2 {
@@ -829,7 +828,7 @@
 	}
 }
 
-// memoryLimit is what held requests and entries may fill: room for the runs of the floor stays.
+// memoryLimit bounds queued requests and key table entries; the rest is for one run on each idle core.
 func (n *Instance) memoryLimit() float64 {
 	limit := n.set.MemoryKB * memoryShare
 	free := float64(n.set.Cores) - float64(n.running)
@@ -839,7 +838,7 @@
 	return max(limit, n.set.MemoryKB*memoryShare/2)
 }
 
-// dropLeaves turns away work of one class that none waits behind until the rest fits.
+// dropLeaves refuses requests of one class from the leaves of its queue until the rest fits.
 func (n *Instance) dropLeaves(c *class, fits func() bool) {
 	for c.queue.len() > 0 && !fits() {
 		if r := c.queue.popLeaf(); r.state == held {
@@ -848,7 +847,7 @@
 	}
 }
 
-// guardMemory turns away held work, of the least class first, against any flood: arrivals, sizes, keys.
+// guardMemory refuses queued requests, lowest class first, when arrivals, sizes or keys exceed the memory.
 func (n *Instance) guardMemory() {
 	limit := n.memoryLimit()
 	for i := len(n.classes) - 1; i >= 0; i-- {
@@ -856,11 +855,11 @@
 	}
 }
 
-// guardHold bounds the hold: three requests for each two cores, the next to run. Guards against refusals
-// that come too late for another server to help: a skewed spread, a slow machine, a burst. A smaller hold
-// refuses in bursts of half a second that reach all servers, where no other has room either. While
-// the fleet is short an early refusal would only be read elsewhere, so the hold is not bounded then.
-// A class that can't make its calls now has a hold of its own, lest it fill that of the others.
+// guardHold limits the queues to three requests for two cores. With longer queues refusals come too late for
+// another server to help (skewed balancing, a slow machine, a burst); shorter ones refuse in bursts of 500 ms
+// that reach all servers, when no other has capacity. While the fleet is overloaded there is no limit, since
+// early refusals would only be read elsewhere. Classes without room for calls have a limit of their own, so
+// that they do not fill the queue of the others.
 func (n *Instance) guardHold() {
 	if n.short() {
 		return
@@ -879,7 +878,7 @@
 	}
 }
 
-// answerAll gives every open request its answer before the process is stopped.
+// answerAll answers every open request before the process is stopped.
 func (n *Instance) answerAll() {
 	open := make([]*request, 0, len(n.requests))
 	for _, r := range n.requests {
@@ -893,21 +892,21 @@
 	}
 }
 
-// call makes the call that a request stands at, leaves it out, or ends the request.
+// call makes the downstream call that a request waits for, skips or defers it, or rejects the request.
 func (n *Instance) call(r *request) {
 	c := r.class
 	r.retryAt = 0
 	if r.answered {
-		return // it ends by itself
+		return // Finished will end it
 	}
 	left := n.profitEnd(r) - n.now
 	if left <= n.set.Tick {
-		n.turnAway(r) // PAPER: what earns nothing is dropped
+		n.turnAway(r) // as in the paper: a request that earns nothing is dropped
 		return
 	}
 	patience := n.callRoom(c)
 	if c.SkipWorth > 0 && (patience == 0 || n.now < max(n.breakEnd, n.needyEnd) || r.tries > 1) {
-		n.leftOut++ // a part of the worth now, where there is no room for one more
+		n.leftOut++ // a part of the worth now instead of a wait for room
 		n.skip(r)
 		return
 	}
@@ -920,7 +919,7 @@
 		left = time.Duration(min(float64(left)*skipAfter, skipPatience*n.callRun))
 	}
 	if n.callFails >= breakAfter && n.now >= n.breakEnd {
-		n.breakEnd = n.now + breakSpan // this call is the test
+		n.breakEnd = n.now + breakSpan // this call is the probe
 	}
 	r.tries++
 	r.out, r.callEnd = true, n.now-n.born+min(left, patience)
@@ -929,12 +928,12 @@
 	n.do(CallOut{ID: r.ID, MaxWait: min(left, patience)})
 }
 
-// callRoom is how long one more call below may take; 0: there is no room for one. Guards what all servers
-// share against more calls in hand than it survives, whatever piles them up: slowness, silence, cold servers,
-// a crowd. Calls count by their time in the span of the rule, those in hand as if each were given up at its
-// end: their time never passes the part of the told share. Harmful where others leave their shares unused.
-// Calls that can be left out leave the others what these are likely to take: guards against a slow spell
-// below in which the former fill the room of the whole span and requests of the latter fail.
+// callRoom is how long one more downstream call may take; 0: no call may start. It protects the downstream
+// tier, which all servers share, from more concurrent calls than it survives, when it is slow, silent or cold
+// or load is high. Calls count by their time within the period; those in flight count as if they took their
+// whole time limit, so that the used part of the share is never exceeded. Unused shares of other servers stay
+// unused. Optional calls leave the time that required calls are likely to need: else, while downstream is
+// slow, they fill the whole period, and requests with required calls fail.
 func (n *Instance) callRoom(c *class) time.Duration {
 	span := float64(n.set.CallSpan)
 	if n.set.BelowShare <= 0 || span <= 0 {
@@ -943,13 +942,13 @@
 	n.countCalls()
 	most := belowPart * n.set.BelowShare * span
 	if c.SkipWorth > 0 {
-		needy := n.recent.needy * (1 - keepOld) / float64(windowSpan) // such calls that come in a nanosecond
+		needy := n.recent.needy * (1 - keepOld) / float64(windowSpan) // required calls per nanosecond
 		most -= min(needyMargin*needy*span*n.callRun, needyMost*most)
 	}
 	owed := float64(n.callEnds) - float64(n.inHand)*float64(n.now-n.born)
 	wait := most - n.callTime - max(owed, 0) - float64(n.inHand+1)*float64(n.set.Linger)
 	if n.inHand == 0 {
-		wait = max(wait, most/2-n.callTime) // guards against a share under the time a call lingers
+		wait = max(wait, most/2-n.callTime) // else a share below Linger would allow no call
 	}
 	if wait < min(callPatience*n.callRun, most/4) {
 		return 0
@@ -957,12 +956,12 @@
 	return time.Duration(wait)
 }
 
-// countCalls brings the time of calls in hand up to date: the sum over the parts of the rule's span, of which
-// the oldest goes when the clock reaches a new one.
+// countCalls updates the time of calls in flight: the sum over the buckets of the period, of which the oldest
+// is cleared when the clock reaches the next.
 func (n *Instance) countCalls() {
 	part := max(n.set.CallSpan/(callParts-1), 1)
 	if n.now-n.callsAt > n.set.CallSpan+part {
-		n.callsAt = n.now - n.set.CallSpan - part // what is older has left the span
+		n.callsAt = n.now - n.set.CallSpan - part // older time is outside the period
 	}
 	for n.callsAt < n.now {
 		i := n.callsAt / part
@@ -978,7 +977,7 @@
 	}
 }
 
-// callOver books a call that is no longer waited for; one given up lingers below.
+// callOver accounts for the end of a call; an abandoned one (lingers) keeps running downstream for a time.
 func (n *Instance) callOver(r *request, lingers bool) {
 	if !r.out {
 		return
@@ -993,8 +992,7 @@
 	n.inHand--
 }
 
-// mayStart tells whether a run of the class could make its calls now: one that can't would hold memory
-// and a place for nothing.
+// mayStart says whether a run of the class could make its calls now; else it would only occupy memory.
 func (n *Instance) mayStart(c *class) bool {
 	return !c.Calls || c.SkipWorth > 0 || n.now >= n.breakEnd && n.callRoom(c) > 0
 }
@@ -1033,10 +1031,10 @@
 	if r.answered {
 		return
 	}
-	// The room of a full one below goes to those that can't do without.
+	// The capacity of a full downstream tier is left to required calls.
 	unrun := e.Outcome == Full && r.class.SkipWorth == 0 || e.Outcome == Unreached || e.Outcome == Moot
 	if e.Outcome == CutOff && r.class.Safety == Safe {
-		unrun = r.tries == 1 // whatever ran may run again: one more try before the call is left out
+		unrun = r.tries == 1 // safe to run twice: one more attempt before a skip
 	}
 	wait := callBackoff << min(r.tries, 2)
 	wait += time.Duration(n.rng.Int64N(int64(callBackoff)))
@@ -1045,7 +1043,7 @@
 		r.retryAt = n.now + wait
 		n.watch(r)
 		if e.Outcome == Full {
-			n.needyEnd = n.now + 2*wait // it can't be left out and found no room: the others leave it theirs
+			n.needyEnd = n.now + 2*wait // optional calls leave it the capacity
 		}
 	case r.class.SkipWorth > 0:
 		n.skip(r)
@@ -1065,8 +1063,8 @@
 	if n.draining && n.now < n.stopAt {
 		at = min(at, n.stopAt)
 	}
-	// Guards against a chain of wakes that breaks: a host whose clock is coarser than ours wakes us a
-	// little early, or not at all. A timer whose token came or whose time has passed is spent.
+	// A host with a coarser clock may fire a timer slightly early or not at all. A timer whose token came or
+	// whose time has passed is therefore replaced, or no further event would come.
 	if n.waking && n.nextWake <= at && n.now < n.nextWake {
 		return
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -9,12 +9,12 @@
 
 const ms = time.Millisecond
 
-// testSettings is a server with two classes: "gold" keyed and dear, "iron" safe and cheap.
+// testSettings configures a server with two classes: "keyed" of worth 5 and "safe" of worth 1.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "iron", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 1, SkipWorth: 0.3, Calls: true},
-			{Name: "gold", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 5, Safety: Keyed, KeyTTL: 8000 * ms, Calls: true},
+			{Name: "safe", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 1, SkipWorth: 0.3, Calls: true},
+			{Name: "keyed", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 5, Safety: Keyed, KeyTTL: 8000 * ms, Calls: true},
 		},
 		Servers: 3, Callers: 2, Cores: 2, MemoryKB: 10000, EntryKB: 10, RunFactor: 4,
 		FallMultiple: 5, FallSpan: 2 * time.Second, ColdShare: 0.25, AnswerSlack: 60 * ms,
@@ -23,7 +23,7 @@
 	}
 }
 
-// rig drives one instance and keeps its actions as text, "Start 3" and the like.
+// rig drives one instance and formats its actions as text such as "Start 3".
 type rig struct {
 	t   *testing.T
 	n   *Instance
@@ -102,7 +102,7 @@
 	return false
 }
 
-// starts keeps the actions that start runs.
+// starts filters for the actions that start runs.
 func starts(list []string) []string {
 	var out []string
 	for _, s := range list {
@@ -113,8 +113,8 @@
 	return out
 }
 
-func iron(id ID) Arrived { return Arrived{ID: id, Class: "iron", KB: 10, Left: 3000 * ms} }
-func gold(id ID) Arrived { return Arrived{ID: id, Class: "gold", KB: 10, Left: 3000 * ms} }
+func iron(id ID) Arrived { return Arrived{ID: id, Class: "safe", KB: 10, Left: 3000 * ms} }
+func gold(id ID) Arrived { return Arrived{ID: id, Class: "keyed", KB: 10, Left: 3000 * ms} }
 func goldAgain(id, first ID) Arrived {
 	a := gold(id)
 	a.Original, a.Repeats = first, true
@@ -123,12 +123,12 @@
 func done(id ID) Finished      { return Finished{ID: id, Took: 100 * ms} }
 func gauges(x ...float64) Woke { return Woke{Gauges: x} }
 
-// full starts requests 1 and 2 and has the gauge show every core busy.
+// full starts requests 1 and 2 and reports that all cores are busy.
 func full(r *rig) {
 	r.do(iron(1), iron(2), gauges(1, 2, 0))
 }
 
-// full4 is a server of four cores, all of them taken by 1, 2, 101 and 102.
+// full4 is a server of four cores, which run the requests 1, 2, 101 and 102.
 func full4(t *testing.T) *rig {
 	r := newRig(t, func(s *Settings) { s.Cores = 4 })
 	r.do(iron(1), iron(2), iron(101), iron(102), gauges(1, 4, 0))
@@ -145,7 +145,7 @@
 
 func TestRoundGivesEachClassItsAllowance(t *testing.T) {
 	r := newRig(t, func(s *Settings) {
-		s.Cores = 16 // the hold takes one for each
+		s.Cores = 16 // the queue takes one for each
 		for i := range s.Classes {
 			s.Classes[i].Deadline = 100 * time.Second
 		}
@@ -170,12 +170,12 @@
 		}
 		var next ID
 		fmt.Sscanf(got[0], "Start %d", &next)
-		order = append(order, map[bool]string{true: "i", false: "g"}[next%2 == 1])
+		order = append(order, map[bool]string{true: "s", false: "k"}[next%2 == 1])
 	}
-	// Worth 5 to 1 gives allowances 5 and 1; the run before used the cheap start of the round. A
-	// class that runs empty leaves its round to the other.
-	if got := strings.Join(order, ""); got != "ggggg"+"gggggi"+"ggi"+"i" {
-		t.Errorf("order of classes %s", got)
+	// Worths of 5 and 1 give allowances of 5 and 1; the run before used the start of class "safe" in the first
+	// round. A class with an empty queue leaves its starts to the other.
+	if got := strings.Join(order, ""); got != "kkkkk"+"kkkkks"+"kks"+"s" {
+		t.Errorf("classes started in order %s", got)
 	}
 }
 
@@ -183,7 +183,7 @@
 	r := full4(t)
 	a, b, c := iron(3), iron(4), iron(5)
 	a.Size, b.Size, c.Size = 90*ms, 30*ms, 90*ms
-	c.Waited = 20 * ms // reached the machine earlier: due earlier
+	c.Waited = 20 * ms // arrived earlier, so its deadline is earlier
 	r.do(a, b, c)
 	var order []string
 	for _, id := range []ID{1, 2, 4, 5} {
@@ -193,11 +193,11 @@
 }
 
 func TestWithoutHintsTheOrderIsByDeadline(t *testing.T) {
-	// Guards against an order by what the mean happened to be when a request came.
+	// Guards against an order by the learned mean at the time of arrival.
 	r := newRig(t, nil)
 	full(r)
 	r.do(iron(3), iron(4))
-	r.want(starts(r.after(10*ms, Finished{ID: 1, Took: 250 * ms}, gauges(1, 2, 0))), "Start 3") // the mean rises
+	r.want(starts(r.after(10*ms, Finished{ID: 1, Took: 250 * ms}, gauges(1, 2, 0))), "Start 3") // the mean increases
 	sooner := iron(5)
 	sooner.Waited = 200 * ms
 	r.do(sooner)
@@ -225,7 +225,7 @@
 }
 
 func TestLargeRequestIsNotHopelessWhenWaitsDominate(t *testing.T) {
-	// Runs of 400 ms whatever the hint says: a hint of ten times the mean must not refuse.
+	// Runs take 400 ms whatever their size: a size of ten times the mean must not cause a refusal.
 	r := newRig(t, nil)
 	for id := ID(1); id < 40; id++ {
 		a := iron(id)
@@ -247,7 +247,7 @@
 			return
 		}
 	}
-	t.Error("one slow run made every later request hopeless for good")
+	t.Error("one slow run caused the refusal of all later requests")
 }
 
 func TestNoRetryOnlyWhileTheFleetIsShort(t *testing.T) {
@@ -269,7 +269,7 @@
 			}
 		}
 		if refused == 0 || (last > 0) != resent {
-			t.Errorf("resent %v: %d of %d refusals ask for no further try", resent, last, refused)
+			t.Errorf("retries: %v, %d of %d refusals advise against a retry", resent, last, refused)
 		}
 	}
 }
@@ -282,7 +282,7 @@
 		if others {
 			r.do(iron(4), iron(5), iron(6))
 		}
-		got := r.after(10*ms, Finished{ID: 1, Took: 200 * ms}) // 300 ms left, under two such runs
+		got := r.after(10*ms, Finished{ID: 1, Took: 200 * ms}) // 300 ms left, less than two such runs
 		if others {
 			r.want(got, "Refuse 3", "Start 4")
 		} else {
@@ -292,10 +292,10 @@
 }
 
 func TestHoldTakesOnlyTheNextForEachCore(t *testing.T) {
-	// Guards against refusals that come when no other server can help any more.
+	// Guards against refusals that come too late for another server to help.
 	r2 := newRig(t, nil)
 	full(r2)
-	r2.want(r2.do(iron(3), iron(4), iron(5), gauges(1, 2, 0))) // a burst waits: three for two cores
+	r2.want(r2.do(iron(3), iron(4), iron(5), gauges(1, 2, 0))) // a burst is queued: three requests for two cores
 	r := newRig(t, nil)
 	full(r)
 	early := 0
@@ -309,19 +309,19 @@
 				early++
 				var no ID
 				if fmt.Sscanf(s, "Refuse %d", &no); no%10 == 0 && id < 30 {
-					t.Errorf("%s: the dear class went before the cheap one", s)
+					t.Errorf("%s: class of higher worth refused first", s)
 				}
 			}
 		}
 	}
 	if early < 80 || early > 98 {
-		t.Errorf("%d of 100 refused at once; two cores serve a handful within the aim", early)
+		t.Errorf("%d of 100 requests refused at once, want 80 to 98, as two cores serve few within the aim", early)
 	}
 }
 
-// flood sends more than can be served, one in each a further try, each after a wait unread; it returns the
-// refusals of first tries, how many of them came within 100 ms, how many asked for no further try, and
-// how many further tries were not refused at once.
+// flood sends more requests than can be served, each after an unread wait; every each-th is a retry. It returns the
+// number of refused first attempts, those refused within 100 ms, those advised against a retry, and the number of
+// retries that were not refused at once.
 func flood(r *rig, waited time.Duration, each ID) (refused, early, last, kept int) {
 	came := map[ID]time.Duration{}
 	running := []ID{1, 2}
@@ -362,7 +362,7 @@
 }
 
 func TestHoldIsNotBoundedWhileReadingIsDear(t *testing.T) {
-	// Guards against tries that are read and refused by one server after another.
+	// Guards against attempts that are read and refused by one server after another.
 	for _, c := range []struct {
 		waited time.Duration
 		cold   bool
@@ -375,15 +375,15 @@
 		full(r)
 		refused, early, last, kept := flood(r, c.waited, 3)
 		if refused < 50 || (early == 0) != c.dear || (last == refused) != c.dear || (kept < 10) != c.dear {
-			t.Errorf("%+v: %d refused, %d early, %d ask for no further try; %d further tries kept", c, refused,
+			t.Errorf("%+v: %d refused, %d early, %d advised against a retry; %d retries kept", c, refused,
 				early, last, kept)
 		}
 	}
 }
 
 func TestNoRetryWhereFurtherTriesAreMany(t *testing.T) {
-	// Every second request a further try, and much refused here: others have no room either. Early
-	// refusals without this advice went through the whole fleet, six attempts a request.
+	// If every second request is a retry and many are refused, other servers have no capacity either. Without this
+	// advice each request would be refused by one server after another, in six attempts.
 	for _, c := range []struct {
 		each ID
 		all  bool
@@ -392,15 +392,15 @@
 		full(r)
 		refused, early, last, _ := flood(r, 5*ms, c.each)
 		if refused < 50 || early == 0 || (last == refused) != c.all {
-			t.Errorf("one in %d a further try: %d refused, %d early, %d ask for no further try", c.each, refused,
+			t.Errorf("one retry in %d: %d refused, %d early, %d advised against a retry", c.each, refused,
 				early, last)
 		}
 	}
 }
 
 func TestOneDearRunDoesNotCloseItsClass(t *testing.T) {
-	// A run of twenty times the usual work moved the mean threefold, and what would have run in time was
-	// refused as hopeless. Dear runs in a row are a slow server, which is still followed.
+	// A single run of 20 times the usual work must not raise the mean to three times its value, which would refuse
+	// requests that could run in time. Several long runs in a row show a slow server and do raise it.
 	for _, c := range []struct {
 		dear  ID
 		start bool
@@ -417,7 +417,7 @@
 		a := iron(60)
 		a.Waited = 500 * ms // half of the aim is left
 		if got := starts(r.do(a)); (len(got) == 1) != c.start {
-			t.Errorf("%d dear runs: %q", c.dear, got)
+			t.Errorf("%d long runs: starts %q, want a start: %v", c.dear, got, c.start)
 		}
 	}
 }
@@ -443,11 +443,11 @@
 		busy        float64
 		least, most time.Duration
 	}{
-		{2, ms, 0.3, 0, 0}, // the callers' own span
+		{2, ms, 0.3, 0, 0}, // the timeout of the callers stays
 		{2, 100 * ms, 1, 0, 0},
 		{1000, ms, 1, ms, 3 * time.Second},
-		{1000, 100 * ms, 1, 10 * time.Second, 30 * time.Second}, // a full table keeps out what is dear to read
-		{1000, 100 * ms, 0.3, ms, 3 * time.Second},              // and would starve idle cores
+		{1000, 100 * ms, 1, 10 * time.Second, 30 * time.Second}, // a full table keeps out requests that are costly to read
+		{1000, 100 * ms, 0.3, ms, 3 * time.Second},              // but must not keep them from idle cores
 	} {
 		r := newRig(t, func(s *Settings) { s.Callers, s.Idle = c.callers, 30*time.Second })
 		after := time.Duration(0)
@@ -456,7 +456,7 @@
 			a := iron(10 + i)
 			a.Waited = c.waited
 			if i > 550 && c.waited > ms {
-				a.Waited = 40 * ms // less, and not little yet: the span stays
+				a.Waited = 40 * ms // shorter but not yet short: the timeout stays
 			}
 			events := []Event{a, gauges(c.busy, 0, 0)}
 			if i > 1 {
@@ -469,7 +469,7 @@
 			}
 		}
 		if after < c.least || after > c.most {
-			t.Errorf("%+v: idle connections close after %v", c, after)
+			t.Errorf("%+v: idle timeout %v", c, after)
 		}
 	}
 }
@@ -488,13 +488,13 @@
 			}
 		}
 		if longest == 0 || longest > time.Second {
-			t.Errorf("hint %v: advice of up to %v", hint, longest)
+			t.Errorf("hint %v: longest wait advised %v", hint, longest)
 		}
 	}
 }
 
 func TestHintFollowsRefusals(t *testing.T) {
-	// A credit of the crowd over all callers, under one, kept callers away from a server with room.
+	// The concurrency divided by all callers, a credit below 1, would keep callers away from a server with capacity.
 	for _, c := range []struct {
 		hint              Hint
 		under, least, end float64
@@ -511,7 +511,7 @@
 			}
 		}
 		if said < c.least-0.001 || said > c.under {
-			t.Errorf("hint %v: %v said under refusals", c.hint, said)
+			t.Errorf("hint %v: value %v during refusals", c.hint, said)
 		}
 		r.after(ms, done(1), done(2), gauges(0, 0, 0))
 		for range 2000 {
@@ -523,13 +523,12 @@
 			}
 		}
 		if said != c.end {
-			t.Errorf("hint %v: %v said long after the last refusal", c.hint, said)
+			t.Errorf("hint %v: value %v long after the last refusal", c.hint, said)
 		}
 	}
 }
 
-// A refusal tells when to come back, though nobody is being told to shed; where the site heeds no advice it
-// gives none.
+// Every refusal advises a wait, also while callers shed nothing, but not where callers ignore the advice.
 func TestEachRefusalTellsWhenToComeBack(t *testing.T) {
 	for _, c := range []struct{ most, want time.Duration }{{time.Second, pauseLeast}, {5 * ms, 5 * ms}, {0, 0}} {
 		r := newRig(t, func(s *Settings) { s.MaxPause = c.most })
@@ -539,7 +538,7 @@
 				if f, ok := a.(Refuse); ok {
 					n++
 					if f.Pause != c.want {
-						t.Errorf("at most %v: a refusal with %v, want %v", c.most, f.Pause, c.want)
+						t.Errorf("maximum %v: wait of %v advised, want %v", c.most, f.Pause, c.want)
 					}
 				}
 			}
@@ -550,10 +549,8 @@
 	}
 }
 
-// A handful of callers that carry all traffic must not be told to have less than one request each here: the
-// cores then stand idle while requests are refused.
 func TestCallersComeBackSoonToIdleCores(t *testing.T) {
-	// After a burst of half a second callers were kept away from idle cores for seconds.
+	// After a burst of 500 ms callers must not avoid idle cores for seconds.
 	for _, idle := range []bool{false, true} {
 		r := newRig(t, func(s *Settings) { s.Hint, s.Callers = HintWeight, 1000 })
 		full(r)
@@ -561,9 +558,9 @@
 			r.after(20*ms, iron(10+i), gauges(1, 2, 0))
 		}
 		if r.n.shed < 0.3 {
-			t.Fatalf("share to stay away %v after a burst", r.n.shed)
+			t.Fatalf("shed share %v after a burst", r.n.shed)
 		}
-		for range 40 { // what is held is hopeless by then
+		for range 40 { // all queued requests are hopeless by then
 			r.after(40*ms, gauges(1, 2, 0))
 		}
 		if idle {
@@ -572,11 +569,12 @@
 		before := r.n.shed
 		r.after(500*ms, gauges(0, 0, 0))
 		if got := r.n.shed <= before/2; got != idle {
-			t.Errorf("idle cores %v: share to stay away %v, before %v", idle, r.n.shed, before)
+			t.Errorf("idle cores: %v, shed share %v, before %v", idle, r.n.shed, before)
 		}
 	}
 }
 
+// Few callers that send all traffic must not get credits that leave cores idle while requests are refused.
 func TestCreditLeavesFewCallersRoom(t *testing.T) {
 	r := newRig(t, func(s *Settings) { s.Hint, s.Callers = HintCredit, 1 })
 	full(r)
@@ -594,7 +592,7 @@
 	}
 	room := creditPerCore * float64(r.n.set.Cores)
 	if least < room*(1-shedMost)-0.001 || most >= room {
-		t.Errorf("credits from %v to %v, with room for %v", least, most, room)
+		t.Errorf("credits from %v to %v with capacity for %v", least, most, room)
 	}
 	for _, c := range []struct {
 		callers    int
@@ -602,7 +600,7 @@
 	}{{3, 0.5, 6}, {3, 0, 12}, {6, 0.25, 4.5}, {1000, 0.5, 0.5}} {
 		n := &Instance{set: Settings{Cores: 6, Callers: c.callers}}
 		if got := n.credit(c.shed); got != c.want {
-			t.Errorf("%d callers, shed %v: credit %v, want %v", c.callers, c.shed, got, c.want)
+			t.Errorf("%d callers, shed share %v: credit %v, want %v", c.callers, c.shed, got, c.want)
 		}
 	}
 }
@@ -614,7 +612,7 @@
 		r.now += 20 * ms
 		for _, a := range r.n.Handle(r.now, []Event{iron(10 + i), gauges(1, 2, 0)}) {
 			if h, ok := a.(Advise); ok {
-				t.Fatalf("advice %v", h)
+				t.Fatalf("hint %v, want none", h)
 			}
 		}
 	}
@@ -623,10 +621,10 @@
 func TestGatePausesHighAndResumesLow(t *testing.T) {
 	r := newRig(t, func(s *Settings) { s.RunnableGauge = -1 })
 	r.do(iron(1), iron(2), gauges(0.96))
-	r.want(r.after(300*ms, iron(3), gauges(0.9)))           // between the marks: still paused
-	r.want(r.after(200*ms, gauges(0.81)))                   // another window, and still
-	r.want(starts(r.after(20*ms, gauges(0.79))), "Start 3") // below the lower one
-	// The gauge shows a start late: one for each window of two cores, however often it is read.
+	r.want(r.after(300*ms, iron(3), gauges(0.9)))           // between the thresholds: still paused
+	r.want(r.after(200*ms, gauges(0.81)))                   // still in the next window
+	r.want(starts(r.after(20*ms, gauges(0.79))), "Start 3") // below the lower threshold
+	// The gauge shows a start late: one start per window on two cores, however often it is read.
 	r.want(starts(r.do(iron(4), iron(5), iron(6))))
 	r.want(starts(r.after(20*ms, gauges(0.5))))
 	r.want(starts(r.after(480*ms, gauges(0.5))), "Start 4")
@@ -651,15 +649,15 @@
 			limit = 4
 		}
 		if float64(started) > limit {
-			t.Errorf("cold %v: %d runs at once", cold, started)
+			t.Errorf("cold: %v, %d concurrent runs, want %v at most", cold, started, limit)
 		}
 		if started < 2 {
-			t.Errorf("cold %v: only %d runs", cold, started)
+			t.Errorf("cold: %v, %d concurrent runs, want 2 or more", cold, started)
 		}
 	}
 }
 
-// allowances reads the allowances of the classes in order, after one window with these refusals.
+// retuned returns the allowances of the classes in order after one window with the given refusals.
 func retuned(classes []Class, allow []int, seen, refused []int) []int {
 	set := testSettings()
 	set.Classes = classes
@@ -685,7 +683,7 @@
 		{Name: "c", Aim: 1000, Deadline: 2000, Worth: 1},
 	}
 	one := three[:1]
-	// d is 1/2 for both pairs: a should drop half as often as b, and b half as often as c.
+	// d is 1/2 for both pairs: the target is that a drops half as often as b, and b half as often as c.
 	for _, c := range []struct {
 		name          string
 		classes       []Class
@@ -693,15 +691,15 @@
 		seen, refused []int
 		want          []int
 	}{
-		{"no refusals: nothing moves", three, []int{4, 2, 1}, []int{9, 9, 9}, []int{0, 0, 0}, []int{4, 2, 1}},
-		{"as wanted: nothing moves", three, []int{4, 2, 1}, []int{100, 100, 100}, []int{10, 20, 40}, []int{4, 2, 1}},
-		{"both drop too much: b +1, a +1 and b's step", three, []int{4, 2, 1},
+		{"no refusals: no change", three, []int{4, 2, 1}, []int{9, 9, 9}, []int{0, 0, 0}, []int{4, 2, 1}},
+		{"on target: no change", three, []int{4, 2, 1}, []int{100, 100, 100}, []int{10, 20, 40}, []int{4, 2, 1}},
+		{"a and b drop too much: b +1, a +1 and the step of b", three, []int{4, 2, 1},
 			[]int{100, 100, 100}, []int{40, 40, 40}, []int{6, 3, 1}},
-		{"only the last drops: b -1, and a has nothing against b", three, []int{4, 2, 1},
+		{"only c drops: b -1, and a unchanged relative to b", three, []int{4, 2, 1},
 			[]int{100, 100, 100}, []int{0, 0, 40}, []int{4, 1, 1}},
-		{"b -1, a -1 and b's step; then all shift to one", three, []int{2, 1, 1},
+		{"b -1, a -1 and the step of b; then the least is shifted to 1", three, []int{2, 1, 1},
 			[]int{100, 100, 100}, []int{1, 20, 80}, []int{1, 1, 2}},
-		{"only the first drops: nothing divides by zero", three, []int{1, 1, 1},
+		{"only a drops: no division by zero", three, []int{1, 1, 1},
 			[]int{100, 0, 0}, []int{5, 0, 0}, []int{2, 1, 1}},
 		{"growth is bounded", three, []int{allowanceMax, 1, 1}, []int{9, 9, 9}, []int{9, 0, 0}, []int{allowanceMax, 1, 1}},
 		{"one class", one, []int{7}, []int{9}, []int{9}, []int{1}},
@@ -716,16 +714,16 @@
 func TestOrderOfClasses(t *testing.T) {
 	set := testSettings()
 	set.Classes = []Class{
-		{Name: "slack", Aim: 900, Deadline: 2000, Worth: 1},
+		{Name: "loose", Aim: 900, Deadline: 2000, Worth: 1},
 		{Name: "tight", Aim: 500, Deadline: 2000, Worth: 1},
-		{Name: "dear", Aim: 900, Deadline: 2000, Worth: 2},
+		{Name: "worthy", Aim: 900, Deadline: 2000, Worth: 2},
 	}
 	n, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := n.classes[0].Name + " " + n.classes[1].Name + " " + n.classes[2].Name
-	if got != "dear tight slack" {
+	if got != "worthy tight loose" {
 		t.Error(got)
 	}
 }
@@ -738,7 +736,7 @@
 		"Classes[1].Worth":    func(s *Settings) { s.Classes[1].Worth = -1 },
 		"Classes[1].KeyTTL":   func(s *Settings) { s.Classes[1].KeyTTL = 0 },
 		"Classes[0].Safety":   func(s *Settings) { s.Classes[0].Safety = 9 },
-		"Classes[1].Name":     func(s *Settings) { s.Classes[1].Name = "iron" },
+		"Classes[1].Name":     func(s *Settings) { s.Classes[1].Name = "safe" },
 		"Cores":               func(s *Settings) { s.Cores = 0 },
 		"MemoryKB":            func(s *Settings) { s.MemoryKB = 0 },
 		"RunFactor":           func(s *Settings) { s.RunFactor = 0.5 },
@@ -763,7 +761,7 @@
 }
 
 func TestServerThatReadsTooLateLeavesTheListUntilItCatchesUp(t *testing.T) {
-	// A slow server got its full share of the traffic; what waited unread there for seconds was lost.
+	// Guards against a slow server that keeps its full share of the traffic, where requests time out unread.
 	health := func(again bool) (bad, good bool) {
 		r := newRig(t, nil)
 		full(r)
@@ -772,7 +770,7 @@
 			a.Waited, a.Resent = 900*ms, again && id%2 == 0
 			events := []Event{a, gauges(1, 2, 0)}
 			if id > 150 {
-				events = []Event{gauges(1, 2, 0)} // callers follow the list
+				events = []Event{gauges(1, 2, 0)} // callers avoid an unhealthy server
 			}
 			for _, s := range r.after(20*ms, events...) {
 				bad = bad || s == "Health false"
@@ -782,10 +780,10 @@
 		return bad, good
 	}
 	if bad, good := health(false); !bad || !good {
-		t.Errorf("left the list: %v, came back: %v", bad, good)
+		t.Errorf("became unhealthy: %v, healthy again: %v", bad, good)
 	}
 	if bad, _ := health(true); bad {
-		t.Error("left the list in a storm of further tries, in which all are short")
+		t.Error("became unhealthy in a retry storm, in which the whole fleet is overloaded")
 	}
 	r := newRig(t, nil)
 	full(r)
@@ -794,13 +792,13 @@
 		a := iron(id)
 		a.Waited = 900 * ms
 		if has(r.after(20*ms, a, gauges(1, 2, 0)), "Health true") {
-			t.Error("back on the list while it drains")
+			t.Error("became healthy while draining")
 		}
 	}
 }
 
 func TestWhatIsGivenUpOnIsAnsweredAtOnce(t *testing.T) {
-	// No answer is held back so that its caller does not ask again.
+	// Guards against refusals that are delayed to keep callers from retrying.
 	r := newRig(t, nil)
 	full(r)
 	answered := map[ID]bool{}
@@ -818,14 +816,14 @@
 			}
 		}
 		if open > 3 {
-			t.Fatalf("%d wait for an answer, though the hold takes three", open)
+			t.Fatalf("%d requests without an answer, though the queue takes three", open)
 		}
 	}
-	r.want(r.do(Arrived{ID: 50, Class: "iron", KB: 1, Waited: 990 * ms, Left: 2000 * ms}, gauges(1, 2, 0)), "Refuse 50")
+	r.want(r.do(Arrived{ID: 50, Class: "safe", KB: 1, Waited: 990 * ms, Left: 2000 * ms}, gauges(1, 2, 0)), "Refuse 50")
 }
 
-// Settings change while requests are open: one of a class that went still runs by what it came with, one that comes
-// after is refused, and the new class is served. Faulty settings change nothing.
+// When settings change, open requests of a removed class still run with the settings that they arrived with, later ones
+// are refused, and requests of a new class are served. Invalid settings change nothing.
 func TestClassesComeAndGo(t *testing.T) {
 	r := newRig(t, nil)
 	full(r)
@@ -833,24 +831,24 @@
 	set := testSettings()
 	set.Classes[1].Deadline = 0
 	if r.n.Adopt(set) == nil {
-		t.Error("a class without a deadline was taken")
+		t.Error("a class without a deadline was accepted")
 	}
 	set = testSettings()
-	set.Classes[0].Name, set.Classes[1].Worth = "tin", 3 // iron went, gold is worth less
+	set.Classes[0].Name, set.Classes[1].Worth = "other", 3 // "safe" is removed, "keyed" is worth less
 	if err := r.n.Adopt(set); err != nil {
 		t.Fatal(err)
 	}
 	tin := iron(6)
-	tin.Class = "tin"
+	tin.Class = "other"
 	r.want(r.after(ms, iron(5), tin), "Refuse 5")
 	r.want(starts(r.after(ms, done(1))), "Start 4")
-	r.want(starts(r.after(ms, done(2))), "Start 6") // the old class has had its turn
+	r.want(starts(r.after(ms, done(2))), "Start 6") // the removed class has used its allowance
 	if len(r.n.classes) != 4 {
-		t.Errorf("%d classes", len(r.n.classes))
+		t.Errorf("%d classes, want 4", len(r.n.classes))
 	}
 	r.want(starts(r.after(ms, done(4))), "Start 3")
 	r.after(windowSpan, done(3))
 	if len(r.n.classes) != 2 {
-		t.Errorf("%d classes are kept when none of the old ones is held", len(r.n.classes))
+		t.Errorf("%d classes, want 2 when no request of a removed class is queued", len(r.n.classes))
 	}
 }
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// ledger checks the four rules from the outside: it knows only what was sent and what came back.
+// ledger checks the invariants (no lost request, no duplicate effect, no collapse, drain) from events and actions alone.
 type ledger struct {
 	set     Settings
 	now     time.Duration
 	tries   map[ID]*try
-	entries map[ID]time.Duration // remembered, and until when
+	entries map[ID]time.Duration // entries of the key table and their expiry
 	drainAt time.Duration
 	stopAt  time.Duration
 	born    time.Duration
-	wake    time.Duration // the earliest wake asked for
+	wake    time.Duration // the earliest timer that was set
 	token   uint64
 }
 
@@ -25,7 +25,7 @@
 	class     Class
 	reached   time.Duration
 	due       time.Duration
-	job       int // tries of one job share its effect
+	job       int // attempts of one job share its effect
 	answers   int
 	started   bool
 	running   bool
@@ -33,7 +33,7 @@
 	calling   bool
 	replaying bool
 	gone      bool
-	dead      bool // no longer in memory
+	dead      bool // ended
 	died      time.Duration
 	lastCall  Outcome
 	called    int
@@ -52,13 +52,13 @@
 	return false
 }
 
-// apply books one action and tells which rule or which part of the contract it breaks.
+// apply records an action and returns an error if it violates an invariant or the contract of the host.
 func (l *ledger) apply(a Action) error {
 	get := func(id ID) (*try, error) {
 		if t := l.tries[id]; t != nil {
 			return t, nil
 		}
-		return nil, l.fault("%T names %d, which was never sent", a, id)
+		return nil, l.fault("%T of unknown request %d", a, id)
 	}
 	switch a := a.(type) {
 	case Start:
@@ -67,13 +67,13 @@
 			return err
 		}
 		if t.dead && t.died < l.now || t.started {
-			return l.fault("start of %d, which is over or was started", a.ID)
+			return l.fault("start of request %d, which ended or was started before", a.ID)
 		}
 		if t.class.Safety == Keyed && l.ranWithin(t) {
-			return l.fault("duplicate: %d runs within the window of another try: %+v", a.ID, t)
+			return l.fault("duplicate: request %d runs within KeyTTL of another attempt: %+v", a.ID, t)
 		}
 		if l.drainAt > 0 && t.reached > l.drainAt+l.set.DrainGrace {
-			return l.fault("drain: %d runs, which came after the grace", a.ID)
+			return l.fault("drain: request %d runs, which arrived after the grace", a.ID)
 		}
 		t.started, t.running = true, !t.dead
 	case ShareResult:
@@ -82,7 +82,7 @@
 			return err
 		}
 		if !t.a.Repeats || t.dead && t.died < l.now || t.started {
-			return l.fault("shared result for %d, which repeats nothing, ran or is over", a.ID)
+			return l.fault("shared result for request %d, which repeats nothing, ran or ended", a.ID)
 		}
 		t.replaying = true
 	case Refuse, Fail:
@@ -98,13 +98,13 @@
 		}
 		t.answers++
 		if t.answers > 1 {
-			return l.fault("%d is answered twice", id)
+			return l.fault("request %d is answered twice", id)
 		}
 		if refused && t.class.Safety != Safe && (t.started || t.class.Safety == Keyed && l.ranWithin(t)) {
-			return l.fault("duplicate: %d is refused after it ran", id)
+			return l.fault("duplicate: request %d is refused after it ran", id)
 		}
 		if l.now > t.due+l.set.AnswerSlack && !t.gone {
-			return l.fault("lost: %d is answered %v late", id, l.now-t.due)
+			return l.fault("lost: request %d is answered %v late", id, l.now-t.due)
 		}
 		if !t.running {
 			t.dead = true
@@ -117,10 +117,10 @@
 		proven := t.lastCall == Full || t.lastCall == Unreached || t.lastCall == Moot ||
 			t.lastCall == CutOff && t.class.Safety == Safe // may run any number of times
 		if t.called > 0 && !proven {
-			return l.fault("duplicate: the call of %d is repeated after outcome %d", a.ID, t.lastCall)
+			return l.fault("duplicate: the call of request %d is retried after outcome %d", a.ID, t.lastCall)
 		}
 		if !t.atCall || t.calling {
-			return l.fault("%d does not stand at a call", a.ID)
+			return l.fault("request %d does not wait for a call", a.ID)
 		}
 		t.called++
 		t.calling = true
@@ -130,7 +130,7 @@
 			return err
 		}
 		if t.class.SkipWorth == 0 {
-			return l.fault("the call of %d may not be left out", a.ID)
+			return l.fault("the required call of request %d is skipped", a.ID)
 		}
 		t.atCall, t.calling = false, false
 	case Remember:
@@ -139,21 +139,21 @@
 			return err
 		}
 		if t.class.Safety == Keyed && l.now+a.Span < t.reached+t.class.KeyTTL {
-			return l.fault("the entry of %d ends before its window", a.ID)
+			return l.fault("the entry of request %d expires before KeyTTL", a.ID)
 		}
 		l.entries[a.ID] = l.now + a.Span
 	case Forget:
 		if t := l.tries[a.ID]; t != nil && t.class.Safety == Keyed && t.started {
-			return l.fault("duplicate: the entry of %d is dropped though it ran", a.ID)
+			return l.fault("duplicate: the entry of request %d is deleted though it ran", a.ID)
 		}
 		delete(l.entries, a.ID)
 	case Advise:
 		if l.set.Hint == HintNone {
-			return l.fault("a hint where there is none")
+			return l.fault("hint set though Settings.Hint is HintNone")
 		}
 	case WakeAt:
 		if a.At <= l.now-l.set.Tick {
-			return l.fault("a wake in the past")
+			return l.fault("timer set in the past")
 		}
 		if l.wake <= l.now || a.At < l.wake {
 			l.wake, l.token = a.At, a.Token
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// after checks what has to hold once all actions of a moment are booked.
+// after checks the invariants once all actions of a call are recorded.
 func (l *ledger) after() error {
 	memory, crowd := 0.0, 0
 	for id, until := range l.entries {
@@ -185,14 +185,14 @@
 			memory += t.a.KB
 		}
 		if t.answers == 0 && !t.gone && l.now > t.due+l.set.AnswerSlack {
-			return l.fault("lost: %d has no answer", id)
+			return l.fault("lost: request %d has no answer", id)
 		}
 		if t.answers == 0 && !t.gone && l.stopAt > 0 && l.now >= l.stopAt {
-			return l.fault("drain: %d has no answer at the stop", id)
+			return l.fault("drain: request %d has no answer at the stop", id)
 		}
 	}
 	if memory > l.set.MemoryKB {
-		return l.fault("fall-over: %.0f kB of %.0f", memory, l.set.MemoryKB)
+		return l.fault("collapse: %.0f kB of %.0f kB used", memory, l.set.MemoryKB)
 	}
 	share := 1.0
 	if l.set.JustStarted {
@@ -200,15 +200,15 @@
 		share = l.set.ColdShare + (1-l.set.ColdShare)*warm
 	}
 	if float64(crowd) > float64(l.set.Cores)*(1+(l.set.FallMultiple-1)*share) {
-		return l.fault("fall-over: %d run on %d cores", crowd, l.set.Cores)
+		return l.fault("collapse: %d requests run on %d cores", crowd, l.set.Cores)
 	}
 	return nil
 }
 
-// randomSettings draws a legal variant.
+// randomSettings returns random valid settings.
 func randomSettings(rng *rand.Rand) Settings {
 	s := testSettings()
-	s.Classes = append(s.Classes, Class{Name: "lead", Aim: 500 * ms, Deadline: 1500 * ms, Worth: 2,
+	s.Classes = append(s.Classes, Class{Name: "unsafe", Aim: 500 * ms, Deadline: 1500 * ms, Worth: 2,
 		Safety: Unsafe, LateValue: float64(rng.IntN(2)) / 2, Calls: true})
 	s.Hint = Hint(rng.IntN(4))
 	s.FreshFor = time.Duration(rng.IntN(2)) * 400 * ms
@@ -221,7 +221,7 @@
 	if rng.IntN(3) == 0 {
 		s.RunnableGauge, s.BusyGauge = -1, -1
 	}
-	if rng.IntN(3) == 0 { // calls go to what all servers share, and may not be left out
+	if rng.IntN(3) == 0 { // limited and required downstream calls
 		s.BelowShare, s.CallSpan, s.Linger = 0.2+2*rng.Float64(), 2*time.Second, 200*ms
 		for i := range s.Classes {
 			s.Classes[i].SkipWorth = 0
@@ -233,15 +233,15 @@
 	return s
 }
 
-// world sends legal events and carries out the actions. It is no model of a server: what ends,
-// and how, is drawn blindly.
+// world sends random valid events and carries out the actions. It does not model a server: which requests end, and how,
+// is random.
 type world struct {
 	l     *ledger
 	rng   *rand.Rand
 	n     *Instance
 	next  ID
 	jobs  int
-	order []ID // of the tries, for draws that do not hang on map order
+	order []ID // of arrival, for random choices that do not depend on map order
 	log   []string
 }
 
@@ -263,7 +263,7 @@
 	w.jobs++
 	t.job = w.jobs
 	if len(w.order) > 0 && w.rng.IntN(2) == 0 {
-		// A further try of an earlier one; the entry that lived when it reached the machine names it.
+		// A further attempt of an earlier request, identified by the entry that was valid when it arrived.
 		o := w.l.tries[w.order[len(w.order)-1-w.rng.IntN(min(len(w.order), 8))]]
 		if o.class.Name == c.Name && c.Safety == Keyed {
 			t.job = o.job
@@ -280,8 +280,8 @@
 		}
 	}
 	if c.Safety == Keyed && !a.Repeats {
-		// A try whose like is held or ran unknown to the table would be the table's failing; the
-		// instance has to remember each keyed try that it holds, so this is a new job.
+		// An attempt of a job that is queued or ran without an entry would be a fault of the key table, as the
+		// instance adds every queued keyed request to it. This is a new job instead.
 		for _, o := range w.l.tries {
 			if o.job == t.job && (!o.dead || o.started && t.reached-o.reached < c.KeyTTL) {
 				w.jobs++
@@ -304,7 +304,7 @@
 	return a
 }
 
-// progress draws what happens to a request next; nil: nothing.
+// progress returns a random next event of a request, or nil for none.
 func (w *world) progress(id ID) Event {
 	t := w.l.tries[id]
 	if t.dead {
@@ -348,7 +348,7 @@
 }
 
 func (w *world) step() error {
-	// The host calls at events or at the wake asked for, whichever is first, a tick late at most.
+	// The host calls Handle at events or when the timer fires, whichever is first, at most one tick late.
 	next := w.l.now + time.Duration(1+w.rng.IntN(10))*w.l.set.Tick
 	if w.l.wake > w.l.now {
 		late := (w.l.wake - w.l.now + w.l.set.Tick - 1) / w.l.set.Tick * w.l.set.Tick
@@ -416,7 +416,7 @@
 		a, err := play(seed, 400)
 		b, err2 := play(seed, 400)
 		if err != nil || err2 != nil || fmt.Sprint(a) != fmt.Sprint(b) {
-			t.Errorf("seed %d: two runs differ (%v, %v)", seed, err, err2)
+			t.Errorf("seed %d: two runs differ, errors %v and %v", seed, err, err2)
 		}
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// check names the first setting that makes no sense.
+// check returns an error for the first invalid setting.
 func check(set Settings) error {
 	if len(set.Classes) == 0 {
 		return errors.New("policy: Classes is empty")
@@ -16,7 +16,7 @@
 	for i, c := range set.Classes {
 		switch {
 		case names[c.Name]:
-			return fmt.Errorf("policy: Classes[%d].Name %q stands twice", i, c.Name)
+			return fmt.Errorf("policy: Classes[%d].Name %q is a duplicate", i, c.Name)
 		case c.Aim <= 0:
 			return fmt.Errorf("policy: Classes[%d].Aim must be above 0", i)
 		case c.Deadline <= 0:
@@ -59,20 +59,19 @@
 	return nil
 }
 
-// SetBelowShare puts another share of the calls below into force, as BelowShare of the settings: a share that is divided
-// among servers while they run changes more often than settings do. A share of nothing leaves room for no call; in the
-// settings 0 means that no share is told, and calls are not bounded.
+// SetBelowShare replaces BelowShare of the settings, for allocations that change more often than the settings. A share of
+// 0 allows no call, whereas 0 in the settings means that calls are unlimited.
 func (n *Instance) SetBelowShare(share float64) {
 	if share >= 0 && !math.IsInf(share, 0) {
 		n.set.BelowShare = max(share, math.SmallestNonzeroFloat64)
 	}
 }
 
-// Restarted tells that the machine has begun anew just now, and cold. What it ran has ended, by events of its own.
+// Restarted reports that the machine has just restarted and is cold. The host reports the end of what it ran by events.
 func (n *Instance) Restarted(now time.Duration) { n.set.JustStarted, n.coldFrom = true, now }
 
-// BelowTime tells how long calls below were in hand over the span of the rule, and how long that is: their ratio is
-// what this server has used of its share.
+// BelowTime returns the time of downstream calls in flight, in nanoseconds, summed over the period of the call limit, and
+// the length of that period. Their ratio is the used part of the allocation of this server.
 func (n *Instance) BelowTime() (inHand, span float64) {
 	if n.set.CallSpan <= 0 {
 		return 0, 0
--- a/policy/state.go
+++ b/policy/state.go
@@ -5,135 +5,138 @@
 	"time"
 )
 
-// This file holds the types of what an instance knows; policy.go decides.
+// This file holds the types of the state of an instance.
 
+// state is the stage that a request has reached.
 type state int
 
 const (
-	fresh     state = iota // read in this batch, not looked at yet
-	held                   // in its class's queue
-	following              // held: waits for the result of another
-	running                // on the cores, or waiting for disk
-	calling                // at a call
-	replaying              // waits for a shared result
-	over                   // ended; its memory is back
+	fresh     state = iota // read in this batch and not yet admitted
+	held                   // in the queue of its class
+	following              // coalesced with a primary, whose result it waits for
+	running                // uses a core or waits for a disk
+	calling                // waits for a downstream call
+	replaying              // its shared result is being sent
+	over                   // ended; its memory is released
 )
 
+// request is the state of a request.
 type request struct {
 	Arrived
 	class    *class
 	state    state
 	seq      uint64
 	reached  time.Duration // when it reached the machine
-	due      time.Duration // when its answer is due
-	aim      time.Duration // when its answer stops earning what it should
-	size     float64       // R: hint, else the learned mean, in nanoseconds
-	ran      bool          // it was started: never refused, never started again
-	repeat   bool          // it repeats one that ran: never refused, never started
-	answered bool          // nothing is owed any more
-	stored   bool          // its entry lives
-	good     bool          // its run ended well
-	again    bool          // a further try, known or taken for one
+	due      time.Duration // its deadline
+	aim      time.Duration // until when an answer earns the full worth
+	size     float64       // R of the paper: its Size, else the learned mean, in nanoseconds
+	ran      bool          // it was started, so it is neither refused nor started again
+	repeat   bool          // it repeats one that ran, so it is neither refused nor started
+	answered bool          // it needs no further answer
+	stored   bool          // it is in the key table
+	good     bool          // its run succeeded
+	again    bool          // a retry, either marked or inferred from its short wait
 	ended    time.Duration
-	first    *request      // the one it repeats, where that is known
-	heir     *request      // the newer try that took its place
-	lead     *request      // the one it follows
-	tail     []*request    // those that follow it
-	tries    int           // calls made for the present need
-	out      bool          // its call is in hand below
-	callEnd  time.Duration // when the call out is given up, from the start of the instance
-	retryAt  time.Duration
+	first    *request      // the one that it repeats; nil: unknown
+	heir     *request      // the newer attempt that replaced it
+	lead     *request      // the request that it is coalesced with
+	tail     []*request    // the requests that are coalesced with it
+	tries    int           // attempts of the current downstream call
+	out      bool          // its downstream call is in flight
+	callEnd  time.Duration // when that call is abandoned, since the start of the instance
+	retryAt  time.Duration // when its call is attempted next; 0: not scheduled
 }
 
-// moment is a time at which a request, or its entry in the table, has to be looked at.
+// moment is a scheduled check of a request, or the expiry of its entry in the key table.
 type moment struct {
 	at    time.Duration
 	seq   uint64
 	r     *request
-	entry bool
+	entry bool // the entry in the key table expires
 }
 
+// class is the state of a class of requests.
 type class struct {
 	Class
 	queue        orderedHeap[*request]
-	allowance    int
-	used         int
-	seen         int     // requests of this window
-	refused      int     // of these, refused
-	refusedBelow int     // of the refused, for want of calls below
-	ended        int     // runs that ended in this window
-	run          float64 // learned mean run, waits and calls included
-	size         float64 // learned mean size
-	sizeVar      float64 // spread of the sizes told, and how the runs vary with them
-	sizeRun      float64
-	samples      int
-	fullWait     time.Duration // the longest wait that came with a request: a first try's
+	allowance    int           // starts per round
+	used         int           // starts of this round
+	seen         int           // requests that arrived in this window
+	refused      int           // requests refused in this window
+	refusedBelow int           // of the refused, those without room for a downstream call
+	ended        int           // runs that succeeded in this window
+	run          float64       // learned mean duration of a run, waits and calls included, in nanoseconds
+	size         float64       // learned mean size, in nanoseconds
+	sizeVar      float64       // variance of the known sizes
+	sizeRun      float64       // covariance of the known sizes and the durations
+	samples      int           // runs learned from
+	fullWait     time.Duration // the longest wait of a caller so far, which is that of a first attempt
 }
 
-// traffic counts what came and ran of late, earlier windows for less.
+// traffic sums up recent windows; the weight of a window decreases with its age.
 type traffic struct {
-	arrived float64
-	resent  float64 // of these, further tries
-	reading float64 // time between reaching the machine and being read
-	runs    float64 // time of runs that ended
-	needy   float64 // arrivals whose calls can't be left out
+	arrived float64 // requests
+	resent  float64 // of these, retries
+	reading float64 // time between reaching the machine and being read, in nanoseconds
+	runs    float64 // duration of runs that succeeded, in nanoseconds
+	needy   float64 // requests whose downstream calls are required
 }
 
-// Instance decides for one server. It is not safe for concurrent use.
+// Instance makes the decisions of one server. It is not safe for concurrent use.
 type Instance struct {
 	set      Settings
 	rng      *rand.Rand
 	classes  []*class // in priority order
 	byName   map[string]*class
 	requests map[ID]*request
-	line     orderedHeap[moment]
-	arrivals []*request
-	out      []Action
+	line     orderedHeap[moment] // scheduled checks
+	arrivals []*request          // of the current batch
+	out      []Action            // of the current batch
 	now      time.Duration
-	born     time.Duration
-	coldFrom time.Duration // when the machine began, where it was just started
+	born     time.Duration // time of the first call of Handle
+	coldFrom time.Duration // when the machine started cold, if Settings.JustStarted
 	begun    bool
 	seq      uint64
 
-	held     int     // waiting in a queue
-	running  int     // started and not ended
-	calling  int     // of these, at a call
-	memory   float64 // held, running and entries
-	runnable float64 // gauge; under 0: none yet
-	moved    int     // starts less ends and calls since the last reading
-	paused   bool
-	bound    int // starts of this window
-
-	nextWake  time.Duration
-	waking    bool
-	wakes     uint64 // token of the last timer
+	held     int     // requests in the queues
+	running  int     // requests started and not ended
+	calling  int     // of these, waiting for a downstream call
+	memory   float64 // of queued and running requests and of key table entries, in kB
+	runnable float64 // gauge; negative: unknown
+	moved    int     // change of the running requests not at a call since the gauges were read
+	paused   bool    // the cores are busy: no starts beyond the minimum
+	bound    int     // starts in this window
+
+	nextWake  time.Duration // when the last timer fires
+	waking    bool          // it has not fired yet
+	wakes     uint64        // its token
 	windowEnd time.Duration
 
 	draining  bool
-	drainFrom time.Duration
-	stopAt    time.Duration
+	drainFrom time.Duration // when the drain notice was received
+	stopAt    time.Duration // when all requests are answered
 
-	idle       time.Duration // span after which idle connections are closed; 0: the callers' own
+	idle       time.Duration // idle connections are closed after this; 0: by the callers' own setting
 	recent     traffic
-	readShare  float64 // share of unread waits in the time of recent requests
-	retryShare float64 // share of further tries in recent arrivals
-
-	tightest   time.Duration // the least aim
-	unreadMost float64       // mean unread wait from which the server leaves the list, as a part of that
-	sick       bool          // it has left
-
-	shed float64 // share of the usual traffic that callers were told to keep away
-
-	inHand   int           // calls out now
-	callRun  float64       // learned mean time of a call
-	callEnds time.Duration // sum of the ends of these calls, from the instance's start
-	callTime float64       // time of calls in hand over the span of the rule
-	callsAt  time.Duration // when that was reckoned
-	callPast [callParts]float64
-
-	callFails int // in a row
-	breakEnd  time.Duration
-	needyEnd  time.Duration // until when optional calls are left out for those that can't be
-	leftOut   int           // calls of this window that were left out
-	timed     int           // and calls that came back in it with their time
+	readShare  float64 // share of the time before reading in the total time of recent requests
+	retryShare float64 // share of retries in recent arrivals
+
+	tightest   time.Duration // the tightest aim of all classes
+	unreadMost float64       // mean wait before reading above which the server is unhealthy, relative to it
+	sick       bool          // health checks fail
+
+	shed float64 // share of the usual traffic that callers are advised to send elsewhere
+
+	inHand   int                // downstream calls in flight
+	callRun  float64            // learned mean duration of a call, in nanoseconds
+	callEnds time.Duration      // sum of the times when these are abandoned, since the start of the instance
+	callTime float64            // time of calls in flight over the period of the call limit, in nanoseconds
+	callsAt  time.Duration      // when that was computed
+	callPast [callParts]float64 // that time, by parts of the period
+
+	callFails int           // consecutive failed calls
+	breakEnd  time.Duration // until when the breaker is open
+	needyEnd  time.Duration // until when optional calls are skipped in favour of required ones
+	leftOut   int           // calls skipped in this window instead of being made
+	timed     int           // calls in this window whose duration was learned
 }
