--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -86,7 +86,7 @@
 func New(clk *clock.Clock, log zerolog.Logger, set policy.Settings, seed uint64, runner Runner, below Below, ledger Ledger) *Core {
 	c := &Core{clock: clk, log: log, tick: clock.Millis(set.Tick), seed: seed, runner: runner, below: below,
 		ledger: ledger, inbox: mailbox.New[event](), stop: make(chan struct{}), handlers: map[policy.ID]*Handler{},
-		byWire: map[string]*Handler{}, keys: newKeyTable(clock.Millis(set.FreshFor), keyedRoom)}
+		byWire: map[string]*Handler{}, keys: newKeyTable(clock.Millis(set.SharedResultTTL), keyedRoom)}
 	c.counts.of = map[string]*classCount{}
 	c.adopt(set)
 	if c.ledger == nil {
@@ -114,7 +114,7 @@
 func (c *Core) Then(call func()) { c.inbox.Put(event{call: call}) }
 
 func (c *Core) adopt(set policy.Settings) {
-	c.set, c.class, c.keys.fresh = set, map[string]policy.Class{}, clock.Millis(set.FreshFor)
+	c.set, c.class, c.keys.fresh = set, map[string]policy.Class{}, clock.Millis(set.SharedResultTTL)
 	lasts := time.Duration(0)
 	for _, k := range set.Classes {
 		c.class[k.Name] = k
@@ -122,11 +122,11 @@
 		lasts = max(lasts, k.Deadline)
 	}
 	c.lasts.Store(int64(lasts))
-	c.rests.Store(int64(set.Idle))
+	c.rests.Store(int64(set.IdleTimeout))
 	if c.module == nil {
 		return
 	}
-	if err := c.module.Adopt(set); err != nil {
+	if err := c.module.UpdateSettings(set); err != nil {
 		panic(err) // config has tried the same settings
 	}
 }
@@ -241,7 +241,7 @@
 
 // finish tells the end of a run; the owner keeps the result where others may share it.
 func (c *Core) finish(l *Handler, n Notice) {
-	c.inbox.Put(event{handler: l, notice: n, event: policy.Finished{ID: l.id, Outcome: n.Outcome, Took: clock.Duration(n.Took)}})
+	c.inbox.Put(event{handler: l, notice: n, event: policy.Finished{ID: l.id, Outcome: n.Outcome, Duration: clock.Duration(n.Took)}})
 }
 
 // Stop ends Run.
@@ -292,7 +292,7 @@
 			e.call()
 		case e.drain > 0:
 			c.start(now, false)
-			c.events = append(c.events, policy.DrainNotice{Left: clock.Duration(max(e.drain-now, 0)), Ago: clock.Duration(max(now-e.told, 0))})
+			c.events = append(c.events, policy.DrainNotice{TimeLeft: clock.Duration(max(e.drain-now, 0)), Age: clock.Duration(max(now-e.told, 0))})
 		case e.event != nil:
 			c.start(now, false) // nothing comes before the runner is up, but if it does it must be answered
 			if ev := c.translate(now, e); ev != nil {
@@ -321,8 +321,8 @@
 		return
 	}
 	if c.share != nil { // looked at before each choice: one that ran out must carry no further call
-		c.module.SetBelowShare(c.share())
-		if inHand, span := c.module.BelowTime(); span > 0 {
+		c.module.SetDownstreamShare(c.share())
+		if inHand, span := c.module.DownstreamTime(); span > 0 {
 			c.used.Store(math.Float64bits(inHand / span))
 		}
 	}
@@ -357,7 +357,7 @@
 		if q.Wait == 0 {
 			l.due = q.At + clock.Millis(l.class.Deadline)
 		}
-		ev.Class, ev.Caller, ev.KB, ev.Rank, ev.Key, ev.Resent = q.Class, q.From, q.KB, q.Rank, q.Key, q.Retry
+		ev.Class, ev.Caller, ev.KB, ev.Rank, ev.Key, ev.IsRetry = q.Class, q.From, q.KB, q.Rank, q.Key, q.Retry
 		ev.Tenant, ev.Size = q.For, clock.Duration(q.Cost)
 		ev.Waited = clock.Duration(max(now-q.At, 0))
 		ev.Write = l.class.Safety != policy.Safe
@@ -365,7 +365,7 @@
 			// No longer than its client waits in all: so long its other tries are remembered past the window.
 			l.due = min(l.due, q.At+clock.Millis(l.class.Deadline))
 			var same bool
-			if ev.Original, ev.Repeats, same = c.keys.try(l); q.Once == "" || !same {
+			if ev.Original, ev.HasOriginal, same = c.keys.try(l); q.Once == "" || !same {
 				c.log.Debug().Str("id", q.ID).Str("class", q.Class).Str("once", q.Once).
 					Msg(`field "once" is missing, or stood with another body before: failed unrun`)
 				l.box.Put(policy.Fail{})
@@ -384,10 +384,10 @@
 				}
 				return nil
 			}
-			ev.Original, ev.Repeats = c.keys.original(l, now)
+			ev.Original, ev.HasOriginal = c.keys.original(l, now)
 		}
 		if q.Wait > 0 {
-			ev.Left = max(clock.Duration(l.due-now), earliest)
+			ev.TimeLeft = max(clock.Duration(l.due-now), earliest)
 		}
 		return ev
 	case policy.Finished:
@@ -419,31 +419,31 @@
 		c.order(a.ID, a)
 	case policy.Fail:
 		c.order(a.ID, a)
-	case policy.CallOut:
+	case policy.MakeCall:
 		c.order(a.ID, a)
 	case policy.SkipCall:
 		c.order(a.ID, a)
-	case policy.Remember:
+	case policy.StoreKey:
 		if l := c.handler(a.ID); l != nil {
-			c.keys.remember(l, now+clock.Millis(a.Span))
+			c.keys.remember(l, now+clock.Millis(a.TTL))
 		}
-	case policy.Forget:
+	case policy.DeleteKey:
 		c.keys.forget(a.ID)
 	case policy.Health:
 		if c.yields.Load() {
 			return
 		}
 		c.shallow.Store(a.Shallow)
-		if c.good.Swap(a.Good) != a.Good {
-			c.log.Info().Bool("good", a.Good).Msg("health")
+		if c.good.Swap(a.Healthy) != a.Healthy {
+			c.log.Info().Bool("good", a.Healthy).Msg("health")
 		}
-	case policy.Advise:
+	case policy.SetHint:
 		c.say.Store(math.Float64bits(a.Value))
 	case policy.CloseIdle:
 		c.idle.Store(int64(a.After))
-	case policy.WakeAt:
+	case policy.SetTimer:
 		c.clock.After(c.born+clock.Millis(a.At)-now, func() { c.wake(a.Token) })
-	case policy.Note:
+	case policy.LogLine:
 		c.log.Info().Msg(a.Text)
 	}
 }
@@ -452,7 +452,7 @@
 func (c *Core) wake(token uint64) {
 	c.inbox.Put(event{})
 	c.runner.Meter(func(gauges []float64) {
-		c.inbox.Put(event{event: policy.Woke{Token: token, Gauges: gauges}})
+		c.inbox.Put(event{event: policy.TimerFired{Token: token, Gauges: gauges}})
 	})
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -29,14 +29,14 @@
 func (h *hand) Meter(func([]float64))           {}
 func (h *hand) Diagnose(func(bool)) bool        { return false }
 func (h *hand) Call(context.Context, string, float64, []byte) (policy.Outcome, []byte) {
-	return policy.Unreached, nil
+	return policy.Unreachable, nil
 }
 
 var testSettings = policy.Settings{
 	Classes: []policy.Class{{Name: "read", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1},
 		{Name: "book", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 4, Safety: policy.Unsafe}},
-	Cores: 8, MemoryKB: 1e6, RunFactor: 4, FallMultiple: 8, FreshFor: 200 * time.Millisecond, PassesDeadline: true,
-	BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1,
+	Cores: 8, MemoryKB: 1e6, RunMemoryFactor: 4, MaxRunningPerCore: 8, SharedResultTTL: 200 * time.Millisecond, PassesDeadline: true,
+	BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnectionGauge: -1,
 }
 
 type rig struct {
@@ -270,8 +270,8 @@
 // The share is asked for before each choice, and what is put off until it is in force comes after.
 func TestShareIsAskedForBeforeEachChoice(t *testing.T) {
 	set := testSettings
-	set.Below, set.BelowShare, set.CallSpan = true, 100, 5*time.Second
-	set.Classes = []policy.Class{{Name: "read", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Calls: true, SkipWorth: 0.5}}
+	set.HasDownstream, set.DownstreamShare, set.CallPeriod = true, 100, 5*time.Second
+	set.Classes = []policy.Class{{Name: "read", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, MayCall: true, SkipWorth: 0.5}}
 	h := &caller{hand{make(chan *Attempt, 10)}, make(chan string, 10)}
 	clk := clock.Manual(begin)
 	c := New(clk, zerolog.Nop(), set, 1, h, h, nil)
@@ -380,7 +380,7 @@
 		}
 	})
 	a := <-r.hand.started
-	a.Notify(Notice{Ended: true, Outcome: policy.Moot})
+	a.Notify(Notice{Ended: true, Outcome: policy.NotRun})
 	if got := <-heard; got != try(2).ID {
 		t.Errorf("begun: %s", got)
 	}
--- a/internal/core/handler.go
+++ b/internal/core/handler.go
@@ -108,7 +108,7 @@
 	for run == nil {
 		switch m := l.box.Next().(type) {
 		case policy.Refuse:
-			l.answer(Outcome{Verdict: Refused, After: clock.Millis(m.Pause), Last: m.NoRetry, Unknown: !l.known})
+			l.answer(Outcome{Verdict: Refused, After: clock.Millis(m.RetryAfter), Last: m.NoRetry, Unknown: !l.known})
 			return
 		case policy.Fail:
 			l.fail()
@@ -135,11 +135,11 @@
 			// A further try would not be known for one, and run again. Safety before service.
 			c.log.Warn().Str("id", l.req.ID).Str("class", l.req.Class).Msg("its tries can't be tied (no room, or a process beside this one), so not run")
 			l.answer(Outcome{Verdict: Refused, After: ledgerPause})
-			c.tell(l, policy.Finished{ID: l.id, Outcome: policy.Moot})
+			c.tell(l, policy.Finished{ID: l.id, Outcome: policy.NotRun})
 			return
 		case policy.Start:
 			if gone { // the module had not heard it yet; nothing was begun
-				c.tell(l, policy.Finished{ID: l.id, Outcome: policy.Moot})
+				c.tell(l, policy.Finished{ID: l.id, Outcome: policy.NotRun})
 				return
 			}
 			if ok, err := c.begin(l.req, l.class); !ok {
@@ -150,7 +150,7 @@
 				} else {
 					l.answer(Outcome{Verdict: Failed})
 				}
-				c.tell(l, policy.Finished{ID: l.id, Outcome: policy.Moot})
+				c.tell(l, policy.Finished{ID: l.id, Outcome: policy.NotRun})
 				return
 			}
 			run = &Attempt{Request: l.req, Due: l.due, Skippable: l.class.SkipWorth > 0, Notify: func(n Notice) { l.box.Put(n) }}
@@ -197,7 +197,7 @@
 				l.fail()
 			}
 			return
-		case policy.CallOut:
+		case policy.MakeCall:
 			giveUp() // a second call for one request gives up the first
 			if l.answered || gone {
 				continue // the module hears of the run's end
@@ -213,7 +213,7 @@
 				c.runner.Return(run, at.N, m.body)
 			}
 			pool.Put(m.body)
-			c.tell(l, policy.CallReturned{ID: l.id, Outcome: m.outcome, Took: clock.Duration(m.took)})
+			c.tell(l, policy.CallReturned{ID: l.id, Outcome: m.outcome, Duration: clock.Duration(m.took)})
 		case policy.SkipCall:
 			c.runner.Skip(run, at.N)
 		case policy.Fail, policy.Refuse:
@@ -230,7 +230,7 @@
 }
 
 // call makes one call below; the function it returns gives the call up.
-func (l *Handler) call(nth int, order policy.CallOut, body []byte) func() {
+func (l *Handler) call(nth int, order policy.MakeCall, body []byte) func() {
 	c := l.core
 	limit := clock.Millis(order.MaxWait)
 	if limit <= 0 {
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -270,7 +270,7 @@
 		return
 	}
 	if e.of.keyed {
-		if f.Outcome == policy.Moot {
+		if f.Outcome == policy.NotRun {
 			t.forget(f.ID)
 			return
 		}
--- a/internal/net/executor/executor.go
+++ b/internal/net/executor/executor.go
@@ -375,7 +375,7 @@
 			return errMalformed
 		}
 		outcome, ok := map[string]policy.Outcome{"success": policy.OK, "failure": policy.Failed,
-			"interrupted": policy.Cancelled, "nothing": policy.Moot}[w[3]]
+			"interrupted": policy.Cancelled, "nothing": policy.NotRun}[w[3]]
 		if !ok {
 			return errMalformed
 		}
@@ -393,7 +393,7 @@
 	case w[0] == "BAD" && len(w) >= 3:
 		l.log.Debug().Strs("notice", w).Msg("command not carried out") // bad clients bring any number of these
 		if w[1] == "EXEC" {                                            // it never ran, and nothing else will tell its end
-			l.tell(0, w[2], core.Notice{Ended: true, Outcome: policy.Moot, Forged: true})
+			l.tell(0, w[2], core.Notice{Ended: true, Outcome: policy.NotRun, Forged: true})
 		}
 		if w[1] == "METER" { // a site may have no gauges; the fence stands all the same
 			l.metered(w[2], nil)
--- a/internal/net/rare_test.go
+++ b/internal/net/rare_test.go
@@ -143,7 +143,7 @@
 func TestReplyOfUnknownFateIsNotSentAgain(t *testing.T) {
 	set := settings
 	set.Classes = append(slices.Clone(set.Classes), policy.Class{Name: "needy", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second,
-		Worth: 4, LateValue: 1, Calls: true})
+		Worth: 4, LateValue: 1, MayCall: true})
 	x := newExecutor(t)
 	h := withExecutorBy(t, clock.System(), set, x, newVault(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -235,7 +235,7 @@
 // begun beside the first as before.
 func TestAnotherExecutorIsCold(t *testing.T) {
 	set := settings
-	set.Cores, set.ColdShare, set.Cold = 1, 0, time.Hour
+	set.Cores, set.ColdSpeedShare, set.WarmupPeriod = 1, 0, time.Hour
 	x := newExecutor(t)
 	h := withExecutorBy(t, clock.System(), set, x, "127.0.0.1:1")
 	x.welcome(0)
--- a/policy/api.go
+++ b/policy/api.go
@@ -36,7 +36,7 @@
 	LateValue  float64 // part of Worth earned between Aim and Deadline
 	Safety     Safety
 	KeyTTL     time.Duration // for Keyed: how long after the first attempt a repeat may arrive
-	Calls      bool          // its requests may make downstream calls
+	MayCall    bool          // its requests may make downstream calls
 	SkipWorth  float64       // part of Worth earned when a call is skipped; 0: calls are required
 }
 
@@ -49,39 +49,39 @@
 
 // Settings configures an instance.
 type Settings struct {
-	Classes        []Class
-	Tenants        []Tenant
-	Servers        int           // initial number of instances of this tier
-	Callers        int           // initial number of callers of this tier
-	Cores          int           // cores of this machine
-	MemoryKB       float64       // memory for queued and running requests and key table entries
-	EntryKB        float64       // memory of one key table entry
-	RunFactor      float64       // memory of a running request relative to a queued one
-	FreshFor       time.Duration // how long the result of a safe request may be shared
-	JustStarted    bool          // the machine is cold when the instance starts
-	Cold           time.Duration // time after which the machine is warm at the latest
-	ColdShare      float64       // initial speed of a cold instance relative to a warm one
-	FallMultiple   float64       // mean running requests per core above which a warm instance collapses
-	FallSpan       time.Duration // period of that mean
-	AnswerSlack    time.Duration // how long after its deadline an answer still counts
-	DrainGrace     time.Duration // requests that arrive later than this after DrainNotice never run
-	Tick           time.Duration // minimum interval between calls of Handle
-	PassesDeadline bool          // callers send Arrived.TimeLeft
-	MarksRetry     bool          // callers send Arrived.IsRetry
-	Below          bool          // there is a downstream tier to call
-	BelowShare     float64       // concurrent downstream calls allotted to this instance; 0: unlimited
-	CallSpan       time.Duration // period over which concurrent calls are averaged
-	Linger         time.Duration // maximum time that an abandoned call keeps running downstream
-	Hint           Hint
-	HintFor        time.Duration // how long a caller applies a hint
-	Idle           time.Duration // callers close idle connections after this; 0: unknown
-	MaxPause       time.Duration // longest Refuse.RetryAfter that callers respect; 0: they ignore it
-	OverShareWorth float64       // worth of a request beyond its tenant's share, relative to its class
-	WorthByWork    bool          // Class.Worth is per unit of work, not per request
-	BusyGauge      int           // index of each gauge in TimerFired.Gauges; -1: absent
-	RunnableGauge  int
-	MemoryGauge    int
-	ConnGauge      int
+	Classes           []Class
+	Tenants           []Tenant
+	Servers           int           // initial number of instances of this tier
+	Callers           int           // initial number of callers of this tier
+	Cores             int           // cores of this machine
+	MemoryKB          float64       // memory for queued and running requests and key table entries
+	EntryKB           float64       // memory of one key table entry
+	RunMemoryFactor   float64       // memory of a running request relative to a queued one
+	SharedResultTTL   time.Duration // how long the result of a safe request may be shared
+	JustStarted       bool          // the machine is cold when the instance starts
+	WarmupPeriod      time.Duration // time after which the machine is warm at the latest
+	ColdSpeedShare    float64       // initial speed of a cold instance relative to a warm one
+	MaxRunningPerCore float64       // mean running requests per core above which a warm instance collapses
+	MaxRunningPeriod  time.Duration // period of that mean
+	AnswerSlack       time.Duration // how long after its deadline an answer still counts
+	DrainGrace        time.Duration // requests that arrive later than this after DrainNotice never run
+	Tick              time.Duration // minimum interval between calls of Handle
+	PassesDeadline    bool          // callers send Arrived.TimeLeft
+	MarksRetry        bool          // callers send Arrived.IsRetry
+	HasDownstream     bool          // there is a downstream tier to call
+	DownstreamShare   float64       // concurrent downstream calls allotted to this instance; 0: unlimited
+	CallPeriod        time.Duration // period over which concurrent calls are averaged
+	AbandonedCallTime time.Duration // maximum time that an abandoned call keeps running downstream
+	Hint              Hint
+	HintTTL           time.Duration // how long a caller applies a hint
+	IdleTimeout       time.Duration // callers close idle connections after this; 0: unknown
+	MaxRetryAfter     time.Duration // longest Refuse.RetryAfter that callers respect; 0: they ignore it
+	OverShareWorth    float64       // worth of a request beyond its tenant's share, relative to its class
+	WorthByWork       bool          // Class.Worth is per unit of work, not per request
+	BusyGauge         int           // index of each gauge in TimerFired.Gauges; -1: absent
+	RunnableGauge     int
+	MemoryGauge       int
+	ConnectionGauge   int
 }
 
 // Outcome is the result of a run or of a call.
@@ -89,14 +89,14 @@
 
 // The values of Outcome. Full, Unreachable and NotRun prove that nothing ran.
 const (
-	OK        Outcome = iota
-	Failed            // ran or may have run, and failed
-	Full              // refused for lack of capacity
-	TimedOut          // no reply within the time limit
-	Unreached         // no connection was established
-	CutOff            // the connection broke or the reply was malformed; the call may have run
-	Cancelled         // stopped before its end
-	Moot              // ended before it began
+	OK           Outcome = iota
+	Failed               // ran or may have run, and failed
+	Full                 // refused for lack of capacity
+	TimedOut             // no reply within the time limit
+	Unreachable          // no connection was established
+	InvalidReply         // the connection broke or the reply was malformed; the call may have run
+	Cancelled            // stopped before its end
+	NotRun               // ended before it began
 )
 
 // Event is an input of an instance.
@@ -104,27 +104,27 @@
 
 // Arrived reports that a request was read.
 type Arrived struct {
-	ID       ID
-	Class    string
-	Tenant   string
-	Caller   int64
-	Size     time.Duration // expected work; 0: unknown
-	Waited   time.Duration // time since it reached the machine
-	Left     time.Duration // how long its caller still waits; 0: unknown
-	KB       float64       // memory while queued
-	Rank     float64       // rank among all requests, from 0 (least worth) to 1
-	Key      string        // the resource that it concerns; empty: unknown
-	Write    bool          // it changes the resource
-	Resent   bool          // marked as a retry by its caller
-	Original ID            // the request in the key table that it repeats
-	Repeats  bool          // Original is set
+	ID          ID
+	Class       string
+	Tenant      string
+	Caller      int64
+	Size        time.Duration // expected work; 0: unknown
+	Waited      time.Duration // time since it reached the machine
+	TimeLeft    time.Duration // how long its caller still waits; 0: unknown
+	KB          float64       // memory while queued
+	Rank        float64       // rank among all requests, from 0 (least worth) to 1
+	Key         string        // the resource that it concerns; empty: unknown
+	Write       bool          // it changes the resource
+	IsRetry     bool          // marked as a retry by its caller
+	Original    ID            // the request in the key table that it repeats
+	HasOriginal bool          // Original is set
 }
 
 // Finished reports that a run ended or that a shared result was sent.
 type Finished struct {
-	ID      ID
-	Outcome Outcome
-	Took    time.Duration
+	ID       ID
+	Outcome  Outcome
+	Duration time.Duration
 }
 
 // CallNeeded reports that a running request waits for a downstream call to be made.
@@ -132,9 +132,9 @@
 
 // CallReturned reports the outcome of a downstream call.
 type CallReturned struct {
-	ID      ID
-	Outcome Outcome
-	Took    time.Duration
+	ID       ID
+	Outcome  Outcome
+	Duration time.Duration
 }
 
 // CallerGone reports that the caller no longer waits for the request.
@@ -142,12 +142,12 @@
 
 // DrainNotice reports that the process will be stopped.
 type DrainNotice struct {
-	Left time.Duration // until the stop
-	Ago  time.Duration // since the notice was received
+	TimeLeft time.Duration // until the stop
+	Age      time.Duration // since the notice was received
 }
 
-// Woke reports that the timer of a SetTimer action fired, with the current gauges.
-type Woke struct {
+// TimerFired reports that the timer of a SetTimer action fired, with the current gauges.
+type TimerFired struct {
 	Token  uint64
 	Gauges []float64
 }
@@ -158,7 +158,7 @@
 func (CallReturned) event() {}
 func (CallerGone) event()   {}
 func (DrainNotice) event()  {}
-func (Woke) event()         {}
+func (TimerFired) event()   {}
 
 // Action is an output of an instance. The host carries out actions in the given order.
 type Action interface{ action() }
@@ -171,25 +171,25 @@
 
 // Refuse rejects a request that never ran.
 type Refuse struct {
-	ID      ID
-	Pause   time.Duration // how long the caller should wait before a retry; 0: no advice
-	NoRetry bool          // the caller should not retry at another server
+	ID         ID
+	RetryAfter time.Duration // how long the caller should wait before a retry; 0: no advice
+	NoRetry    bool          // the caller should not retry at another server
 }
 
 // Fail answers a request with an error; the request may have run.
 type Fail struct{ ID ID }
 
-// Remember adds a request to the key table, in which the host looks up repeats.
-type Remember struct {
-	ID   ID
-	Span time.Duration
+// StoreKey adds a request to the key table, in which the host looks up repeats.
+type StoreKey struct {
+	ID  ID
+	TTL time.Duration
 }
 
-// Forget removes a request from the key table.
-type Forget struct{ ID ID }
+// DeleteKey removes a request from the key table.
+type DeleteKey struct{ ID ID }
 
-// CallOut makes the downstream call that a request waits for.
-type CallOut struct {
+// MakeCall makes the downstream call that a request waits for.
+type MakeCall struct {
 	ID      ID
 	MaxWait time.Duration
 }
@@ -200,34 +200,34 @@
 // Health sets the answer to health checks from now on.
 type Health struct {
 	Shallow bool // answer from this setting alone, without running a request
-	Good    bool
+	Healthy bool
 }
 
-// Advise sets the hint sent with every answer from now on; Settings.Hint says how callers interpret it.
-type Advise struct{ Value float64 }
+// SetHint sets the hint sent with every answer from now on; Settings.Hint says how callers interpret it.
+type SetHint struct{ Value float64 }
 
 // CloseIdle closes connections that have been idle for this long, from now on.
 type CloseIdle struct{ After time.Duration }
 
-// WakeAt requests a TimerFired event.
-type WakeAt struct {
+// SetTimer requests a TimerFired event.
+type SetTimer struct {
 	At    time.Duration
 	Token uint64
 }
 
-// Note writes a line to the log.
-type Note struct{ Text string }
+// LogLine writes a line to the log.
+type LogLine struct{ Text string }
 
 func (Start) action()       {}
 func (ShareResult) action() {}
 func (Refuse) action()      {}
 func (Fail) action()        {}
-func (Remember) action()    {}
-func (Forget) action()      {}
-func (CallOut) action()     {}
+func (StoreKey) action()    {}
+func (DeleteKey) action()   {}
+func (MakeCall) action()    {}
 func (SkipCall) action()    {}
 func (Health) action()      {}
-func (Advise) action()      {}
+func (SetHint) action()     {}
 func (CloseIdle) action()   {}
-func (WakeAt) action()      {}
-func (Note) action()        {}
+func (SetTimer) action()    {}
+func (LogLine) action()     {}
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -10,7 +10,7 @@
 func TestRunningWorkIsAnsweredByItsDueTime(t *testing.T) {
 	r := newRig(t, nil)
 	a := iron(1)
-	a.Left = 300 * ms
+	a.TimeLeft = 300 * ms
 	r.do(a)
 	r.want(r.after(290 * ms))
 	r.want(r.after(8*ms), "Fail 1") // one tick before its deadline
@@ -21,7 +21,7 @@
 	r := newRig(t, func(s *Settings) { s.Classes[0].LateValue = 1 })
 	full(r)
 	a := iron(3)
-	a.Left, a.Waited = 0, 1000*ms
+	a.TimeLeft, a.Waited = 0, 1000*ms
 	r.do(a)
 	var got []string
 	for range 110 {
@@ -38,21 +38,21 @@
 	// A timer of a host with a coarser clock fires just before the requested time. Without a further timer
 	// requests get no answer.
 	r := newRig(t, nil)
-	var wake WakeAt
+	var wake SetTimer
 	next := func(events ...Event) {
 		for _, a := range r.n.Handle(r.now, events) {
-			if w, ok := a.(WakeAt); ok {
+			if w, ok := a.(SetTimer); ok {
 				wake = w
 			}
 		}
 	}
 	a := iron(1)
-	a.Left = 200 * ms
-	next(Woke{Token: 1}, a)
+	a.TimeLeft = 200 * ms
+	next(TimerFired{Token: 1}, a)
 	for range 40 {
 		asked := wake
 		r.now = wake.At - 1
-		next(Woke{Token: wake.Token})
+		next(TimerFired{Token: wake.Token})
 		if wake == asked {
 			t.Fatal("no further timer was set after one fired early")
 		}
@@ -76,11 +76,11 @@
 			r.now += 2 * ms
 			var events []Event
 			if at > 0 && r.now >= at {
-				events, at = []Event{Woke{Token: token, Gauges: []float64{1, 2, 0}}}, 0
+				events, at = []Event{TimerFired{Token: token, Gauges: []float64{1, 2, 0}}}, 0
 				wakes++
 			}
 			for _, a := range r.n.Handle(r.now, events) {
-				if w, ok := a.(WakeAt); ok {
+				if w, ok := a.(SetTimer); ok {
 					token, at = w.Token, w.At
 				}
 			}
@@ -96,7 +96,7 @@
 	asked := false
 	r.now += time.Second // the timer does not fire
 	for _, a := range r.n.Handle(r.now, []Event{iron(1)}) {
-		if w, ok := a.(WakeAt); ok && w.At > r.now {
+		if w, ok := a.(SetTimer); ok && w.At > r.now {
 			asked = true
 		}
 	}
@@ -119,7 +119,7 @@
 		r := newRig(t, nil)
 		r.do(gold(1))
 		r.want(r.do(goldAgain(2, 1)))
-		got := r.after(100*ms, Finished{ID: 1, Outcome: outcome, Took: 100 * ms})
+		got := r.after(100*ms, Finished{ID: 1, Outcome: outcome, Duration: 100 * ms})
 		if outcome == OK {
 			r.want(got, "Share 2")
 		} else {
@@ -174,16 +174,16 @@
 	r := newRig(t, nil)
 	r.do(gold(1))
 	b := goldAgain(2, 1)
-	b.Left = 100 * ms
+	b.TimeLeft = 100 * ms
 	r.do(b)
 	r.want(r.after(99*ms), "Fail 2")
 }
 
 func TestSharedReads(t *testing.T) {
-	fresh := func(s *Settings) { s.FreshFor = 500 * ms }
+	fresh := func(s *Settings) { s.SharedResultTTL = 500 * ms }
 	read := func(id, first ID) Arrived {
 		a := iron(id)
-		a.Key, a.Original, a.Repeats = "k", first, first != 0
+		a.Key, a.Original, a.HasOriginal = "k", first, first != 0
 		return a
 	}
 	r := newRig(t, fresh)
@@ -261,7 +261,7 @@
 	r := newRig(t, nil)
 	full(r)
 	r.do(gold(3))
-	r.want(r.do(DrainNotice{Left: 2000 * ms}), "Health false")
+	r.want(r.do(DrainNotice{TimeLeft: 2000 * ms}), "Health false")
 	r.want(starts(r.after(100*ms, iron(4), done(1))), "Start 3")
 	late := iron(5)
 	r.want(r.after(600*ms, late), "Refuse 5") // arrived after the grace
@@ -282,11 +282,11 @@
 	r := newRig(t, nil)
 	full(r)
 	r.do(iron(3))
-	r.want(r.do(DrainNotice{Left: 20 * ms}), "Health false", "Fail 1", "Fail 2", "Refuse 3")
+	r.want(r.do(DrainNotice{TimeLeft: 20 * ms}), "Health false", "Fail 1", "Fail 2", "Refuse 3")
 }
 
 func TestCallIsRepeatedOnlyWhereItProvablyNeverRan(t *testing.T) {
-	for o := Failed; o <= Moot; o++ {
+	for o := Failed; o <= NotRun; o++ {
 		r := newRig(t, nil)
 		r.do(gold(1))
 		r.want(r.after(10*ms, CallNeeded{1}), "Call 1")
@@ -297,7 +297,7 @@
 			got = append(got, r.after(20*ms)...)
 		}
 		again := has(got, "Call 1")
-		if proven := o == Full || o == Unreached || o == Moot; again != proven {
+		if proven := o == Full || o == Unreachable || o == NotRun; again != proven {
 			t.Errorf("outcome %d: call retried: %v, want %v", o, again, proven)
 		}
 	}
@@ -377,7 +377,7 @@
 	for i := range s.Classes {
 		s.Classes[i].SkipWorth = 0
 	}
-	s.BelowShare, s.CallSpan, s.Linger = 0.5, 5*time.Second, 200*ms
+	s.DownstreamShare, s.CallPeriod, s.AbandonedCallTime = 0.5, 5*time.Second, 200*ms
 }
 
 // mostBelow simulates a minute of arrivals with a downstream tier whose calls take the given time. It returns the
@@ -386,7 +386,7 @@
 func mostBelow(t *testing.T, set func(*Settings), took func(now time.Duration) time.Duration) (float64, int) {
 	r := newRig(t, set)
 	const step = 10 * ms
-	span := int(r.n.set.CallSpan / step)
+	span := int(r.n.set.CallPeriod / step)
 	type call struct{ back, given time.Duration }
 	out := map[ID]call{}
 	var lingering []time.Duration
@@ -394,7 +394,7 @@
 	next, served, most := ID(0), 0, 0.0
 	for i := range 6000 {
 		r.now += step
-		events := []Event{Woke{Token: uint64(i), Gauges: []float64{0.3, 0, 0}}}
+		events := []Event{TimerFired{Token: uint64(i), Gauges: []float64{0.3, 0, 0}}}
 		if i%10 == 0 {
 			next++
 			a := iron(next)
@@ -410,11 +410,11 @@
 			case c.back <= c.given:
 				delete(out, id)
 				served++
-				events = append(events, CallReturned{ID: id, Outcome: OK, Took: 50 * ms}, done(id))
+				events = append(events, CallReturned{ID: id, Outcome: OK, Duration: 50 * ms}, done(id))
 			default:
 				delete(out, id)
-				lingering = append(lingering, c.given+r.n.set.Linger)
-				events = append(events, CallReturned{ID: id, Outcome: TimedOut, Took: 50 * ms})
+				lingering = append(lingering, c.given+r.n.set.AbandonedCallTime)
+				events = append(events, CallReturned{ID: id, Outcome: TimedOut, Duration: 50 * ms})
 			}
 		}
 		actions := append([]Action(nil), r.n.Handle(r.now, events)...)
@@ -424,12 +424,12 @@
 				switch a := a.(type) {
 				case Start:
 					more = append(more, CallNeeded(a))
-				case CallOut:
+				case MakeCall:
 					out[a.ID] = call{r.now + took(r.now), r.now + a.MaxWait}
 				case Fail:
 					if _, ok := out[a.ID]; ok {
 						delete(out, a.ID)
-						lingering = append(lingering, r.now+r.n.set.Linger)
+						lingering = append(lingering, r.now+r.n.set.AbandonedCallTime)
 					}
 					more = append(more, Finished{ID: a.ID, Outcome: Cancelled})
 				}
@@ -471,25 +471,25 @@
 	if most, _ = mostBelow(t, sharedBelow, dead); most > 0.5 {
 		t.Errorf("no replies: %.2f concurrent calls", most)
 	}
-	tiny := func(s *Settings) { sharedBelow(s); s.BelowShare = 0.1 }
+	tiny := func(s *Settings) { sharedBelow(s); s.DownstreamShare = 0.1 }
 	if most, served = mostBelow(t, tiny, slows); most > 0.1 || served < 8 {
 		t.Errorf("share of 0.1: %.3f concurrent calls, %d requests served", most, served)
 	}
 }
 
 func TestNoStartWhereTheCallWouldHaveNoRoom(t *testing.T) {
-	r := newRig(t, func(s *Settings) { sharedBelow(s); s.BelowShare, s.Classes[0].Calls = 0.3, false })
+	r := newRig(t, func(s *Settings) { sharedBelow(s); s.DownstreamShare, s.Classes[0].MayCall = 0.3, false })
 	r.do(gold(1))
 	r.do(CallNeeded{1})
 	r.after(900 * ms) // the call takes all the time that the share allows
 	r.want(starts(r.do(gold(2), iron(3))), "Start 3")
-	r.after(10*ms, CallReturned{ID: 1, Outcome: TimedOut, Took: 900 * ms}, Finished{ID: 1, Outcome: Cancelled})
+	r.after(10*ms, CallReturned{ID: 1, Outcome: TimedOut, Duration: 900 * ms}, Finished{ID: 1, Outcome: Cancelled})
 	r.want(starts(r.after(8*time.Second, gold(4))), "Start 4")
 }
 
 // Guards against runs that wait for a slow downstream tier though their calls are optional.
 func TestNoRoomForACallLeavesItOut(t *testing.T) {
-	r := newRig(t, func(s *Settings) { sharedBelow(s); s.BelowShare, s.Classes[1].SkipWorth = 0.3, 0.3 })
+	r := newRig(t, func(s *Settings) { sharedBelow(s); s.DownstreamShare, s.Classes[1].SkipWorth = 0.3, 0.3 })
 	for i := range r.n.set.Classes {
 		if c := r.n.classes[i]; c.Name == "safe" {
 			c.SkipWorth = 0.3
@@ -524,7 +524,7 @@
 			r.after(10*ms, done(id))
 			return false
 		}
-		r.after(100*ms, CallReturned{ID: id, Outcome: OK, Took: 100 * ms}, done(id))
+		r.after(100*ms, CallReturned{ID: id, Outcome: OK, Duration: 100 * ms}, done(id))
 		return true
 	}
 	for range 40 { // about five periods of the call limit; the optional calls alone would fill them
@@ -569,7 +569,7 @@
 	r := newRig(t, nil)
 	r.do(gold(1), iron(2))
 	r.after(10*ms, CallNeeded{1}, CallNeeded{2})
-	r.want(r.after(10*ms, CallReturned{ID: 1, Outcome: CutOff}, CallReturned{ID: 2, Outcome: CutOff}), "Fail 1")
+	r.want(r.after(10*ms, CallReturned{ID: 1, Outcome: InvalidReply}, CallReturned{ID: 2, Outcome: InvalidReply}), "Fail 1")
 	var got []string
 	for range 20 {
 		got = append(got, r.after(10*ms)...)
@@ -577,7 +577,7 @@
 	if !has(got, "Call 2") {
 		t.Errorf("the call was not retried: %q", got)
 	}
-	r.want(r.after(10*ms, CallReturned{ID: 2, Outcome: CutOff}), "Skip 2")
+	r.want(r.after(10*ms, CallReturned{ID: 2, Outcome: InvalidReply}), "Skip 2")
 }
 
 // A missing reply could take up the call share for half of the time left, at the expense of other calls.
@@ -586,7 +586,7 @@
 	r.do(iron(1))
 	r.now += 10 * ms
 	for _, a := range r.n.Handle(r.now, []Event{CallNeeded{1}}) {
-		if c, ok := a.(CallOut); ok && c.MaxWait > skipPatience*callBackoff {
+		if c, ok := a.(MakeCall); ok && c.MaxWait > skipPatience*callBackoff {
 			t.Errorf("time limit of an optional call: %v", c.MaxWait)
 		} else if ok {
 			return
@@ -604,9 +604,9 @@
 		refused, last := 0, 0
 		for id := ID(10); id < 210; id++ {
 			a := iron(id)
-			a.Waited, a.Left = 100*ms, 1500*ms
+			a.Waited, a.TimeLeft = 100*ms, 1500*ms
 			if id%50 == 0 {
-				a.Left = 3000 * ms
+				a.TimeLeft = 3000 * ms
 			}
 			r.now += 20 * ms
 			for _, act := range r.n.Handle(r.now, []Event{a, gauges(1, 2, 0)}) {
@@ -628,7 +628,7 @@
 func blockedBelow(t *testing.T) *rig {
 	r := newRig(t, func(s *Settings) {
 		sharedBelow(s)
-		s.BelowShare, s.Classes[0].Calls, s.Hint = 0.3, false, HintWeight
+		s.DownstreamShare, s.Classes[0].MayCall, s.Hint = 0.3, false, HintWeight
 	})
 	r.do(gold(1))
 	r.do(CallNeeded{1})
@@ -689,11 +689,11 @@
 
 // An exponentially decaying count of calls would leave half of the share unused and skip calls that have room.
 func TestSteadyCallsMayUseMostOfTheShare(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.BelowShare, s.CallSpan, s.Linger = 1, 5*time.Second, 200*ms })
+	r := newRig(t, func(s *Settings) { s.DownstreamShare, s.CallPeriod, s.AbandonedCallTime = 1, 5*time.Second, 200*ms })
 	for id := ID(1); id <= 200; id++ { // 0.6 concurrent calls for 20 s
 		r.want(starts(r.do(iron(id), gauges(0, 0, 0))), fmt.Sprint("Start ", id))
 		r.want(r.do(CallNeeded{id}), fmt.Sprint("Call ", id))
-		r.after(60*ms, CallReturned{ID: id, Took: 60 * ms}, Finished{ID: id, Took: 60 * ms})
+		r.after(60*ms, CallReturned{ID: id, Duration: 60 * ms}, Finished{ID: id, Duration: 60 * ms})
 		r.now += 40 * ms
 	}
 }
@@ -733,16 +733,16 @@
 func TestShareOfNothingAllowsNoCall(t *testing.T) {
 	r := newRig(t, mixedBelow)
 	r.do(iron(1))
-	r.n.SetBelowShare(0)
+	r.n.SetDownstreamShare(0)
 	r.want(r.do(CallNeeded{1}), "Skip 1")
-	r.n.SetBelowShare(0.3)
+	r.n.SetDownstreamShare(0.3)
 	r.do(iron(2))
 	r.want(r.do(CallNeeded{2}), "Call 2")
 }
 
 // A share smaller than the time for which an abandoned call keeps running must still allow calls.
 func TestTinyShareAllowsCalls(t *testing.T) {
-	tiny := func(s *Settings) { sharedBelow(s); s.BelowShare = 0.05 }
+	tiny := func(s *Settings) { sharedBelow(s); s.DownstreamShare = 0.05 }
 	quick := func(time.Duration) time.Duration { return 10 * ms }
 	if most, served := mostBelow(t, tiny, quick); most > 0.05 || served < 8 {
 		t.Errorf("%.3f concurrent calls, %d requests served in a minute", most, served)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -31,7 +31,7 @@
 	stopMargin    = 60 * time.Millisecond // all requests are answered this long before the stop
 	callTries     = 8                     // attempts of a call that provably did not run
 	callBackoff   = 30 * time.Millisecond // first wait between such attempts; doubles
-	pauseShare    = 0.25                  // longest wait advised, as a part of MaxPause
+	pauseShare    = 0.25                  // longest wait advised, as a part of MaxRetryAfter
 	pauseLeast    = 20 * time.Millisecond // shortest wait advised: a few runs have ended by then
 	unreadMost    = 0.8                   // part of the tightest aim that requests may wait unread
 	skipAfter     = 0.5                   // an optional call may take this part of the time left
@@ -84,8 +84,8 @@
 	return n, nil
 }
 
-// Adopt replaces the settings. Open requests keep the class settings that they arrived with.
-func (n *Instance) Adopt(set Settings) error {
+// UpdateSettings replaces the settings. Open requests keep the class settings that they arrived with.
+func (n *Instance) UpdateSettings(set Settings) error {
 	if err := check(set); err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 	if !n.begun {
 		n.begun, n.now, n.born, n.coldFrom = true, now, now, now
 		n.windowEnd = now + windowSpan
-		n.do(Health{Shallow: true, Good: true}) // health checks must not use a core or call downstream
+		n.do(Health{Shallow: true, Healthy: true}) // health checks must not use a core or call downstream
 	}
 	n.now = max(n.now, now)
 	for _, e := range events {
@@ -185,11 +185,11 @@
 		n.gone(e.ID)
 	case DrainNotice:
 		if !n.draining {
-			n.draining, n.drainFrom = true, n.now-e.Ago
+			n.draining, n.drainFrom = true, n.now-e.Age
 			n.do(Health{Shallow: true})
 		}
-		n.stopAt = n.now + e.Left - max(stopMargin, 3*n.set.Tick)
-	case Woke:
+		n.stopAt = n.now + e.TimeLeft - max(stopMargin, 3*n.set.Tick)
+	case TimerFired:
 		n.reading(e)
 	}
 }
@@ -207,8 +207,8 @@
 	n.seq++
 	r := &request{Arrived: e, class: c, seq: n.seq, reached: n.now - max(e.Waited, 0)}
 	r.due = r.reached + c.Deadline
-	if e.Left > 0 {
-		r.due = n.now + e.Left
+	if e.TimeLeft > 0 {
+		r.due = n.now + e.TimeLeft
 	}
 	r.due = max(r.due, n.now)
 	r.size = c.size
@@ -220,13 +220,13 @@
 	c.seen++
 	n.recent.arrived++
 	n.recent.reading += float64(n.now - r.reached)
-	if c.Calls && c.SkipWorth == 0 {
+	if c.MayCall && c.SkipWorth == 0 {
 		n.recent.needy++
 	}
-	c.fullWait = max(c.fullWait, e.Left+max(e.Waited, 0))
-	shorter := e.Left > 0 && float64(e.Left+max(e.Waited, 0)) < float64(c.fullWait)*fullWaitShare
+	c.fullWait = max(c.fullWait, e.TimeLeft+max(e.Waited, 0))
+	shorter := e.TimeLeft > 0 && float64(e.TimeLeft+max(e.Waited, 0)) < float64(c.fullWait)*fullWaitShare
 	// Where retries are marked, a short wait proves nothing, since clients differ in how long they wait.
-	if e.Resent || shorter && !n.set.MarksRetry {
+	if e.IsRetry || shorter && !n.set.MarksRetry {
 		n.recent.resent++
 		r.again = true
 	}
@@ -240,7 +240,7 @@
 	if r.state != fresh {
 		return
 	}
-	if r.Repeats && n.settleRepeat(r) {
+	if r.HasOriginal && n.settleRepeat(r) {
 		return
 	}
 	n.hold(r)
@@ -316,7 +316,7 @@
 	case o.state == held || o.state == running || o.state == calling:
 		n.follow(r, o)
 		return true
-	case o.state == over && o.good && n.now-o.ended <= n.set.FreshFor:
+	case o.state == over && o.good && n.now-o.ended <= n.set.SharedResultTTL:
 		n.share(r)
 		return true
 	}
@@ -343,14 +343,14 @@
 	switch {
 	case c.Safety == Keyed:
 		span = max(span, r.reached+c.KeyTTL-n.now) + 2*n.set.Tick
-	case c.Safety == Safe && n.set.FreshFor > 0 && r.Key != "" && !r.Write:
-		span += n.set.FreshFor
+	case c.Safety == Safe && n.set.SharedResultTTL > 0 && r.Key != "" && !r.Write:
+		span += n.set.SharedResultTTL
 	default:
 		return
 	}
 	r.stored = true
 	n.memory += n.set.EntryKB
-	n.do(Remember{ID: r.ID, Span: span})
+	n.do(StoreKey{ID: r.ID, TTL: span})
 	n.at(moment{at: n.now + span, r: r, entry: true})
 }
 
@@ -361,7 +361,7 @@
 	r.stored = false
 	n.memory -= n.set.EntryKB
 	if tell {
-		n.do(Forget{ID: r.ID})
+		n.do(DeleteKey{ID: r.ID})
 	}
 	n.prune(r)
 }
@@ -382,7 +382,7 @@
 		}
 		last := n.short() || n.retryShare > retriesMost && n.shed > shedMost/2 ||
 			n.retryShare > retriesMany && n.now > n.latestStart(r, doubtMargin)
-		n.do(Refuse{ID: r.ID, Pause: n.comeBack(), NoRetry: last})
+		n.do(Refuse{ID: r.ID, RetryAfter: n.comeBack(), NoRetry: last})
 	}
 	if r.state == running || r.state == calling {
 		return // Finished releases its memory
@@ -393,7 +393,7 @@
 // comeBack is the wait that a refusal advises; unlike hints it reaches clients. Every refusal has one: else
 // clients retry at once, while the queue is still full.
 func (n *Instance) comeBack() time.Duration {
-	return min(max(time.Duration(n.shed*pauseShare*float64(n.set.MaxPause)), pauseLeast), n.set.MaxPause)
+	return min(max(time.Duration(n.shed*pauseShare*float64(n.set.MaxRetryAfter)), pauseLeast), n.set.MaxRetryAfter)
 }
 
 // close ends a request, releases its memory and resolves the requests that are coalesced with it.
@@ -403,7 +403,7 @@
 	}
 	if r.state == running || r.state == calling {
 		n.running--
-		n.memory -= r.KB * (n.set.RunFactor - 1)
+		n.memory -= r.KB * (n.set.RunMemoryFactor - 1)
 	}
 	switch r.state {
 	case held:
@@ -419,7 +419,7 @@
 	if !r.ran || (r.class.Safety == Safe && !r.good) {
 		n.dropEntry(r, true)
 	} else if r.stored && r.class.Safety == Safe {
-		n.at(moment{at: n.now + n.set.FreshFor, r: r, entry: true})
+		n.at(moment{at: n.now + n.set.SharedResultTTL, r: r, entry: true})
 	}
 	n.settleTail(r)
 	n.prune(r)
@@ -464,7 +464,7 @@
 	}
 	if e.Outcome == OK && (r.state == running || r.state == calling) {
 		r.good = true
-		n.learn(r, float64(e.Took))
+		n.learn(r, float64(e.Duration))
 	}
 	r.answered = true
 	n.close(r)
@@ -617,7 +617,7 @@
 	sick := late && seen > 0 && n.retryShare < retriesMost
 	if sick != n.sick && !n.draining {
 		n.sick = sick
-		n.do(Health{Shallow: true, Good: !sick})
+		n.do(Health{Shallow: true, Healthy: !sick})
 	}
 }
 
@@ -628,10 +628,10 @@
 func (n *Instance) closeIdle() {
 	after := time.Duration(0)
 	perWindow := n.recent.arrived * (1 - keepOld)
-	if n.set.Idle > idleLeast && float64(n.set.Callers)*float64(windowSpan) > float64(gapMost)*perWindow {
+	if n.set.IdleTimeout > idleLeast && float64(n.set.Callers)*float64(windowSpan) > float64(gapMost)*perWindow {
 		after = max(n.idle, idleLeast)
 		if n.paused && n.readShare > readMany {
-			after = min(after*3/2, n.set.Idle)
+			after = min(after*3/2, n.set.IdleTimeout)
 		} else if !n.paused || n.readShare < readMany/2 {
 			after = max(after*2/3, idleLeast)
 		}
@@ -661,14 +661,14 @@
 	n.shed = shed
 	switch n.set.Hint {
 	case HintLevel:
-		n.do(Advise{Value: shed})
+		n.do(SetHint{Value: shed})
 	case HintWeight:
-		n.do(Advise{Value: 1 - shed})
+		n.do(SetHint{Value: 1 - shed})
 	case HintCredit:
 		if shed > 0 {
-			n.do(Advise{Value: n.credit(shed)})
+			n.do(SetHint{Value: n.credit(shed)})
 		} else {
-			n.do(Advise{Value: float64(n.ceiling())}) // a single caller may use all of the concurrency
+			n.do(SetHint{Value: float64(n.ceiling())}) // a single caller may use all of the concurrency
 		}
 	}
 }
@@ -713,7 +713,7 @@
 	return 1 / (pay * agree)
 }
 
-func (n *Instance) reading(e Woke) {
+func (n *Instance) reading(e TimerFired) {
 	n.waking = n.waking && e.Token != n.wakes
 	g := func(i int) float64 {
 		if i < 0 || i >= len(e.Gauges) {
@@ -729,10 +729,10 @@
 
 // warmth is how warm the machine is, from 0 (just started) to 1.
 func (n *Instance) warmth() float64 {
-	if !n.set.JustStarted || n.set.Cold <= 0 {
+	if !n.set.JustStarted || n.set.WarmupPeriod <= 0 {
 		return 1
 	}
-	return min(float64(n.now-n.coldFrom)/float64(n.set.Cold), 1)
+	return min(float64(n.now-n.coldFrom)/float64(n.set.WarmupPeriod), 1)
 }
 
 // short says that the fleet is overloaded: reading takes much of the cores, and retries are read at the cost
@@ -743,8 +743,8 @@
 
 // ceiling is the concurrency limit: a part of what the machine survives, which is less while it is cold.
 func (n *Instance) ceiling() int {
-	share := n.set.ColdShare + (1-n.set.ColdShare)*n.warmth()
-	crowd := float64(n.set.Cores) * (1 + (n.set.FallMultiple-1)*share) * crowdShare
+	share := n.set.ColdSpeedShare + (1-n.set.ColdSpeedShare)*n.warmth()
+	crowd := float64(n.set.Cores) * (1 + (n.set.MaxRunningPerCore-1)*share) * crowdShare
 	return max(int(crowd), 1)
 }
 
@@ -811,7 +811,7 @@
 			return
 		}
 		r := c.queue.top()
-		more := r.KB * (n.set.RunFactor - 1)
+		more := r.KB * (n.set.RunMemoryFactor - 1)
 		if n.memory+more > n.set.MemoryKB*memoryShare {
 			return
 		}
@@ -833,7 +833,7 @@
 	limit := n.set.MemoryKB * memoryShare
 	free := float64(n.set.Cores) - float64(n.running)
 	if free > 0 && len(n.requests) > 0 {
-		limit -= free * n.memory / float64(len(n.requests)) * (n.set.RunFactor - 1)
+		limit -= free * n.memory / float64(len(n.requests)) * (n.set.RunMemoryFactor - 1)
 	}
 	return max(limit, n.set.MemoryKB*memoryShare/2)
 }
@@ -925,7 +925,7 @@
 	r.out, r.callEnd = true, n.now-n.born+min(left, patience)
 	n.inHand++
 	n.callEnds += r.callEnd
-	n.do(CallOut{ID: r.ID, MaxWait: min(left, patience)})
+	n.do(MakeCall{ID: r.ID, MaxWait: min(left, patience)})
 }
 
 // callRoom is how long one more downstream call may take; 0: no call may start. It protects the downstream
@@ -935,18 +935,18 @@
 // unused. Optional calls leave the time that required calls are likely to need: else, while downstream is
 // slow, they fill the whole period, and requests with required calls fail.
 func (n *Instance) callRoom(c *class) time.Duration {
-	span := float64(n.set.CallSpan)
-	if n.set.BelowShare <= 0 || span <= 0 {
+	span := float64(n.set.CallPeriod)
+	if n.set.DownstreamShare <= 0 || span <= 0 {
 		return math.MaxInt64
 	}
 	n.countCalls()
-	most := belowPart * n.set.BelowShare * span
+	most := belowPart * n.set.DownstreamShare * span
 	if c.SkipWorth > 0 {
 		needy := n.recent.needy * (1 - keepOld) / float64(windowSpan) // required calls per nanosecond
 		most -= min(needyMargin*needy*span*n.callRun, needyMost*most)
 	}
 	owed := float64(n.callEnds) - float64(n.inHand)*float64(n.now-n.born)
-	wait := most - n.callTime - max(owed, 0) - float64(n.inHand+1)*float64(n.set.Linger)
+	wait := most - n.callTime - max(owed, 0) - float64(n.inHand+1)*float64(n.set.AbandonedCallTime)
 	if n.inHand == 0 {
 		wait = max(wait, most/2-n.callTime) // else a share below Linger would allow no call
 	}
@@ -959,9 +959,9 @@
 // countCalls updates the time of calls in flight: the sum over the buckets of the period, of which the oldest
 // is cleared when the clock reaches the next.
 func (n *Instance) countCalls() {
-	part := max(n.set.CallSpan/(callParts-1), 1)
-	if n.now-n.callsAt > n.set.CallSpan+part {
-		n.callsAt = n.now - n.set.CallSpan - part // older time is outside the period
+	part := max(n.set.CallPeriod/(callParts-1), 1)
+	if n.now-n.callsAt > n.set.CallPeriod+part {
+		n.callsAt = n.now - n.set.CallPeriod - part // older time is outside the period
 	}
 	for n.callsAt < n.now {
 		i := n.callsAt / part
@@ -984,8 +984,8 @@
 	}
 	n.countCalls()
 	if lingers {
-		part := max(n.set.CallSpan/(callParts-1), 1)
-		n.callPast[n.now/part%callParts] += float64(n.set.Linger)
+		part := max(n.set.CallPeriod/(callParts-1), 1)
+		n.callPast[n.now/part%callParts] += float64(n.set.AbandonedCallTime)
 	}
 	r.out = false
 	n.callEnds -= r.callEnd
@@ -994,7 +994,7 @@
 
 // mayStart says whether a run of the class could make its calls now; else it would only occupy memory.
 func (n *Instance) mayStart(c *class) bool {
-	return !c.Calls || c.SkipWorth > 0 || n.now >= n.breakEnd && n.callRoom(c) > 0
+	return !c.MayCall || c.SkipWorth > 0 || n.now >= n.breakEnd && n.callRoom(c) > 0
 }
 
 func (n *Instance) skip(r *request) {
@@ -1021,7 +1021,7 @@
 	}
 	n.callOver(r, e.Outcome == TimedOut)
 	if e.Outcome == OK || e.Outcome == TimedOut {
-		n.callRun += learnRate * (float64(e.Took) - n.callRun)
+		n.callRun += learnRate * (float64(e.Duration) - n.callRun)
 		n.timed++
 	}
 	if e.Outcome == OK {
@@ -1032,8 +1032,8 @@
 		return
 	}
 	// The capacity of a full downstream tier is left to required calls.
-	unrun := e.Outcome == Full && r.class.SkipWorth == 0 || e.Outcome == Unreached || e.Outcome == Moot
-	if e.Outcome == CutOff && r.class.Safety == Safe {
+	unrun := e.Outcome == Full && r.class.SkipWorth == 0 || e.Outcome == Unreachable || e.Outcome == NotRun
+	if e.Outcome == InvalidReply && r.class.Safety == Safe {
 		unrun = r.tries == 1 // safe to run twice: one more attempt before a skip
 	}
 	wait := callBackoff << min(r.tries, 2)
@@ -1070,5 +1070,5 @@
 	}
 	n.wakes++
 	n.waking, n.nextWake = true, at
-	n.do(WakeAt{At: at, Token: n.wakes})
+	n.do(SetTimer{At: at, Token: n.wakes})
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -13,13 +13,13 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "safe", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 1, SkipWorth: 0.3, Calls: true},
-			{Name: "keyed", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 5, Safety: Keyed, KeyTTL: 8000 * ms, Calls: true},
+			{Name: "safe", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 1, SkipWorth: 0.3, MayCall: true},
+			{Name: "keyed", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 5, Safety: Keyed, KeyTTL: 8000 * ms, MayCall: true},
 		},
-		Servers: 3, Callers: 2, Cores: 2, MemoryKB: 10000, EntryKB: 10, RunFactor: 4,
-		FallMultiple: 5, FallSpan: 2 * time.Second, ColdShare: 0.25, AnswerSlack: 60 * ms,
-		DrainGrace: 500 * ms, Tick: 2 * ms, PassesDeadline: true, Below: true, MaxPause: time.Second,
-		BusyGauge: 0, RunnableGauge: 1, MemoryGauge: 2, ConnGauge: -1,
+		Servers: 3, Callers: 2, Cores: 2, MemoryKB: 10000, EntryKB: 10, RunMemoryFactor: 4,
+		MaxRunningPerCore: 5, MaxRunningPeriod: 2 * time.Second, ColdSpeedShare: 0.25, AnswerSlack: 60 * ms,
+		DrainGrace: 500 * ms, Tick: 2 * ms, PassesDeadline: true, HasDownstream: true, MaxRetryAfter: time.Second,
+		BusyGauge: 0, RunnableGauge: 1, MemoryGauge: 2, ConnectionGauge: -1,
 	}
 }
 
@@ -55,17 +55,17 @@
 		return fmt.Sprint("Fail ", a.ID)
 	case ShareResult:
 		return fmt.Sprint("Share ", a.ID)
-	case Remember:
-		return fmt.Sprint("Remember ", a.ID, " ", a.Span)
-	case Forget:
+	case StoreKey:
+		return fmt.Sprint("Remember ", a.ID, " ", a.TTL)
+	case DeleteKey:
 		return fmt.Sprint("Forget ", a.ID)
-	case CallOut:
+	case MakeCall:
 		return fmt.Sprint("Call ", a.ID)
 	case SkipCall:
 		return fmt.Sprint("Skip ", a.ID)
 	case Health:
-		return fmt.Sprint("Health ", a.Good)
-	case Advise:
+		return fmt.Sprint("Health ", a.Healthy)
+	case SetHint:
 		return fmt.Sprintf("Advise %.3f", a.Value)
 	}
 	return ""
@@ -113,15 +113,15 @@
 	return out
 }
 
-func iron(id ID) Arrived { return Arrived{ID: id, Class: "safe", KB: 10, Left: 3000 * ms} }
-func gold(id ID) Arrived { return Arrived{ID: id, Class: "keyed", KB: 10, Left: 3000 * ms} }
+func iron(id ID) Arrived { return Arrived{ID: id, Class: "safe", KB: 10, TimeLeft: 3000 * ms} }
+func gold(id ID) Arrived { return Arrived{ID: id, Class: "keyed", KB: 10, TimeLeft: 3000 * ms} }
 func goldAgain(id, first ID) Arrived {
 	a := gold(id)
-	a.Original, a.Repeats = first, true
+	a.Original, a.HasOriginal = first, true
 	return a
 }
-func done(id ID) Finished      { return Finished{ID: id, Took: 100 * ms} }
-func gauges(x ...float64) Woke { return Woke{Gauges: x} }
+func done(id ID) Finished            { return Finished{ID: id, Duration: 100 * ms} }
+func gauges(x ...float64) TimerFired { return TimerFired{Gauges: x} }
 
 // full starts requests 1 and 2 and reports that all cores are busy.
 func full(r *rig) {
@@ -152,7 +152,7 @@
 		s.Classes[0].Aim, s.Classes[1].Aim = 40*time.Second, 40*time.Second
 	})
 	patient := func(a Arrived) Arrived {
-		a.Left = 0
+		a.TimeLeft = 0
 		return a
 	}
 	for id := ID(1000); id < 1016; id++ {
@@ -197,11 +197,11 @@
 	r := newRig(t, nil)
 	full(r)
 	r.do(iron(3), iron(4))
-	r.want(starts(r.after(10*ms, Finished{ID: 1, Took: 250 * ms}, gauges(1, 2, 0))), "Start 3") // the mean increases
+	r.want(starts(r.after(10*ms, Finished{ID: 1, Duration: 250 * ms}, gauges(1, 2, 0))), "Start 3") // the mean increases
 	sooner := iron(5)
 	sooner.Waited = 200 * ms
 	r.do(sooner)
-	r.want(starts(r.after(10*ms, Finished{ID: 2, Took: 250 * ms}, gauges(1, 2, 0))), "Start 5")
+	r.want(starts(r.after(10*ms, Finished{ID: 2, Duration: 250 * ms}, gauges(1, 2, 0))), "Start 5")
 }
 
 func TestHopelessIsRefusedUnrunAtTheAim(t *testing.T) {
@@ -231,7 +231,7 @@
 		a := iron(id)
 		a.Size = time.Duration(10+id%5) * ms
 		r.after(ms, a)
-		r.after(400*ms, Finished{ID: id, Took: 400 * ms})
+		r.after(400*ms, Finished{ID: id, Duration: 400 * ms})
 	}
 	a := iron(100)
 	a.Size = 120 * ms
@@ -241,7 +241,7 @@
 func TestEstimateRecoversAfterRefusingAll(t *testing.T) {
 	r := newRig(t, nil)
 	r.do(iron(1))
-	r.after(2900*ms, Finished{ID: 1, Took: 2900 * ms})
+	r.after(2900*ms, Finished{ID: 1, Duration: 2900 * ms})
 	for id := ID(2); id < 200; id++ {
 		if len(starts(r.after(100*ms, iron(id)))) > 0 {
 			return
@@ -257,7 +257,7 @@
 		refused, last := 0, 0
 		for i := ID(0); i < 200; i++ {
 			a := iron(10 + i)
-			a.Resent = resent
+			a.IsRetry = resent
 			r.now += 20 * ms
 			for _, act := range r.n.Handle(r.now, []Event{a, gauges(1, 2, 0)}) {
 				if ref, ok := act.(Refuse); ok {
@@ -282,7 +282,7 @@
 		if others {
 			r.do(iron(4), iron(5), iron(6))
 		}
-		got := r.after(10*ms, Finished{ID: 1, Took: 200 * ms}) // 300 ms left, less than two such runs
+		got := r.after(10*ms, Finished{ID: 1, Duration: 200 * ms}) // 300 ms left, less than two such runs
 		if others {
 			r.want(got, "Refuse 3", "Start 4")
 		} else {
@@ -327,12 +327,12 @@
 	running := []ID{1, 2}
 	for id := ID(10); id < 400; id++ {
 		a := iron(id)
-		a.Resent, a.Waited = id%each == 0, waited
+		a.IsRetry, a.Waited = id%each == 0, waited
 		r.now += 15 * ms
 		came[id] = r.now
 		events := []Event{a, gauges(1, 2, 0)}
 		if id%7 == 0 && len(running) > 0 {
-			events = append(events, Finished{ID: running[0], Took: 200 * ms})
+			events = append(events, Finished{ID: running[0], Duration: 200 * ms})
 			running = running[1:]
 		}
 		at := 0
@@ -369,7 +369,7 @@
 		dear   bool
 	}{{5 * ms, false, false}, {100 * ms, false, true}, {100 * ms, true, false}} {
 		r := newRig(t, func(s *Settings) {
-			s.Cold, s.JustStarted = 100*time.Second, c.cold
+			s.WarmupPeriod, s.JustStarted = 100*time.Second, c.cold
 			s.MemoryKB = 1e6
 		})
 		full(r)
@@ -408,11 +408,11 @@
 		r := newRig(t, nil)
 		for id := ID(1); id <= 30; id++ {
 			r.do(iron(id))
-			r.after(200*ms, Finished{ID: id, Took: 200 * ms})
+			r.after(200*ms, Finished{ID: id, Duration: 200 * ms})
 		}
 		for id := ID(40); id < 40+c.dear; id++ {
 			r.do(iron(id))
-			r.after(100*ms, Finished{ID: id, Took: 4000 * ms})
+			r.after(100*ms, Finished{ID: id, Duration: 4000 * ms})
 		}
 		a := iron(60)
 		a.Waited = 500 * ms // half of the aim is left
@@ -449,7 +449,7 @@
 		{1000, 100 * ms, 1, 10 * time.Second, 30 * time.Second}, // a full table keeps out requests that are costly to read
 		{1000, 100 * ms, 0.3, ms, 3 * time.Second},              // but must not keep them from idle cores
 	} {
-		r := newRig(t, func(s *Settings) { s.Callers, s.Idle = c.callers, 30*time.Second })
+		r := newRig(t, func(s *Settings) { s.Callers, s.IdleTimeout = c.callers, 30*time.Second })
 		after := time.Duration(0)
 		for i := ID(0); i < 600; i++ {
 			r.now += 20 * ms
@@ -460,7 +460,7 @@
 			}
 			events := []Event{a, gauges(c.busy, 0, 0)}
 			if i > 1 {
-				events = append(events, Finished{ID: 9 + i, Took: 100 * ms})
+				events = append(events, Finished{ID: 9 + i, Duration: 100 * ms})
 			}
 			for _, act := range r.n.Handle(r.now, events) {
 				if idle, ok := act.(CloseIdle); ok {
@@ -483,7 +483,7 @@
 			r.now += 20 * ms
 			for _, a := range r.n.Handle(r.now, []Event{iron(10 + i), gauges(1, 2, 0)}) {
 				if ref, ok := a.(Refuse); ok {
-					longest = max(longest, ref.Pause)
+					longest = max(longest, ref.RetryAfter)
 				}
 			}
 		}
@@ -505,7 +505,7 @@
 		for i := ID(0); i < 150; i++ {
 			r.now += 20 * ms
 			for _, a := range r.n.Handle(r.now, []Event{iron(10 + i), gauges(1, 2, 0)}) {
-				if h, ok := a.(Advise); ok {
+				if h, ok := a.(SetHint); ok {
 					said = h.Value
 				}
 			}
@@ -517,7 +517,7 @@
 		for range 2000 {
 			r.now += 20 * ms
 			for _, a := range r.n.Handle(r.now, []Event{gauges(0, 0, 0)}) {
-				if h, ok := a.(Advise); ok {
+				if h, ok := a.(SetHint); ok {
 					said = h.Value
 				}
 			}
@@ -531,14 +531,14 @@
 // Every refusal advises a wait, also while callers shed nothing, but not where callers ignore the advice.
 func TestEachRefusalTellsWhenToComeBack(t *testing.T) {
 	for _, c := range []struct{ most, want time.Duration }{{time.Second, pauseLeast}, {5 * ms, 5 * ms}, {0, 0}} {
-		r := newRig(t, func(s *Settings) { s.MaxPause = c.most })
+		r := newRig(t, func(s *Settings) { s.MaxRetryAfter = c.most })
 		n := 0
 		for i := ID(1); i <= 100; i++ {
 			for _, a := range r.n.Handle(r.now, []Event{iron(i)}) {
 				if f, ok := a.(Refuse); ok {
 					n++
-					if f.Pause != c.want {
-						t.Errorf("maximum %v: wait of %v advised, want %v", c.most, f.Pause, c.want)
+					if f.RetryAfter != c.want {
+						t.Errorf("maximum %v: wait of %v advised, want %v", c.most, f.RetryAfter, c.want)
 					}
 				}
 			}
@@ -582,7 +582,7 @@
 	for i := ID(0); i < 150; i++ {
 		r.now += 20 * ms
 		for _, a := range r.n.Handle(r.now, []Event{iron(10 + i), gauges(1, 2, 0)}) {
-			if h, ok := a.(Advise); ok {
+			if h, ok := a.(SetHint); ok {
 				if least < 0 || h.Value < least {
 					least = h.Value
 				}
@@ -611,7 +611,7 @@
 	for i := ID(0); i < 150; i++ {
 		r.now += 20 * ms
 		for _, a := range r.n.Handle(r.now, []Event{iron(10 + i), gauges(1, 2, 0)}) {
-			if h, ok := a.(Advise); ok {
+			if h, ok := a.(SetHint); ok {
 				t.Fatalf("hint %v, want none", h)
 			}
 		}
@@ -638,7 +638,7 @@
 func TestCeilingIsLowerWhileCold(t *testing.T) {
 	for _, cold := range []bool{false, true} {
 		r := newRig(t, func(s *Settings) {
-			s.JustStarted, s.Cold = cold, 10*time.Second
+			s.JustStarted, s.WarmupPeriod = cold, 10*time.Second
 		})
 		started := 0
 		for id := ID(1); id < 60; id++ {
@@ -739,16 +739,16 @@
 		"Classes[1].Name":     func(s *Settings) { s.Classes[1].Name = "safe" },
 		"Cores":               func(s *Settings) { s.Cores = 0 },
 		"MemoryKB":            func(s *Settings) { s.MemoryKB = 0 },
-		"RunFactor":           func(s *Settings) { s.RunFactor = 0.5 },
-		"FallMultiple":        func(s *Settings) { s.FallMultiple = 0 },
+		"RunFactor":           func(s *Settings) { s.RunMemoryFactor = 0.5 },
+		"FallMultiple":        func(s *Settings) { s.MaxRunningPerCore = 0 },
 		"EntryKB":             func(s *Settings) { s.EntryKB = -1 },
 		"Tick, DrainGrace":    func(s *Settings) { s.Tick = -1 },
 		"Hint":                func(s *Settings) { s.Hint = 9 },
-		"BelowShare":          func(s *Settings) { s.BelowShare = -0.5 },
-		"CallSpan":            func(s *Settings) { s.CallSpan = -1 },
-		"Linger":              func(s *Settings) { s.Linger = -1 },
-		"Idle":                func(s *Settings) { s.Idle = -1 },
-		"ColdShare":           func(s *Settings) { s.ColdShare = 1.5 },
+		"BelowShare":          func(s *Settings) { s.DownstreamShare = -0.5 },
+		"CallSpan":            func(s *Settings) { s.CallPeriod = -1 },
+		"Linger":              func(s *Settings) { s.AbandonedCallTime = -1 },
+		"Idle":                func(s *Settings) { s.IdleTimeout = -1 },
+		"ColdShare":           func(s *Settings) { s.ColdSpeedShare = 1.5 },
 		"Callers":             func(s *Settings) { s.Callers = -1 },
 		"SkipWorth":           func(s *Settings) { s.Classes[1].SkipWorth = -1 },
 	} {
@@ -767,7 +767,7 @@
 		full(r)
 		for id := ID(10); id < 300; id++ {
 			a := iron(id)
-			a.Waited, a.Resent = 900*ms, again && id%2 == 0
+			a.Waited, a.IsRetry = 900*ms, again && id%2 == 0
 			events := []Event{a, gauges(1, 2, 0)}
 			if id > 150 {
 				events = []Event{gauges(1, 2, 0)} // callers avoid an unhealthy server
@@ -787,7 +787,7 @@
 	}
 	r := newRig(t, nil)
 	full(r)
-	r.do(DrainNotice{Left: 4000 * ms})
+	r.do(DrainNotice{TimeLeft: 4000 * ms})
 	for id := ID(10); id < 100; id++ {
 		a := iron(id)
 		a.Waited = 900 * ms
@@ -819,7 +819,7 @@
 			t.Fatalf("%d requests without an answer, though the queue takes three", open)
 		}
 	}
-	r.want(r.do(Arrived{ID: 50, Class: "safe", KB: 1, Waited: 990 * ms, Left: 2000 * ms}, gauges(1, 2, 0)), "Refuse 50")
+	r.want(r.do(Arrived{ID: 50, Class: "safe", KB: 1, Waited: 990 * ms, TimeLeft: 2000 * ms}, gauges(1, 2, 0)), "Refuse 50")
 }
 
 // When settings change, open requests of a removed class still run with the settings that they arrived with, later ones
@@ -830,12 +830,12 @@
 	r.do(iron(3), gold(4))
 	set := testSettings()
 	set.Classes[1].Deadline = 0
-	if r.n.Adopt(set) == nil {
+	if r.n.UpdateSettings(set) == nil {
 		t.Error("a class without a deadline was accepted")
 	}
 	set = testSettings()
 	set.Classes[0].Name, set.Classes[1].Worth = "other", 3 // "safe" is removed, "keyed" is worth less
-	if err := r.n.Adopt(set); err != nil {
+	if err := r.n.UpdateSettings(set); err != nil {
 		t.Fatal(err)
 	}
 	tin := iron(6)
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -81,7 +81,7 @@
 		if err != nil {
 			return err
 		}
-		if !t.a.Repeats || t.dead && t.died < l.now || t.started {
+		if !t.a.HasOriginal || t.dead && t.died < l.now || t.started {
 			return l.fault("shared result for request %d, which repeats nothing, ran or ended", a.ID)
 		}
 		t.replaying = true
@@ -109,13 +109,13 @@
 		if !t.running {
 			t.dead = true
 		}
-	case CallOut:
+	case MakeCall:
 		t, err := get(a.ID)
 		if err != nil {
 			return err
 		}
-		proven := t.lastCall == Full || t.lastCall == Unreached || t.lastCall == Moot ||
-			t.lastCall == CutOff && t.class.Safety == Safe // may run any number of times
+		proven := t.lastCall == Full || t.lastCall == Unreachable || t.lastCall == NotRun ||
+			t.lastCall == InvalidReply && t.class.Safety == Safe // may run any number of times
 		if t.called > 0 && !proven {
 			return l.fault("duplicate: the call of request %d is retried after outcome %d", a.ID, t.lastCall)
 		}
@@ -133,25 +133,25 @@
 			return l.fault("the required call of request %d is skipped", a.ID)
 		}
 		t.atCall, t.calling = false, false
-	case Remember:
+	case StoreKey:
 		t, err := get(a.ID)
 		if err != nil {
 			return err
 		}
-		if t.class.Safety == Keyed && l.now+a.Span < t.reached+t.class.KeyTTL {
+		if t.class.Safety == Keyed && l.now+a.TTL < t.reached+t.class.KeyTTL {
 			return l.fault("the entry of request %d expires before KeyTTL", a.ID)
 		}
-		l.entries[a.ID] = l.now + a.Span
-	case Forget:
+		l.entries[a.ID] = l.now + a.TTL
+	case DeleteKey:
 		if t := l.tries[a.ID]; t != nil && t.class.Safety == Keyed && t.started {
 			return l.fault("duplicate: the entry of request %d is deleted though it ran", a.ID)
 		}
 		delete(l.entries, a.ID)
-	case Advise:
+	case SetHint:
 		if l.set.Hint == HintNone {
 			return l.fault("hint set though Settings.Hint is HintNone")
 		}
-	case WakeAt:
+	case SetTimer:
 		if a.At <= l.now-l.set.Tick {
 			return l.fault("timer set in the past")
 		}
@@ -177,7 +177,7 @@
 			continue
 		}
 		if t.running {
-			memory += t.a.KB * l.set.RunFactor
+			memory += t.a.KB * l.set.RunMemoryFactor
 			if !t.atCall {
 				crowd++
 			}
@@ -196,10 +196,10 @@
 	}
 	share := 1.0
 	if l.set.JustStarted {
-		warm := min(float64(l.now-l.born)/float64(l.set.Cold), 1)
-		share = l.set.ColdShare + (1-l.set.ColdShare)*warm
+		warm := min(float64(l.now-l.born)/float64(l.set.WarmupPeriod), 1)
+		share = l.set.ColdSpeedShare + (1-l.set.ColdSpeedShare)*warm
 	}
-	if float64(crowd) > float64(l.set.Cores)*(1+(l.set.FallMultiple-1)*share) {
+	if float64(crowd) > float64(l.set.Cores)*(1+(l.set.MaxRunningPerCore-1)*share) {
 		return l.fault("collapse: %d requests run on %d cores", crowd, l.set.Cores)
 	}
 	return nil
@@ -209,10 +209,10 @@
 func randomSettings(rng *rand.Rand) Settings {
 	s := testSettings()
 	s.Classes = append(s.Classes, Class{Name: "unsafe", Aim: 500 * ms, Deadline: 1500 * ms, Worth: 2,
-		Safety: Unsafe, LateValue: float64(rng.IntN(2)) / 2, Calls: true})
+		Safety: Unsafe, LateValue: float64(rng.IntN(2)) / 2, MayCall: true})
 	s.Hint = Hint(rng.IntN(4))
-	s.FreshFor = time.Duration(rng.IntN(2)) * 400 * ms
-	s.JustStarted, s.Cold = rng.IntN(2) == 0, 5*time.Second
+	s.SharedResultTTL = time.Duration(rng.IntN(2)) * 400 * ms
+	s.JustStarted, s.WarmupPeriod = rng.IntN(2) == 0, 5*time.Second
 	s.PassesDeadline = rng.IntN(2) == 0
 	s.WorthByWork = rng.IntN(2) == 0
 	s.MemoryKB = float64(600 + rng.IntN(3000))
@@ -222,7 +222,7 @@
 		s.RunnableGauge, s.BusyGauge = -1, -1
 	}
 	if rng.IntN(3) == 0 { // limited and required downstream calls
-		s.BelowShare, s.CallSpan, s.Linger = 0.2+2*rng.Float64(), 2*time.Second, 200*ms
+		s.DownstreamShare, s.CallPeriod, s.AbandonedCallTime = 0.2+2*rng.Float64(), 2*time.Second, 200*ms
 		for i := range s.Classes {
 			s.Classes[i].SkipWorth = 0
 		}
@@ -249,7 +249,7 @@
 	w.next++
 	c := w.l.set.Classes[w.rng.IntN(len(w.l.set.Classes))]
 	a := Arrived{ID: w.next, Class: c.Name, KB: float64(1 + w.rng.IntN(20)), Key: fmt.Sprint("k", w.rng.IntN(4)),
-		Waited: time.Duration(w.rng.IntN(60)) * ms, Write: w.rng.IntN(4) == 0, Resent: w.rng.IntN(3) == 0}
+		Waited: time.Duration(w.rng.IntN(60)) * ms, Write: w.rng.IntN(4) == 0, IsRetry: w.rng.IntN(3) == 0}
 	if w.rng.IntN(20) == 0 {
 		a.Waited = c.Deadline + time.Second
 	}
@@ -276,10 +276,10 @@
 		same := o.job == t.job && c.Safety == Keyed && (!o.dead || o.started)
 		reads := c.Safety == Safe && o.class.Name == c.Name && o.a.Key == a.Key && !o.dead && !a.Write
 		if kept && (same || reads) {
-			a.Original, a.Repeats = id, true
+			a.Original, a.HasOriginal = id, true
 		}
 	}
-	if c.Safety == Keyed && !a.Repeats {
+	if c.Safety == Keyed && !a.HasOriginal {
 		// An attempt of a job that is queued or ran without an entry would be a fault of the key table, as the
 		// instance adds every queued keyed request to it. This is a new job instead.
 		for _, o := range w.l.tries {
@@ -291,11 +291,11 @@
 		}
 	}
 	if w.l.set.PassesDeadline && w.rng.IntN(4) > 0 {
-		a.Left = time.Duration(1 + w.rng.Int64N(int64(c.Deadline)))
+		a.TimeLeft = time.Duration(1 + w.rng.Int64N(int64(c.Deadline)))
 	}
 	t.due = t.reached + c.Deadline
-	if a.Left > 0 {
-		t.due = w.l.now + a.Left
+	if a.TimeLeft > 0 {
+		t.due = w.l.now + a.TimeLeft
 	}
 	t.due = max(t.due, w.l.now)
 	t.a = a
@@ -334,7 +334,7 @@
 			t.atCall, t.called = false, 0
 		}
 		return CallReturned{id, t.lastCall, took}
-	case t.running && !t.atCall && roll < 8 && w.l.set.Below:
+	case t.running && !t.atCall && roll < 8 && w.l.set.HasDownstream:
 		t.atCall, t.called = true, 0
 		return CallNeeded{id}
 	case t.running && !t.atCall && roll < 16, t.replaying && roll < 16:
@@ -369,10 +369,10 @@
 	if w.l.drainAt == 0 && w.rng.IntN(2500) == 0 {
 		left := time.Duration(w.rng.IntN(3000)) * ms
 		w.l.drainAt, w.l.stopAt = w.l.now, w.l.now+left
-		events = append(events, DrainNotice{Left: left})
+		events = append(events, DrainNotice{TimeLeft: left})
 	}
 	if w.l.wake <= w.l.now {
-		events = append(events, Woke{w.l.token, []float64{w.rng.Float64(), float64(w.rng.IntN(12)), w.rng.Float64()}})
+		events = append(events, TimerFired{w.l.token, []float64{w.rng.Float64(), float64(w.rng.IntN(12)), w.rng.Float64()}})
 	}
 	for _, a := range w.n.Handle(w.l.now, events) {
 		w.log = append(w.log, fmt.Sprintf("%T%v", a, a))
