--- a/policy/api.go
+++ b/policy/api.go
@@ -182,7 +182,7 @@
 // StoreKey adds a request to the key table, in which the host looks up repeats.
 type StoreKey struct {
 	ID  ID
-	TTL time.Duration
+	TTL time.Duration // how long the entry is valid
 }
 
 // DeleteKey removes a request from the key table.
@@ -191,7 +191,7 @@
 // MakeCall makes the downstream call that a request waits for.
 type MakeCall struct {
 	ID      ID
-	MaxWait time.Duration
+	MaxWait time.Duration // time limit of the call
 }
 
 // SkipCall resumes a request without its downstream call.
@@ -200,7 +200,7 @@
 // Health sets the answer to health checks from now on.
 type Health struct {
 	Shallow bool // answer from this setting alone, without running a request
-	Healthy bool
+	Healthy bool // the answer
 }
 
 // SetHint sets the hint sent with every answer from now on; Settings.Hint says how callers interpret it.
@@ -212,7 +212,7 @@
 // SetTimer requests a TimerFired event.
 type SetTimer struct {
 	At    time.Duration
-	Token uint64
+	Token uint64 // returned in the TimerFired event
 }
 
 // LogLine writes a line to the log.
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -38,19 +38,19 @@
 	case !(set.MemoryKB > 0):
 		return errors.New("policy: MemoryKB must be above 0")
 	case !(set.RunMemoryFactor >= 1):
-		return errors.New("policy: RunFactor must be 1 or more")
+		return errors.New("policy: RunMemoryFactor must be 1 or more")
 	case !(set.MaxRunningPerCore >= 1):
-		return errors.New("policy: FallMultiple must be 1 or more")
+		return errors.New("policy: MaxRunningPerCore must be 1 or more")
 	case !(set.EntryKB >= 0):
 		return errors.New("policy: EntryKB must be 0 or more")
 	case set.Tick < 0 || set.DrainGrace < 0 || set.SharedResultTTL < 0 || set.WarmupPeriod < 0:
-		return errors.New("policy: Tick, DrainGrace, FreshFor and Cold must be 0 or more")
+		return errors.New("policy: Tick, DrainGrace, SharedResultTTL and WarmupPeriod must be 0 or more")
 	case !(set.DownstreamShare >= 0) || set.CallPeriod < 0 || set.AbandonedCallTime < 0:
-		return errors.New("policy: BelowShare, CallSpan and Linger must be 0 or more")
+		return errors.New("policy: DownstreamShare, CallPeriod and AbandonedCallTime must be 0 or more")
 	case set.IdleTimeout < 0 || set.MaxRetryAfter < 0 || set.HintTTL < 0 || set.MaxRunningPeriod < 0 || set.AnswerSlack < 0:
-		return errors.New("policy: Idle, MaxPause, HintFor, FallSpan and AnswerSlack must be 0 or more")
+		return errors.New("policy: IdleTimeout, MaxRetryAfter, HintTTL, MaxRunningPeriod and AnswerSlack must be 0 or more")
 	case !(set.ColdSpeedShare >= 0 && set.ColdSpeedShare <= 1):
-		return errors.New("policy: ColdShare must be from 0 to 1")
+		return errors.New("policy: ColdSpeedShare must be from 0 to 1")
 	case set.Servers < 0 || set.Callers < 0:
 		return errors.New("policy: Servers and Callers must be 0 or more")
 	case set.Hint < HintNone || set.Hint > HintWeight:
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// SetDownstreamShare replaces DownstreamShare of the settings, for allocations that change more often than the settings. A share of
-// 0 allows no call, whereas 0 in the settings means that calls are unlimited.
+// SetDownstreamShare replaces DownstreamShare of the settings, for allocations that change more often than the settings.
+// A share of 0 allows no call, whereas 0 in the settings means that calls are unlimited.
 func (n *Instance) SetDownstreamShare(share float64) {
 	if share >= 0 && !math.IsInf(share, 0) {
 		n.set.DownstreamShare = max(share, math.SmallestNonzeroFloat64)
@@ -68,14 +68,14 @@
 }
 
 // Restarted reports that the machine has just restarted and is cold. The host reports the end of what it ran by events.
-func (n *Instance) Restarted(now time.Duration) { n.set.JustStarted, n.coldFrom = true, now }
+func (n *Instance) Restarted(now time.Duration) { n.set.JustStarted, n.coldSince = true, now }
 
-// DownstreamTime returns the time of downstream calls in flight, in nanoseconds, summed over the period of the call limit, and
-// the length of that period. Their ratio is the used part of the allocation of this server.
-func (n *Instance) DownstreamTime() (inHand, span float64) {
+// DownstreamTime returns the time of downstream calls in flight, summed over the period of the call limit, and the length
+// of that period, both in nanoseconds. Their ratio is the used part of the allocation of this server.
+func (n *Instance) DownstreamTime() (callTime, period float64) {
 	if n.set.CallPeriod <= 0 {
 		return 0, 0
 	}
-	n.countCalls()
+	n.updateCallTime()
 	return n.callTime, float64(n.set.CallPeriod)
 }
