--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -108,7 +108,7 @@
 		c.Fail("idempotency", "is not known")
 	}
 	if i < len(calls) {
-		k.MayCall = calls[i].Type() == fastjson.TypeTrue
+		k.Calls = calls[i].Type() == fastjson.TypeTrue
 	}
 	if i < len(skips) {
 		k.SkipWorth, _ = skips[i].Float64()
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -271,7 +271,7 @@
 func TestShareIsAskedForBeforeEachChoice(t *testing.T) {
 	set := testSettings
 	set.HasDownstream, set.DownstreamShare, set.CallPeriod = true, 100, 5*time.Second
-	set.Classes = []policy.Class{{Name: "read", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, MayCall: true, SkipWorth: 0.5}}
+	set.Classes = []policy.Class{{Name: "read", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Calls: true, SkipWorth: 0.5}}
 	h := &caller{hand{make(chan *Attempt, 10)}, make(chan string, 10)}
 	clk := clock.Manual(begin)
 	c := New(clk, zerolog.Nop(), set, 1, h, h, nil)
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -32,7 +32,7 @@
 
 var settings = policy.Settings{
 	Classes: []policy.Class{
-		{Name: "tank-level", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second, Worth: 1, LateValue: 1, MayCall: true, SkipWorth: 0.5},
+		{Name: "tank-level", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second, Worth: 1, LateValue: 1, Calls: true, SkipWorth: 0.5},
 		{Name: "book-delivery", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second, Worth: 4, LateValue: 1, Safety: policy.Unsafe},
 	},
 	Servers: 2, Callers: 2, Cores: 50, MemoryKB: 1e6, RunMemoryFactor: 4, MaxRunningPerCore: 8, MaxRunningPeriod: 3 * time.Second,
--- a/internal/net/rare_test.go
+++ b/internal/net/rare_test.go
@@ -143,7 +143,7 @@
 func TestReplyOfUnknownFateIsNotSentAgain(t *testing.T) {
 	set := settings
 	set.Classes = append(slices.Clone(set.Classes), policy.Class{Name: "needy", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second,
-		Worth: 4, LateValue: 1, MayCall: true})
+		Worth: 4, LateValue: 1, Calls: true})
 	x := newExecutor(t)
 	h := withExecutorBy(t, clock.System(), set, x, newVault(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
--- a/policy/api.go
+++ b/policy/api.go
@@ -36,7 +36,7 @@
 	LateValue  float64 // part of Worth earned between Aim and Deadline
 	Safety     Safety
 	KeyTTL     time.Duration // for Keyed: how long after the first attempt a repeat may arrive
-	MayCall    bool          // its requests may make downstream calls
+	Calls      bool          // its requests may make downstream calls
 	SkipWorth  float64       // part of Worth earned when a call is skipped; 0: calls are required
 }
 
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -478,7 +478,7 @@
 }
 
 func TestRunIsNotStartedWithoutRoomForItsCall(t *testing.T) {
-	r := newHarness(t, func(s *Settings) { limitedCalls(s); s.DownstreamShare, s.Classes[0].MayCall = 0.3, false })
+	r := newHarness(t, func(s *Settings) { limitedCalls(s); s.DownstreamShare, s.Classes[0].Calls = 0.3, false })
 	r.handle(keyedRequest(1))
 	r.handle(CallNeeded{1})
 	r.after(900 * ms) // the call takes all the time that the share allows
@@ -628,7 +628,7 @@
 func newBlockedHarness(t *testing.T) *harness {
 	r := newHarness(t, func(s *Settings) {
 		limitedCalls(s)
-		s.DownstreamShare, s.Classes[0].MayCall, s.Hint = 0.3, false, HintWeight
+		s.DownstreamShare, s.Classes[0].Calls, s.Hint = 0.3, false, HintWeight
 	})
 	r.handle(keyedRequest(1))
 	r.handle(CallNeeded{1})
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -220,7 +220,7 @@
 	c.arrived++
 	n.recent.arrived++
 	n.recent.readDelay += float64(n.now - r.reachedAt)
-	if c.MayCall && c.SkipWorth == 0 {
+	if c.Calls && c.SkipWorth == 0 {
 		n.recent.requiredCalls++
 	}
 	c.longestWait = max(c.longestWait, e.TimeLeft+max(e.Waited, 0))
@@ -995,7 +995,7 @@
 
 // callsAllowed says whether a run of the class could make its calls now, not merely hold memory and a slot.
 func (n *Instance) callsAllowed(c *classState) bool {
-	return !c.MayCall || c.SkipWorth > 0 || n.now >= n.breakerEnd && n.callTimeLeft(c) > 0
+	return !c.Calls || c.SkipWorth > 0 || n.now >= n.breakerEnd && n.callTimeLeft(c) > 0
 }
 
 func (n *Instance) skipCall(r *request) {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -13,8 +13,8 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "safe", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 1, SkipWorth: 0.3, MayCall: true},
-			{Name: "keyed", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 5, Safety: Keyed, KeyTTL: 8000 * ms, MayCall: true},
+			{Name: "safe", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 1, SkipWorth: 0.3, Calls: true},
+			{Name: "keyed", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 5, Safety: Keyed, KeyTTL: 8000 * ms, Calls: true},
 		},
 		Servers: 3, Callers: 2, Cores: 2, MemoryKB: 10000, EntryKB: 10, RunMemoryFactor: 4,
 		MaxRunningPerCore: 5, MaxRunningPeriod: 2 * time.Second, ColdSpeedShare: 0.25, AnswerSlack: 60 * ms,
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -210,7 +210,7 @@
 func randomSettings(rng *rand.Rand) Settings {
 	s := testSettings()
 	s.Classes = append(s.Classes, Class{Name: "unsafe", Aim: 500 * ms, Deadline: 1500 * ms, Worth: 2,
-		Safety: Unsafe, LateValue: float64(rng.IntN(2)) / 2, MayCall: true})
+		Safety: Unsafe, LateValue: float64(rng.IntN(2)) / 2, Calls: true})
 	s.Hint = Hint(rng.IntN(4))
 	s.SharedResultTTL = time.Duration(rng.IntN(2)) * 400 * ms
 	s.JustStarted, s.WarmupPeriod = rng.IntN(2) == 0, 5*time.Second
