--- a/internal/net/executor/executor.go
+++ b/internal/net/executor/executor.go
@@ -385,7 +385,7 @@
 			return errMalformed
 		}
 		outcome, ok := map[string]policy.Outcome{"success": policy.OK, "failure": policy.Failed,
-			"interrupted": policy.Cancelled, "nothing": policy.Moot}[words[3]]
+			"interrupted": policy.Cancelled, "nothing": policy.NotRun}[words[3]]
 		if !ok {
 			return errMalformed
 		}
@@ -404,7 +404,7 @@
 		// Logged at debug level, since faulty clients can cause any number of these.
 		l.log.Debug().Strs("notice", words).Msg("executor rejected a command")
 		if words[1] == "EXEC" { // the request never ran, and no EXIT will follow
-			l.deliver(0, words[2], core.Notice{Ended: true, Outcome: policy.Moot, Forged: true})
+			l.deliver(0, words[2], core.Notice{Ended: true, Outcome: policy.NotRun, Forged: true})
 		}
 		if words[1] == "METER" { // a site may have no gauges; the answer serves as barrier and acknowledgement all the same
 			l.handleMeters(words[2], nil)
--- a/internal/net/vault/vault.go
+++ b/internal/net/vault/vault.go
@@ -63,12 +63,12 @@
 	c.mu.Unlock()
 	conn, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return policy.Unreached, nil // never connected, so no call ran, whatever the cause
+		return policy.Unreachable, nil // never connected, so no call ran, whatever the cause
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	outcome, reply := roundTrip(conn, id, timeoutMS, body)
-	if !stop() && outcome == policy.CutOff && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+	if !stop() && outcome == policy.InvalidReply && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		outcome = policy.TimedOut
 	}
 	return outcome, reply
@@ -83,17 +83,17 @@
 	_, err := conn.Write(b)
 	pool.Put(b)
 	if err != nil {
-		return policy.CutOff, nil
+		return policy.InvalidReply, nil
 	}
 	// The limit guards against endless headers and endless replies.
 	resp, err := readFinalResponse(bufio.NewReaderSize(io.LimitReader(conn, maxHeaderBytes+maxReplyBytes), 4096))
 	if err != nil {
-		return policy.CutOff, nil
+		return policy.InvalidReply, nil
 	}
 	reply, err := readBody(resp) // never closed: closing a body of 3 GB would read it to its end
 	if err != nil {
 		pool.Put(reply)
-		return policy.CutOff, nil
+		return policy.InvalidReply, nil
 	}
 	var outcome policy.Outcome
 	switch {
@@ -102,7 +102,7 @@
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(refusedUnseenHeader) == "1":
 		outcome = policy.Full
 	case resp.StatusCode == http.StatusConflict && resp.Header.Get(refusedUnseenHeader) == "1":
-		outcome = policy.Moot
+		outcome = policy.NotRun
 	case resp.StatusCode == http.StatusGatewayTimeout:
 		outcome = policy.TimedOut
 	default:
