--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock is the program's one source of time: Unix milliseconds as a floating-point number.
+// Package clock is the program's only source of time, in milliseconds as a floating-point number: Unix time, or the time
+// since the machine's start.
 package clock
 
 import (
@@ -11,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time and calls back at times to come. A clock made by Manual stands still until it is set.
+// Clock reads the time and runs timers. A clock made by Manual does not move until it is set.
 type Clock struct {
 	mu     sync.Mutex
 	manual bool
@@ -19,12 +20,12 @@
 	timers []*Timer
 
 	steady bool
-	rate   float64       // of a clock that is made to run apart; 0: it is not
-	from   float64       // when it began to
-	jump   atomic.Uint64 // bits of what it was set ahead by since
+	rate   float64       // rate set with Apart; 0: none
+	from   float64       // when that was set, in milliseconds
+	jump   atomic.Uint64 // bits of the sum of all jumps, in milliseconds
 }
 
-// Timer is a call to come.
+// Timer is a pending call.
 type Timer struct {
 	c    *Clock
 	at   float64
@@ -32,14 +33,14 @@
 	real *time.Timer
 }
 
-// System is the system's Unix clock.
+// System returns the system's Unix clock.
 func System() *Clock { return &Clock{} }
 
-// Steady is a clock that nothing sets: ms since the machine's start, with the time in which the machine was suspended. It
-// is for spans that others rely on; a wall clock that is set back would lengthen them.
+// Steady returns a monotonic clock: milliseconds since the machine's start, including time in which it was suspended. It
+// is for durations that other processes rely on, which a wall clock that is set back would lengthen.
 func Steady() *Clock { return &Clock{steady: true} }
 
-// Apart makes a clock run at a rate, 1 for as it does, from now on; for the laboratory.
+// Apart makes a clock run at a rate from now on, where 1 is its normal rate, and returns it. For fault injection.
 func (c *Clock) Apart(rate float64) *Clock {
 	if !c.manual && rate > 0 && rate != 1 {
 		c.from = c.raw()
@@ -48,12 +49,12 @@
 	return c
 }
 
-// Jump sets a clock ahead, or back; for the laboratory.
+// Jump sets a clock ahead, or back if ms is negative. For fault injection.
 func (c *Clock) Jump(ms float64) {
 	c.jump.Store(math.Float64bits(math.Float64frombits(c.jump.Load()) + ms))
 }
 
-// Rate is the rate at which the clock was made to run.
+// Rate returns the rate set with Apart, or 1.
 func (c *Clock) Rate() float64 {
 	if c.rate > 0 {
 		return c.rate
@@ -67,15 +68,15 @@
 	}
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // every kernel that this runs on has it
+		panic(err) // supported by every Linux kernel that the program runs on
 	}
 	return float64(t.Nano()) / 1e6
 }
 
-// Manual is a clock for tests.
+// Manual returns a clock for tests, which is moved with Set.
 func Manual(now float64) *Clock { return &Clock{manual: true, now: now} }
 
-// Now is the time in milliseconds: Unix time, or a steady clock's.
+// Now returns the time in milliseconds: Unix time, or that of a monotonic clock.
 func (c *Clock) Now() float64 {
 	if !c.manual {
 		now := c.raw()
@@ -89,7 +90,7 @@
 	return c.now
 }
 
-// After calls back, on another goroutine or from Set, once so many milliseconds have passed.
+// After runs a function once ms milliseconds have passed, on another goroutine or, for a manual clock, within Set.
 func (c *Clock) After(ms float64, call func()) *Timer {
 	if !c.manual {
 		return &Timer{real: time.AfterFunc(Duration(max(ms, 0)/c.Rate()), call)}
@@ -101,7 +102,7 @@
 	return t
 }
 
-// Stop revokes the call, unless it was made.
+// Stop cancels the call, unless it has run.
 func (t *Timer) Stop() {
 	if t.real != nil {
 		t.real.Stop()
@@ -117,7 +118,7 @@
 	}
 }
 
-// Set moves a manual clock and makes the calls that fall due, in their order.
+// Set moves a manual clock and runs the calls that are due, in the order of their times.
 func (c *Clock) Set(now float64) {
 	c.mu.Lock()
 	c.now = now
@@ -133,8 +134,8 @@
 	}
 }
 
-// Duration turns milliseconds into the module's and the library's unit; nothing else converts them.
+// Duration converts milliseconds to a time.Duration. All conversions between the two use Duration and Millis.
 func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Millis is the way back.
+// Millis converts a time.Duration to milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	mostOpen    = 4096    // open requests; the module bounds them by memory long before
-	ledgerPause = 1000.0  // advice where the record of effects can't be kept, in milliseconds
-	earliest    = 1       // the module takes a Left of 0 for 'not told', so what is overdue gets this
-	keyedRoom   = 8 << 20 // bytes for the tries of keyed classes and their results, where nobody says how many
+	mostOpen    = 4096    // open requests; the policy module's memory limit takes effect long before this
+	ledgerPause = 1000.0  // retry-after of refusals made by this package, in milliseconds
+	earliest    = 1       // nanoseconds; the module reads a Left of 0 as unknown, so overdue requests get this value
+	keyedRoom   = 8 << 20 // default memory for keyed attempts and their results, in bytes
 )
 
-// Core owns the module's instance. One goroutine, Run, calls the module; handlers and fronts tell it what
-// happened through the inbox and hear of its choices through their mailboxes.
+// Core owns the instance of the policy module. One goroutine, Run, calls the module. Handlers and fronts send events to
+// it through the inbox, and handlers receive the module's decisions through their mailboxes.
 type Core struct {
 	clock  *clock.Clock
 	log    zerolog.Logger
@@ -35,54 +35,54 @@
 	inbox *mailbox.Box[event]
 	stop  chan struct{}
 
-	// What the fronts read.
+	// Read by the fronts.
 	shallow, good atomic.Bool
-	say           atomic.Uint64 // bits of the value; NaN: none yet
-	idle          atomic.Int64  // the module's wish to close idle connections, in nanoseconds; 0: none
+	say           atomic.Uint64 // bits of a float64; NaN before the first value
+	idle          atomic.Int64  // idle time after which the module wants connections closed, in nanoseconds; 0: none
 
-	owed   atomic.Int64 // requests that still wait for their answer
+	owed   atomic.Int64 // requests without an answer yet
 	counts counts
 	lasts  atomic.Int64 // the longest deadline of a class, in nanoseconds
-	rests  atomic.Int64 // how long callers keep a connection that carries nothing, in nanoseconds
-	up     atomic.Bool  // the runner was up once
-	yields atomic.Bool  // a successor took over: the module's state of draining is no state of the server
-	away   atomic.Bool  // operators want callers to stay away
+	rests  atomic.Int64 // how long callers keep an idle connection, in nanoseconds
+	up     atomic.Bool  // the runner has started at least once
+	yields atomic.Bool  // a successor took over, so the module's draining state must not appear in health checks
+	away   atomic.Bool  // an operator wants health checks to fail
 
-	share func() float64 // what may be used below now; nil: what the settings say
-	used  atomic.Uint64  // bits of what was used of it in the span of the rule
+	share func() float64 // capacity for downstream calls at present; nil: the value in the settings
+	used  atomic.Uint64  // bits of the mean number of downstream calls in flight
 
 	mu       sync.Mutex
 	handlers map[policy.ID]*Handler
 	byWire   map[string]*Handler
 	lastID   policy.ID
 
-	// The owner's.
+	// Used by the goroutine of Run alone.
 	set    policy.Settings
 	class  map[string]policy.Class
 	module *policy.Instance
 	born   float64
 	last   float64 // when the module was last called
-	armed  bool    // a timer stands for the rest of the tick
+	armed  bool    // a timer is set for the end of the tick
 	batch  []event
 	events []policy.Event
 	keys   keyTable
 }
 
-// event is one thing for the module, with what the owner needs besides.
+// event is an inbox entry: an event for the module, or a request to the goroutine that owns the module.
 type event struct {
 	handler *Handler
-	event   policy.Event // nil: only look at the time
-	notice  Notice       // of a run's end
-	start   bool         // the runner is up
-	anew    bool         // it is another one than before
+	event   policy.Event // nil: the module is called without an event, for the passing of time
+	notice  Notice       // the end of an attempt
+	start   bool         // the runner has started
+	anew    bool         // the runner was replaced by another one
 	cold    bool
 	drain   float64          // when the process will be stopped
-	told    float64          // when that was said
-	set     *policy.Settings // in force from now on
+	told    float64          // when the drain notice arrived
+	set     *policy.Settings // settings to put into force
 	call    func()
 }
 
-// New makes a core; Run has to be called for it to serve.
+// New returns a Core, which serves once Run is called.
 func New(clk *clock.Clock, log zerolog.Logger, set policy.Settings, seed uint64, runner Runner, below Below, ledger Ledger) *Core {
 	c := &Core{clock: clk, log: log, tick: clock.Millis(set.Tick), seed: seed, runner: runner, below: below,
 		ledger: ledger, inbox: mailbox.New[event](), stop: make(chan struct{}), handlers: map[policy.ID]*Handler{},
@@ -97,20 +97,21 @@
 	return c
 }
 
-// Adopt puts other settings into force, which have passed the module's check. Open requests keep their class.
+// Adopt puts settings into force that have passed the module's check. Open requests keep their class.
 func (c *Core) Adopt(set policy.Settings) { c.inbox.Put(event{set: &set}) }
 
-// Divide lets another than the settings say what may be used below; it is asked before each choice, and must not wait.
-// To be called before Run.
+// Divide replaces the downstream share of the settings by the result of a function, which is called before each call of
+// the module and must not block. It must be set before Run.
 func (c *Core) Divide(share func() float64) { c.share = share }
 
-// Room sets how many bytes the tries of keyed classes and their results may take. To be called before Run.
+// Room sets the memory limit for keyed attempts and their results, in bytes. It must be set before Run.
 func (c *Core) Room(bytes int) { c.keys.room = bytes }
 
-// Below is what was used below of late, in calls in hand; 0 where nothing divides.
+// Below returns the recent mean number of downstream calls in flight; 0 unless a share function is set.
 func (c *Core) Below() float64 { return math.Float64frombits(c.used.Load()) }
 
-// Then calls back, on the owner's goroutine, once every choice rests on what is in force now. It must not wait.
+// Then runs a function on the goroutine of Run after all events that were sent before it, so that every later decision
+// uses the settings and the share in force now. The function must not block.
 func (c *Core) Then(call func()) { c.inbox.Put(event{call: call}) }
 
 func (c *Core) adopt(set policy.Settings) {
@@ -127,18 +128,20 @@
 		return
 	}
 	if err := c.module.Adopt(set); err != nil {
-		panic(err) // config has tried the same settings
+		panic(err) // package config has validated the same settings
 	}
 }
 
-// Open takes a request in. answer is called once at most, and not after Gone was heard in time.
+// Open accepts a request. The answer function is called at most once, and not at all where the call of Gone is processed
+// before there is an answer.
 func (c *Core) Open(q *Request, answer func(Outcome)) *Handler {
 	l := &Handler{core: c, req: q, box: mailbox.New[any](), reply: answer}
 	c.mu.Lock()
 	twin := c.byWire[q.ID] != nil
 	if twin || len(c.handlers) >= mostOpen {
 		c.mu.Unlock()
-		// Guards against a second run under one id, and against memory: neither ever gets to the module.
+		// A duplicate ID and a request over the limit never reach the module: the first could run twice under one ID,
+		// the second would take memory without a bound.
 		if twin {
 			l.answer(Outcome{Verdict: Failed})
 		} else {
@@ -155,7 +158,7 @@
 	return l
 }
 
-// nextID is a number that no open request has; 0 stands for none. The lock is held.
+// nextID returns an ID that no open request has; 0 is reserved for none. The caller holds the lock.
 func (c *Core) nextID() policy.ID {
 	for c.lastID++; c.lastID == 0 || c.handlers[c.lastID] != nil; c.lastID++ {
 	}
@@ -170,38 +173,39 @@
 
 func (c *Core) leave(l *Handler) {
 	l.settle()
-	pool.Put(l.req.Body) // whatever ran has ended, and the runner has copied what it still sends
+	pool.Put(l.req.Body) // the attempt has ended, and the runner has its own copy of anything it still sends
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.handlers, l.id)
 	delete(c.byWire, l.req.ID)
 }
 
-// Owed counts the requests that still wait for their answer.
+// Owed returns the number of requests without an answer.
 func (c *Core) Owed() int { return int(c.owed.Load()) }
 
-// Up tells that the runner is up, and whether it started cold.
+// Up reports that the runner has started, and whether it is cold.
 func (c *Core) Up(cold bool) {
 	c.inbox.Put(event{start: true, cold: cold})
 	c.up.Store(true)
 }
 
-// Anew tells that another runner has taken the place of the one before; it is up.
+// Anew reports that the runner was replaced by another one, which has started, and whether that one is cold.
 func (c *Core) Anew(cold bool) { c.inbox.Put(event{anew: true, cold: cold}) }
 
-// Ready tells whether requests can be served: the runner was up once.
+// Ready reports whether requests can be served, that is, whether the runner has started at least once.
 func (c *Core) Ready() bool { return c.up.Load() }
 
-// Good tells whether checks would get a good answer, operators' orders aside.
+// Good reports whether health checks succeed, leaving aside an operator's order to fail them.
 func (c *Core) Good() bool { return c.good.Load() }
 
-// Away answers checks with a bad state, or no longer does, by an operator's order; what comes is served all the same.
+// Away makes health checks fail, or ends that, by an operator's order. Requests are served in either case.
 func (c *Core) Away(away bool) { c.away.Store(away) }
 
-// Drain tells the module that the process will be stopped at that time, and when it was told so.
+// Drain notifies the module that the process will be stopped at stopAt, and that the notice arrived at the time told.
 func (c *Core) Drain(told, stopAt float64) { c.inbox.Put(event{drain: stopAt, told: told}) }
 
-// Health answers a check: from the module's setting, or where that says so by real work.
+// Health answers a health check from the state that the module has set, or, for a deep check where the module permits
+// it, by running a check through the runner.
 func (c *Core) Health(deep bool, answer func(good bool)) {
 	if c.away.Load() {
 		answer(false)
@@ -213,33 +217,33 @@
 	answer(c.good.Load())
 }
 
-// Say is the free value that goes with every answer.
+// Say returns the module's hint to callers, which is sent with every answer, and whether there is one.
 func (c *Core) Say() (float64, bool) {
 	v := math.Float64frombits(c.say.Load())
 	return v, !math.IsNaN(v)
 }
 
-// CloseIdle is the span in milliseconds after which idle connections are to be closed; 0: the callers do it.
+// CloseIdle returns the idle time after which connections are to be closed, in milliseconds; 0: callers close them.
 func (c *Core) CloseIdle() float64 { return clock.Millis(time.Duration(c.idle.Load())) }
 
-// Rests is how long callers keep a connection that carries nothing; 0: not told.
+// Rests returns how long callers keep an idle connection; 0 if unknown.
 func (c *Core) Rests() time.Duration { return time.Duration(c.rests.Load()) }
 
-// begin records an effect before its run.
+// begin records a request in the effect log before it runs, and reports whether it may run. Safe requests need no record.
 func (c *Core) begin(q *Request, k policy.Class) (bool, error) {
 	if k.Safety == policy.Safe {
 		return true, nil
 	}
 	ok, err := c.ledger.Begin(q.ID)
 	if err != nil {
-		c.log.Warn().Err(err).Str("id", q.ID).Msg("effect not recorded, so not run")
+		c.log.Warn().Err(err).Str("id", q.ID).Msg("request not run: its effect could not be recorded")
 	}
 	return ok && err == nil, err
 }
 
 func (c *Core) tell(l *Handler, e policy.Event) { c.inbox.Put(event{handler: l, event: e}) }
 
-// finish tells the end of a run; the owner keeps the result where others may share it.
+// finish sends the end of an attempt; the result is kept where other requests may share it.
 func (c *Core) finish(l *Handler, n Notice) {
 	c.inbox.Put(event{handler: l, notice: n, event: policy.Finished{ID: l.id, Outcome: n.Outcome, Took: clock.Duration(n.Took)}})
 }
@@ -247,8 +251,8 @@
 // Stop ends Run.
 func (c *Core) Stop() { close(c.stop) }
 
-// Run is the owner of the module: it calls it for what has come in, once a tick at most, and passes on what
-// it chose. Nothing in here waits for a socket.
+// Run owns the module. It calls the module with the events of the inbox, at most once a tick, and carries out its
+// actions. Nothing in it waits for a socket.
 func (c *Core) Run() {
 	for {
 		select {
@@ -257,7 +261,7 @@
 		case <-c.inbox.Ready:
 		}
 		now := c.clock.Now()
-		c.last = min(c.last, now) // a clock that was set back must not stop us
+		c.last = min(c.last, now) // a clock that was set back must not stop the loop
 		if rest := c.last + clock.Millis(c.set.Tick) - now; rest > 0 {
 			if !c.armed {
 				c.armed = true
@@ -280,12 +284,12 @@
 			c.start(now, e.cold)
 		case e.anew:
 			c.handle(now)
-			if c.module != nil && e.cold { // it survives less than the one before, which may have been warm
-				c.log.Info().Msg("cold again")
+			if c.module != nil && e.cold { // a cold runner survives less load than a warm one
+				c.log.Info().Msg("runner was replaced and is cold")
 				c.module.Restarted(clock.Duration(now - c.born))
 			}
 		case e.set != nil:
-			c.handle(now) // what came before keeps its class
+			c.handle(now) // requests that arrived before the new settings keep their class
 			c.adopt(*e.set)
 		case e.call != nil:
 			c.handle(now)
@@ -294,7 +298,7 @@
 			c.start(now, false)
 			c.events = append(c.events, policy.DrainNotice{Left: clock.Duration(max(e.drain-now, 0)), Ago: clock.Duration(max(now-e.told, 0))})
 		case e.event != nil:
-			c.start(now, false) // nothing comes before the runner is up, but if it does it must be answered
+			c.start(now, false) // requests are not expected before the runner starts, but must be answered if they come
 			if ev := c.translate(now, e); ev != nil {
 				c.events = append(c.events, ev)
 			}
@@ -315,12 +319,12 @@
 	c.keys.expire(now)
 }
 
-// handle calls the module for the events so far.
+// handle calls the module with the events collected and carries out its actions.
 func (c *Core) handle(now float64) {
 	if c.module == nil {
 		return
 	}
-	if c.share != nil { // looked at before each choice: one that ran out must carry no further call
+	if c.share != nil { // read before each call of the module: an expired share must permit no further downstream call
 		c.module.SetBelowShare(c.share())
 		if inHand, span := c.module.BelowTime(); span > 0 {
 			c.used.Store(math.Float64bits(inHand / span))
@@ -341,18 +345,19 @@
 	set.JustStarted = set.JustStarted || cold
 	m, err := policy.New(set, c.seed)
 	if err != nil {
-		panic(err) // config has tried the same settings
+		panic(err) // package config has validated the same settings
 	}
 	c.module, c.born = m, now
 	c.log.Info().Bool("cold", set.JustStarted).Msg("module started")
 }
 
-// translate completes an event with what only the owner knows; nil: the module is not to hear of it.
+// translate completes an event from the request and the key table. It returns nil for a request that is answered here and
+// that the module must not see.
 func (c *Core) translate(now float64, e event) policy.Event {
 	switch ev := e.event.(type) {
 	case policy.Arrived:
 		l, q := e.handler, e.handler.req
-		l.class, l.known = c.class[q.Class] // for good, whatever settings come
+		l.class, l.known = c.class[q.Class] // not changed by later settings
 		l.due = q.At + q.Wait
 		if q.Wait == 0 {
 			l.due = q.At + clock.Millis(l.class.Deadline)
@@ -362,19 +367,19 @@
 		ev.Waited = clock.Duration(max(now-q.At, 0))
 		ev.Write = l.class.Safety != policy.Safe
 		if l.class.Safety == policy.Keyed {
-			// No longer than its client waits in all: so long its other tries are remembered past the window.
+			// Limited to the class's deadline: the key table keeps attempts for the window plus that deadline.
 			l.due = min(l.due, q.At+clock.Millis(l.class.Deadline))
 			var same bool
 			if ev.Original, ev.Repeats, same = c.keys.try(l); q.Once == "" || !same {
 				c.log.Debug().Str("id", q.ID).Str("class", q.Class).Str("once", q.Once).
-					Msg(`field "once" is missing, or stood with another body before: failed unrun`)
+					Msg(`field "once" is missing or was used with another body: request failed without running`)
 				l.box.Put(policy.Fail{})
 				return nil
 			}
 		} else {
 			if e := c.keys.tied(q); e != nil {
-				// New settings have its class no more, or tie its tries no more; what one of them did still holds. The
-				// module would refuse this one, or run it.
+				// New settings have removed the class or made it not keyed, but an earlier attempt of this request ran. The
+				// module would refuse this attempt or run it again.
 				l.class, l.known = e.class, true
 				if result, ok := e.served(c.keys.sum(q)); ok {
 					l.begun = true
@@ -397,7 +402,7 @@
 	return e.event
 }
 
-// act passes one choice of the module on.
+// act carries out one action of the module.
 func (c *Core) act(now float64, a policy.Action) {
 	switch a := a.(type) {
 	case policy.Start:
@@ -411,7 +416,7 @@
 		}
 	case policy.ShareResult:
 		if l := c.handler(a.ID); l != nil {
-			l.begun = true // its end is told by the share
+			l.begun = true // the handler reports its end once it has the shared result
 			result, ok := c.keys.result(l)
 			l.box.Put(shared{ok: ok, result: result})
 		}
@@ -448,7 +453,7 @@
 	}
 }
 
-// wake looks at the time at once, so that no due answer waits for the gauges, and hands these in once read.
+// wake calls the module at once, so that no due answer waits for the gauges, and sends the gauges once they are read.
 func (c *Core) wake(token uint64) {
 	c.inbox.Put(event{})
 	c.runner.Meter(func(gauges []float64) {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -17,9 +17,9 @@
 	"puffinsaddle/policy"
 )
 
-const begin = 1.7e12 // where the tests' clock stands at first
+const begin = 1.7e12 // initial time of the tests' clock, in Unix milliseconds
 
-// hand is a Runner whose runs the test ends by hand.
+// hand is a fake Runner and Below whose attempts the test ends.
 type hand struct{ started chan *Attempt }
 
 func (h *hand) Start(a *Attempt)                { h.started <- a }
@@ -66,7 +66,7 @@
 	a.Notify(Notice{Ended: true, Outcome: policy.OK, Took: took, Body: pool.Copy([]byte(result))})
 }
 
-// through waits until so many requests are left in hand: what comes then comes behind the ends of the others.
+// through waits until the given number of requests is left, so that events sent afterwards follow the ends of the others.
 func (r *rig) through(left int) {
 	for open := left + 1; open > left; runtime.Gosched() {
 		r.mu.Lock()
@@ -82,14 +82,15 @@
 	}
 }
 
-// A read may have a result by when it came, not by when it was looked at; and by when the result was made.
+// A read may share a result if the result was fresh when the read arrived, not when the read is processed; and freshness
+// counts from when the result was made, not from when its notice arrived.
 func TestFreshnessCountsFromTheArrival(t *testing.T) {
 	r := newRig(t, nil)
 	r.open(1, "read", "k", begin)
 	first := <-r.hand.started
 	r.open(2, "read", "k", begin)
 	r.open(3, "read", "other", begin)
-	other := <-r.hand.started // the second read of k was not started before it
+	other := <-r.hand.started // the second read of k waits for the first, so it was not started before this one
 	r.clock.Set(begin + 100)
 	r.end(first, "A", 100)
 	got := map[string]bool{<-r.answers: true, <-r.answers: true}
@@ -99,19 +100,19 @@
 	r.clock.Set(begin + 250)
 	r.open(4, "read", "k", begin+240)
 	r.want("4 0 A")
-	r.open(5, "read", "k", begin+301) // came 201 ms after the result was made
+	r.open(5, "read", "k", begin+301) // arrived 201 ms after the result was made
 	r.end(<-r.hand.started, "B", 1)
 	r.want("5 0 B")
 	r.clock.Set(begin + 450)
-	r.end(other, "C", 10) // its notice came late: made at 10, so no longer fresh at 440
+	r.end(other, "C", 10) // its notice is late: the result was made at 10 ms, so it is no longer fresh at 440 ms
 	r.want("3 0 C")
-	r.through(0) // else the next may come before the end is in the books, and wait for a run that goes on
+	r.through(0) // otherwise the next read may precede the end, and wait for an attempt that is taken to be running
 	r.open(6, "read", "other", begin+440)
 	r.end(<-r.hand.started, "D", 1)
 	r.want("6 0 D")
 }
 
-// The module gives up on a request at its due time; its answer waits for no gauge and for no run.
+// A request is answered at its due time without waiting for the gauges or for the end of its attempt.
 func TestDueTimeNeedsNoGauges(t *testing.T) {
 	r := newRig(t, nil)
 	r.open(1, "book", "", begin)
@@ -132,7 +133,7 @@
 			r.clock.Set(r.clock.Now() + 1)
 		}
 	}
-	for r.Owed() != 0 { // settled right after the answer, while the run still goes on
+	for r.Owed() != 0 { // reaches 0 right after the answer, while the attempt still runs
 		runtime.Gosched()
 	}
 	r.end(a, "late", 3500)
@@ -142,7 +143,8 @@
 
 func (noQuorum) Begin(string) (bool, error) { return false, errors.New("no quorum") }
 
-// An effect that can't be recorded is not run, and may be tried elsewhere; a read needs no record.
+// An effect that can't be recorded does not run and is refused, so that it may be retried on another server. A read needs
+// no record.
 func TestEffectIsRecordedBeforeItsRun(t *testing.T) {
 	r := newRig(t, noQuorum{})
 	r.open(1, "book", "", begin)
@@ -151,18 +153,19 @@
 	r.end(<-r.hand.started, "A", 1)
 	r.want("2 0 A")
 	if len(r.hand.started) > 0 {
-		t.Error("the effect was run")
+		t.Error("an effect without a record ran")
 	}
 }
 
-// However many effects were begun, none is forgotten while a request of its id may still pass for new.
+// The effect log in memory removes effects by age only: no number of effects makes it forget one whose ID may still be
+// accepted in a request.
 func TestMemoryLedgerForgetsByTimeAlone(t *testing.T) {
 	clk := clock.Manual(begin)
 	l := newMemoryLedger(clk)
 	want := func(n int, want bool) {
 		t.Helper()
 		if got, err := l.Begin(fmt.Sprintf("%016x", n)); got != want || err != nil {
-			t.Errorf("begin of %d: %v, %v", n, got, err)
+			t.Errorf("Begin of effect %d: %v, %v", n, got, err)
 		}
 	}
 	want(0, true)
@@ -176,12 +179,12 @@
 	want(0, true)
 	want(1, false)
 	if _, err := l.Begin("none"); err == nil {
-		t.Error("an id that is none was taken")
+		t.Error("a malformed ID was accepted")
 	}
 }
 
-// Two tries of one request come so close that the module hears of both in one call: it had not ordered to remember
-// the first by then, and both ran.
+// Several attempts of one keyed request that reach the module in one call run once. The module orders to remember the
+// first only after that call, so without the check within a call each of them would run.
 func TestTriesThatComeTogetherRunOnce(t *testing.T) {
 	r := newRig(t, nil)
 	set := testSettings
@@ -189,7 +192,7 @@
 	r.Adopt(set)
 	in, release := make(chan struct{}), make(chan struct{})
 	r.Then(func() { close(in); <-release })
-	<-in // the owner stands until both have told of themselves
+	<-in // Run is blocked until all three attempts are in its inbox
 	for id := 1; id <= 3; id++ {
 		q := &Request{ID: fmt.Sprintf("%016x", id), Class: "pay", At: begin, Wait: 3000, KB: 1, Once: "ab"}
 		r.Open(q, func(o Outcome) { r.answers <- fmt.Sprintf("%d %s", o.Verdict, o.Result) })
@@ -202,14 +205,14 @@
 	r.end(run, "A", 1)
 	got := []string{<-r.answers, <-r.answers, <-r.answers}
 	slices.Sort(got)
-	// Tries that are held give way to the newest, which runs.
+	// Of queued attempts of one request the newest runs and the others are refused.
 	if fmt.Sprint(got) != fmt.Sprint([]string{"0 A", "1 ", "1 "}) || len(r.hand.started) > 0 {
-		t.Errorf("answers %q, %d more runs", got, len(r.hand.started))
+		t.Errorf("answers %q, %d further attempts started", got, len(r.hand.started))
 	}
 }
 
-// New settings: what was open ends as what it came as, a booking whose class went is still run once, and a class
-// that went is not known to what comes after.
+// After new settings open requests keep their class: one whose class was removed still ends normally. Later requests of a
+// removed class are refused.
 func TestOpenRequestsKeepTheirClass(t *testing.T) {
 	r := newRig(t, nil)
 	r.open(1, "book", "", begin)
@@ -225,16 +228,17 @@
 	r.end(old, "old", 1)
 	r.want("1 0 old")
 	if f := r.Figures(); f.OK["book"] != 1 || f.OK["order"] != 1 || f.Shed["book"] != 1 || f.Tries != 2 || f.Active != 0 {
-		t.Errorf("figures %+v", f)
+		t.Errorf("metrics %+v", f)
 	}
 }
 
-// settled is a ledger that hears how effects end.
+// settled is a fake effect log that records how effects end.
 type settled struct{ ended chan string }
 
 func (s settled) Begin(string) (bool, error) { return true, nil }
 func (s settled) Ended(id string, ok bool)   { s.ended <- fmt.Sprint(id, " ", ok) }
 
+// The effect log receives the end of each attempt that has an effect, and none of a read.
 func TestLedgerHearsHowEffectsEnd(t *testing.T) {
 	l := settled{make(chan string, 10)}
 	r := newRig(t, l)
@@ -245,17 +249,17 @@
 	r.end(<-r.hand.started, "B", 1)
 	r.want("2 0 B")
 	if got := <-l.ended; got != fmt.Sprintf("%016x true", 2) {
-		t.Errorf("heard %q", got)
+		t.Errorf("effect log received %q for a success", got)
 	}
 	r.open(3, "book", "", begin)
 	a := <-r.hand.started
 	a.Notify(Notice{Ended: true, Outcome: policy.Failed})
 	if got := <-l.ended; got != fmt.Sprintf("%016x false", 3) {
-		t.Errorf("heard %q", got)
+		t.Errorf("effect log received %q for a failure", got)
 	}
 }
 
-// caller is a Runner and a Below that tell what the module chose at a call.
+// caller is a fake Runner and Below that reports whether a downstream call was made or skipped.
 type caller struct {
 	hand
 	chose chan string
@@ -267,7 +271,8 @@
 	return policy.OK, nil
 }
 
-// The share is asked for before each choice, and what is put off until it is in force comes after.
+// The downstream share is read before each call of the module, and a function given to Then runs once the module has the
+// new share.
 func TestShareIsAskedForBeforeEachChoice(t *testing.T) {
 	set := testSettings
 	set.Below, set.BelowShare, set.CallSpan = true, 100, 5*time.Second
@@ -294,8 +299,8 @@
 	}
 }
 
-// The owner comes to the notice to drain late: the window in which what comes may still run counts from the notice, and
-// to when a request reached the machine, whenever it is read.
+// Run processes the drain notice late: the grace window in which new requests may still run counts from the arrival of
+// the notice, and compares with the time at which a request reached the machine, not with when it is read.
 func TestDrainWindowCountsFromTheNotice(t *testing.T) {
 	r := newRig(t, nil)
 	set := testSettings
@@ -318,13 +323,14 @@
 	r.want("2 0 A")
 }
 
-// New settings have the class of a payment no more, or tie its tries no more: its result is still what another try of it
-// gets, one that comes while it runs fails, and none of them is refused or run. Each was refused, or run again.
+// New settings remove a keyed class or make it safe: another attempt of a request that ran still gets its result, and one
+// that comes while the request runs fails. Without the key table's own check the module would refuse such attempts, or
+// run them again.
 func TestTiesHoldWhereTheClassWent(t *testing.T) {
 	pay := policy.Class{Name: "pay", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 4, Safety: policy.Keyed, KeyTTL: 30 * time.Second}
 	safe := pay
 	safe.Safety = policy.Safe
-	for what, after := range map[string][]policy.Class{"gone": testSettings.Classes, "safe by now": append(slices.Clone(testSettings.Classes), safe)} {
+	for what, after := range map[string][]policy.Class{"class removed": testSettings.Classes, "class made safe": append(slices.Clone(testSettings.Classes), safe)} {
 		r := newRig(t, nil)
 		set := testSettings
 		set.Classes = append(slices.Clone(set.Classes), pay)
@@ -354,13 +360,13 @@
 		try(6, "bb", "b")
 		r.want("6 0 B")
 		if f := r.Figures(); f.Tries != 2 {
-			t.Errorf("%s: %d runs", what, f.Tries)
+			t.Errorf("%s: %d attempts ran, want 2", what, f.Tries)
 		}
 	}
 }
 
-// A run was never started, and its caller sends another try in the moment in which it hears so: that one runs. It was taken
-// to repeat a run that goes on, and failed with it.
+// A keyed request's attempt ends without having run, and its caller sends another attempt as soon as it has the answer:
+// that one runs. If the answer preceded the end, the second would be taken to repeat a running attempt, and fail with it.
 func TestAnotherTryComesWithTheAnswer(t *testing.T) {
 	r := newRig(t, nil)
 	set := testSettings
@@ -382,6 +388,6 @@
 	a := <-r.hand.started
 	a.Notify(Notice{Ended: true, Outcome: policy.Moot})
 	if got := <-heard; got != try(2).ID {
-		t.Errorf("begun: %s", got)
+		t.Errorf("started: %s, want the second attempt", got)
 	}
 }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -7,34 +7,40 @@
 )
 
 const (
-	shutMs    = 250.0 // before the stop, listeners close: what comes later could not be answered
-	leaveMs   = 25.0  // and the process ends so long before
-	calmMs    = 125.0 // or once nothing came for so long; what crosses an asking does so within 50
+	shutMs  = 250.0 // milliseconds before the stop at which listeners close: later requests could not be answered
+	leaveMs = 25.0  // milliseconds before the stop at which the process exits
+	// Milliseconds without a request after which the process exits early. Requests sent before the caller receives the
+	// drain notice arrive within 50 ms of it.
+	calmMs    = 125.0
 	lookEvery = 5 * time.Millisecond
 
-	yieldLeast = 1000.0 // a process that was replaced stays so long for requests that crossed its asking
-	yieldLong  = 3000.0 // and is killed the longest deadline after its notice, of which so much counts,
-	yieldMore  = 700.0  // plus this
+	// A process that was replaced runs for at least yieldLeast, since requests may still arrive that were sent before
+	// callers received the drain notice. It is stopped yieldMore after the longest deadline, which counts as at most
+	// yieldLong. All in milliseconds.
+	yieldLeast = 1000.0
+	yieldLong  = 3000.0
+	yieldMore  = 700.0
 )
 
-// Front is what brings requests.
+// Front receives requests from callers and sends the answers.
 type Front interface {
-	Drain()        // ask callers for no new requests
-	Shut()         // take no new connection, once the listening queue is empty
-	Yield()        // the same where a successor shares the queue: leave it to that one, and ask callers to go there
-	Flushed() bool // nothing is left to write
+	Drain()        // requests callers to send no new requests
+	Shut()         // stops accepting connections once the listen queue is empty
+	Yield()        // stops accepting at once, leaves the shared listen queue to the successor and drains callers
+	Flushed() bool // reports whether all output is written
 	Close()
 }
 
-// Leave carries out the notice to drain, which came at that time: the module hears it, callers are asked to stay away, and
-// all that was read, or waits in a listening queue, gets its answer before the process is stopped.
+// Leave drains the process after a notice that arrived at the time told, stopMs before the process is stopped: it
+// notifies the module, requests callers to send no new requests, and returns once all requests that were read or waited
+// in a listen queue have their answers, or shortly before the stop.
 func (c *Core) Leave(told, stopMs float64, fronts ...Front) {
 	stopAt := told + stopMs
 	c.Drain(told, stopAt)
 	for _, f := range fronts {
 		f.Drain()
 	}
-	// Until the listeners close, callers that have not heard of the drain may still come.
+	// Callers that have not received the drain notice may still connect until the listeners close.
 	c.sleepUntil(stopAt - min(shutMs, stopMs/2))
 	for _, f := range fronts {
 		f.Shut()
@@ -46,8 +52,8 @@
 	}
 }
 
-// Yield carries out the notice, which came at that time, to a process that was replaced by another on the same listening
-// sockets. It is no drain: checks keep their state, since to callers the two are one order server.
+// Yield shuts down a process that was replaced by a successor on the same listening sockets, after a notice that arrived
+// at the time told. Unlike Leave it keeps the state of health checks, since callers see the two processes as one server.
 func (c *Core) Yield(told float64, fronts ...Front) {
 	longest := clock.Millis(time.Duration(c.lasts.Load()))
 	stopAt := told + min(longest, yieldLong) + yieldMore
@@ -57,19 +63,19 @@
 		f.Yield()
 	}
 	c.calm(stopAt-leaveMs, told+yieldLeast, fronts)
-	c.log.Info().Int("owed", c.Owed()).Msg("leaving to the successor")
+	c.log.Info().Int("owed", c.Owed()).Msg("leaving; the successor serves")
 	for _, f := range fronts {
 		f.Shut()
 		f.Close()
 	}
 }
 
-// calm waits, to that time at most, until nothing was owed, unread or unwritten for a while after the other time: what
-// crossed the asking may come in that while, and is then owed its answer like all before it.
+// calm waits until no request has been open and no output unwritten for calmMs, but not before the time first and no
+// longer than to the time last. Requests that were sent before callers received the drain notice arrive in that interval.
 func (c *Core) calm(last, first float64, fronts []Front) {
 	since := c.clock.Now()
 	for now := since; now < last; now = c.clock.Now() {
-		if !c.done(fronts) { // looked at last of all: the time may have jumped
+		if !c.done(fronts) { // evaluated after the clock is read, which may have jumped
 			since = now
 		} else if now >= first && now-since >= calmMs {
 			return
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -5,19 +5,19 @@
 	"sync/atomic"
 )
 
-// Figures are counts from the start of the process, by class, for operators.
+// Figures has the request counts since the start of the process, by class.
 type Figures struct {
 	OK     map[string]int64 `json:"ok"`
 	Shed   map[string]int64 `json:"shed"`
 	Errors map[string]int64 `json:"errors"`
-	Tries  int64            `json:"tries"`  // runs begun
-	Active int64            `json:"active"` // requests taken and not yet ended
+	Tries  int64            `json:"tries"`  // attempts started
+	Active int64            `json:"active"` // requests accepted and not yet ended
 }
 
 type classCount struct{ ok, shed, errors atomic.Int64 }
 
-// counts has an entry for every class of the settings and for no other, so that what callers make up takes no
-// memory here.
+// counts has an entry for each class of the settings and for no other, so that class names invented by callers take no
+// memory.
 type counts struct {
 	mu            sync.RWMutex
 	of            map[string]*classCount
@@ -51,7 +51,7 @@
 	}
 }
 
-// Figures reads the counts.
+// Figures returns the current counts.
 func (c *Core) Figures() Figures {
 	f := Figures{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
 		Tries: c.counts.tries.Load(), Active: c.counts.active.Load()}
--- a/internal/core/handler.go
+++ b/internal/core/handler.go
@@ -11,34 +11,34 @@
 	"puffinsaddle/policy"
 )
 
-// Handler carries one request from its reading to its end.
+// Handler serves one request from its arrival to the end of its attempt.
 type Handler struct {
 	core     *Core
 	id       policy.ID
 	req      *Request
-	box      *mailbox.Box[any] // orders of the module, notices of the runner, replies from below
+	box      *mailbox.Box[any] // actions of the module, notices of the runner, replies of downstream calls
 	reply    func(Outcome)
-	class    policy.Class // the owner fills it in when the module hears of the request, and due with it
-	known    bool         // it is a class of the settings
-	due      float64      // when the answer is due
+	class    policy.Class // set with known and due by the goroutine of Core.Run when the request arrives there
+	known    bool         // the settings have this class
+	due      float64      // when the answer is due, in Unix milliseconds
 	answered bool
-	owed     bool // it waits for its answer
-	counted  bool // it was taken, and so is active until it ends
+	owed     bool // it counts among the requests without an answer
+	counted  bool // it was accepted, and counts as active until it ends
 	ended    atomic.Bool
-	begun    bool // the owner's: a Start was ordered
+	begun    bool // a Start action was received; used by the goroutine of Core.Run alone
 	goneOnce sync.Once
 }
 
 type (
 	callerGone struct{}
-	dismissed  struct{} // the module closed the books on a request that it never started
-	spurned    struct{} // it is not to be begun
-	full       struct{} // it was to start, and its tries can't be tied
-	shared     struct { // a result of the same read, or of another try
+	dismissed  struct{} // the caller is gone, and the module never started the request
+	spurned    struct{} // the request must fail unless it has started
+	full       struct{} // the module started a keyed request that has no entry in the key table
+	shared     struct { // a result of the same read, or of another attempt of a keyed request
 		ok     bool
 		result []byte
 	}
-	returned struct { // a call came back
+	returned struct { // a downstream call has ended
 		nth     int
 		outcome policy.Outcome
 		took    float64
@@ -46,7 +46,7 @@
 	}
 )
 
-// Gone tells that nobody waits for the request any more.
+// Gone reports that the caller no longer waits for the request.
 func (l *Handler) Gone() {
 	l.goneOnce.Do(func() {
 		l.end()
@@ -54,28 +54,29 @@
 	})
 }
 
-// Spurn fails a request that was not begun: those that came with it are nobody's. One that runs goes on.
+// Spurn fails the request unless it has started. It is for requests of a connection that has sent one that the executor
+// does not know.
 func (l *Handler) Spurn() { l.box.Put(spurned{}) }
 
-// end takes the request out of the active ones: it has its answer, or nobody waits for one.
+// end removes the request from the active ones, once it is answered or its caller is gone.
 func (l *Handler) end() {
 	if l.counted && !l.ended.Swap(true) {
 		l.core.counts.active.Add(-1)
 	}
 }
 
-// answer gives the one final answer; what comes after it is dropped.
+// answer sends the final answer; any later one is dropped.
 func (l *Handler) answer(o Outcome) {
 	if !l.answered {
 		l.answered = true
-		l.core.counts.answered(l.req.Class, o.Verdict) // before the answer, which its caller may count at once
+		l.core.counts.answered(l.req.Class, o.Verdict) // before the answer, so that a caller that has it finds it counted
 		l.end()
 		l.reply(o)
 		l.settle()
 	}
 }
 
-// settle takes the request out of those that wait for an answer.
+// settle removes the request from those without an answer.
 func (l *Handler) settle() {
 	l.end()
 	if l.owed {
@@ -84,7 +85,7 @@
 	}
 }
 
-// fail answers at once, whatever still runs.
+// fail sends a failure at once, even while the attempt still runs.
 func (l *Handler) fail() {
 	c := l.core
 	if c.clock.Now() >= l.due-c.tick {
@@ -94,15 +95,15 @@
 	l.answer(Outcome{Verdict: Failed})
 }
 
-// serve handles one request, from its reading to the end of its run. Each l.core.tell tells the
-// module what happened; what the module chooses comes back through the mailbox.
+// serve handles one request from its arrival to the end of its attempt. It sends events to the module with Core.tell and
+// receives the module's actions through the mailbox.
 func (l *Handler) serve() {
 	c := l.core
 	defer c.leave(l)
 	gone := false
 	c.tell(l, policy.Arrived{ID: l.id})
 
-	// Held: until the module starts it, shares a result with it or turns it away.
+	// Queued: until the module starts the request, shares a result with it or refuses it.
 	var run *Attempt
 	var begun float64
 	for run == nil {
@@ -132,19 +133,20 @@
 		case dismissed:
 			return
 		case full:
-			// A further try would not be known for one, and run again. Safety before service.
-			c.log.Warn().Str("id", l.req.ID).Str("class", l.req.Class).Msg("its tries can't be tied (no room, or a process beside this one), so not run")
+			// A retry of the request would not be recognized as such and would run again, so the request is refused.
+			c.log.Warn().Str("id", l.req.ID).Str("class", l.req.Class).
+				Msg("keyed request not run: the key table is full, or another process may run keyed requests")
 			l.answer(Outcome{Verdict: Refused, After: ledgerPause})
 			c.tell(l, policy.Finished{ID: l.id, Outcome: policy.Moot})
 			return
 		case policy.Start:
-			if gone { // the module had not heard it yet; nothing was begun
+			if gone { // the module started the request before it received CallerGone; nothing ran
 				c.tell(l, policy.Finished{ID: l.id, Outcome: policy.Moot})
 				return
 			}
 			if ok, err := c.begin(l.req, l.class); !ok {
-				// Not begun here now: an effect whose record can't be kept may be tried elsewhere, one
-				// that was begun before may not.
+				// An effect that could not be recorded may be retried on another server; one that was started before
+				// may not.
 				if err != nil {
 					l.answer(Outcome{Verdict: Refused, After: ledgerPause})
 				} else {
@@ -154,15 +156,15 @@
 				return
 			}
 			run = &Attempt{Request: l.req, Due: l.due, Skippable: l.class.SkipWorth > 0, Notify: func(n Notice) { l.box.Put(n) }}
-			begun = c.clock.Now() // before the start, so that no result looks fresher than it is
+			begun = c.clock.Now() // read before the start, so that no result looks newer than it is
 			c.counts.tries.Add(1)
 			c.runner.Start(run)
 		}
 	}
 
-	// Running: until the runner tells its end. A request that was answered or left goes on to that end, and
-	// the module hears it, but makes no more calls.
-	var at Notice // the call that the run stands at
+	// Running: until the runner reports the end of the attempt, even if the request was answered or its caller is gone
+	// before. The module receives that end, but such a request makes no further downstream calls.
+	var at Notice // the call that the attempt waits at
 	calls := 0
 	giveUp := func() {}
 	defer func() { giveUp() }()
@@ -170,7 +172,7 @@
 		switch m := l.box.Next().(type) {
 		case Notice:
 			if m.Lost {
-				l.fail() // the run goes on, or ends at its call now that nobody waits for it
+				l.fail() // the attempt goes on, or stays at its call without a caller
 				continue
 			}
 			if !m.Ended {
@@ -186,9 +188,10 @@
 			if at, ok := c.ledger.(Settled); ok && l.class.Safety != policy.Safe {
 				at.Ended(l.req.ID, m.Outcome == policy.OK)
 			}
-			m.Made = min(c.clock.Now(), begun+m.Took) // a late notice must not make the result look fresher
+			m.Made = min(c.clock.Now(), begun+m.Took) // a late notice must not make the result look newer
 			c.finish(l, m)
-			// Behind the end: another try that its caller sends at once must not find this one running, and fail for it.
+			// Answered after the end is sent: a retry that the caller sends at once must not find this attempt
+			// running, and fail because of it.
 			switch {
 			case m.Outcome == policy.OK:
 			case m.Forged:
@@ -198,9 +201,9 @@
 			}
 			return
 		case policy.CallOut:
-			giveUp() // a second call for one request gives up the first
+			giveUp() // a second call of one request cancels the first
 			if l.answered || gone {
-				continue // the module hears of the run's end
+				continue // the module receives the end of the attempt
 			}
 			calls++
 			giveUp = l.call(calls, m, at.Body)
@@ -217,7 +220,7 @@
 		case policy.SkipCall:
 			c.runner.Skip(run, at.N)
 		case policy.Fail, policy.Refuse:
-			l.fail() // never as a refusal: it was begun
+			l.fail() // not a refusal, since the request has started
 			giveUp()
 			c.runner.Drop(run)
 		case callerGone:
@@ -229,7 +232,7 @@
 	}
 }
 
-// call makes one call below; the function it returns gives the call up.
+// call makes one downstream call and returns a function that cancels it.
 func (l *Handler) call(nth int, order policy.CallOut, body []byte) func() {
 	c := l.core
 	limit := clock.Millis(order.MaxWait)
@@ -237,7 +240,7 @@
 		limit = clock.Millis(l.class.Deadline)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	body = pool.Copy(body) // the handler may move on to its next call while this one is being given up
+	body = pool.Copy(body) // the handler may go on to its next call while this one is being cancelled
 	begun := c.clock.Now()
 	go func() {
 		defer cancel()
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -11,27 +11,29 @@
 )
 
 const (
-	mostKeys   = 8192    // reads that are remembered; the module books their memory and stays far below
-	mostResult = 4 << 10 // bytes of a result, by the protocol: room for one that is still to come
-	entryBytes = 512     // what an entry takes besides
+	mostKeys   = 8192    // remembered reads; the module accounts for their memory and stays far under this number
+	mostResult = 4 << 10 // bytes of a result by the protocol, reserved until the result is known
+	entryBytes = 512     // bytes of an entry without its result
 
 	expireEvery = 100.0 // milliseconds
-	keyedSlack  = 100.0 // is added to a window: the callers' clock is the machine's, read a moment earlier
-	ledgerFor   = 2 * (mostOld + mostSoon)
+	keyedSlack  = 100.0 // milliseconds added to a window, since callers read the same clock a moment earlier
+
+	// Milliseconds for which a started effect is remembered: longer than a request with its ID can pass Check.
+	ledgerFor = 2 * (mostOld + mostSoon)
 )
 
-// keyTable ties tries together, as the module orders, and keeps their results: reads of one class and key for as long
-// as a result is fresh, and the tries of one request of a keyed class for the whole window in which another may come.
+// keyTable finds earlier requests that a new one repeats, as the module orders, and keeps their results: reads of one
+// class and key while a result is fresh, and the attempts of one keyed request for the window in which another may come.
 type keyTable struct {
-	fresh  float64
-	room   int // bytes for what is keyed
+	fresh  float64 // how long the result of a read may be shared, in milliseconds
+	room   int     // memory limit for keyed entries, in bytes
 	used   int
-	looked float64 // when what has had its time was last dropped
-	others int     // processes beside this one that begin what is keyed: then this one begins nothing
-	blind  float64 // nor up to then: one that went may have, and told nothing of it
+	looked float64 // when expired entries were last removed
+	others int     // other processes that may start keyed requests; this one starts none while there are any
+	blind  float64 // nor before this time: a process that is gone may have started some without reporting them
 	byKey  map[classKey]*entry
 	byID   map[policy.ID]*entry
-	claims map[classKey]*entry // keyed requests of one call of the module, which has not ordered to remember them yet
+	claims map[classKey]*entry // keyed requests of the present call of the module, before it orders to remember them
 }
 
 type classKey struct {
@@ -45,13 +47,13 @@
 	expires float64
 	ended   bool
 	good    bool
-	made    float64 // when the result was made, no later than it truly was
+	made    float64 // when the result was made, in Unix milliseconds; never later than the true time
 	result  []byte
 
-	until float64      // keyed: no try that reached the machine up to then may run
-	body  uint64       // keyed: sum of the body, which all tries share
-	class policy.Class // keyed: its class, which new settings may not have
-	begun bool         // keyed: its run was ordered
+	until float64      // keyed: no other attempt that reached the machine up to this time may run
+	body  uint64       // keyed: hash of the body, which is the same for all attempts
+	class policy.Class // keyed: the class, which new settings may lack
+	begun bool         // keyed: the module started it
 }
 
 func newKeyTable(fresh float64, room int) keyTable {
@@ -59,7 +61,7 @@
 		claims: map[classKey]*entry{}}
 }
 
-// keyOf is what ties a request to others; without a key, nothing does.
+// keyOf returns the key under which other requests find this one, and false if it has none.
 func keyOf(l *Handler) (classKey, bool) {
 	if l.class.Safety == policy.Keyed {
 		return classKey{l.req.Class, l.req.Once, true}, true
@@ -67,7 +69,7 @@
 	return classKey{l.req.Class, l.req.Key, false}, l.class.Safety == policy.Safe && l.req.Key != ""
 }
 
-// size is what a keyed entry takes of the room: until its end, as much as its result may.
+// size returns the bytes that a keyed entry counts for; until it ends, its result counts with the maximum size.
 func (e *entry) size() int {
 	if e.ended {
 		return entryBytes + len(e.result)
@@ -75,7 +77,7 @@
 	return entryBytes + mostResult
 }
 
-// remember keeps an entry, where there is room.
+// remember adds an entry for a request, unless the table is full.
 func (t *keyTable) remember(l *Handler, expires float64) {
 	of, tied := keyOf(l)
 	if !tied {
@@ -88,7 +90,7 @@
 	if of.keyed {
 		window, deadline := clock.Millis(l.class.KeyTTL), clock.Millis(l.class.Deadline)
 		e.until, e.body, e.class = l.req.At+window+keyedSlack, t.sum(l.req), l.class
-		// A try that reached the machine within the window may be read up to its deadline later.
+		// An attempt that reached the machine within the window may be read up to its deadline later.
 		e.expires = e.until + deadline + keyedSlack
 		if t.used+e.size() > t.room {
 			return
@@ -110,8 +112,8 @@
 	}
 }
 
-// usable tells whether a request that reached the machine at a given time may have the entry's result. The age
-// of a result counts to the arrival of the read, not to the moment at which we look.
+// usable reports whether a request that reached the machine at a given time may share the entry's result. The age of a
+// result counts up to the arrival of the read, not up to the time of this call.
 func (t *keyTable) usable(e *entry, at float64) bool {
 	if e.of.keyed {
 		return !e.ended || e.good
@@ -119,7 +121,7 @@
 	return !e.ended || e.good && at <= e.made+t.fresh
 }
 
-// original names the remembered read that this one repeats.
+// original returns the remembered read that a request repeats, if there is one.
 func (t *keyTable) original(l *Handler, now float64) (policy.ID, bool) {
 	of, tied := keyOf(l)
 	e := t.byKey[of]
@@ -129,9 +131,9 @@
 	return e.id, true
 }
 
-// try names the try of a keyed request that this one repeats, held, running or over. Of those that the module hears
-// of in one call, the first stands for the others. False: another body came under the same key, so it is no try of
-// the same request.
+// try returns the attempt that a keyed request repeats, whether queued, running or ended. Of several attempts in one call
+// of the module, the first is the original of the others. If same is false, the key was used with another body, so this
+// is not an attempt of the same request.
 func (t *keyTable) try(l *Handler) (first policy.ID, repeats, same bool) {
 	of, _ := keyOf(l)
 	body := t.sum(l.req)
@@ -145,7 +147,8 @@
 	return e.id, true, e.body == body
 }
 
-// tied is the try of a keyed request in whose window this one came, whatever the settings say of its class by now.
+// tied returns the entry of the keyed request in whose window a request arrived, whether or not the present settings
+// still have its class as keyed.
 func (t *keyTable) tied(q *Request) *entry {
 	if q.Once == "" {
 		return nil
@@ -156,15 +159,15 @@
 	return nil
 }
 
-// sum tells bodies apart, to a successor's process as well.
+// sum returns a hash of the body. It is the same in every process, since entries are exported to successors.
 func (t *keyTable) sum(q *Request) uint64 {
 	h := fnv.New64a()
 	h.Write(q.Body)
 	return h.Sum64()
 }
 
-// mayBegin tells whether a request may start: one that is keyed needs an entry that ties its tries, and that no other
-// process begins them too. False: it never ran, and is not to.
+// mayBegin reports whether a request may start. A keyed one needs an entry, by which its other attempts are recognized,
+// and no other process that may start keyed requests.
 func (t *keyTable) mayBegin(l *Handler, now float64) bool {
 	if l.class.Safety != policy.Keyed {
 		return true
@@ -177,19 +180,19 @@
 	return true
 }
 
-// Tie is what a process tells its successor of a try that it ran, or runs: with the two beside each other, callers see one
-// server, on which no other try of the same request may run.
+// Tie describes an attempt of a keyed request that a process has started, for its successor: callers see the two processes
+// as one server, on which no other attempt of the same request may run. It is encoded under its field names.
 type Tie struct {
 	Class   policy.Class
 	Once    string
 	Until   float64
 	Expires float64
 	Body    uint64
-	Good    bool // it ended well, with this result; else its end is not known here
+	Good    bool // it succeeded with Result; otherwise its outcome is failure or unknown
 	Result  []byte
 }
 
-// ties lists the tries that ran or run.
+// ties lists the keyed attempts that were started.
 func (t *keyTable) ties() []Tie {
 	list := []Tie{}
 	for _, e := range t.byID {
@@ -200,7 +203,7 @@
 	return list
 }
 
-// take keeps a tie of another process. It is kept whatever room there is: what ran, ran.
+// take adds an attempt of another process. The memory limit does not apply, since the attempt was started already.
 func (t *keyTable) take(id policy.ID, tie Tie) {
 	e := &entry{id: id, of: classKey{tie.Class.Name, tie.Once, true}, expires: tie.Expires, ended: true, good: tie.Good,
 		result: tie.Result, until: tie.Until, body: tie.Body, class: tie.Class, begun: true}
@@ -211,8 +214,8 @@
 	t.used += e.size()
 }
 
-// HandOn lists the ties for another process that is about to serve beside this one. From then on this one begins nothing
-// keyed, until TakeBack.
+// HandOn lists the keyed attempts for a successor that is about to serve beside this process. From then on this process
+// starts no keyed request, until TakeBack.
 func (c *Core) HandOn() (ties []Tie) {
 	c.ask(func() {
 		c.keys.others++
@@ -221,8 +224,8 @@
 	return ties
 }
 
-// TakeBack tells that the other process is gone. What it began is not known here, so the time has to pass in which another
-// try of that may come.
+// TakeBack reports that the other process is gone. The attempts that it started are unknown here, so keyed requests start
+// again only after the longest window in which a repeat of one of them may arrive.
 func (c *Core) TakeBack() {
 	c.Then(func() {
 		c.keys.others--
@@ -233,13 +236,13 @@
 			}
 		}
 		if longest > 0 {
-			c.log.Warn().Float64("ms", longest).Msg("no keyed request is begun for so long: what another process ran is not known here")
+			c.log.Warn().Float64("ms", longest).Msg("keyed requests are refused for this time: the attempts of another process are unknown")
 			c.keys.blind = c.clock.Now() + longest
 		}
 	})
 }
 
-// Inherit takes over the ties of the process before this one.
+// Inherit adds the keyed attempts of the predecessor.
 func (c *Core) Inherit(ties []Tie) {
 	c.ask(func() {
 		for _, tie := range ties {
@@ -248,7 +251,7 @@
 	})
 }
 
-// ask calls back on the owner's goroutine and waits for that; not once Run has ended.
+// ask runs a function on the goroutine of Run and waits until it returns, or until Stop is called.
 func (c *Core) ask(call func()) {
 	done := make(chan struct{})
 	c.Then(func() { call(); close(done) })
@@ -258,12 +261,13 @@
 	}
 }
 
-// served is the result that other tries with the same body are answered with.
+// served returns the result for another attempt with the given body, if this one has succeeded with the same body.
 func (e *entry) served(body uint64) ([]byte, bool) {
 	return e.result, e.ended && e.good && e.body == body
 }
 
-// ended keeps the result of a remembered run. One of which nothing ran ties no other try to it.
+// ended records the end of a remembered attempt with its result. A keyed attempt that never ran is removed, so that
+// another attempt may run.
 func (t *keyTable) ended(f policy.Finished, n Notice) {
 	e := t.byID[f.ID]
 	if e == nil || e.ended {
@@ -283,7 +287,7 @@
 	}
 }
 
-// result is what a request may share.
+// result returns the result that a request may share, if there is one.
 func (t *keyTable) result(l *Handler) ([]byte, bool) {
 	of, tied := keyOf(l)
 	e := t.byKey[of]
@@ -293,7 +297,7 @@
 	return e.result, true
 }
 
-// expire drops what has had its time. A look at all of them is not for every call of the module.
+// expire removes expired entries. It scans the whole table, so it does so only once in expireEvery.
 func (t *keyTable) expire(now float64) {
 	if now >= t.looked && now < t.looked+expireEvery {
 		return
@@ -306,14 +310,14 @@
 	}
 }
 
-// memoryLedger remembers the effects begun since this process started: each for as long as a request with its id can
-// come again and pass for new, by its own figures. It grows with what it holds, and keeps no id as text: a piece of a
-// message would keep the whole of it.
+// memoryLedger is an effect log in memory for the effects started by this process. It keeps each effect for as long as a
+// request with its ID can pass Check, so it has no fixed size. IDs are stored in binary form: a substring of a message
+// would keep the whole message in memory.
 type memoryLedger struct {
 	mu    sync.Mutex
 	clock *clock.Clock
 	begun map[effect]struct{}
-	line  []begunAt // oldest first
+	line  []begunAt // in order of age, oldest first
 }
 
 type effect [8]byte
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -1,5 +1,5 @@
-// Package core serves requests by the decisions of the policy module. It knows requests, attempts and
-// outcomes, and no wire: fronts bring requests, a Runner does their work, a Below answers their calls.
+// Package core serves requests as the policy module decides. It is independent of wire protocols: fronts receive
+// requests, a Runner runs them, and a Below carries out their downstream calls.
 package core
 
 import (
@@ -10,39 +10,39 @@
 	"puffinsaddle/policy"
 )
 
-// Request is something that a caller wants done.
+// Request is a caller's request.
 type Request struct {
-	ID    string // new with every try
+	ID    string // new with every attempt
 	Class string
 	At    float64 // when it reached the machine, in Unix milliseconds
-	Wait  float64 // how long its caller waits from At, in milliseconds; 0: not told
+	Wait  float64 // how long its caller waits from At, in milliseconds; 0 if unknown
 	From  int64   // the number of the caller
-	Retry bool    // known to be a further try
-	KB    float64 // memory booked while it is held
+	Retry bool    // known to be a retry
+	KB    float64 // memory accounted for while it is queued, in kilobytes
 	Rank  float64
-	Key   string  // what a read is about; empty: not told
-	Once  string  // in keyed classes: the same for all tries of one request; empty: not told
-	For   string  // the tenant; empty: not told
-	Cost  float64 // the work to expect, in milliseconds on one core; 0: not told
+	Key   string  // the subject of a read; empty if unknown
+	Once  string  // idempotency key, the same for all attempts of one keyed request; empty if unknown
+	For   string  // the tenant; empty if unknown
+	Cost  float64 // expected work, in milliseconds on one core; 0 if unknown
 	Body  []byte
 }
 
-// What the figures of a request may be at most.
+// Limits of the fields of a request.
 const (
-	mostKB   = 2000.0 // by the protocol
+	mostKB   = 2000.0 // kilobytes, by the protocol
 	mostKey  = 256    // bytes of a key, or of a tenant's name; the protocol's keys have 16
-	mostOnce = 64     // hexadecimal digits; the protocol's have 32
+	mostOnce = 64     // hexadecimal digits; the protocol's idempotency keys have 32
 	mostCost = 600e3  // milliseconds of work
-	mostWait = 600e3  // milliseconds that a caller may wait; classes have seconds
-	mostOld  = 60e3   // and that a request may have been under way
-	mostSoon = 1e3    // the caller's clock is the machine's, and can't be further ahead
+	mostWait = 600e3  // milliseconds that a caller may wait; classes have deadlines of seconds
+	mostOld  = 60e3   // milliseconds since a request reached the machine
+	mostSoon = 1e3    // milliseconds by which a request may seem to come from the future; caller and server share a clock
 )
 
-// Check names the figure that makes no sense. What passes gets to the module's books, so what would spoil them
-// must not: one request said to be an hour old would make the server look slow to itself, one whose time never
-// runs out would be held for good.
+// Check returns an error that names the first field with an invalid value. Valid requests enter the module's statistics,
+// which must stay sound: a request that claims to be an hour old would make the server look slow to itself, and one whose
+// time never runs out would stay queued for good.
 func (q *Request) Check(now float64) error {
-	within := func(x, least, most float64) bool { return x >= least && x <= most } // so that NaN is out
+	within := func(x, least, most float64) bool { return x >= least && x <= most } // false for NaN
 	switch {
 	case !within(q.At, now-mostOld, now+mostSoon):
 		return errors.New("at is out of range")
@@ -61,75 +61,76 @@
 	case !within(q.Cost, 0, mostCost):
 		return errors.New("cost is out of range")
 	case len(q.Once) > mostOnce || strings.Trim(q.Once, "0123456789abcdefABCDEF") != "":
-		return errors.New("once is not of hexadecimal digits")
+		return errors.New("once is not a string of at most 64 hexadecimal digits")
 	}
 	return nil
 }
 
-// Verdict is what became of a request, for its caller.
+// Verdict tells the caller how a request ended.
 type Verdict int
 
-// The verdicts. Refused promises that this try never ran.
+// The verdicts. Refused promises that this attempt never ran.
 const (
 	Served Verdict = iota
 	Refused
 	Failed
-	Overdue // failed, since its time is up
+	Overdue // failed at its deadline
 )
 
-// Outcome is the one final answer to a request.
+// Outcome is the final answer to a request.
 type Outcome struct {
 	Verdict Verdict
-	Result  []byte  // of a served request; good until the answer function returns
-	After   float64 // on a refusal: come back after so many milliseconds; 0: any time
-	Last    bool    // on a refusal: try no other server
-	Unknown bool    // on a refusal: of a class that nobody told us of
-	Forged  bool    // on a failure: whoever does the work knows of no such request
+	Result  []byte  // of a served request; valid until the answer function returns
+	After   float64 // on a refusal: milliseconds to wait before a retry; 0: none
+	Last    bool    // on a refusal: do not retry on another server
+	Unknown bool    // on a refusal: the settings have no such class
+	Forged  bool    // on a failure: the executor does not know the request
 }
 
-// Attempt is one run of a request at a Runner. An order server makes one at most for each request.
+// Attempt is one run of a request at a Runner. A server makes at most one for each request ID.
 type Attempt struct {
 	Request *Request
 	Due     float64 // when the answer is due, in Unix milliseconds
 	Notify  func(Notice)
 
-	Skippable bool // its calls may be left out
+	Skippable bool // its downstream calls may be left out
 }
 
-// Notice is what a Runner tells of an attempt. Exactly one with Ended set comes last.
+// Notice is a message from a Runner about an attempt. The last one for each attempt has Ended set, and no other has.
 type Notice struct {
-	Ended   bool           // else the run stands at a call
+	Ended   bool           // if false, the attempt waits at a downstream call
 	N       uint64         // number of the notice
 	Outcome policy.Outcome // how it ended
-	Took    float64        // milliseconds that it ran
-	Made    float64        // when the result was made, in Unix milliseconds, no later than it truly was
-	Forged  bool           // nothing ran: the Runner knows of no such request
-	Lost    bool           // nobody can tell whether the reply to its call arrived, so it may stand there for good
-	Body    []byte         // the result, or what to call with; the handler that is told owns it
+	Took    float64        // running time in milliseconds
+	Made    float64        // when the result was made, in Unix milliseconds; never later than the true time
+	Forged  bool           // nothing ran: the executor does not know the request
+	Lost    bool           // it is unknown whether the reply to its call arrived, so it may wait at the call for good
+	Body    []byte         // the result, or the body of the call; owned by the handler that receives the notice
 }
 
-// Runner does the work of requests. No method blocks.
+// Runner runs requests. No method blocks.
 type Runner interface {
 	Start(*Attempt)
-	Return(*Attempt, uint64, []byte) // the reply to the call of that notice, at which the run stands; copied
-	Skip(*Attempt, uint64)           // go on without the call of that notice
-	Drop(*Attempt)                   // nobody waits for it any more
-	Meter(func(gauges []float64))    // calls back once the gauges are read, or never
-	Diagnose(func(good bool)) bool   // a deep check; false: there is no telling now
+	Return(*Attempt, uint64, []byte) // delivers the reply to the call of that notice; the bytes are copied
+	Skip(*Attempt, uint64)           // lets the attempt go on without the call of that notice
+	Drop(*Attempt)                   // reports that the caller no longer waits for the attempt
+	Meter(func(gauges []float64))    // reads the gauges and calls back, or never calls back
+	Diagnose(func(good bool)) bool   // starts a deep health check; false if none is possible at present
 }
 
-// Below answers the calls that runs stand at. Call gives up when its context ends.
+// Below carries out downstream calls. Call is cancelled when its context ends.
 type Below interface {
 	Call(ctx context.Context, id string, maxMs float64, body []byte) (policy.Outcome, []byte)
 }
 
-// Ledger keeps the ids of effects that were begun, so that none begins twice.
+// Ledger records the IDs of effects that were started, so that none starts twice.
 type Ledger interface {
-	// Begin records an effect before its run; false: it was begun before. An error: it is not recorded.
+	// Begin records an effect before it runs. It returns false if the effect was started before, and an error if the
+	// effect could not be recorded.
 	Begin(id string) (bool, error)
 }
 
-// Settled is a Ledger that also hears how the runs of effects end. It must not wait.
+// Settled is implemented by a Ledger that also records how effects end. It must not block.
 type Settled interface {
 	Ended(id string, ok bool)
 }
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,18 +1,18 @@
-// Package mailbox hands what happens to one goroutine, in order, and never makes a sender wait.
+// Package mailbox has a message queue for one receiving goroutine, on which senders never block.
 package mailbox
 
 import "sync"
 
-// Box is one mailbox. What lies in it is bounded by its use: a life gets a few messages a call, an owner a few events
-// for each open request or session.
+// Box is a message queue without a limit of its own. Its users bound it: a request's handler receives a few messages for
+// each downstream call, the goroutine of an event loop a few events for each open request or session.
 type Box[T any] struct {
-	Ready chan struct{} // gets a word after each Put and Poke
+	Ready chan struct{} // receives a value after Put and Poke; holds one value at most
 
 	mu    sync.Mutex
 	items []T
 }
 
-// New is an empty mailbox.
+// New returns an empty mailbox.
 func New[T any]() *Box[T] { return &Box[T]{Ready: make(chan struct{}, 1)} }
 
 // Put adds a message.
@@ -23,7 +23,7 @@
 	b.Poke()
 }
 
-// Poke wakes the owner without a message.
+// Poke wakes the receiver without a message.
 func (b *Box[T]) Poke() {
 	select {
 	case b.Ready <- struct{}{}:
@@ -31,14 +31,14 @@
 	}
 }
 
-// Len is how many messages lie in it.
+// Len returns the number of queued messages.
 func (b *Box[T]) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.items)
 }
 
-// Take empties the box into buf.
+// Take removes all messages and returns them in buf, whose earlier content is overwritten.
 func (b *Box[T]) Take(buf []T) []T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,7 +48,7 @@
 	return buf
 }
 
-// Next waits for the next message.
+// Next waits for the next message and removes it.
 func (b *Box[T]) Next() T {
 	for {
 		b.mu.Lock()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,15 +1,16 @@
-// Package pool lends buffers of one size and takes them back.
+// Package pool recycles buffers of one size.
 package pool
 
 import "sync"
 
-// Size holds every body and result that the platform's protocol allows, with the words round them.
+// Size is the capacity of a pooled buffer in bytes. It holds every body and result that the platform's protocol allows,
+// with its framing.
 const Size = 8 << 10
 
 var free = sync.Pool{New: func() any { return new([Size]byte) }}
 
-// Get lends a buffer of n bytes. What is larger than the one size comes from the heap and goes back there:
-// it is rare, and would keep the pool from having one size.
+// Get returns a buffer of n bytes. Buffers larger than Size are rare; they are allocated and not pooled, so that all
+// pooled buffers have one size.
 func Get(n int) []byte {
 	if n > Size {
 		return make([]byte, n)
@@ -17,14 +18,14 @@
 	return free.Get().(*[Size]byte)[:n]
 }
 
-// Copy lends a buffer that holds the same bytes.
+// Copy returns a buffer with a copy of the bytes.
 func Copy(b []byte) []byte {
 	c := Get(len(b))
 	copy(c, b)
 	return c
 }
 
-// Put takes a buffer back. The caller must not hold any part of it after.
+// Put returns a buffer to the pool. The caller must not use any part of it afterwards.
 func Put(b []byte) {
 	if cap(b) == Size {
 		free.Put((*[Size]byte)(b[:Size]))
--- a/internal/publish/publish.go
+++ b/internal/publish/publish.go
@@ -1,7 +1,7 @@
-// Package publish decides which files make a version of the configuration, and keeps the versions. It is free of I/O.
+// Package publish decides which files form a version of the configuration, and keeps the versions. It does no I/O.
 //
-// Files are published with a manifest beside them, in the form that sha256sum writes: a file that is being written, or
-// that its writer left half done, does not match its line there, and then nothing is published.
+// Files are published with a manifest in the format of sha256sum. A file that is being written, or was left incomplete
+// by its writer, does not match its digest in the manifest, and then nothing is published.
 package publish
 
 import (
@@ -17,11 +17,11 @@
 	"strings"
 )
 
-// Bounds of a version.
+// Limits of versions.
 const (
-	MostFiles = 16
-	MostBytes = 256 << 10
-	keep      = 8 // versions that are remembered
+	MostFiles = 16        // files of a version
+	MostBytes = 256 << 10 // bytes of all files of a version
+	keep      = 8         // versions in the history
 )
 
 // Sum is one line of a manifest.
@@ -29,11 +29,11 @@
 
 var digest = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// ParseManifest reads a manifest. Its names are of files in its own folder.
+// ParseManifest parses a manifest, which names files of its own directory.
 func ParseManifest(text []byte) ([]Sum, error) {
 	var sums []Sum
 	if len(text) > 0 && text[len(text)-1] != '\n' {
-		return nil, errors.New("the last line is not whole")
+		return nil, errors.New("the last line is incomplete: it has no line break")
 	}
 	s := bufio.NewScanner(bytes.NewReader(text))
 	for line := 1; s.Scan(); line++ {
@@ -41,11 +41,11 @@
 		name = strings.TrimPrefix(strings.TrimPrefix(name, " "), "*")
 		switch {
 		case !ok || !digest.MatchString(d):
-			return nil, fmt.Errorf("line %d: no sha256 digest and name", line)
+			return nil, fmt.Errorf("line %d: no SHA-256 digest and file name", line)
 		case name == "" || name != filepath.Base(name) || name == "." || name == "..":
-			return nil, fmt.Errorf("line %d: %q is no file in the manifest's folder", line, name)
+			return nil, fmt.Errorf("line %d: %q is not a file name in the manifest's directory", line, name)
 		case slices.ContainsFunc(sums, func(o Sum) bool { return o.Name == name }):
-			return nil, fmt.Errorf("line %d: %q stands twice", line, name)
+			return nil, fmt.Errorf("line %d: %q is listed twice", line, name)
 		}
 		sums = append(sums, Sum{d, name})
 	}
@@ -53,9 +53,9 @@
 	case s.Err() != nil:
 		return nil, s.Err()
 	case len(sums) == 0:
-		return nil, errors.New("names no file")
+		return nil, errors.New("the manifest lists no file")
 	case len(sums) > MostFiles:
-		return nil, fmt.Errorf("names %d files, %d at most", len(sums), MostFiles)
+		return nil, fmt.Errorf("the manifest lists %d files; the maximum is %d", len(sums), MostFiles)
 	}
 	return sums, nil
 }
@@ -66,7 +66,7 @@
 	Text []byte `json:"text"`
 }
 
-// Match tells whether files are what a manifest says, and names the first that is not.
+// Match returns an error that names the first file that does not match the manifest, if any.
 func Match(sums []Sum, files []File) error {
 	size := 0
 	for i, s := range sums {
@@ -75,23 +75,23 @@
 		}
 		size += len(files[i].Text)
 		if sum := sha256.Sum256(files[i].Text); hex.EncodeToString(sum[:]) != s.Digest {
-			return fmt.Errorf("%s is not what the manifest says: it is being written, or was changed without it", s.Name)
+			return fmt.Errorf("%s does not match the manifest: it is incomplete, or was changed without the manifest", s.Name)
 		}
 	}
 	if size > MostBytes {
-		return fmt.Errorf("%d bytes in all, %d at most", size, MostBytes)
+		return fmt.Errorf("%d bytes in total; the maximum is %d", size, MostBytes)
 	}
 	return nil
 }
 
-// Version is one published set of files, whole.
+// Version is one complete published set of files.
 type Version struct {
-	No    uint64 `json:"no"`
+	No    uint64 `json:"no"`    // counts from 1
 	Epoch uint64 `json:"epoch"` // of the publisher's duty
 	Files []File `json:"files"`
 }
 
-// Digest tells versions of the same files apart from others.
+// Digest returns a digest of the names and contents of files; versions with the same files have the same digest.
 func Digest(files []File) string {
 	h := sha256.New()
 	for _, f := range files {
@@ -101,22 +101,23 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Acknowledgement is what a server made of a version.
+// Acknowledgement is a server's response to a version.
 type Acknowledgement struct {
 	No     uint64 `json:"no"`
-	Reason string `json:"reason,omitempty"` // why it was turned down; "": it was taken whole
+	Reason string `json:"reason,omitempty"` // why the version was rejected; empty: it was applied
 }
 
-// History is what all copies agree on. Its methods are steps of the log.
+// History is the replicated state: the latest versions and the servers' acknowledgements. Its methods are called in the
+// order of the raft log, so they must be deterministic.
 type History struct {
-	Versions         []Version                  `json:"versions,omitempty"` // the latest last
+	Versions         []Version                  `json:"versions,omitempty"` // in order, the latest last
 	Acknowledgements map[string]Acknowledgement `json:"words,omitempty"`    // by process
 }
 
-// NewHistory is an empty book.
+// NewHistory returns an empty history.
 func NewHistory() *History { return &History{Acknowledgements: map[string]Acknowledgement{}} }
 
-// Clone copies a book; versions are never changed once they stand.
+// Clone returns a copy that shares the versions, which are never changed once published.
 func (b *History) Clone() *History {
 	c := &History{Versions: slices.Clone(b.Versions), Acknowledgements: make(map[string]Acknowledgement, len(b.Acknowledgements))}
 	for k, v := range b.Acknowledgements {
@@ -125,7 +126,7 @@
 	return c
 }
 
-// Latest is the latest version; its number is 0 where there is none.
+// Latest returns the latest version, whose number is 0 if there is none.
 func (b *History) Latest() Version {
 	if len(b.Versions) == 0 {
 		return Version{}
@@ -133,12 +134,13 @@
 	return b.Versions[len(b.Versions)-1]
 }
 
-// Publish adds a version after the one that the publisher knew. The same files again are no new version.
+// Publish adds a version and returns its number. It fails unless the publisher knows the latest version, whose number is
+// after. Files that equal those of the latest version make no new version.
 func (b *History) Publish(files []File, after, epoch uint64) (uint64, error) {
 	last := b.Latest()
 	switch {
 	case last.No != after:
-		return 0, fmt.Errorf("publish: version %d is out, and the publisher knew %d", last.No, after)
+		return 0, fmt.Errorf("publish: the latest version is %d, and the publisher knows %d", last.No, after)
 	case len(files) == 0 || len(files) > MostFiles:
 		return 0, fmt.Errorf("publish: %d files", len(files))
 	case last.No > 0 && Digest(last.Files) == Digest(files):
@@ -151,7 +153,7 @@
 	return last.No + 1, nil
 }
 
-// Say books what a process made of a version; it may not speak of one that was never out.
+// Say records a process's acknowledgement of a version; one of a version that was never published is an error.
 func (b *History) Say(who string, w Acknowledgement) error {
 	if w.No == 0 || w.No > b.Latest().No {
 		return fmt.Errorf("publish: there is no version %d", w.No)
@@ -163,16 +165,16 @@
 	return nil
 }
 
-// Drop forgets a process that is gone.
+// Drop removes the acknowledgement of a process that is gone.
 func (b *History) Drop(who string) { delete(b.Acknowledgements, who) }
 
-// Keeper decides on a server's side which version is in force: the latest that it could take whole.
+// Keeper decides in a server which version is in force: the latest that passed the server's check as a whole.
 type Keeper struct {
-	InForce uint64
-	Looked  uint64 // the latest that was looked at
+	InForce uint64 // number of the version in force
+	Looked  uint64 // number of the latest version checked
 }
 
-// Offer looks at a version by the server's own check and returns the word on it; fresh: it was not looked at before.
+// Offer checks a version, unless it was checked before, and returns the acknowledgement and whether it is a new one.
 func (k *Keeper) Offer(v Version, check func([]File) error) (w Acknowledgement, fresh bool) {
 	if v.No <= k.Looked {
 		return Acknowledgement{}, false
--- a/internal/publish/publish_test.go
+++ b/internal/publish/publish_test.go
@@ -12,17 +12,18 @@
 	return fmt.Sprintf("%x  %s\n", sha256.Sum256([]byte(text)), name)
 }
 
+// Incomplete and malformed manifests are rejected, with an error that names the line and the fault.
 func TestManifestsThatAreNotWhole(t *testing.T) {
 	good := line("a.yaml", "x")
 	for text, want := range map[string]string{
-		"":                             "names no file",
-		strings.TrimSuffix(good, "\n"): "the last line is not whole",
-		good + good:                    `line 2: "a.yaml" stands twice`,
-		"abc  a.yaml\n":                "line 1: no sha256",
-		line("../a.yaml", "x"):         `line 1: "../a.yaml" is no file`,
-		line("..", "x"):                `line 1: ".." is no file`,
-		strings.ToUpper(good):          "line 1: no sha256",
-		good[:64] + "\n":               "line 1: no sha256",
+		"":                             "the manifest lists no file",
+		strings.TrimSuffix(good, "\n"): "the last line is incomplete",
+		good + good:                    `line 2: "a.yaml" is listed twice`,
+		"abc  a.yaml\n":                "line 1: no SHA-256",
+		line("../a.yaml", "x"):         `line 1: "../a.yaml" is not a file name`,
+		line("..", "x"):                `line 1: ".." is not a file name`,
+		strings.ToUpper(good):          "line 1: no SHA-256",
+		good[:64] + "\n":               "line 1: no SHA-256",
 	} {
 		if _, err := ParseManifest([]byte(text)); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
@@ -30,7 +31,7 @@
 	}
 }
 
-// A file that is being written is cut off somewhere: at none of these places does it pass for the whole.
+// A file that is being written may be truncated at any byte: no truncated file matches the manifest.
 func TestHalfWrittenFilesDoNotMatch(t *testing.T) {
 	text := "uwsgi:\n  servers: [127.0.0.1:1]\n"
 	sums, err := ParseManifest([]byte(line("operator.yaml", text)))
@@ -39,17 +40,19 @@
 	}
 	for n := range len(text) {
 		if err := Match(sums, []File{{"operator.yaml", []byte(text[:n])}}); err == nil {
-			t.Fatalf("the first %d bytes pass", n)
+			t.Fatalf("a file truncated to %d bytes matches the manifest", n)
 		}
 	}
 	if err := Match(sums, []File{{"operator.yaml", []byte(text)}}); err != nil {
 		t.Error(err)
 	}
 	if err := Match(sums, nil); err == nil {
-		t.Error("a missing file passes")
+		t.Error("a missing file matches the manifest")
 	}
 }
 
+// Version numbers count up, equal files make no new version, and a server puts a version into force only if all of it
+// passes the check.
 func TestVersionsCountAndAreTakenWholeOrNotAtAll(t *testing.T) {
 	b := NewHistory()
 	one, two := []File{{"f", []byte("1")}}, []File{{"f", []byte("2")}}
@@ -57,10 +60,10 @@
 		t.Fatal(n, err)
 	}
 	if _, err := b.Publish(two, 0, 2); err == nil {
-		t.Error("published by one who knew of no version 1")
+		t.Error("published by a publisher that does not know version 1")
 	}
 	if n, err := b.Publish(one, 1, 2); n != 1 || err != nil {
-		t.Errorf("the same files again: version %d, %v", n, err)
+		t.Errorf("publishing equal files: version %d, %v, want version 1", n, err)
 	}
 	var k Keeper
 	if w, fresh := k.Offer(b.Latest(), func([]File) error { return nil }); !fresh || w != (Acknowledgement{No: 1}) || k.InForce != 1 {
@@ -72,15 +75,15 @@
 		t.Errorf("%+v %v, in force %d", w, fresh, k.InForce)
 	}
 	if _, fresh := k.Offer(b.Latest(), nil); fresh {
-		t.Error("looked at twice")
+		t.Error("a version was checked twice")
 	}
 	if err := b.Say("a", Acknowledgement{No: 3}); err == nil {
-		t.Error("a word on a version that was never out")
+		t.Error("an acknowledgement of an unpublished version was accepted")
 	}
 	for n := uint64(2); n < 20; n++ {
 		b.Publish([]File{{"f", []byte(fmt.Sprint("v", n))}}, n, 3)
 	}
 	if len(b.Versions) != keep || b.Latest().No != 20 {
-		t.Errorf("%d versions kept, the latest %d", len(b.Versions), b.Latest().No)
+		t.Errorf("%d versions kept, the latest %d, want 20", len(b.Versions), b.Latest().No)
 	}
 }
--- a/internal/settle/settle.go
+++ b/internal/settle/settle.go
@@ -1,4 +1,4 @@
-// Package settle keeps the record of effects and decides what becomes of those whose server is gone. It is free of I/O.
+// Package settle keeps the effect log and resolves orphaned effects, those whose server is gone. It does no I/O.
 package settle
 
 import (
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// ErrFull refuses an effect where the record has no room and nothing in it may be forgotten yet.
-var ErrFull = errors.New("settle: the record of effects is full")
+// ErrFull is returned for an effect if the log has reached its limit and no effect in it may be removed yet.
+var ErrFull = errors.New("settle: the effect log is full")
 
-// State of an effect.
+// State is the state of an effect.
 type State string
 
-// States. Unknown stays so: what ran on a server that is gone can't be learned here.
+// The states. Unknown is final: the outcome of an effect on a server that is gone can't be determined.
 const (
 	Begun   State = ""
 	Done    State = "done"
@@ -21,15 +21,15 @@
 	Unknown State = "unknown"
 )
 
-// Effect is one record: an effect that a process was about to run.
+// Effect is one entry of the log: an effect that a process was about to run.
 type Effect struct {
-	Owner string `json:"o,omitempty"` // the process; "": nobody settles it
+	Owner string `json:"o,omitempty"` // the process; empty: the effect is never resolved
 	Epoch uint64 `json:"e,omitempty"` // of the owner's presence
-	Seq   uint64 `json:"q"`           // effects count from 1
+	Seq   uint64 `json:"q"`           // sequence number, from 1
 	State State  `json:"s,omitempty"`
 }
 
-// Ledger is the record. Its methods are steps of the log.
+// Ledger is the effect log. Its methods are called in the order of the raft log, so they must be deterministic.
 type Ledger struct {
 	Seq     uint64             `json:"seq"`
 	Effects map[string]*Effect `json:"effects"`
@@ -39,12 +39,12 @@
 	open  map[string]*Effect
 }
 
-// NewLedger is an empty record for so many effects.
+// NewLedger returns an empty effect log for at most the given number of effects.
 func NewLedger(most int) *Ledger {
 	return &Ledger{Effects: map[string]*Effect{}, Most: most, open: map[string]*Effect{}}
 }
 
-// Restored completes a record that was read from a snapshot.
+// Restored rebuilds the indexes of an effect log that was read from a snapshot.
 func (b *Ledger) Restored(most int) {
 	b.Most, b.order, b.open = most, nil, map[string]*Effect{}
 	if b.Effects == nil {
@@ -64,7 +64,7 @@
 	})
 }
 
-// Clone copies a record.
+// Clone returns a deep copy.
 func (b *Ledger) Clone() *Ledger {
 	c := &Ledger{Seq: b.Seq, Effects: make(map[string]*Effect, len(b.Effects))}
 	for id, e := range b.Effects {
@@ -75,8 +75,8 @@
 	return c
 }
 
-// Begin records an effect; false: it was begun before. Where keep is set, nothing is forgotten to make room: that is
-// the settler's, by age.
+// Begin records an effect and returns false if it was recorded before. In a full log it removes the oldest effects,
+// unless keep is set: then the settler removes effects by age, and Begin returns ErrFull.
 func (b *Ledger) Begin(id, owner string, epoch uint64, keep bool) (bool, error) {
 	if b.Effects[id] != nil {
 		return false, nil
@@ -103,7 +103,8 @@
 	delete(b.open, id)
 }
 
-// End books how an effect ended; what was settled, or is another's, stays as it is.
+// End records how an effect ended and returns whether it did. An effect that has ended, was resolved or has another owner
+// is not changed.
 func (b *Ledger) End(id, owner string, ok bool) bool {
 	e := b.open[id]
 	if e == nil || e.Owner != owner {
@@ -117,10 +118,10 @@
 	return true
 }
 
-// Live tells whether a process's presence of that epoch is in force.
+// Live reports whether a process's presence of that epoch is in force.
 type Live func(owner string, epoch uint64) bool
 
-// Orphans lists effects begun by processes that are gone, the oldest first, at most so many.
+// Orphans lists at most the given number of orphaned effects, the oldest first.
 func (b *Ledger) Orphans(live Live, most int) []string {
 	var ids []string
 	for id, e := range b.open {
@@ -137,7 +138,8 @@
 	return ids[:min(len(ids), most)]
 }
 
-// Settle marks effects as of unknown outcome, as far as their process is gone now. Nothing runs one.
+// Settle resolves effects whose process is gone by marking their outcome as unknown, and returns how many it marked. An
+// effect is never run to resolve it.
 func (b *Ledger) Settle(ids []string, live Live) (settled int) {
 	for _, id := range ids {
 		if e := b.open[id]; e != nil && !live(e.Owner, e.Epoch) {
@@ -149,7 +151,7 @@
 	return settled
 }
 
-// Prune forgets effects up to a number that have ended.
+// Prune removes the effects with a sequence number of at most upTo that are no longer open, and returns how many.
 func (b *Ledger) Prune(upTo uint64) (pruned int) {
 	b.order = slices.DeleteFunc(b.order, func(id string) bool {
 		e := b.Effects[id]
@@ -163,8 +165,9 @@
 	return pruned
 }
 
-// Ages tells which effects have reached an age, by the settler's own clock alone: an effect is as old as the time since
-// the settler first saw its number passed, at least. A new settler begins anew, so what it prunes is older still.
+// Ages determines which effects have reached an age by the settler's own clock alone: an effect is at least as old as the
+// time since the settler first observed its sequence number. A new settler starts without observations, so the effects
+// that it prunes are older still.
 type Ages struct {
 	marks []mark
 }
@@ -174,16 +177,16 @@
 	at  float64
 }
 
-// Note notes that the count stands at a number.
+// Note records that the latest sequence number is seq at the time now, in milliseconds.
 func (a *Ages) Note(now float64, seq uint64) {
 	if n := len(a.marks); n > 0 && a.marks[n-1].seq == seq {
-		return // nothing new: these are as old as the first note says
+		return // no new effects: the first observation of the number gives their age
 	}
 	a.marks = append(a.marks, mark{seq, now})
 }
 
-// Due is the number up to which all effects are older than keep, in ms of true time, on a clock that may run fast by
-// rate; 0: none is.
+// Due returns the sequence number up to which all effects are older than keep milliseconds of true time, and removes the
+// observations used; 0 if there is none. The clock may run fast by the fraction rate.
 func (a *Ages) Due(now, keep, rate float64) (seq uint64) {
 	for len(a.marks) > 0 && now-a.marks[0].at >= keep*(1+rate) {
 		seq = a.marks[0].seq
--- a/internal/settle/settle_test.go
+++ b/internal/settle/settle_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// Orphaned effects are those whose owner's presence of that epoch is gone. Resolving them is final and changes no other
+// effect, and pruning keeps open ones.
 func TestEffectsOfServersThatAreGone(t *testing.T) {
 	b := NewLedger(10)
 	here := map[string]uint64{"a": 1, "b": 2}
@@ -17,13 +19,13 @@
 	}
 	b.Begin("4", "b", 2, true)
 	if fresh, _ := b.Begin("1", "b", 2, true); fresh {
-		t.Error("begun twice")
+		t.Error("one effect was begun twice")
 	}
 	if !b.End("1", "a", true) || b.End("1", "a", false) || b.End("2", "b", true) {
-		t.Error("an end counts once, and only from its owner")
+		t.Error("an end must count once, and only from its owner")
 	}
 	if o := b.Orphans(live, 10); len(o) != 0 {
-		t.Errorf("orphans %q while all are there", o)
+		t.Errorf("orphans %q while all owners are present", o)
 	}
 	delete(here, "a")
 	orphans := b.Orphans(live, 10)
@@ -32,27 +34,28 @@
 	}
 	here["a"] = 1
 	if n := b.Settle([]string{"2"}, live); n != 0 {
-		t.Error("settled, though its process is there")
+		t.Error("an effect was resolved although its owner is present")
 	}
-	here["a"] = 9 // back, but what it began in its first presence nobody watched in between
+	here["a"] = 9 // present again, in another epoch: its effects of the first epoch stay orphaned
 	if n := b.Settle(append(orphans, "4", "none"), live); n != 2 {
-		t.Errorf("settled %d", n)
+		t.Errorf("%d effects resolved, want 2", n)
 	}
 	if b.Effects["2"].State != Unknown || b.End("2", "a", true) || b.Effects["2"].State != Unknown {
-		t.Error("unknown stays unknown")
+		t.Error("an unknown outcome must stay unknown")
 	}
 	if fresh, _ := b.Begin("2", "b", 2, true); fresh {
 		t.Error("an effect of unknown outcome is begun again")
 	}
 	if b.Effects["1"].State != Done || b.Effects["4"].State != Begun {
-		t.Error("settled what was not to be")
+		t.Error("an effect was resolved that is not orphaned")
 	}
 	c := b.Clone()
 	if n := c.Prune(4); n != 3 || len(c.Effects) != 1 || len(b.Effects) != 4 {
-		t.Errorf("pruned %d: what is open stays", n)
+		t.Errorf("pruned %d, want the 3 that are not open", n)
 	}
 }
 
+// A full log refuses effects with ErrFull if a settler removes them by age; otherwise the oldest is removed.
 func TestFullRecordForgetsNothingYoung(t *testing.T) {
 	b := NewLedger(2)
 	b.Begin("1", "a", 1, true)
@@ -61,10 +64,11 @@
 		t.Errorf("%v %v", fresh, err)
 	}
 	if fresh, err := b.Begin("3", "", 0, false); !fresh || err != nil || b.Effects["1"] != nil {
-		t.Errorf("without a settler the oldest goes: %v %v", fresh, err)
+		t.Errorf("without a settler the oldest must be removed: %v %v", fresh, err)
 	}
 }
 
+// Effects age from the first observation of their sequence number, on a clock that may run fast by a tenth.
 func TestAgesCountFromWhenTheSettlerSawThem(t *testing.T) {
 	var a Ages
 	a.Note(0, 5)
@@ -72,13 +76,13 @@
 	a.Note(500, 9)
 	for at, want := range map[float64]uint64{1000: 0, 1099: 0} {
 		if got := a.Due(at, 1000, 0.1); got != want {
-			t.Errorf("at %v: %d", at, got)
+			t.Errorf("at %v: sequence number %d, want 0", at, got)
 		}
 	}
 	if got := a.Due(1100, 1000, 0.1); got != 5 {
-		t.Errorf("%d, want 5", got)
+		t.Errorf("at 1100: sequence number %d, want 5", got)
 	}
 	if got := a.Due(1601, 1000, 0.1); got != 9 {
-		t.Errorf("%d, want 9", got)
+		t.Errorf("at 1601: sequence number %d, want 9", got)
 	}
 }
