--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -147,7 +147,7 @@
 	rules.Duties, rules.Presence = nil, 0 // an operator stands for nothing
 	linked := make(chan struct{}, 1)
 	c := session.NewClient(session.Options{Me: "operator#" + hex.EncodeToString(b[:]), Copies: o.Duties.Copies, Rules: rules,
-		Seed: uint64(b[0]), Steady: clock.Steady(), Log: zerolog.Nop(), On: func(e any) {
+		Seed: uint64(b[0]), Steady: clock.Monotonic(), Log: zerolog.Nop(), On: func(e any) {
 			if _, ok := e.(session.Linked); ok {
 				select {
 				case linked <- struct{}{}:
--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -90,7 +90,7 @@
 	if _, err := crand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	h := &duties{cfg: cfg, me: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, steady: clock.Steady().Apart(cfg.Operator.Lab.Rate), log: log}
+	h := &duties{cfg: cfg, me: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, steady: clock.Monotonic().SetRate(cfg.Operator.Lab.Rate), log: log}
 	if path := cfg.Operator.Lab.Trace; path != "" {
 		t, err := trace.Open(path, h.me, h.steady)
 		if err != nil {
@@ -150,8 +150,8 @@
 	h.core.Store(c)
 	if a := h.cfg.Operator.Duties.Allot; a.Whole > 0 {
 		alone := a.Room().Alone
-		c.Divide(func() float64 { return float64(alone+h.client.Share()) / allot.Unit })
-		h.keeper.Below = func(_ int64, used func()) { c.Then(used) }
+		c.SetDownstreamShareFunc(func() float64 { return float64(alone+h.client.Share()) / allot.Unit })
+		h.keeper.Below = func(_ int64, used func()) { c.AfterPendingEvents(used) }
 	}
 	h.keeper.Take = func(v publish.Version) {
 		servers, err := servers(v.Files)
@@ -170,7 +170,7 @@
 	if c == nil {
 		return 0
 	}
-	want := c.Below()*needMore + needLeast
+	want := c.DownstreamConcurrency()*needMore + needLeast
 	return max(int64(want*allot.Unit)-h.cfg.Operator.Duties.Allot.Room().Alone, 0)
 }
 
@@ -183,7 +183,7 @@
 		mode = duty.Draining
 	case h.aside:
 		mode = duty.Away
-	case !h.risen || !h.core.Load().Good():
+	case !h.risen || !h.core.Load().Healthy():
 		mode = duty.Failing
 	case h.clk.Now() < h.coldUntil:
 		mode = duty.Cold
@@ -294,7 +294,7 @@
 		}
 	}
 	if c := h.core.Load(); c != nil {
-		f.Used = c.Below()
+		f.Used = c.DownstreamConcurrency()
 	}
 	if h.sessions != nil {
 		v := h.sessions.Figures()
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -119,7 +119,7 @@
 		Adopted:  func(p distribution.Position) { traceInstalled(t, p) },
 		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
 	traceInstalled(t, w.replica.Position())
-	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Steady(), Log: log, Plant: plant, Follower: w.replica,
+	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Monotonic(), Log: log, Plant: plant, Follower: w.replica,
 		Selector: distribution.NewSelector(d.Relays, distribution.Place{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
 	return w, nil
 }
@@ -198,7 +198,7 @@
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log := zerolog.New(out).With().Timestamp().Str("name", set.Name).Logger().Level(zerolog.InfoLevel)
-	steady := clock.Steady()
+	steady := clock.Monotonic()
 	var t *trace.Log
 	if file.Lab.Trace != "" {
 		if t, err = trace.Open(file.Lab.Trace, set.Name, steady); err != nil {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -36,12 +36,12 @@
 // System returns the system's Unix clock.
 func System() *Clock { return &Clock{} }
 
-// Steady returns a monotonic clock: milliseconds since the machine's start, including time in which it was suspended. It
+// Monotonic returns a monotonic clock: milliseconds since the machine's start, including time in which it was suspended. It
 // is for durations that other processes rely on, which a wall clock that is set back would lengthen.
-func Steady() *Clock { return &Clock{steady: true} }
+func Monotonic() *Clock { return &Clock{steady: true} }
 
-// Apart makes a clock run at a rate from now on, where 1 is its normal rate, and returns it. For fault injection.
-func (c *Clock) Apart(rate float64) *Clock {
+// SetRate makes a clock run at a rate from now on, where 1 is its normal rate, and returns it. For fault injection.
+func (c *Clock) SetRate(rate float64) *Clock {
 	if !c.manual && rate > 0 && rate != 1 {
 		c.from = c.raw()
 		c.rate = rate
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -29,8 +29,8 @@
 	seed   uint64
 	tick   float64
 	runner Runner
-	below  Below
-	ledger Ledger
+	below  Downstream
+	ledger EffectLog
 
 	inbox *mailbox.Box[event]
 	stop  chan struct{}
@@ -83,7 +83,7 @@
 }
 
 // New returns a Core, which serves once Run is called.
-func New(clk *clock.Clock, log zerolog.Logger, set policy.Settings, seed uint64, runner Runner, below Below, ledger Ledger) *Core {
+func New(clk *clock.Clock, log zerolog.Logger, set policy.Settings, seed uint64, runner Runner, below Downstream, ledger EffectLog) *Core {
 	c := &Core{clock: clk, log: log, tick: clock.Millis(set.Tick), seed: seed, runner: runner, below: below,
 		ledger: ledger, inbox: mailbox.New[event](), stop: make(chan struct{}), handlers: map[policy.ID]*Handler{},
 		byWire: map[string]*Handler{}, keys: newKeyTable(clock.Millis(set.FreshFor), keyedRoom)}
@@ -100,19 +100,19 @@
 // Adopt puts settings into force that have passed the module's check. Open requests keep their class.
 func (c *Core) Adopt(set policy.Settings) { c.inbox.Put(event{set: &set}) }
 
-// Divide replaces the downstream share of the settings by the result of a function, which is called before each call of
+// SetDownstreamShareFunc replaces the downstream share of the settings by the result of a function, which is called before each call of
 // the module and must not block. It must be set before Run.
-func (c *Core) Divide(share func() float64) { c.share = share }
+func (c *Core) SetDownstreamShareFunc(share func() float64) { c.share = share }
 
-// Room sets the memory limit for keyed attempts and their results, in bytes. It must be set before Run.
-func (c *Core) Room(bytes int) { c.keys.room = bytes }
+// SetKeyTableBytes sets the memory limit for keyed attempts and their results, in bytes. It must be set before Run.
+func (c *Core) SetKeyTableBytes(bytes int) { c.keys.room = bytes }
 
-// Below returns the recent mean number of downstream calls in flight; 0 unless a share function is set.
-func (c *Core) Below() float64 { return math.Float64frombits(c.used.Load()) }
+// DownstreamConcurrency returns the recent mean number of downstream calls in flight; 0 unless a share function is set.
+func (c *Core) DownstreamConcurrency() float64 { return math.Float64frombits(c.used.Load()) }
 
-// Then runs a function on the goroutine of Run after all events that were sent before it, so that every later decision
+// AfterPendingEvents runs a function on the goroutine of Run after all events that were sent before it, so that every later decision
 // uses the settings and the share in force now. The function must not block.
-func (c *Core) Then(call func()) { c.inbox.Put(event{call: call}) }
+func (c *Core) AfterPendingEvents(call func()) { c.inbox.Put(event{call: call}) }
 
 func (c *Core) adopt(set policy.Settings) {
 	c.set, c.class, c.keys.fresh = set, map[string]policy.Class{}, clock.Millis(set.FreshFor)
@@ -145,7 +145,7 @@
 		if twin {
 			l.answer(Outcome{Verdict: Failed})
 		} else {
-			l.answer(Outcome{Verdict: Refused, After: ledgerPause})
+			l.answer(Outcome{Verdict: Refused, RetryAfterMS: ledgerPause})
 		}
 		return l
 	}
@@ -183,23 +183,23 @@
 // Owed returns the number of requests without an answer.
 func (c *Core) Owed() int { return int(c.owed.Load()) }
 
-// Up reports that the runner has started, and whether it is cold.
-func (c *Core) Up(cold bool) {
+// RunnerStarted reports that the runner has started, and whether it is cold.
+func (c *Core) RunnerStarted(cold bool) {
 	c.inbox.Put(event{start: true, cold: cold})
 	c.up.Store(true)
 }
 
-// Anew reports that the runner was replaced by another one, which has started, and whether that one is cold.
-func (c *Core) Anew(cold bool) { c.inbox.Put(event{anew: true, cold: cold}) }
+// RunnerReplaced reports that the runner was replaced by another one, which has started, and whether that one is cold.
+func (c *Core) RunnerReplaced(cold bool) { c.inbox.Put(event{anew: true, cold: cold}) }
 
 // Ready reports whether requests can be served, that is, whether the runner has started at least once.
 func (c *Core) Ready() bool { return c.up.Load() }
 
-// Good reports whether health checks succeed, leaving aside an operator's order to fail them.
-func (c *Core) Good() bool { return c.good.Load() }
+// Healthy reports whether health checks succeed, leaving aside an operator's order to fail them.
+func (c *Core) Healthy() bool { return c.good.Load() }
 
-// Away makes health checks fail, or ends that, by an operator's order. Requests are served in either case.
-func (c *Core) Away(away bool) { c.away.Store(away) }
+// ForceUnhealthy makes health checks fail, or ends that, by an operator's order. Requests are served in either case.
+func (c *Core) ForceUnhealthy(away bool) { c.away.Store(away) }
 
 // Drain notifies the module that the process will be stopped at stopAt, and that the notice arrived at the time told.
 func (c *Core) Drain(told, stopAt float64) { c.inbox.Put(event{drain: stopAt, told: told}) }
@@ -217,17 +217,17 @@
 	answer(c.good.Load())
 }
 
-// Say returns the module's hint to callers, which is sent with every answer, and whether there is one.
-func (c *Core) Say() (float64, bool) {
+// Hint returns the module's hint to callers, which is sent with every answer, and whether there is one.
+func (c *Core) Hint() (float64, bool) {
 	v := math.Float64frombits(c.say.Load())
 	return v, !math.IsNaN(v)
 }
 
-// CloseIdle returns the idle time after which connections are to be closed, in milliseconds; 0: callers close them.
-func (c *Core) CloseIdle() float64 { return clock.Millis(time.Duration(c.idle.Load())) }
+// IdleCloseAfterMS returns the idle time after which connections are to be closed, in milliseconds; 0: callers close them.
+func (c *Core) IdleCloseAfterMS() float64 { return clock.Millis(time.Duration(c.idle.Load())) }
 
-// Rests returns how long callers keep an idle connection; 0 if unknown.
-func (c *Core) Rests() time.Duration { return time.Duration(c.rests.Load()) }
+// CallerIdleTimeout returns how long callers keep an idle connection; 0 if unknown.
+func (c *Core) CallerIdleTimeout() time.Duration { return time.Duration(c.rests.Load()) }
 
 // begin records a request in the effect log before it runs, and reports whether it may run. Safe requests need no record.
 func (c *Core) begin(q *Request, k policy.Class) (bool, error) {
@@ -245,7 +245,7 @@
 
 // finish sends the end of an attempt; the result is kept where other requests may share it.
 func (c *Core) finish(l *Handler, n Notice) {
-	c.inbox.Put(event{handler: l, notice: n, event: policy.Finished{ID: l.id, Outcome: n.Outcome, Took: clock.Duration(n.Took)}})
+	c.inbox.Put(event{handler: l, notice: n, event: policy.Finished{ID: l.id, Outcome: n.Outcome, Took: clock.Duration(n.TookMS)}})
 }
 
 // Stop ends Run.
@@ -276,7 +276,7 @@
 
 // turn is one call of the module.
 func (c *Core) turn(now float64) {
-	c.batch = c.inbox.Take(c.batch)
+	c.batch = c.inbox.TakeAll(c.batch)
 	c.events = c.events[:0]
 	for _, e := range c.batch {
 		switch {
@@ -358,20 +358,20 @@
 	case policy.Arrived:
 		l, q := e.handler, e.handler.req
 		l.class, l.known = c.class[q.Class] // not changed by later settings
-		l.due = q.At + q.Wait
-		if q.Wait == 0 {
-			l.due = q.At + clock.Millis(l.class.Deadline)
+		l.due = q.ArrivedAt + q.WaitMS
+		if q.WaitMS == 0 {
+			l.due = q.ArrivedAt + clock.Millis(l.class.Deadline)
 		}
-		ev.Class, ev.Caller, ev.KB, ev.Rank, ev.Key, ev.Resent = q.Class, q.From, q.KB, q.Rank, q.Key, q.Retry
-		ev.Tenant, ev.Size = q.For, clock.Duration(q.Cost)
-		ev.Waited = clock.Duration(max(now-q.At, 0))
+		ev.Class, ev.Caller, ev.KB, ev.Rank, ev.Key, ev.Resent = q.Class, q.Caller, q.KB, q.Rank, q.Key, q.Retry
+		ev.Tenant, ev.Size = q.Tenant, clock.Duration(q.CostMS)
+		ev.Waited = clock.Duration(max(now-q.ArrivedAt, 0))
 		ev.Write = l.class.Safety != policy.Safe
 		if l.class.Safety == policy.Keyed {
 			// Limited to the class's deadline: the key table keeps attempts for the window plus that deadline.
-			l.due = min(l.due, q.At+clock.Millis(l.class.Deadline))
+			l.due = min(l.due, q.ArrivedAt+clock.Millis(l.class.Deadline))
 			var same bool
-			if ev.Original, ev.Repeats, same = c.keys.try(l); q.Once == "" || !same {
-				c.log.Debug().Str("id", q.ID).Str("class", q.Class).Str("once", q.Once).
+			if ev.Original, ev.Repeats, same = c.keys.try(l); q.IdempotencyKey == "" || !same {
+				c.log.Debug().Str("id", q.ID).Str("class", q.Class).Str("once", q.IdempotencyKey).
 					Msg(`field "once" is missing or was used with another body: request failed without running`)
 				l.box.Put(policy.Fail{})
 				return nil
@@ -391,7 +391,7 @@
 			}
 			ev.Original, ev.Repeats = c.keys.original(l, now)
 		}
-		if q.Wait > 0 {
+		if q.WaitMS > 0 {
 			ev.Left = max(clock.Duration(l.due-now), earliest)
 		}
 		return ev
@@ -456,7 +456,7 @@
 // wake calls the module at once, so that no due answer waits for the gauges, and sends the gauges once they are read.
 func (c *Core) wake(token uint64) {
 	c.inbox.Put(event{})
-	c.runner.Meter(func(gauges []float64) {
+	c.runner.ReadGauges(func(gauges []float64) {
 		c.inbox.Put(event{event: policy.Woke{Token: token, Gauges: gauges}})
 	})
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -25,8 +25,8 @@
 func (h *hand) Start(a *Attempt)                { h.started <- a }
 func (h *hand) Return(*Attempt, uint64, []byte) {}
 func (h *hand) Skip(*Attempt, uint64)           {}
-func (h *hand) Drop(*Attempt)                   {}
-func (h *hand) Meter(func([]float64))           {}
+func (h *hand) Abandon(*Attempt)                {}
+func (h *hand) ReadGauges(func([]float64))      {}
 func (h *hand) Diagnose(func(bool)) bool        { return false }
 func (h *hand) Call(context.Context, string, float64, []byte) (policy.Outcome, []byte) {
 	return policy.Unreached, nil
@@ -47,23 +47,23 @@
 	answers chan string
 }
 
-func newRig(t *testing.T, l Ledger) *rig {
+func newRig(t *testing.T, l EffectLog) *rig {
 	h := &hand{make(chan *Attempt, 10)}
 	clk := clock.Manual(begin)
 	c := New(clk, zerolog.Nop(), testSettings, 1, h, h, l)
-	c.Up(false)
+	c.RunnerStarted(false)
 	go c.Run()
 	t.Cleanup(c.Stop)
 	return &rig{c, t, clk, h, make(chan string, 10)}
 }
 
 func (r *rig) open(id int, class, key string, at float64) *Handler {
-	q := &Request{ID: fmt.Sprintf("%016x", id), Class: class, At: at, Wait: 3000, KB: 1, Key: key}
+	q := &Request{ID: fmt.Sprintf("%016x", id), Class: class, ArrivedAt: at, WaitMS: 3000, KB: 1, Key: key}
 	return r.Open(q, func(o Outcome) { r.answers <- fmt.Sprintf("%d %d %s", id, o.Verdict, o.Result) })
 }
 
 func (r *rig) end(a *Attempt, result string, took float64) {
-	a.Notify(Notice{Ended: true, Outcome: policy.OK, Took: took, Body: pool.Copy([]byte(result))})
+	a.Notify(Notice{Ended: true, Outcome: policy.OK, TookMS: took, Body: pool.Copy([]byte(result))})
 }
 
 // through waits until the given number of requests is left, so that events sent afterwards follow the ends of the others.
@@ -191,10 +191,10 @@
 	set.Classes = []policy.Class{{Name: "pay", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Safety: policy.Keyed, KeyTTL: 10 * time.Second}}
 	r.Adopt(set)
 	in, release := make(chan struct{}), make(chan struct{})
-	r.Then(func() { close(in); <-release })
+	r.AfterPendingEvents(func() { close(in); <-release })
 	<-in // Run is blocked until all three attempts are in its inbox
 	for id := 1; id <= 3; id++ {
-		q := &Request{ID: fmt.Sprintf("%016x", id), Class: "pay", At: begin, Wait: 3000, KB: 1, Once: "ab"}
+		q := &Request{ID: fmt.Sprintf("%016x", id), Class: "pay", ArrivedAt: begin, WaitMS: 3000, KB: 1, IdempotencyKey: "ab"}
 		r.Open(q, func(o Outcome) { r.answers <- fmt.Sprintf("%d %s", o.Verdict, o.Result) })
 	}
 	for told := 0; told < 3; runtime.Gosched() {
@@ -227,7 +227,7 @@
 	r.want(fmt.Sprintf("3 %d ", Refused))
 	r.end(old, "old", 1)
 	r.want("1 0 old")
-	if f := r.Figures(); f.OK["book"] != 1 || f.OK["order"] != 1 || f.Shed["book"] != 1 || f.Tries != 2 || f.Active != 0 {
+	if f := r.Metrics(); f.OK["book"] != 1 || f.OK["order"] != 1 || f.Shed["book"] != 1 || f.Attempts != 2 || f.Active != 0 {
 		t.Errorf("metrics %+v", f)
 	}
 }
@@ -281,18 +281,18 @@
 	clk := clock.Manual(begin)
 	c := New(clk, zerolog.Nop(), set, 1, h, h, nil)
 	var share atomic.Int64
-	c.Divide(func() float64 { return float64(share.Load()) })
-	c.Up(false)
+	c.SetDownstreamShareFunc(func() float64 { return float64(share.Load()) })
+	c.RunnerStarted(false)
 	go c.Run()
 	t.Cleanup(c.Stop)
 	for id, want := range []string{"skip", "call", "skip"} {
 		share.Store(int64(100 * (id % 2)))
 		in := make(chan struct{})
-		c.Then(func() { close(in) })
+		c.AfterPendingEvents(func() { close(in) })
 		<-in
-		c.Open(&Request{ID: fmt.Sprintf("%016x", id), Class: "read", At: begin, Wait: 3000, KB: 1}, func(Outcome) {})
+		c.Open(&Request{ID: fmt.Sprintf("%016x", id), Class: "read", ArrivedAt: begin, WaitMS: 3000, KB: 1}, func(Outcome) {})
 		a := <-h.started
-		a.Notify(Notice{N: 1})
+		a.Notify(Notice{Number: 1})
 		if got := <-h.chose; got != want {
 			t.Errorf("with a share of %d: %s, want %s", share.Load(), got, want)
 		}
@@ -307,13 +307,13 @@
 	set.DrainGrace = 2500 * time.Millisecond
 	r.Adopt(set)
 	in, release := make(chan struct{}), make(chan struct{})
-	r.Then(func() { close(in); <-release })
+	r.AfterPendingEvents(func() { close(in); <-release })
 	<-in
 	r.Drain(begin, begin+9000)
 	r.clock.Set(begin + 200)
 	close(release)
 	handled := make(chan struct{})
-	r.Then(func() { close(handled) })
+	r.AfterPendingEvents(func() { close(handled) })
 	<-handled
 	r.clock.Set(begin + 2690)
 	r.open(1, "book", "", begin+2600)
@@ -336,7 +336,7 @@
 		set.Classes = append(slices.Clone(set.Classes), pay)
 		r.Adopt(set)
 		try := func(id int, once, body string) {
-			r.Open(&Request{ID: fmt.Sprintf("%016x", id), Class: "pay", At: begin, Wait: 3000, KB: 1, Once: once, Body: []byte(body)}, func(o Outcome) {
+			r.Open(&Request{ID: fmt.Sprintf("%016x", id), Class: "pay", ArrivedAt: begin, WaitMS: 3000, KB: 1, IdempotencyKey: once, Body: []byte(body)}, func(o Outcome) {
 				r.answers <- fmt.Sprintf("%d %d %s", id, o.Verdict, o.Result)
 			})
 		}
@@ -359,8 +359,8 @@
 		r.through(0)
 		try(6, "bb", "b")
 		r.want("6 0 B")
-		if f := r.Figures(); f.Tries != 2 {
-			t.Errorf("%s: %d attempts ran, want 2", what, f.Tries)
+		if f := r.Metrics(); f.Attempts != 2 {
+			t.Errorf("%s: %d attempts ran, want 2", what, f.Attempts)
 		}
 	}
 }
@@ -373,7 +373,7 @@
 	set.Classes = []policy.Class{{Name: "pay", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Safety: policy.Keyed, KeyTTL: 10 * time.Second}}
 	r.Adopt(set)
 	try := func(id int) *Request {
-		return &Request{ID: fmt.Sprintf("%016x", id), Class: "pay", At: begin, Wait: 3000, KB: 1, Once: "ab"}
+		return &Request{ID: fmt.Sprintf("%016x", id), Class: "pay", ArrivedAt: begin, WaitMS: 3000, KB: 1, IdempotencyKey: "ab"}
 	}
 	heard := make(chan string, 1)
 	r.Open(try(1), func(Outcome) {
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -24,17 +24,17 @@
 
 // Front receives requests from callers and sends the answers.
 type Front interface {
-	Drain()        // requests callers to send no new requests
-	Shut()         // stops accepting connections once the listen queue is empty
-	Yield()        // stops accepting at once, leaves the shared listen queue to the successor and drains callers
-	Flushed() bool // reports whether all output is written
+	Drain()         // requests callers to send no new requests
+	StopAccepting() // stops accepting connections once the listen queue is empty
+	Yield()         // stops accepting at once, leaves the shared listen queue to the successor and drains callers
+	Flushed() bool  // reports whether all output is written
 	Close()
 }
 
-// Leave drains the process after a notice that arrived at the time told, stopMs before the process is stopped: it
+// Shutdown drains the process after a notice that arrived at the time told, stopMs before the process is stopped: it
 // notifies the module, requests callers to send no new requests, and returns once all requests that were read or waited
 // in a listen queue have their answers, or shortly before the stop.
-func (c *Core) Leave(told, stopMs float64, fronts ...Front) {
+func (c *Core) Shutdown(told, stopMs float64, fronts ...Front) {
 	stopAt := told + stopMs
 	c.Drain(told, stopAt)
 	for _, f := range fronts {
@@ -43,7 +43,7 @@
 	// Callers that have not received the drain notice may still connect until the listeners close.
 	c.sleepUntil(stopAt - min(shutMs, stopMs/2))
 	for _, f := range fronts {
-		f.Shut()
+		f.StopAccepting()
 	}
 	c.calm(stopAt-leaveMs, 0, fronts)
 	c.log.Info().Int("owed", c.Owed()).Msg("leaving")
@@ -52,9 +52,9 @@
 	}
 }
 
-// Yield shuts down a process that was replaced by a successor on the same listening sockets, after a notice that arrived
+// YieldToSuccessor shuts down a process that was replaced by a successor on the same listening sockets, after a notice that arrived
 // at the time told. Unlike Leave it keeps the state of health checks, since callers see the two processes as one server.
-func (c *Core) Yield(told float64, fronts ...Front) {
+func (c *Core) YieldToSuccessor(told float64, fronts ...Front) {
 	longest := clock.Millis(time.Duration(c.lasts.Load()))
 	stopAt := told + min(longest, yieldLong) + yieldMore
 	c.yields.Store(true)
@@ -65,7 +65,7 @@
 	c.calm(stopAt-leaveMs, told+yieldLeast, fronts)
 	c.log.Info().Int("owed", c.Owed()).Msg("leaving; the successor serves")
 	for _, f := range fronts {
-		f.Shut()
+		f.StopAccepting()
 		f.Close()
 	}
 }
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 )
 
-// Figures has the request counts since the start of the process, by class.
-type Figures struct {
-	OK     map[string]int64 `json:"ok"`
-	Shed   map[string]int64 `json:"shed"`
-	Errors map[string]int64 `json:"errors"`
-	Tries  int64            `json:"tries"`  // attempts started
-	Active int64            `json:"active"` // requests accepted and not yet ended
+// Metrics has the request counts since the start of the process, by class.
+type Metrics struct {
+	OK       map[string]int64 `json:"ok"`
+	Shed     map[string]int64 `json:"shed"`
+	Errors   map[string]int64 `json:"errors"`
+	Attempts int64            `json:"tries"`  // attempts started
+	Active   int64            `json:"active"` // requests accepted and not yet ended
 }
 
 type classCount struct{ ok, shed, errors atomic.Int64 }
@@ -51,10 +51,10 @@
 	}
 }
 
-// Figures returns the current counts.
-func (c *Core) Figures() Figures {
-	f := Figures{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
-		Tries: c.counts.tries.Load(), Active: c.counts.active.Load()}
+// Metrics returns the current counts.
+func (c *Core) Metrics() Metrics {
+	f := Metrics{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
+		Attempts: c.counts.tries.Load(), Active: c.counts.active.Load()}
 	c.counts.mu.RLock()
 	defer c.counts.mu.RUnlock()
 	for name, k := range c.counts.of {
--- a/internal/core/handler.go
+++ b/internal/core/handler.go
@@ -46,17 +46,17 @@
 	}
 )
 
-// Gone reports that the caller no longer waits for the request.
-func (l *Handler) Gone() {
+// CallerGone reports that the caller no longer waits for the request.
+func (l *Handler) CallerGone() {
 	l.goneOnce.Do(func() {
 		l.end()
 		l.box.Put(callerGone{})
 	})
 }
 
-// Spurn fails the request unless it has started. It is for requests of a connection that has sent one that the executor
+// FailUnlessStarted fails the request unless it has started. It is for requests of a connection that has sent one that the executor
 // does not know.
-func (l *Handler) Spurn() { l.box.Put(spurned{}) }
+func (l *Handler) FailUnlessStarted() { l.box.Put(spurned{}) }
 
 // end removes the request from the active ones, once it is answered or its caller is gone.
 func (l *Handler) end() {
@@ -109,7 +109,7 @@
 	for run == nil {
 		switch m := l.box.Next().(type) {
 		case policy.Refuse:
-			l.answer(Outcome{Verdict: Refused, After: clock.Millis(m.Pause), Last: m.NoRetry, Unknown: !l.known})
+			l.answer(Outcome{Verdict: Refused, RetryAfterMS: clock.Millis(m.Pause), NoRetry: m.NoRetry, UnknownClass: !l.known})
 			return
 		case policy.Fail:
 			l.fail()
@@ -136,7 +136,7 @@
 			// A retry of the request would not be recognized as such and would run again, so the request is refused.
 			c.log.Warn().Str("id", l.req.ID).Str("class", l.req.Class).
 				Msg("keyed request not run: the key table is full, or another process may run keyed requests")
-			l.answer(Outcome{Verdict: Refused, After: ledgerPause})
+			l.answer(Outcome{Verdict: Refused, RetryAfterMS: ledgerPause})
 			c.tell(l, policy.Finished{ID: l.id, Outcome: policy.Moot})
 			return
 		case policy.Start:
@@ -148,14 +148,14 @@
 				// An effect that could not be recorded may be retried on another server; one that was started before
 				// may not.
 				if err != nil {
-					l.answer(Outcome{Verdict: Refused, After: ledgerPause})
+					l.answer(Outcome{Verdict: Refused, RetryAfterMS: ledgerPause})
 				} else {
 					l.answer(Outcome{Verdict: Failed})
 				}
 				c.tell(l, policy.Finished{ID: l.id, Outcome: policy.Moot})
 				return
 			}
-			run = &Attempt{Request: l.req, Due: l.due, Skippable: l.class.SkipWorth > 0, Notify: func(n Notice) { l.box.Put(n) }}
+			run = &Attempt{Request: l.req, Due: l.due, CallsSkippable: l.class.SkipWorth > 0, Notify: func(n Notice) { l.box.Put(n) }}
 			begun = c.clock.Now() // read before the start, so that no result looks newer than it is
 			c.counts.tries.Add(1)
 			c.runner.Start(run)
@@ -171,7 +171,7 @@
 	for {
 		switch m := l.box.Next().(type) {
 		case Notice:
-			if m.Lost {
+			if m.ReplyLost {
 				l.fail() // the attempt goes on, or stays at its call without a caller
 				continue
 			}
@@ -188,14 +188,14 @@
 			if at, ok := c.ledger.(Settled); ok && l.class.Safety != policy.Safe {
 				at.Ended(l.req.ID, m.Outcome == policy.OK)
 			}
-			m.Made = min(c.clock.Now(), begun+m.Took) // a late notice must not make the result look newer
+			m.Made = min(c.clock.Now(), begun+m.TookMS) // a late notice must not make the result look newer
 			c.finish(l, m)
 			// Answered after the end is sent: a retry that the caller sends at once must not find this attempt
 			// running, and fail because of it.
 			switch {
 			case m.Outcome == policy.OK:
-			case m.Forged:
-				l.answer(Outcome{Verdict: Failed, Forged: true})
+			case m.UnknownRequest:
+				l.answer(Outcome{Verdict: Failed, UnknownRequest: true})
 			case !gone:
 				l.fail()
 			}
@@ -213,21 +213,21 @@
 				continue
 			}
 			if m.outcome == policy.OK {
-				c.runner.Return(run, at.N, m.body)
+				c.runner.Return(run, at.Number, m.body)
 			}
 			pool.Put(m.body)
 			c.tell(l, policy.CallReturned{ID: l.id, Outcome: m.outcome, Took: clock.Duration(m.took)})
 		case policy.SkipCall:
-			c.runner.Skip(run, at.N)
+			c.runner.Skip(run, at.Number)
 		case policy.Fail, policy.Refuse:
 			l.fail() // not a refusal, since the request has started
 			giveUp()
-			c.runner.Drop(run)
+			c.runner.Abandon(run)
 		case callerGone:
 			gone = true
 			giveUp()
 			c.tell(l, policy.CallerGone{ID: l.id})
-			c.runner.Drop(run)
+			c.runner.Abandon(run)
 		}
 	}
 }
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -64,7 +64,7 @@
 // keyOf returns the key under which other requests find this one, and false if it has none.
 func keyOf(l *Handler) (classKey, bool) {
 	if l.class.Safety == policy.Keyed {
-		return classKey{l.req.Class, l.req.Once, true}, true
+		return classKey{l.req.Class, l.req.IdempotencyKey, true}, true
 	}
 	return classKey{l.req.Class, l.req.Key, false}, l.class.Safety == policy.Safe && l.req.Key != ""
 }
@@ -89,7 +89,7 @@
 	}
 	if of.keyed {
 		window, deadline := clock.Millis(l.class.KeyTTL), clock.Millis(l.class.Deadline)
-		e.until, e.body, e.class = l.req.At+window+keyedSlack, t.sum(l.req), l.class
+		e.until, e.body, e.class = l.req.ArrivedAt+window+keyedSlack, t.sum(l.req), l.class
 		// An attempt that reached the machine within the window may be read up to its deadline later.
 		e.expires = e.until + deadline + keyedSlack
 		if t.used+e.size() > t.room {
@@ -125,7 +125,7 @@
 func (t *keyTable) original(l *Handler, now float64) (policy.ID, bool) {
 	of, tied := keyOf(l)
 	e := t.byKey[of]
-	if !tied || e == nil || now >= e.expires || !t.usable(e, l.req.At) {
+	if !tied || e == nil || now >= e.expires || !t.usable(e, l.req.ArrivedAt) {
 		return 0, false
 	}
 	return e.id, true
@@ -150,10 +150,10 @@
 // tied returns the entry of the keyed request in whose window a request arrived, whether or not the present settings
 // still have its class as keyed.
 func (t *keyTable) tied(q *Request) *entry {
-	if q.Once == "" {
+	if q.IdempotencyKey == "" {
 		return nil
 	}
-	if e := t.byKey[classKey{q.Class, q.Once, true}]; e != nil && q.At <= e.until {
+	if e := t.byKey[classKey{q.Class, q.IdempotencyKey, true}]; e != nil && q.ArrivedAt <= e.until {
 		return e
 	}
 	return nil
@@ -180,9 +180,9 @@
 	return true
 }
 
-// Tie describes an attempt of a keyed request that a process has started, for its successor: callers see the two processes
+// KeyedAttempt describes an attempt of a keyed request that a process has started, for its successor: callers see the two processes
 // as one server, on which no other attempt of the same request may run. It is encoded under its field names.
-type Tie struct {
+type KeyedAttempt struct {
 	Class   policy.Class
 	Once    string
 	Until   float64
@@ -193,18 +193,18 @@
 }
 
 // ties lists the keyed attempts that were started.
-func (t *keyTable) ties() []Tie {
-	list := []Tie{}
+func (t *keyTable) ties() []KeyedAttempt {
+	list := []KeyedAttempt{}
 	for _, e := range t.byID {
 		if e.of.keyed && e.begun {
-			list = append(list, Tie{e.class, e.of.key, e.until, e.expires, e.body, e.ended && e.good, e.result})
+			list = append(list, KeyedAttempt{e.class, e.of.key, e.until, e.expires, e.body, e.ended && e.good, e.result})
 		}
 	}
 	return list
 }
 
 // take adds an attempt of another process. The memory limit does not apply, since the attempt was started already.
-func (t *keyTable) take(id policy.ID, tie Tie) {
+func (t *keyTable) take(id policy.ID, tie KeyedAttempt) {
 	e := &entry{id: id, of: classKey{tie.Class.Name, tie.Once, true}, expires: tie.Expires, ended: true, good: tie.Good,
 		result: tie.Result, until: tie.Until, body: tie.Body, class: tie.Class, begun: true}
 	if old := t.byKey[e.of]; old != nil {
@@ -214,9 +214,9 @@
 	t.used += e.size()
 }
 
-// HandOn lists the keyed attempts for a successor that is about to serve beside this process. From then on this process
-// starts no keyed request, until TakeBack.
-func (c *Core) HandOn() (ties []Tie) {
+// ExportKeyedAttempts lists the keyed attempts for a successor that is about to serve beside this process. From then on this process
+// starts no keyed request, until ResumeKeyedAttempts.
+func (c *Core) ExportKeyedAttempts() (ties []KeyedAttempt) {
 	c.ask(func() {
 		c.keys.others++
 		ties = c.keys.ties()
@@ -224,10 +224,10 @@
 	return ties
 }
 
-// TakeBack reports that the other process is gone. The attempts that it started are unknown here, so keyed requests start
+// ResumeKeyedAttempts reports that the other process is gone. The attempts that it started are unknown here, so keyed requests start
 // again only after the longest window in which a repeat of one of them may arrive.
-func (c *Core) TakeBack() {
-	c.Then(func() {
+func (c *Core) ResumeKeyedAttempts() {
+	c.AfterPendingEvents(func() {
 		c.keys.others--
 		longest := 0.0
 		for _, k := range c.class {
@@ -242,8 +242,8 @@
 	})
 }
 
-// Inherit adds the keyed attempts of the predecessor.
-func (c *Core) Inherit(ties []Tie) {
+// ImportKeyedAttempts adds the keyed attempts of the predecessor.
+func (c *Core) ImportKeyedAttempts(ties []KeyedAttempt) {
 	c.ask(func() {
 		for _, tie := range ties {
 			c.keys.take(c.newID(), tie)
@@ -254,7 +254,7 @@
 // ask runs a function on the goroutine of Run and waits until it returns, or until Stop is called.
 func (c *Core) ask(call func()) {
 	done := make(chan struct{})
-	c.Then(func() { call(); close(done) })
+	c.AfterPendingEvents(func() { call(); close(done) })
 	select {
 	case <-done:
 	case <-c.stop:
@@ -291,7 +291,7 @@
 func (t *keyTable) result(l *Handler) ([]byte, bool) {
 	of, tied := keyOf(l)
 	e := t.byKey[of]
-	if !tied || e == nil || !e.ended || !t.usable(e, l.req.At) {
+	if !tied || e == nil || !e.ended || !t.usable(e, l.req.ArrivedAt) {
 		return nil, false
 	}
 	return e.result, true
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -12,19 +12,19 @@
 
 // Request is a caller's request.
 type Request struct {
-	ID    string // new with every attempt
-	Class string
-	At    float64 // when it reached the machine, in Unix milliseconds
-	Wait  float64 // how long its caller waits from At, in milliseconds; 0 if unknown
-	From  int64   // the number of the caller
-	Retry bool    // known to be a retry
-	KB    float64 // memory accounted for while it is queued, in kilobytes
-	Rank  float64
-	Key   string  // the subject of a read; empty if unknown
-	Once  string  // idempotency key, the same for all attempts of one keyed request; empty if unknown
-	For   string  // the tenant; empty if unknown
-	Cost  float64 // expected work, in milliseconds on one core; 0 if unknown
-	Body  []byte
+	ID             string // new with every attempt
+	Class          string
+	ArrivedAt      float64 // when it reached the machine, in Unix milliseconds
+	WaitMS         float64 // how long its caller waits from At, in milliseconds; 0 if unknown
+	Caller         int64   // the number of the caller
+	Retry          bool    // known to be a retry
+	KB             float64 // memory accounted for while it is queued, in kilobytes
+	Rank           float64
+	Key            string  // the subject of a read; empty if unknown
+	IdempotencyKey string  // idempotency key, the same for all attempts of one keyed request; empty if unknown
+	Tenant         string  // the tenant; empty if unknown
+	CostMS         float64 // expected work, in milliseconds on one core; 0 if unknown
+	Body           []byte
 }
 
 // Limits of the fields of a request.
@@ -44,23 +44,23 @@
 func (q *Request) Check(now float64) error {
 	within := func(x, least, most float64) bool { return x >= least && x <= most } // false for NaN
 	switch {
-	case !within(q.At, now-mostOld, now+mostSoon):
+	case !within(q.ArrivedAt, now-mostOld, now+mostSoon):
 		return errors.New("at is out of range")
-	case !within(q.Wait, 0, mostWait):
+	case !within(q.WaitMS, 0, mostWait):
 		return errors.New("wait is out of range")
 	case !(q.KB > 0 && q.KB < mostKB):
 		return errors.New("kb is out of range")
 	case !(q.Rank >= 0 && q.Rank < 1):
 		return errors.New("rank is out of range")
-	case q.From < 0:
+	case q.Caller < 0:
 		return errors.New("from is out of range")
 	case len(q.Key) > mostKey:
 		return errors.New("key is too long")
-	case len(q.For) > mostKey:
+	case len(q.Tenant) > mostKey:
 		return errors.New("tenant is too long")
-	case !within(q.Cost, 0, mostCost):
+	case !within(q.CostMS, 0, mostCost):
 		return errors.New("cost is out of range")
-	case len(q.Once) > mostOnce || strings.Trim(q.Once, "0123456789abcdefABCDEF") != "":
+	case len(q.IdempotencyKey) > mostOnce || strings.Trim(q.IdempotencyKey, "0123456789abcdefABCDEF") != "":
 		return errors.New("once is not a string of at most 64 hexadecimal digits")
 	}
 	return nil
@@ -79,12 +79,12 @@
 
 // Outcome is the final answer to a request.
 type Outcome struct {
-	Verdict Verdict
-	Result  []byte  // of a served request; valid until the answer function returns
-	After   float64 // on a refusal: milliseconds to wait before a retry; 0: none
-	Last    bool    // on a refusal: do not retry on another server
-	Unknown bool    // on a refusal: the settings have no such class
-	Forged  bool    // on a failure: the executor does not know the request
+	Verdict        Verdict
+	Result         []byte  // of a served request; valid until the answer function returns
+	RetryAfterMS   float64 // on a refusal: milliseconds to wait before a retry; 0: none
+	NoRetry        bool    // on a refusal: do not retry on another server
+	UnknownClass   bool    // on a refusal: the settings have no such class
+	UnknownRequest bool    // on a failure: the executor does not know the request
 }
 
 // Attempt is one run of a request at a Runner. A server makes at most one for each request ID.
@@ -93,38 +93,38 @@
 	Due     float64 // when the answer is due, in Unix milliseconds
 	Notify  func(Notice)
 
-	Skippable bool // its downstream calls may be left out
+	CallsSkippable bool // its downstream calls may be left out
 }
 
 // Notice is a message from a Runner about an attempt. The last one for each attempt has Ended set, and no other has.
 type Notice struct {
-	Ended   bool           // if false, the attempt waits at a downstream call
-	N       uint64         // number of the notice
-	Outcome policy.Outcome // how it ended
-	Took    float64        // running time in milliseconds
-	Made    float64        // when the result was made, in Unix milliseconds; never later than the true time
-	Forged  bool           // nothing ran: the executor does not know the request
-	Lost    bool           // it is unknown whether the reply to its call arrived, so it may wait at the call for good
-	Body    []byte         // the result, or the body of the call; owned by the handler that receives the notice
+	Ended          bool           // if false, the attempt waits at a downstream call
+	Number         uint64         // number of the notice
+	Outcome        policy.Outcome // how it ended
+	TookMS         float64        // running time in milliseconds
+	Made           float64        // when the result was made, in Unix milliseconds; never later than the true time
+	UnknownRequest bool           // nothing ran: the executor does not know the request
+	ReplyLost      bool           // it is unknown whether the reply to its call arrived, so it may wait at the call for good
+	Body           []byte         // the result, or the body of the call; owned by the handler that receives the notice
 }
 
 // Runner runs requests. No method blocks.
 type Runner interface {
 	Start(*Attempt)
-	Return(*Attempt, uint64, []byte) // delivers the reply to the call of that notice; the bytes are copied
-	Skip(*Attempt, uint64)           // lets the attempt go on without the call of that notice
-	Drop(*Attempt)                   // reports that the caller no longer waits for the attempt
-	Meter(func(gauges []float64))    // reads the gauges and calls back, or never calls back
-	Diagnose(func(good bool)) bool   // starts a deep health check; false if none is possible at present
+	Return(*Attempt, uint64, []byte)   // delivers the reply to the call of that notice; the bytes are copied
+	Skip(*Attempt, uint64)             // lets the attempt go on without the call of that notice
+	Abandon(*Attempt)                  // reports that the caller no longer waits for the attempt
+	ReadGauges(func(gauges []float64)) // reads the gauges and calls back, or never calls back
+	Diagnose(func(good bool)) bool     // starts a deep health check; false if none is possible at present
 }
 
-// Below carries out downstream calls. Call is cancelled when its context ends.
-type Below interface {
+// Downstream carries out downstream calls. Call is cancelled when its context ends.
+type Downstream interface {
 	Call(ctx context.Context, id string, maxMs float64, body []byte) (policy.Outcome, []byte)
 }
 
-// Ledger records the IDs of effects that were started, so that none starts twice.
-type Ledger interface {
+// EffectLog records the IDs of effects that were started, so that none starts twice.
+type EffectLog interface {
 	// Begin records an effect before it runs. It returns false if the effect was started before, and an error if the
 	// effect could not be recorded.
 	Begin(id string) (bool, error)
--- a/internal/duties/keeper.go
+++ b/internal/duties/keeper.go
@@ -48,7 +48,7 @@
 	client  *session.Client
 	me      string
 	loops   map[string]loop
-	keeper  publish.Keeper
+	keeper  publish.VersionSelector
 	taking  sync.Mutex
 	inForce atomic.Uint64
 	ctx     context.Context
@@ -204,7 +204,7 @@
 	return steady.Now()
 }
 
-var steady = clock.Steady()
+var steady = clock.Monotonic()
 
 // take looks at the latest version, takes it whole or turns it down, and says which.
 func (k *Keeper) take() {
@@ -229,7 +229,7 @@
 	k.Trace.Add(trace.Event{What: trace.Took, N: w.No, Cause: w.Reason}, 0)
 	if _, err := k.client.Do(k.ctx, state.Command{Op: state.AcknowledgeVersion, Who: k.me, Said: &w}); err != nil {
 		k.Log.Warn().Err(err).Msg("word on a version not confirmed")
-		k.keeper.Looked = before.Looked // it is looked at again, and the word said again
+		k.keeper.LastChecked = before.LastChecked // it is looked at again, and the word said again
 	}
 }
 
--- a/internal/duties/works.go
+++ b/internal/duties/works.go
@@ -94,8 +94,8 @@
 	var files []publish.File
 	for _, s := range sums {
 		path := filepath.Join(filepath.Dir(manifest), s.Name)
-		if info, err := os.Stat(path); err == nil && info.Size() > publish.MostBytes {
-			return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), publish.MostBytes)
+		if info, err := os.Stat(path); err == nil && info.Size() > publish.MaxBytes {
+			return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), publish.MaxBytes)
 		}
 		b, err := os.ReadFile(path)
 		if err != nil {
@@ -113,7 +113,7 @@
 // keep, in ms.
 func (k *Keeper) Settles(every, keep, rate float64, steady *clock.Clock) Work {
 	return Work{every, func() func(context.Context, duty.Ref) error {
-		var ages settle.Ages
+		var ages settle.AgeTracker
 		return func(ctx context.Context, under duty.Ref) error {
 			var e session.Effects
 			if err := k.client.Read(ctx, session.ReadEffects, &e); err != nil {
@@ -124,8 +124,8 @@
 				do = append(do, state.Command{Op: state.Settle, IDs: e.Orphans})
 			}
 			now := steady.Now()
-			ages.Note(now, e.Seq)
-			due := ages.Due(now, keep, rate)
+			ages.Observe(now, e.Seq)
+			due := ages.OlderThan(now, keep, rate)
 			if due > 0 {
 				do = append(do, state.Command{Op: state.Prune, Seq: due})
 			}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	p := &hollowProcess{steady: clock.Steady()}
+	p := &hollowProcess{steady: clock.Monotonic()}
 	if err := json.Unmarshal(b, &p.c); err != nil {
 		return fmt.Errorf("%s: %w", h.Config, err)
 	}
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -38,8 +38,8 @@
 	return len(b.items)
 }
 
-// Take removes all messages and returns them in buf, whose earlier content is overwritten.
-func (b *Box[T]) Take(buf []T) []T {
+// TakeAll removes all messages and returns them in buf, whose earlier content is overwritten.
+func (b *Box[T]) TakeAll(buf []T) []T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	buf = append(buf[:0], b.items...)
--- a/internal/net/executor/executor.go
+++ b/internal/net/executor/executor.go
@@ -211,7 +211,7 @@
 // a BYPASS leaves out is named, so it does nothing where the reply arrived. The lock is held.
 func (l *Link) again(r *run) (lost bool) {
 	if r.sent && r.call > 0 {
-		if !r.attempt.Skippable {
+		if !r.attempt.CallsSkippable {
 			r.command = nil
 			return true
 		}
@@ -244,11 +244,11 @@
 	l.command(a.Request.ID, 0, fmt.Appendf(nil, "BYPASS %s %d\r\n", a.Request.ID, notice))
 }
 
-// Drop does nothing: the executor sees for itself whose caller has gone or got an answer.
-func (l *Link) Drop(*core.Attempt) {}
+// Abandon does nothing: the executor sees for itself whose caller has gone or got an answer.
+func (l *Link) Abandon(*core.Attempt) {}
 
-// Meter asks for the gauges.
-func (l *Link) Meter(got func([]float64)) {
+// ReadGauges asks for the gauges.
+func (l *Link) ReadGauges(got func([]float64)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.ready || len(l.meters) >= mostAsked {
@@ -379,13 +379,13 @@
 		if !ok {
 			return errMalformed
 		}
-		l.tell(n, w[2], core.Notice{Ended: true, N: n, Outcome: outcome, Took: ms, Body: body})
+		l.tell(n, w[2], core.Notice{Ended: true, Number: n, Outcome: outcome, TookMS: ms, Body: body})
 	case w[0] == "CALLOUT" && len(w) == 4:
 		n, err := strconv.ParseUint(w[1], 10, 64)
 		if err != nil {
 			return errMalformed
 		}
-		l.tell(n, w[2], core.Notice{N: n, Body: body})
+		l.tell(n, w[2], core.Notice{Number: n, Body: body})
 	case w[0] == "METERS" && len(w) >= 2:
 		l.metered(w[1], w[2:])
 	case w[0] == "DIAGNOSED" && len(w) == 3:
@@ -393,7 +393,7 @@
 	case w[0] == "BAD" && len(w) >= 3:
 		l.log.Debug().Strs("notice", w).Msg("command not carried out") // bad clients bring any number of these
 		if w[1] == "EXEC" {                                            // it never ran, and nothing else will tell its end
-			l.tell(0, w[2], core.Notice{Ended: true, Outcome: policy.Moot, Forged: true})
+			l.tell(0, w[2], core.Notice{Ended: true, Outcome: policy.Moot, UnknownRequest: true})
 		}
 		if w[1] == "METER" { // a site may have no gauges; the fence stands all the same
 			l.metered(w[2], nil)
@@ -481,7 +481,7 @@
 	l.mu.Unlock()
 	for _, r := range lost {
 		l.log.Warn().Str("id", r.attempt.Request.ID).Msg("a reply to a call may be lost with the link, and can't be sent again: failed")
-		r.attempt.Notify(core.Notice{Lost: true})
+		r.attempt.Notify(core.Notice{ReplyLost: true})
 	}
 	if got == nil {
 		return
--- a/internal/net/respfront/codec.go
+++ b/internal/net/respfront/codec.go
@@ -57,18 +57,18 @@
 		return nil, fmt.Errorf("%w: %w", errValue, err)
 	}
 	q := &core.Request{
-		ID: strings.Clone(f["id"]), Class: string(args[2]), At: f.number("at", &err), From: int64(f.number("from", &err)),
+		ID: strings.Clone(f["id"]), Class: string(args[2]), ArrivedAt: f.number("at", &err), Caller: int64(f.number("from", &err)),
 		Retry: f["retry"] == "1", KB: f.number("kb", &err), Rank: f.number("rank", &err), Key: strings.Clone(f["key"]),
-		Once: strings.Clone(f["once"]), For: strings.Clone(f["tenant"]),
+		IdempotencyKey: strings.Clone(f["once"]), Tenant: strings.Clone(f["tenant"]),
 	}
-	for key, to := range map[string]*float64{"wait": &q.Wait, "cost": &q.Cost} { // may be absent, and are above 0
+	for key, to := range map[string]*float64{"wait": &q.WaitMS, "cost": &q.CostMS} { // may be absent, and are above 0
 		if _, told := f[key]; told {
 			if *to = f.number(key, &err); *to == 0 && err == nil {
 				err = fmt.Errorf("%w: field %q", errValue, key)
 			}
 		}
 	}
-	if _, told := f["once"]; told && q.Once == "" && err == nil {
+	if _, told := f["once"]; told && q.IdempotencyKey == "" && err == nil {
 		err = fmt.Errorf("%w: field %q", errValue, "once")
 	}
 	if e := q.Check(now); e != nil && err == nil {
@@ -126,10 +126,10 @@
 	if says {
 		f = fmt.Appendf(f, ",say=%s", strconv.FormatFloat(say, 'f', -1, 64))
 	}
-	if o.Verdict == core.Refused && o.After > 0 {
-		f = fmt.Appendf(f, ",after=%d", int64(math.Ceil(o.After)))
+	if o.Verdict == core.Refused && o.RetryAfterMS > 0 {
+		f = fmt.Appendf(f, ",after=%d", int64(math.Ceil(o.RetryAfterMS)))
 	}
-	if o.Verdict == core.Refused && o.Last {
+	if o.Verdict == core.Refused && o.NoRetry {
 		f = append(f, ",last=1"...)
 	}
 	if len(f) > 0 {
--- a/internal/net/respfront/front.go
+++ b/internal/net/respfront/front.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// Shut closes the listener once its queue is empty.
-func (f *Front) Shut() { f.ln.Shut() }
+// StopAccepting closes the listener once its queue is empty.
+func (f *Front) StopAccepting() { f.ln.Shut() }
 
 // Yield leaves new connections to the process that shares the socket, and asks all routers to go there.
 func (f *Front) Yield() {
@@ -189,7 +189,7 @@
 	f.mu.Lock()
 	closed := f.closed
 	after := float64(idleMs)
-	if wanted := f.core.CloseIdle(); wanted > 0 {
+	if wanted := f.core.IdleCloseAfterMS(); wanted > 0 {
 		after = min(after, wanted)
 	}
 	now := f.clock.Now()
@@ -271,7 +271,7 @@
 	case !c.within:
 		return time.Time{}
 	case c.served || len(c.open) > 0:
-		return c.since.Add(max(wholeFor, c.front.core.Rests()))
+		return c.since.Add(max(wholeFor, c.front.core.CallerIdleTimeout()))
 	}
 	return c.since.Add(wholeFor)
 }
@@ -343,7 +343,7 @@
 	}
 	c.mu.Unlock()
 	for _, l := range left {
-		l.Gone()
+		l.CallerGone()
 	}
 	c.wake()
 }
@@ -407,7 +407,7 @@
 		delete(c.open, tag)
 		c.mu.Unlock()
 		if l != nil {
-			l.Gone()
+			l.CallerGone()
 		}
 		return nil
 	case bytes.Equal(args[0], []byte("HEALTH")):
@@ -420,7 +420,7 @@
 			deep = f["deep"] == "1"
 		}
 		c.front.core.Health(deep, func(good bool) {
-			say, says := c.front.core.Say()
+			say, says := c.front.core.Hint()
 			c.send(func(b []byte) []byte { return appendHealth(b, tag, say, says, good) })
 		})
 		return nil
@@ -451,7 +451,7 @@
 		return fmt.Errorf("tag %d is in use", tag)
 	}
 	if crowded {
-		c.answer(tag, core.Outcome{Verdict: core.Refused, After: 1})
+		c.answer(tag, core.Outcome{Verdict: core.Refused, RetryAfterMS: 1})
 		return nil
 	}
 	l := c.front.core.Open(q, func(o core.Outcome) { c.answer(tag, o) })
@@ -484,15 +484,15 @@
 
 // answer gives a request its one answer.
 func (c *conn) answer(tag uint64, o core.Outcome) {
-	say, says := c.front.core.Say()
+	say, says := c.front.core.Hint()
 	c.send(func(b []byte) []byte {
 		delete(c.open, tag)
 		c.used = c.front.clock.Now()
 		c.served = c.served || o.Verdict == core.Served
-		o.Forged = o.Forged && !c.served
+		o.UnknownRequest = o.UnknownRequest && !c.served
 		return appendAnswer(b, tag, say, says, o)
 	})
-	if o.Forged && !c.forged.Swap(true) {
+	if o.UnknownRequest && !c.forged.Swap(true) {
 		// What came beside it is most likely as false: it fails, but for what runs already.
 		c.mu.Lock()
 		var beside []*core.Handler
@@ -503,7 +503,7 @@
 		}
 		c.mu.Unlock()
 		for _, l := range beside {
-			l.Spurn()
+			l.FailUnlessStarted()
 		}
 	}
 }
@@ -603,7 +603,7 @@
 				c.mu.Unlock()
 				for _, l := range left {
 					if l != nil {
-						l.Gone()
+						l.CallerGone()
 					}
 				}
 				return
--- a/internal/net/respfront/front_test.go
+++ b/internal/net/respfront/front_test.go
@@ -30,8 +30,8 @@
 }
 func (echo) Return(*core.Attempt, uint64, []byte) {}
 func (echo) Skip(*core.Attempt, uint64)           {}
-func (echo) Drop(*core.Attempt)                   {}
-func (echo) Meter(func([]float64))                {}
+func (echo) Abandon(*core.Attempt)                {}
+func (echo) ReadGauges(func([]float64))           {}
 func (echo) Diagnose(func(bool)) bool             { return false }
 func (echo) Call(context.Context, string, float64, []byte) (policy.Outcome, []byte) {
 	return policy.Unreached, nil
@@ -46,7 +46,7 @@
 		Classes: []policy.Class{{Name: "read", Aim: time.Minute, Deadline: time.Minute, Worth: 1}},
 		Cores:   8, MemoryKB: 1e6, RunFactor: 4, FallMultiple: 8, BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1, Idle: 15 * time.Second,
 	}, 1, runner, echo{}, nil)
-	c.Up(false)
+	c.RunnerStarted(false)
 	go c.Run()
 	ln, err := accept.Listen("127.0.0.1:0", zerolog.Nop())
 	if err != nil {
@@ -157,7 +157,7 @@
 	if n, err := io.Copy(io.Discard, conn); n > 0 {
 		t.Errorf("%d bytes more, %v", n, err)
 	}
-	if n := f.core.Figures().Tries; n != 1 {
+	if n := f.core.Metrics().Attempts; n != 1 {
 		t.Errorf("%d runs", n)
 	}
 }
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -171,7 +171,7 @@
 			return
 		case <-c.on.Ready:
 		}
-		batch = c.on.Take(batch)
+		batch = c.on.TakeAll(batch)
 		for _, e := range batch {
 			if c.o.On != nil {
 				c.o.On(e)
--- a/internal/net/session/server.go
+++ b/internal/net/session/server.go
@@ -308,7 +308,7 @@
 type tick struct{}
 
 func (d *Server) step() {
-	d.batch = d.inbox.Take(d.batch)
+	d.batch = d.inbox.TakeAll(d.batch)
 	look := false
 	for i, e := range d.batch {
 		switch e := e.(type) {
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -146,7 +146,7 @@
 // A server is sent on to the copy that leads, gains what it stands for, acts under it, and is refused under any other
 // epoch.
 func TestHolderActsAndForgedEpochsAreRefused(t *testing.T) {
-	steady := clock.Steady()
+	steady := clock.Monotonic()
 	lead := open(t, leads(state.New()), steady)
 	follow := open(t, &oneCopy{st: state.New(), term: 1, other: "lead"}, steady)
 	c, events := join(t, "a#1", map[string]string{"lead": lead.at, "follow": follow.at}, steady)
@@ -195,7 +195,7 @@
 
 // What no client of ours would send ends its own connection and changes nothing.
 func TestMalformedMessagesEndTheirConnection(t *testing.T) {
-	lead := open(t, leads(state.New()), clock.Steady())
+	lead := open(t, leads(state.New()), clock.Monotonic())
 	message := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
@@ -242,7 +242,7 @@
 
 // Sessions past the bound are turned away, and their room is free again when one ends.
 func TestSessionsAreBounded(t *testing.T) {
-	lead := open(t, leads(state.New()), clock.Steady())
+	lead := open(t, leads(state.New()), clock.Monotonic())
 	var conns []net.Conn
 	ask := func() error { // opens a session and has one question answered
 		conn, err := net.Dial("tcp", lead.at)
@@ -295,7 +295,7 @@
 	copy.begin = make(chan struct{})
 	patient := rules
 	patient.Renew = clock.Millis(patience) // no session is cut off for its silence while the others come
-	lead := openFor(t, copy, clock.Steady(), patient, fleet)
+	lead := openFor(t, copy, clock.Monotonic(), patient, fleet)
 	for i := range fleet {
 		conn, err := net.Dial("tcp", lead.at)
 		if err != nil {
@@ -330,7 +330,7 @@
 // A server that a full copy sends away comes back no sooner than it was told, and is served once there is room.
 func TestServerComesBackWhenItWasTold(t *testing.T) {
 	t.Parallel()
-	steady, slow := clock.Steady(), rules
+	steady, slow := clock.Monotonic(), rules
 	slow.Renew = 1000 // so that no session is given up as silent on a busy machine
 	lead := openFor(t, leads(state.New()), steady, slow, 16)
 	var conns []net.Conn
@@ -403,7 +403,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { ln.Close() })
-			steady := clock.Steady()
+			steady := clock.Monotonic()
 			tries := make(chan float64, 1000)
 			go func() {
 				for {
@@ -442,7 +442,7 @@
 
 // The copy that leads falls silent and another takes office with the same log: the holder finds it and keeps its duty.
 func TestHolderKeepsItsDutyOverAChangeOfLeader(t *testing.T) {
-	steady := clock.Steady()
+	steady := clock.Monotonic()
 	st := state.New()
 	first := leads(st)
 	one := open(t, first, steady)
--- a/internal/net/uwsgi/front.go
+++ b/internal/net/uwsgi/front.go
@@ -85,8 +85,8 @@
 // Drain does nothing: each connection carries one request, and the module decides on those that still come.
 func (f *Front) Drain() {}
 
-// Shut closes the listener, and ends the reading of what is not yet a whole request: its caller hears 408.
-func (f *Front) Shut() {
+// StopAccepting closes the listener, and ends the reading of what is not yet a whole request: its caller hears 408.
+func (f *Front) StopAccepting() {
 	f.ln.Shut()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -169,7 +169,7 @@
 	select {
 	case <-answered:
 	case <-left:
-		handler.Gone()
+		handler.CallerGone()
 		return
 	}
 	linger(conn)
@@ -178,8 +178,8 @@
 // request reads the variables of a packet.
 func (f *Front) request(p *packet, reached float64) (*core.Request, error) {
 	v := p.vars
-	q := &core.Request{ID: v[varID], Class: v[varClass], At: reached, Retry: v[varRetry] == "1", KB: f.set.KB,
-		Rank: midRank, Key: v[varKey], Once: v[varOnce], For: v[varFor], Body: p.body}
+	q := &core.Request{ID: v[varID], Class: v[varClass], ArrivedAt: reached, Retry: v[varRetry] == "1", KB: f.set.KB,
+		Rank: midRank, Key: v[varKey], IdempotencyKey: v[varOnce], Tenant: v[varFor], Body: p.body}
 	if q.Class == "" {
 		at := v["PATH_INFO"]
 		if at == "" {
@@ -198,7 +198,7 @@
 	for _, n := range []struct {
 		name string
 		to   *float64
-	}{{varAt, &q.At}, {varWait, &q.Wait}, {varFrom, &from}, {varKB, &q.KB}, {varRank, &q.Rank}, {varCost, &q.Cost}} {
+	}{{varAt, &q.ArrivedAt}, {varWait, &q.WaitMS}, {varFrom, &from}, {varKB, &q.KB}, {varRank, &q.Rank}, {varCost, &q.CostMS}} {
 		s := v[n.name]
 		if s == "" {
 			continue
@@ -209,11 +209,11 @@
 		}
 		*n.to = x
 	}
-	q.From = int64(from)
+	q.Caller = int64(from)
 	if err := q.Check(reached); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	q.At = min(q.At, reached) // a gateway whose clock is ahead must not lengthen the wait
+	q.ArrivedAt = min(q.ArrivedAt, reached) // a gateway whose clock is ahead must not lengthen the wait
 	return q, nil
 }
 
@@ -222,10 +222,10 @@
 	switch {
 	case o.Verdict == core.Served:
 		return http.StatusOK, 0
-	case o.Verdict == core.Refused && o.Unknown:
+	case o.Verdict == core.Refused && o.UnknownClass:
 		return http.StatusNotFound, 0
 	case o.Verdict == core.Refused:
-		return http.StatusServiceUnavailable, max(int(math.Ceil(o.After/1000)), 1)
+		return http.StatusServiceUnavailable, max(int(math.Ceil(o.RetryAfterMS/1000)), 1)
 	case o.Verdict == core.Overdue:
 		return http.StatusGatewayTimeout, 0
 	}
--- a/internal/net/uwsgi/runner.go
+++ b/internal/net/uwsgi/runner.go
@@ -49,7 +49,7 @@
 		if err != nil {
 			r.log.Warn().Err(err).Str("id", a.Request.ID).Msg("run failed")
 		}
-		a.Notify(core.Notice{Ended: true, Outcome: outcome, Took: r.clock.Now() - begun, Body: result})
+		a.Notify(core.Notice{Ended: true, Outcome: outcome, TookMS: r.clock.Now() - begun, Body: result})
 	}()
 }
 
@@ -118,11 +118,11 @@
 // Skip is for runs that make calls.
 func (r *Runner) Skip(*core.Attempt, uint64) {}
 
-// Drop lets the run go on to its end or its due time: to break it off would not undo it.
-func (r *Runner) Drop(*core.Attempt) {}
+// Abandon lets the run go on to its end or its due time: to break it off would not undo it.
+func (r *Runner) Abandon(*core.Attempt) {}
 
-// Meter tells nothing: a uwsgi server has no gauges, and the module then counts its own starts.
-func (r *Runner) Meter(func([]float64)) {}
+// ReadGauges tells nothing: a uwsgi server has no gauges, and the module then counts its own starts.
+func (r *Runner) ReadGauges(func([]float64)) {}
 
 // Diagnose can't tell.
 func (r *Runner) Diagnose(func(bool)) bool { return false }
--- a/internal/publish/publish.go
+++ b/internal/publish/publish.go
@@ -20,7 +20,7 @@
 // Limits of versions.
 const (
 	MostFiles = 16        // files of a version
-	MostBytes = 256 << 10 // bytes of all files of a version
+	MaxBytes  = 256 << 10 // bytes of all files of a version
 	keep      = 8         // versions in the history
 )
 
@@ -78,8 +78,8 @@
 			return fmt.Errorf("%s does not match the manifest: it is incomplete, or was changed without the manifest", s.Name)
 		}
 	}
-	if size > MostBytes {
-		return fmt.Errorf("%d bytes in total; the maximum is %d", size, MostBytes)
+	if size > MaxBytes {
+		return fmt.Errorf("%d bytes in total; the maximum is %d", size, MaxBytes)
 	}
 	return nil
 }
@@ -153,8 +153,8 @@
 	return last.No + 1, nil
 }
 
-// Say records a process's acknowledgement of a version; one of a version that was never published is an error.
-func (b *History) Say(who string, w Acknowledgement) error {
+// Acknowledge records a process's acknowledgement of a version; one of a version that was never published is an error.
+func (b *History) Acknowledge(who string, w Acknowledgement) error {
 	if w.No == 0 || w.No > b.Latest().No {
 		return fmt.Errorf("publish: there is no version %d", w.No)
 	}
@@ -168,18 +168,18 @@
 // Drop removes the acknowledgement of a process that is gone.
 func (b *History) Drop(who string) { delete(b.Acknowledgements, who) }
 
-// Keeper decides in a server which version is in force: the latest that passed the server's check as a whole.
-type Keeper struct {
-	InForce uint64 // number of the version in force
-	Looked  uint64 // number of the latest version checked
+// VersionSelector decides in a server which version is in force: the latest that passed the server's check as a whole.
+type VersionSelector struct {
+	InForce     uint64 // number of the version in force
+	LastChecked uint64 // number of the latest version checked
 }
 
 // Offer checks a version, unless it was checked before, and returns the acknowledgement and whether it is a new one.
-func (k *Keeper) Offer(v Version, check func([]File) error) (w Acknowledgement, fresh bool) {
-	if v.No <= k.Looked {
+func (k *VersionSelector) Offer(v Version, check func([]File) error) (w Acknowledgement, fresh bool) {
+	if v.No <= k.LastChecked {
 		return Acknowledgement{}, false
 	}
-	k.Looked = v.No
+	k.LastChecked = v.No
 	w.No = v.No
 	if err := check(v.Files); err != nil {
 		w.Reason = err.Error()
--- a/internal/publish/publish_test.go
+++ b/internal/publish/publish_test.go
@@ -65,7 +65,7 @@
 	if n, err := b.Publish(one, 1, 2); n != 1 || err != nil {
 		t.Errorf("publishing equal files: version %d, %v, want version 1", n, err)
 	}
-	var k Keeper
+	var k VersionSelector
 	if w, fresh := k.Offer(b.Latest(), func([]File) error { return nil }); !fresh || w != (Acknowledgement{No: 1}) || k.InForce != 1 {
 		t.Errorf("%+v %v", w, fresh)
 	}
@@ -77,7 +77,7 @@
 	if _, fresh := k.Offer(b.Latest(), nil); fresh {
 		t.Error("a version was checked twice")
 	}
-	if err := b.Say("a", Acknowledgement{No: 3}); err == nil {
+	if err := b.Acknowledge("a", Acknowledgement{No: 3}); err == nil {
 		t.Error("an acknowledgement of an unpublished version was accepted")
 	}
 	for n := uint64(2); n < 20; n++ {
--- a/internal/settle/settle.go
+++ b/internal/settle/settle.go
@@ -29,8 +29,8 @@
 	State State  `json:"s,omitempty"`
 }
 
-// Ledger is the effect log. Its methods are called in the order of the raft log, so they must be deterministic.
-type Ledger struct {
+// EffectLog is the effect log. Its methods are called in the order of the raft log, so they must be deterministic.
+type EffectLog struct {
 	Seq     uint64             `json:"seq"`
 	Effects map[string]*Effect `json:"effects"`
 	Most    int                `json:"-"`
@@ -39,13 +39,13 @@
 	open  map[string]*Effect
 }
 
-// NewLedger returns an empty effect log for at most the given number of effects.
-func NewLedger(most int) *Ledger {
-	return &Ledger{Effects: map[string]*Effect{}, Most: most, open: map[string]*Effect{}}
+// NewEffectLog returns an empty effect log for at most the given number of effects.
+func NewEffectLog(most int) *EffectLog {
+	return &EffectLog{Effects: map[string]*Effect{}, Most: most, open: map[string]*Effect{}}
 }
 
-// Restored rebuilds the indexes of an effect log that was read from a snapshot.
-func (b *Ledger) Restored(most int) {
+// RebuildIndexes rebuilds the indexes of an effect log that was read from a snapshot.
+func (b *EffectLog) RebuildIndexes(most int) {
 	b.Most, b.order, b.open = most, nil, map[string]*Effect{}
 	if b.Effects == nil {
 		b.Effects = map[string]*Effect{}
@@ -65,19 +65,19 @@
 }
 
 // Clone returns a deep copy.
-func (b *Ledger) Clone() *Ledger {
-	c := &Ledger{Seq: b.Seq, Effects: make(map[string]*Effect, len(b.Effects))}
+func (b *EffectLog) Clone() *EffectLog {
+	c := &EffectLog{Seq: b.Seq, Effects: make(map[string]*Effect, len(b.Effects))}
 	for id, e := range b.Effects {
 		v := *e
 		c.Effects[id] = &v
 	}
-	c.Restored(b.Most)
+	c.RebuildIndexes(b.Most)
 	return c
 }
 
 // Begin records an effect and returns false if it was recorded before. In a full log it removes the oldest effects,
 // unless keep is set: then the settler removes effects by age, and Begin returns ErrFull.
-func (b *Ledger) Begin(id, owner string, epoch uint64, keep bool) (bool, error) {
+func (b *EffectLog) Begin(id, owner string, epoch uint64, keep bool) (bool, error) {
 	if b.Effects[id] != nil {
 		return false, nil
 	}
@@ -98,14 +98,14 @@
 	return true, nil
 }
 
-func (b *Ledger) forget(id string) {
+func (b *EffectLog) forget(id string) {
 	delete(b.Effects, id)
 	delete(b.open, id)
 }
 
 // End records how an effect ended and returns whether it did. An effect that has ended, was resolved or has another owner
 // is not changed.
-func (b *Ledger) End(id, owner string, ok bool) bool {
+func (b *EffectLog) End(id, owner string, ok bool) bool {
 	e := b.open[id]
 	if e == nil || e.Owner != owner {
 		return false
@@ -122,7 +122,7 @@
 type Live func(owner string, epoch uint64) bool
 
 // Orphans lists at most the given number of orphaned effects, the oldest first.
-func (b *Ledger) Orphans(live Live, most int) []string {
+func (b *EffectLog) Orphans(live Live, most int) []string {
 	var ids []string
 	for id, e := range b.open {
 		if !live(e.Owner, e.Epoch) {
@@ -138,9 +138,9 @@
 	return ids[:min(len(ids), most)]
 }
 
-// Settle resolves effects whose process is gone by marking their outcome as unknown, and returns how many it marked. An
+// Resolve resolves effects whose process is gone by marking their outcome as unknown, and returns how many it marked. An
 // effect is never run to resolve it.
-func (b *Ledger) Settle(ids []string, live Live) (settled int) {
+func (b *EffectLog) Resolve(ids []string, live Live) (settled int) {
 	for _, id := range ids {
 		if e := b.open[id]; e != nil && !live(e.Owner, e.Epoch) {
 			e.State = Unknown
@@ -152,7 +152,7 @@
 }
 
 // Prune removes the effects with a sequence number of at most upTo that are no longer open, and returns how many.
-func (b *Ledger) Prune(upTo uint64) (pruned int) {
+func (b *EffectLog) Prune(upTo uint64) (pruned int) {
 	b.order = slices.DeleteFunc(b.order, func(id string) bool {
 		e := b.Effects[id]
 		if e.Seq > upTo || b.open[id] != nil {
@@ -165,10 +165,10 @@
 	return pruned
 }
 
-// Ages determines which effects have reached an age by the settler's own clock alone: an effect is at least as old as the
+// AgeTracker determines which effects have reached an age by the settler's own clock alone: an effect is at least as old as the
 // time since the settler first observed its sequence number. A new settler starts without observations, so the effects
 // that it prunes are older still.
-type Ages struct {
+type AgeTracker struct {
 	marks []mark
 }
 
@@ -177,17 +177,17 @@
 	at  float64
 }
 
-// Note records that the latest sequence number is seq at the time now, in milliseconds.
-func (a *Ages) Note(now float64, seq uint64) {
+// Observe records that the latest sequence number is seq at the time now, in milliseconds.
+func (a *AgeTracker) Observe(now float64, seq uint64) {
 	if n := len(a.marks); n > 0 && a.marks[n-1].seq == seq {
 		return // no new effects: the first observation of the number gives their age
 	}
 	a.marks = append(a.marks, mark{seq, now})
 }
 
-// Due returns the sequence number up to which all effects are older than keep milliseconds of true time, and removes the
+// OlderThan returns the sequence number up to which all effects are older than keep milliseconds of true time, and removes the
 // observations used; 0 if there is none. The clock may run fast by the fraction rate.
-func (a *Ages) Due(now, keep, rate float64) (seq uint64) {
+func (a *AgeTracker) OlderThan(now, keep, rate float64) (seq uint64) {
 	for len(a.marks) > 0 && now-a.marks[0].at >= keep*(1+rate) {
 		seq = a.marks[0].seq
 		a.marks = a.marks[1:]
--- a/internal/settle/settle_test.go
+++ b/internal/settle/settle_test.go
@@ -9,7 +9,7 @@
 // Orphaned effects are those whose owner's presence of that epoch is gone. Resolving them is final and changes no other
 // effect, and pruning keeps open ones.
 func TestEffectsOfServersThatAreGone(t *testing.T) {
-	b := NewLedger(10)
+	b := NewEffectLog(10)
 	here := map[string]uint64{"a": 1, "b": 2}
 	live := func(who string, epoch uint64) bool { return here[who] == epoch }
 	for _, id := range []string{"1", "2", "3"} {
@@ -33,11 +33,11 @@
 		t.Fatalf("orphans %q", orphans)
 	}
 	here["a"] = 1
-	if n := b.Settle([]string{"2"}, live); n != 0 {
+	if n := b.Resolve([]string{"2"}, live); n != 0 {
 		t.Error("an effect was resolved although its owner is present")
 	}
 	here["a"] = 9 // present again, in another epoch: its effects of the first epoch stay orphaned
-	if n := b.Settle(append(orphans, "4", "none"), live); n != 2 {
+	if n := b.Resolve(append(orphans, "4", "none"), live); n != 2 {
 		t.Errorf("%d effects resolved, want 2", n)
 	}
 	if b.Effects["2"].State != Unknown || b.End("2", "a", true) || b.Effects["2"].State != Unknown {
@@ -57,7 +57,7 @@
 
 // A full log refuses effects with ErrFull if a settler removes them by age; otherwise the oldest is removed.
 func TestFullRecordForgetsNothingYoung(t *testing.T) {
-	b := NewLedger(2)
+	b := NewEffectLog(2)
 	b.Begin("1", "a", 1, true)
 	b.Begin("2", "a", 1, true)
 	if fresh, err := b.Begin("3", "a", 1, true); fresh || !errors.Is(err, ErrFull) {
@@ -70,19 +70,19 @@
 
 // Effects age from the first observation of their sequence number, on a clock that may run fast by a tenth.
 func TestAgesCountFromWhenTheSettlerSawThem(t *testing.T) {
-	var a Ages
-	a.Note(0, 5)
-	a.Note(400, 5)
-	a.Note(500, 9)
+	var a AgeTracker
+	a.Observe(0, 5)
+	a.Observe(400, 5)
+	a.Observe(500, 9)
 	for at, want := range map[float64]uint64{1000: 0, 1099: 0} {
-		if got := a.Due(at, 1000, 0.1); got != want {
+		if got := a.OlderThan(at, 1000, 0.1); got != want {
 			t.Errorf("at %v: sequence number %d, want 0", at, got)
 		}
 	}
-	if got := a.Due(1100, 1000, 0.1); got != 5 {
+	if got := a.OlderThan(1100, 1000, 0.1); got != 5 {
 		t.Errorf("at 1100: sequence number %d, want 5", got)
 	}
-	if got := a.Due(1601, 1000, 0.1); got != 9 {
+	if got := a.OlderThan(1601, 1000, 0.1); got != 9 {
 		t.Errorf("at 1601: sequence number %d, want 9", got)
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -87,7 +87,7 @@
 	Values  map[string][]byte
 	Duties  *duty.Table
 	Shares  *allot.Ledger
-	Effects *settle.Ledger
+	Effects *settle.EffectLog
 	Config  *publish.History
 	Records *records.Set
 	Marks   map[string]uint64 // by duty
@@ -99,7 +99,7 @@
 // New is the empty state.
 func New() *State {
 	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Shares: allot.NewLedger(),
-		Effects: settle.NewLedger(mostEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
+		Effects: settle.NewEffectLog(mostEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
 		Marks: map[string]uint64{}, Stale: map[string]uint64{}}
 }
 
@@ -163,7 +163,7 @@
 		if c.Said == nil {
 			return Result{Error: "state: no word"}
 		}
-		return Result{Error: text(s.Config.Say(c.Who, *c.Said))}
+		return Result{Error: text(s.Config.Acknowledge(c.Who, *c.Said))}
 	case Act:
 		return s.act(c)
 	}
@@ -231,7 +231,7 @@
 		if len(c.IDs) > orphansAtOne {
 			return 0, fmt.Errorf("state: %d effects to settle in one step, %d at most", len(c.IDs), orphansAtOne)
 		}
-		return uint64(s.Effects.Settle(c.IDs, s.Live)), nil
+		return uint64(s.Effects.Resolve(c.IDs, s.Live)), nil
 	case Prune:
 		return uint64(s.Effects.Prune(c.Seq)), nil
 	case Publish:
@@ -253,7 +253,7 @@
 	Order   []string          `json:"order,omitempty"`
 	Duties  *duty.Table       `json:"duties,omitempty"`
 	Shares  *allot.Ledger     `json:"shares,omitempty"`
-	Effects *settle.Ledger    `json:"effects,omitempty"`
+	Effects *settle.EffectLog `json:"effects,omitempty"`
 	Config  *publish.History  `json:"config,omitempty"`
 	Records *records.Frozen   `json:"records,omitempty"`
 	Marks   map[string]uint64 `json:"marks,omitempty"`
@@ -298,7 +298,7 @@
 	}
 	if k.Effects != nil {
 		s.Effects = k.Effects
-		s.Effects.Restored(mostEffects)
+		s.Effects.RebuildIndexes(mostEffects)
 	}
 	for _, key := range k.Order {
 		s.Effects.Begin(strings.TrimPrefix(key, oldEffects), "", 0, false)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -119,7 +119,7 @@
 		o.Log = io.Discard
 	}
 	if o.Steady == nil {
-		o.Steady = clock.Steady()
+		o.Steady = clock.Monotonic()
 	}
 	if o.CompareMs == 0 {
 		o.CompareMs = compareEach
