--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -19,31 +19,31 @@
 	now    float64
 	timers []*Timer
 
-	steady bool
-	rate   float64       // rate set with Apart; 0: none
-	from   float64       // when that was set, in milliseconds
-	jump   atomic.Uint64 // bits of the sum of all jumps, in milliseconds
+	monotonic bool
+	rate      float64       // rate set with SetRate; 0: none
+	rateSetAt float64       // when that was set, in milliseconds
+	jumpMS    atomic.Uint64 // bits of the sum of all jumps, in milliseconds
 }
 
 // Timer is a pending call.
 type Timer struct {
-	c    *Clock
-	at   float64
-	call func()
-	real *time.Timer
+	c     *Clock
+	at    float64
+	call  func()
+	timer *time.Timer
 }
 
 // System returns the system's Unix clock.
 func System() *Clock { return &Clock{} }
 
-// Monotonic returns a monotonic clock: milliseconds since the machine's start, including time in which it was suspended. It
-// is for durations that other processes rely on, which a wall clock that is set back would lengthen.
-func Monotonic() *Clock { return &Clock{steady: true} }
+// Monotonic returns a monotonic clock: milliseconds since the machine's start, including time in which it was suspended.
+// It is for durations that other processes rely on, which a wall clock that is set back would lengthen.
+func Monotonic() *Clock { return &Clock{monotonic: true} }
 
 // SetRate makes a clock run at a rate from now on, where 1 is its normal rate, and returns it. For fault injection.
 func (c *Clock) SetRate(rate float64) *Clock {
 	if !c.manual && rate > 0 && rate != 1 {
-		c.from = c.raw()
+		c.rateSetAt = c.unadjusted()
 		c.rate = rate
 	}
 	return c
@@ -51,10 +51,10 @@
 
 // Jump sets a clock ahead, or back if ms is negative. For fault injection.
 func (c *Clock) Jump(ms float64) {
-	c.jump.Store(math.Float64bits(math.Float64frombits(c.jump.Load()) + ms))
+	c.jumpMS.Store(math.Float64bits(math.Float64frombits(c.jumpMS.Load()) + ms))
 }
 
-// Rate returns the rate set with Apart, or 1.
+// Rate returns the rate set with SetRate, or 1.
 func (c *Clock) Rate() float64 {
 	if c.rate > 0 {
 		return c.rate
@@ -62,8 +62,8 @@
 	return 1
 }
 
-func (c *Clock) raw() float64 {
-	if !c.steady {
+func (c *Clock) unadjusted() float64 {
+	if !c.monotonic {
 		return float64(time.Now().UnixNano()) / 1e6
 	}
 	var t unix.Timespec
@@ -79,11 +79,11 @@
 // Now returns the time in milliseconds: Unix time, or that of a monotonic clock.
 func (c *Clock) Now() float64 {
 	if !c.manual {
-		now := c.raw()
+		now := c.unadjusted()
 		if c.rate > 0 {
-			now = c.from + (now-c.from)*c.rate
+			now = c.rateSetAt + (now-c.rateSetAt)*c.rate
 		}
-		return now + math.Float64frombits(c.jump.Load())
+		return now + math.Float64frombits(c.jumpMS.Load())
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +93,7 @@
 // After runs a function once ms milliseconds have passed, on another goroutine or, for a manual clock, within Set.
 func (c *Clock) After(ms float64, call func()) *Timer {
 	if !c.manual {
-		return &Timer{real: time.AfterFunc(Duration(max(ms, 0)/c.Rate()), call)}
+		return &Timer{timer: time.AfterFunc(Duration(max(ms, 0)/c.Rate()), call)}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,8 +104,8 @@
 
 // Stop cancels the call, unless it has run.
 func (t *Timer) Stop() {
-	if t.real != nil {
-		t.real.Stop()
+	if t.timer != nil {
+		t.timer.Stop()
 		return
 	}
 	t.c.mu.Lock()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,144 +15,147 @@
 )
 
 const (
-	mostOpen    = 4096    // open requests; the policy module's memory limit takes effect long before this
-	ledgerPause = 1000.0  // retry-after of refusals made by this package, in milliseconds
-	earliest    = 1       // nanoseconds; the module reads a Left of 0 as unknown, so overdue requests get this value
-	keyedRoom   = 8 << 20 // default memory for keyed attempts and their results, in bytes
+	maxOpenRequests      = 4096    // open requests; the policy module's memory limit takes effect long before this
+	refusalRetryAfterMS  = 1000.0  // retry-after of refusals made by this package, in milliseconds
+	minTimeLeft          = 1       // nanoseconds; for overdue requests, since the module reads a Left of 0 as unknown
+	defaultKeyTableBytes = 8 << 20 // default memory for keyed attempts and their results, in bytes
 )
 
 // Core owns the instance of the policy module. One goroutine, Run, calls the module. Handlers and fronts send events to
-// it through the inbox, and handlers receive the module's decisions through their mailboxes.
+// it through the inbox, and handlers receive the module's decisions through inboxes of their own.
 type Core struct {
-	clock  *clock.Clock
-	log    zerolog.Logger
-	seed   uint64
-	tick   float64
-	runner Runner
-	below  Downstream
-	ledger EffectLog
+	clock      *clock.Clock
+	log        zerolog.Logger
+	seed       uint64
+	tickMS     float64
+	runner     Runner
+	downstream Downstream
+	effectLog  EffectLog
 
 	inbox *mailbox.Box[event]
 	stop  chan struct{}
 
 	// Read by the fronts.
-	shallow, good atomic.Bool
-	say           atomic.Uint64 // bits of a float64; NaN before the first value
-	idle          atomic.Int64  // idle time after which the module wants connections closed, in nanoseconds; 0: none
-
-	owed   atomic.Int64 // requests without an answer yet
-	counts counts
-	lasts  atomic.Int64 // the longest deadline of a class, in nanoseconds
-	rests  atomic.Int64 // how long callers keep an idle connection, in nanoseconds
-	up     atomic.Bool  // the runner has started at least once
-	yields atomic.Bool  // a successor took over, so the module's draining state must not appear in health checks
-	away   atomic.Bool  // an operator wants health checks to fail
-
-	share func() float64 // capacity for downstream calls at present; nil: the value in the settings
-	used  atomic.Uint64  // bits of the mean number of downstream calls in flight
-
-	mu       sync.Mutex
-	handlers map[policy.ID]*Handler
-	byWire   map[string]*Handler
-	lastID   policy.ID
+	shallow, healthy atomic.Bool
+	hint             atomic.Uint64 // bits of a float64; NaN before the first value
+	idleCloseAfter   atomic.Int64  // idle time after which the module wants connections closed, in nanoseconds; 0: none
+
+	unanswered        atomic.Int64 // requests without an answer yet
+	counts            counts
+	longestDeadline   atomic.Int64 // the longest deadline of a class, in nanoseconds
+	callerIdleTimeout atomic.Int64 // how long callers keep an idle connection, in nanoseconds
+	runnerStarted     atomic.Bool  // the runner has started at least once
+	yielding          atomic.Bool  // a successor took over; health checks must not show the module's draining state
+	forcedUnhealthy   atomic.Bool  // an operator wants health checks to fail
+
+	downstreamShare       func() float64 // capacity for downstream calls at present; nil: the value in the settings
+	downstreamConcurrency atomic.Uint64  // bits of the mean number of downstream calls in flight
+
+	mu          sync.Mutex
+	handlers    map[policy.ID]*Handler
+	byRequestID map[string]*Handler
+	lastID      policy.ID
 
 	// Used by the goroutine of Run alone.
-	set    policy.Settings
-	class  map[string]policy.Class
-	module *policy.Instance
-	born   float64
-	last   float64 // when the module was last called
-	armed  bool    // a timer is set for the end of the tick
-	batch  []event
-	events []policy.Event
-	keys   keyTable
+	settings        policy.Settings
+	classes         map[string]policy.Class
+	module          *policy.Instance
+	moduleStartedAt float64
+	lastCall        float64 // when the module was last called
+	tickTimerSet    bool    // a timer is set for the end of the tick
+	batch           []event
+	events          []policy.Event
+	keys            keyTable
 }
 
 // event is an inbox entry: an event for the module, or a request to the goroutine that owns the module.
 type event struct {
-	handler *Handler
-	event   policy.Event // nil: the module is called without an event, for the passing of time
-	notice  Notice       // the end of an attempt
-	start   bool         // the runner has started
-	anew    bool         // the runner was replaced by another one
-	cold    bool
-	drain   float64          // when the process will be stopped
-	told    float64          // when the drain notice arrived
-	set     *policy.Settings // settings to put into force
-	call    func()
+	handler        *Handler
+	event          policy.Event // nil: the module is called without an event, for the passing of time
+	notice         Notice       // the end of an attempt
+	runnerStarted  bool         // the runner has started
+	runnerReplaced bool         // the runner was replaced by another one
+	cold           bool
+	stopAt         float64          // when the process will be stopped
+	noticedAt      float64          // when the drain notice arrived
+	settings       *policy.Settings // settings to put into force
+	callback       func()
 }
 
 // New returns a Core, which serves once Run is called.
-func New(clk *clock.Clock, log zerolog.Logger, set policy.Settings, seed uint64, runner Runner, below Downstream, ledger EffectLog) *Core {
-	c := &Core{clock: clk, log: log, tick: clock.Millis(set.Tick), seed: seed, runner: runner, below: below,
-		ledger: ledger, inbox: mailbox.New[event](), stop: make(chan struct{}), handlers: map[policy.ID]*Handler{},
-		byWire: map[string]*Handler{}, keys: newKeyTable(clock.Millis(set.FreshFor), keyedRoom)}
-	c.counts.of = map[string]*classCount{}
-	c.adopt(set)
-	if c.ledger == nil {
-		c.ledger = newMemoryLedger(clk)
+func New(clk *clock.Clock, log zerolog.Logger, settings policy.Settings, seed uint64, runner Runner, downstream Downstream,
+	effectLog EffectLog) *Core {
+	c := &Core{clock: clk, log: log, tickMS: clock.Millis(settings.Tick), seed: seed, runner: runner, downstream: downstream,
+		effectLog: effectLog, inbox: mailbox.New[event](), stop: make(chan struct{}), handlers: map[policy.ID]*Handler{},
+		byRequestID: map[string]*Handler{}, keys: newKeyTable(clock.Millis(settings.FreshFor), defaultKeyTableBytes)}
+	c.counts.byClass = map[string]*classCounts{}
+	c.adopt(settings)
+	if c.effectLog == nil {
+		c.effectLog = newMemoryEffectLog(clk)
 	}
-	c.good.Store(true)
-	c.say.Store(math.Float64bits(math.NaN()))
+	c.healthy.Store(true)
+	c.hint.Store(math.Float64bits(math.NaN()))
 	return c
 }
 
 // Adopt puts settings into force that have passed the module's check. Open requests keep their class.
-func (c *Core) Adopt(set policy.Settings) { c.inbox.Put(event{set: &set}) }
+func (c *Core) Adopt(settings policy.Settings) { c.inbox.Put(event{settings: &settings}) }
 
-// SetDownstreamShareFunc replaces the downstream share of the settings by the result of a function, which is called before each call of
-// the module and must not block. It must be set before Run.
-func (c *Core) SetDownstreamShareFunc(share func() float64) { c.share = share }
+// SetDownstreamShareFunc replaces the downstream share of the settings by the result of a function, which is called
+// before each call of the module and must not block. It must be set before Run.
+func (c *Core) SetDownstreamShareFunc(share func() float64) { c.downstreamShare = share }
 
 // SetKeyTableBytes sets the memory limit for keyed attempts and their results, in bytes. It must be set before Run.
-func (c *Core) SetKeyTableBytes(bytes int) { c.keys.room = bytes }
+func (c *Core) SetKeyTableBytes(bytes int) { c.keys.maxBytes = bytes }
 
 // DownstreamConcurrency returns the recent mean number of downstream calls in flight; 0 unless a share function is set.
-func (c *Core) DownstreamConcurrency() float64 { return math.Float64frombits(c.used.Load()) }
+func (c *Core) DownstreamConcurrency() float64 {
+	return math.Float64frombits(c.downstreamConcurrency.Load())
+}
 
-// AfterPendingEvents runs a function on the goroutine of Run after all events that were sent before it, so that every later decision
-// uses the settings and the share in force now. The function must not block.
-func (c *Core) AfterPendingEvents(call func()) { c.inbox.Put(event{call: call}) }
+// AfterPendingEvents runs a function on the goroutine of Run after all events that were sent before it, so that every
+// later decision uses the settings and the share in force now. The function must not block.
+func (c *Core) AfterPendingEvents(call func()) { c.inbox.Put(event{callback: call}) }
 
-func (c *Core) adopt(set policy.Settings) {
-	c.set, c.class, c.keys.fresh = set, map[string]policy.Class{}, clock.Millis(set.FreshFor)
-	lasts := time.Duration(0)
-	for _, k := range set.Classes {
-		c.class[k.Name] = k
+func (c *Core) adopt(settings policy.Settings) {
+	c.settings, c.classes, c.keys.freshMS = settings, map[string]policy.Class{}, clock.Millis(settings.FreshFor)
+	longest := time.Duration(0)
+	for _, k := range settings.Classes {
+		c.classes[k.Name] = k
 		c.counts.add(k.Name)
-		lasts = max(lasts, k.Deadline)
+		longest = max(longest, k.Deadline)
 	}
-	c.lasts.Store(int64(lasts))
-	c.rests.Store(int64(set.Idle))
+	c.longestDeadline.Store(int64(longest))
+	c.callerIdleTimeout.Store(int64(settings.Idle))
 	if c.module == nil {
 		return
 	}
-	if err := c.module.Adopt(set); err != nil {
+	if err := c.module.Adopt(settings); err != nil {
 		panic(err) // package config has validated the same settings
 	}
 }
 
-// Open accepts a request. The answer function is called at most once, and not at all where the call of Gone is processed
+// Open accepts a request. The answer function is called at most once, and not at all if Handler.CallerGone is processed
 // before there is an answer.
 func (c *Core) Open(q *Request, answer func(Outcome)) *Handler {
-	l := &Handler{core: c, req: q, box: mailbox.New[any](), reply: answer}
+	l := &Handler{core: c, request: q, inbox: mailbox.New[any](), reply: answer}
 	c.mu.Lock()
-	twin := c.byWire[q.ID] != nil
-	if twin || len(c.handlers) >= mostOpen {
+	duplicate := c.byRequestID[q.ID] != nil
+	if duplicate || len(c.handlers) >= maxOpenRequests {
 		c.mu.Unlock()
 		// A duplicate ID and a request over the limit never reach the module: the first could run twice under one ID,
 		// the second would take memory without a bound.
-		if twin {
+		if duplicate {
 			l.answer(Outcome{Verdict: Failed})
 		} else {
-			l.answer(Outcome{Verdict: Refused, RetryAfterMS: ledgerPause})
+			l.answer(Outcome{Verdict: Refused, RetryAfterMS: refusalRetryAfterMS})
 		}
 		return l
 	}
-	c.owed.Add(1)
+	c.unanswered.Add(1)
 	c.counts.active.Add(1)
-	l.id, l.owed, l.counted = c.nextID(), true, true
-	c.handlers[l.id], c.byWire[q.ID] = l, l
+	l.id, l.countedUnanswered, l.countedActive = c.nextID(), true, true
+	c.handlers[l.id], c.byRequestID[q.ID] = l, l
 	c.mu.Unlock()
 	go l.serve()
 	return l
@@ -171,80 +174,85 @@
 	return c.nextID()
 }
 
-func (c *Core) leave(l *Handler) {
-	l.settle()
-	pool.Put(l.req.Body) // the attempt has ended, and the runner has its own copy of anything it still sends
+func (c *Core) remove(l *Handler) {
+	l.markAnswered()
+	pool.Put(l.request.Body) // the attempt has ended, and the runner has its own copy of anything it still sends
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.handlers, l.id)
-	delete(c.byWire, l.req.ID)
+	delete(c.byRequestID, l.request.ID)
 }
 
-// Owed returns the number of requests without an answer.
-func (c *Core) Owed() int { return int(c.owed.Load()) }
+// Unanswered returns the number of requests without an answer.
+func (c *Core) Unanswered() int { return int(c.unanswered.Load()) }
 
 // RunnerStarted reports that the runner has started, and whether it is cold.
 func (c *Core) RunnerStarted(cold bool) {
-	c.inbox.Put(event{start: true, cold: cold})
-	c.up.Store(true)
+	c.inbox.Put(event{runnerStarted: true, cold: cold})
+	c.runnerStarted.Store(true)
 }
 
 // RunnerReplaced reports that the runner was replaced by another one, which has started, and whether that one is cold.
-func (c *Core) RunnerReplaced(cold bool) { c.inbox.Put(event{anew: true, cold: cold}) }
+func (c *Core) RunnerReplaced(cold bool) { c.inbox.Put(event{runnerReplaced: true, cold: cold}) }
 
 // Ready reports whether requests can be served, that is, whether the runner has started at least once.
-func (c *Core) Ready() bool { return c.up.Load() }
+func (c *Core) Ready() bool { return c.runnerStarted.Load() }
 
 // Healthy reports whether health checks succeed, leaving aside an operator's order to fail them.
-func (c *Core) Healthy() bool { return c.good.Load() }
+func (c *Core) Healthy() bool { return c.healthy.Load() }
 
 // ForceUnhealthy makes health checks fail, or ends that, by an operator's order. Requests are served in either case.
-func (c *Core) ForceUnhealthy(away bool) { c.away.Store(away) }
+func (c *Core) ForceUnhealthy(forced bool) { c.forcedUnhealthy.Store(forced) }
 
-// Drain notifies the module that the process will be stopped at stopAt, and that the notice arrived at the time told.
-func (c *Core) Drain(told, stopAt float64) { c.inbox.Put(event{drain: stopAt, told: told}) }
+// Drain notifies the module that the process will be stopped at stopAt, and that the notice arrived at noticedAt.
+func (c *Core) Drain(noticedAt, stopAt float64) {
+	c.inbox.Put(event{stopAt: stopAt, noticedAt: noticedAt})
+}
 
 // Health answers a health check from the state that the module has set, or, for a deep check where the module permits
 // it, by running a check through the runner.
-func (c *Core) Health(deep bool, answer func(good bool)) {
-	if c.away.Load() {
+func (c *Core) Health(deep bool, answer func(healthy bool)) {
+	if c.forcedUnhealthy.Load() {
 		answer(false)
 		return
 	}
 	if deep && !c.shallow.Load() && c.runner.Diagnose(answer) {
 		return
 	}
-	answer(c.good.Load())
+	answer(c.healthy.Load())
 }
 
 // Hint returns the module's hint to callers, which is sent with every answer, and whether there is one.
 func (c *Core) Hint() (float64, bool) {
-	v := math.Float64frombits(c.say.Load())
+	v := math.Float64frombits(c.hint.Load())
 	return v, !math.IsNaN(v)
 }
 
 // IdleCloseAfterMS returns the idle time after which connections are to be closed, in milliseconds; 0: callers close them.
-func (c *Core) IdleCloseAfterMS() float64 { return clock.Millis(time.Duration(c.idle.Load())) }
+func (c *Core) IdleCloseAfterMS() float64 {
+	return clock.Millis(time.Duration(c.idleCloseAfter.Load()))
+}
 
 // CallerIdleTimeout returns how long callers keep an idle connection; 0 if unknown.
-func (c *Core) CallerIdleTimeout() time.Duration { return time.Duration(c.rests.Load()) }
+func (c *Core) CallerIdleTimeout() time.Duration { return time.Duration(c.callerIdleTimeout.Load()) }
 
-// begin records a request in the effect log before it runs, and reports whether it may run. Safe requests need no record.
-func (c *Core) begin(q *Request, k policy.Class) (bool, error) {
+// recordEffect records a request in the effect log before it runs, and reports whether it may run. Safe requests need no
+// record.
+func (c *Core) recordEffect(q *Request, k policy.Class) (bool, error) {
 	if k.Safety == policy.Safe {
 		return true, nil
 	}
-	ok, err := c.ledger.Begin(q.ID)
+	ok, err := c.effectLog.Begin(q.ID)
 	if err != nil {
 		c.log.Warn().Err(err).Str("id", q.ID).Msg("request not run: its effect could not be recorded")
 	}
 	return ok && err == nil, err
 }
 
-func (c *Core) tell(l *Handler, e policy.Event) { c.inbox.Put(event{handler: l, event: e}) }
+func (c *Core) send(l *Handler, e policy.Event) { c.inbox.Put(event{handler: l, event: e}) }
 
-// finish sends the end of an attempt; the result is kept where other requests may share it.
-func (c *Core) finish(l *Handler, n Notice) {
+// sendEnd sends the end of an attempt; the result is kept where other requests may share it.
+func (c *Core) sendEnd(l *Handler, n Notice) {
 	c.inbox.Put(event{handler: l, notice: n, event: policy.Finished{ID: l.id, Outcome: n.Outcome, Took: clock.Duration(n.TookMS)}})
 }
 
@@ -261,45 +269,46 @@
 		case <-c.inbox.Ready:
 		}
 		now := c.clock.Now()
-		c.last = min(c.last, now) // a clock that was set back must not stop the loop
-		if rest := c.last + clock.Millis(c.set.Tick) - now; rest > 0 {
-			if !c.armed {
-				c.armed = true
-				c.clock.After(rest, c.inbox.Poke)
+		c.lastCall = min(c.lastCall, now) // a clock that was set back must not stop the loop
+		if wait := c.lastCall + clock.Millis(c.settings.Tick) - now; wait > 0 {
+			if !c.tickTimerSet {
+				c.tickTimerSet = true
+				c.clock.After(wait, c.inbox.Wake)
 			}
 			continue
 		}
-		c.armed = false
-		c.turn(now)
+		c.tickTimerSet = false
+		c.processInbox(now)
 	}
 }
 
-// turn is one call of the module.
-func (c *Core) turn(now float64) {
+// processInbox takes all events from the inbox, completes them and calls the module with them. Events that change the
+// settings or the module's state are carried out between calls, so that events before them use the earlier state.
+func (c *Core) processInbox(now float64) {
 	c.batch = c.inbox.TakeAll(c.batch)
 	c.events = c.events[:0]
 	for _, e := range c.batch {
 		switch {
-		case e.start:
-			c.start(now, e.cold)
-		case e.anew:
-			c.handle(now)
+		case e.runnerStarted:
+			c.startModule(now, e.cold)
+		case e.runnerReplaced:
+			c.callModule(now)
 			if c.module != nil && e.cold { // a cold runner survives less load than a warm one
 				c.log.Info().Msg("runner was replaced and is cold")
-				c.module.Restarted(clock.Duration(now - c.born))
+				c.module.Restarted(clock.Duration(now - c.moduleStartedAt))
 			}
-		case e.set != nil:
-			c.handle(now) // requests that arrived before the new settings keep their class
-			c.adopt(*e.set)
-		case e.call != nil:
-			c.handle(now)
-			e.call()
-		case e.drain > 0:
-			c.start(now, false)
-			c.events = append(c.events, policy.DrainNotice{Left: clock.Duration(max(e.drain-now, 0)), Ago: clock.Duration(max(now-e.told, 0))})
+		case e.settings != nil:
+			c.callModule(now) // requests that arrived before the new settings keep their class
+			c.adopt(*e.settings)
+		case e.callback != nil:
+			c.callModule(now)
+			e.callback()
+		case e.stopAt > 0:
+			c.startModule(now, false)
+			c.events = append(c.events, policy.DrainNotice{Left: clock.Duration(max(e.stopAt-now, 0)), Ago: clock.Duration(max(now-e.noticedAt, 0))})
 		case e.event != nil:
-			c.start(now, false) // requests are not expected before the runner starts, but must be answered if they come
-			if ev := c.translate(now, e); ev != nil {
+			c.startModule(now, false) // requests are not expected before the runner starts, but must be answered
+			if ev := c.completeEvent(now, e); ev != nil {
 				c.events = append(c.events, ev)
 			}
 		}
@@ -307,11 +316,11 @@
 	if c.module == nil {
 		return
 	}
-	c.last = now
-	c.handle(now)
+	c.lastCall = now
+	c.callModule(now)
 	for i, e := range c.batch {
-		if _, left := e.event.(policy.CallerGone); left && !e.handler.begun {
-			e.handler.box.Put(dismissed{})
+		if _, gone := e.event.(policy.CallerGone); gone && !e.handler.started {
+			e.handler.inbox.Put(dismissed{})
 		}
 		pool.Put(e.notice.Body)
 		c.batch[i] = event{}
@@ -319,45 +328,45 @@
 	c.keys.expire(now)
 }
 
-// handle calls the module with the events collected and carries out its actions.
-func (c *Core) handle(now float64) {
+// callModule calls the module with the events collected and carries out its actions.
+func (c *Core) callModule(now float64) {
 	if c.module == nil {
 		return
 	}
-	if c.share != nil { // read before each call of the module: an expired share must permit no further downstream call
-		c.module.SetBelowShare(c.share())
-		if inHand, span := c.module.BelowTime(); span > 0 {
-			c.used.Store(math.Float64bits(inHand / span))
+	if c.downstreamShare != nil { // read before each call of the module: an expired share permits no further downstream call
+		c.module.SetBelowShare(c.downstreamShare())
+		if callTime, span := c.module.BelowTime(); span > 0 {
+			c.downstreamConcurrency.Store(math.Float64bits(callTime / span))
 		}
 	}
-	for _, a := range c.module.Handle(clock.Duration(now-c.born), c.events) {
-		c.act(now, a)
+	for _, a := range c.module.Handle(clock.Duration(now-c.moduleStartedAt), c.events) {
+		c.perform(now, a)
 	}
 	c.events = c.events[:0]
-	clear(c.keys.claims)
+	clear(c.keys.unremembered)
 }
 
-func (c *Core) start(now float64, cold bool) {
+func (c *Core) startModule(now float64, cold bool) {
 	if c.module != nil {
 		return
 	}
-	set := c.set
-	set.JustStarted = set.JustStarted || cold
-	m, err := policy.New(set, c.seed)
+	settings := c.settings
+	settings.JustStarted = settings.JustStarted || cold
+	m, err := policy.New(settings, c.seed)
 	if err != nil {
 		panic(err) // package config has validated the same settings
 	}
-	c.module, c.born = m, now
-	c.log.Info().Bool("cold", set.JustStarted).Msg("module started")
+	c.module, c.moduleStartedAt = m, now
+	c.log.Info().Bool("cold", settings.JustStarted).Msg("module started")
 }
 
-// translate completes an event from the request and the key table. It returns nil for a request that is answered here and
-// that the module must not see.
-func (c *Core) translate(now float64, e event) policy.Event {
+// completeEvent completes an event from the request and the key table. It returns nil for a request that is answered
+// here and that the module must not see.
+func (c *Core) completeEvent(now float64, e event) policy.Event {
 	switch ev := e.event.(type) {
 	case policy.Arrived:
-		l, q := e.handler, e.handler.req
-		l.class, l.known = c.class[q.Class] // not changed by later settings
+		l, q := e.handler, e.handler.request
+		l.class, l.knownClass = c.classes[q.Class] // not changed by later settings
 		l.due = q.ArrivedAt + q.WaitMS
 		if q.WaitMS == 0 {
 			l.due = q.ArrivedAt + clock.Millis(l.class.Deadline)
@@ -370,84 +379,84 @@
 			// Limited to the class's deadline: the key table keeps attempts for the window plus that deadline.
 			l.due = min(l.due, q.ArrivedAt+clock.Millis(l.class.Deadline))
 			var same bool
-			if ev.Original, ev.Repeats, same = c.keys.try(l); q.IdempotencyKey == "" || !same {
+			if ev.Original, ev.Repeats, same = c.keys.findAttempt(l); q.IdempotencyKey == "" || !same {
 				c.log.Debug().Str("id", q.ID).Str("class", q.Class).Str("once", q.IdempotencyKey).
 					Msg(`field "once" is missing or was used with another body: request failed without running`)
-				l.box.Put(policy.Fail{})
+				l.inbox.Put(policy.Fail{})
 				return nil
 			}
 		} else {
-			if e := c.keys.tied(q); e != nil {
+			if e := c.keys.findKeyed(q); e != nil {
 				// New settings have removed the class or made it not keyed, but an earlier attempt of this request ran. The
 				// module would refuse this attempt or run it again.
-				l.class, l.known = e.class, true
-				if result, ok := e.served(c.keys.sum(q)); ok {
-					l.begun = true
-					l.box.Put(shared{ok: true, result: result})
+				l.class, l.knownClass = e.class, true
+				if result, ok := e.resultFor(c.keys.hashBody(q)); ok {
+					l.started = true
+					l.inbox.Put(sharedResult{ok: true, result: result})
 				} else {
-					l.box.Put(policy.Fail{})
+					l.inbox.Put(policy.Fail{})
 				}
 				return nil
 			}
-			ev.Original, ev.Repeats = c.keys.original(l, now)
+			ev.Original, ev.Repeats = c.keys.findRead(l, now)
 		}
 		if q.WaitMS > 0 {
-			ev.Left = max(clock.Duration(l.due-now), earliest)
+			ev.Left = max(clock.Duration(l.due-now), minTimeLeft)
 		}
 		return ev
 	case policy.Finished:
-		c.keys.ended(ev, e.notice)
+		c.keys.recordEnd(ev, e.notice)
 		return ev
 	}
 	return e.event
 }
 
-// act carries out one action of the module.
-func (c *Core) act(now float64, a policy.Action) {
+// perform carries out one action of the module.
+func (c *Core) perform(now float64, a policy.Action) {
 	switch a := a.(type) {
 	case policy.Start:
-		if l := c.handler(a.ID); l != nil {
-			l.begun = true
-			if !c.keys.mayBegin(l, now) {
-				l.box.Put(full{})
+		if l := c.handlerOf(a.ID); l != nil {
+			l.started = true
+			if !c.keys.mayStart(l, now) {
+				l.inbox.Put(notRemembered{})
 			} else {
-				l.box.Put(a)
+				l.inbox.Put(a)
 			}
 		}
 	case policy.ShareResult:
-		if l := c.handler(a.ID); l != nil {
-			l.begun = true // the handler reports its end once it has the shared result
+		if l := c.handlerOf(a.ID); l != nil {
+			l.started = true // the handler reports its end once it has the shared result
 			result, ok := c.keys.result(l)
-			l.box.Put(shared{ok: ok, result: result})
+			l.inbox.Put(sharedResult{ok: ok, result: result})
 		}
 	case policy.Refuse:
-		c.order(a.ID, a)
+		c.deliver(a.ID, a)
 	case policy.Fail:
-		c.order(a.ID, a)
+		c.deliver(a.ID, a)
 	case policy.CallOut:
-		c.order(a.ID, a)
+		c.deliver(a.ID, a)
 	case policy.SkipCall:
-		c.order(a.ID, a)
+		c.deliver(a.ID, a)
 	case policy.Remember:
-		if l := c.handler(a.ID); l != nil {
+		if l := c.handlerOf(a.ID); l != nil {
 			c.keys.remember(l, now+clock.Millis(a.Span))
 		}
 	case policy.Forget:
 		c.keys.forget(a.ID)
 	case policy.Health:
-		if c.yields.Load() {
+		if c.yielding.Load() {
 			return
 		}
 		c.shallow.Store(a.Shallow)
-		if c.good.Swap(a.Good) != a.Good {
+		if c.healthy.Swap(a.Good) != a.Good {
 			c.log.Info().Bool("good", a.Good).Msg("health")
 		}
 	case policy.Advise:
-		c.say.Store(math.Float64bits(a.Value))
+		c.hint.Store(math.Float64bits(a.Value))
 	case policy.CloseIdle:
-		c.idle.Store(int64(a.After))
+		c.idleCloseAfter.Store(int64(a.After))
 	case policy.WakeAt:
-		c.clock.After(c.born+clock.Millis(a.At)-now, func() { c.wake(a.Token) })
+		c.clock.After(c.moduleStartedAt+clock.Millis(a.At)-now, func() { c.wake(a.Token) })
 	case policy.Note:
 		c.log.Info().Msg(a.Text)
 	}
@@ -461,14 +470,14 @@
 	})
 }
 
-func (c *Core) handler(id policy.ID) *Handler {
+func (c *Core) handlerOf(id policy.ID) *Handler {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.handlers[id]
 }
 
-func (c *Core) order(id policy.ID, a policy.Action) {
-	if l := c.handler(id); l != nil {
-		l.box.Put(a)
+func (c *Core) deliver(id policy.ID, a policy.Action) {
+	if l := c.handlerOf(id); l != nil {
+		l.inbox.Put(a)
 	}
 }
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -14,31 +14,31 @@
 	Active   int64            `json:"active"` // requests accepted and not yet ended
 }
 
-type classCount struct{ ok, shed, errors atomic.Int64 }
+type classCounts struct{ ok, shed, errors atomic.Int64 }
 
 // counts has an entry for each class of the settings and for no other, so that class names invented by callers take no
 // memory.
 type counts struct {
-	mu            sync.RWMutex
-	of            map[string]*classCount
-	active, tries atomic.Int64
+	mu               sync.RWMutex
+	byClass          map[string]*classCounts
+	active, attempts atomic.Int64
 }
 
 func (n *counts) add(class string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.of[class] == nil {
-		n.of[class] = &classCount{}
+	if n.byClass[class] == nil {
+		n.byClass[class] = &classCounts{}
 	}
 }
 
-func (n *counts) class(name string) *classCount {
+func (n *counts) class(name string) *classCounts {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	return n.of[name]
+	return n.byClass[name]
 }
 
-func (n *counts) answered(class string, v Verdict) {
+func (n *counts) countAnswer(class string, v Verdict) {
 	k := n.class(class)
 	switch {
 	case k == nil:
@@ -54,10 +54,10 @@
 // Metrics returns the current counts.
 func (c *Core) Metrics() Metrics {
 	f := Metrics{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
-		Attempts: c.counts.tries.Load(), Active: c.counts.active.Load()}
+		Attempts: c.counts.attempts.Load(), Active: c.counts.active.Load()}
 	c.counts.mu.RLock()
 	defer c.counts.mu.RUnlock()
-	for name, k := range c.counts.of {
+	for name, k := range c.counts.byClass {
 		f.OK[name], f.Shed[name], f.Errors[name] = k.ok.Load(), k.shed.Load(), k.errors.Load()
 	}
 	return f
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -1,5 +1,5 @@
 // Package core serves requests as the policy module decides. It is independent of wire protocols: fronts receive
-// requests, a Runner runs them, and a Below carries out their downstream calls.
+// requests, a Runner runs them, and a Downstream carries out their downstream calls.
 package core
 
 import (
@@ -15,52 +15,52 @@
 	ID             string // new with every attempt
 	Class          string
 	ArrivedAt      float64 // when it reached the machine, in Unix milliseconds
-	WaitMS         float64 // how long its caller waits from At, in milliseconds; 0 if unknown
+	WaitMS         float64 // how long its caller waits from ArrivedAt, in milliseconds; 0 if unknown
 	Caller         int64   // the number of the caller
 	Retry          bool    // known to be a retry
 	KB             float64 // memory accounted for while it is queued, in kilobytes
 	Rank           float64
 	Key            string  // the subject of a read; empty if unknown
-	IdempotencyKey string  // idempotency key, the same for all attempts of one keyed request; empty if unknown
-	Tenant         string  // the tenant; empty if unknown
+	IdempotencyKey string  // the same for all attempts of one keyed request; empty if unknown
+	Tenant         string  // empty if unknown
 	CostMS         float64 // expected work, in milliseconds on one core; 0 if unknown
 	Body           []byte
 }
 
 // Limits of the fields of a request.
 const (
-	mostKB   = 2000.0 // kilobytes, by the protocol
-	mostKey  = 256    // bytes of a key, or of a tenant's name; the protocol's keys have 16
-	mostOnce = 64     // hexadecimal digits; the protocol's idempotency keys have 32
-	mostCost = 600e3  // milliseconds of work
-	mostWait = 600e3  // milliseconds that a caller may wait; classes have deadlines of seconds
-	mostOld  = 60e3   // milliseconds since a request reached the machine
-	mostSoon = 1e3    // milliseconds by which a request may seem to come from the future; caller and server share a clock
+	maxKB                   = 2000.0 // kilobytes, by the protocol
+	maxKeyBytes             = 256    // bytes of a key, or of a tenant's name; the protocol's keys have 16
+	maxIdempotencyKeyDigits = 64     // hexadecimal digits; the protocol's idempotency keys have 32
+	maxCostMS               = 600e3  // milliseconds of work
+	maxWaitMS               = 600e3  // milliseconds that a caller may wait; classes have deadlines of seconds
+	maxAgeMS                = 60e3   // milliseconds since a request reached the machine
+	maxClockAheadMS         = 1e3    // milliseconds that ArrivedAt may be ahead; caller and server share the machine's clock
 )
 
 // Check returns an error that names the first field with an invalid value. Valid requests enter the module's statistics,
 // which must stay sound: a request that claims to be an hour old would make the server look slow to itself, and one whose
 // time never runs out would stay queued for good.
 func (q *Request) Check(now float64) error {
-	within := func(x, least, most float64) bool { return x >= least && x <= most } // false for NaN
+	within := func(x, lowest, highest float64) bool { return x >= lowest && x <= highest } // false for NaN
 	switch {
-	case !within(q.ArrivedAt, now-mostOld, now+mostSoon):
+	case !within(q.ArrivedAt, now-maxAgeMS, now+maxClockAheadMS):
 		return errors.New("at is out of range")
-	case !within(q.WaitMS, 0, mostWait):
+	case !within(q.WaitMS, 0, maxWaitMS):
 		return errors.New("wait is out of range")
-	case !(q.KB > 0 && q.KB < mostKB):
+	case !(q.KB > 0 && q.KB < maxKB):
 		return errors.New("kb is out of range")
 	case !(q.Rank >= 0 && q.Rank < 1):
 		return errors.New("rank is out of range")
 	case q.Caller < 0:
 		return errors.New("from is out of range")
-	case len(q.Key) > mostKey:
+	case len(q.Key) > maxKeyBytes:
 		return errors.New("key is too long")
-	case len(q.Tenant) > mostKey:
+	case len(q.Tenant) > maxKeyBytes:
 		return errors.New("tenant is too long")
-	case !within(q.CostMS, 0, mostCost):
+	case !within(q.CostMS, 0, maxCostMS):
 		return errors.New("cost is out of range")
-	case len(q.IdempotencyKey) > mostOnce || strings.Trim(q.IdempotencyKey, "0123456789abcdefABCDEF") != "":
+	case len(q.IdempotencyKey) > maxIdempotencyKeyDigits || strings.Trim(q.IdempotencyKey, "0123456789abcdefABCDEF") != "":
 		return errors.New("once is not a string of at most 64 hexadecimal digits")
 	}
 	return nil
@@ -102,7 +102,7 @@
 	Number         uint64         // number of the notice
 	Outcome        policy.Outcome // how it ended
 	TookMS         float64        // running time in milliseconds
-	Made           float64        // when the result was made, in Unix milliseconds; never later than the true time
+	MadeAt         float64        // when the result was made, in Unix milliseconds; never later than the true time
 	UnknownRequest bool           // nothing ran: the executor does not know the request
 	ReplyLost      bool           // it is unknown whether the reply to its call arrived, so it may wait at the call for good
 	Body           []byte         // the result, or the body of the call; owned by the handler that receives the notice
@@ -120,7 +120,7 @@
 
 // Downstream carries out downstream calls. Call is cancelled when its context ends.
 type Downstream interface {
-	Call(ctx context.Context, id string, maxMs float64, body []byte) (policy.Outcome, []byte)
+	Call(ctx context.Context, id string, maxMS float64, body []byte) (policy.Outcome, []byte)
 }
 
 // EffectLog records the IDs of effects that were started, so that none starts twice.
@@ -130,7 +130,7 @@
 	Begin(id string) (bool, error)
 }
 
-// Settled is implemented by a Ledger that also records how effects end. It must not block.
-type Settled interface {
+// EffectEndRecorder is implemented by an EffectLog that also records how effects end. It must not block.
+type EffectEndRecorder interface {
 	Ended(id string, ok bool)
 }
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -20,11 +20,11 @@
 	b.mu.Lock()
 	b.items = append(b.items, x)
 	b.mu.Unlock()
-	b.Poke()
+	b.Wake()
 }
 
-// Poke wakes the receiver without a message.
-func (b *Box[T]) Poke() {
+// Wake wakes the receiver without a message.
+func (b *Box[T]) Wake() {
 	select {
 	case b.Ready <- struct{}{}:
 	default:
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -7,7 +7,7 @@
 // with its framing.
 const Size = 8 << 10
 
-var free = sync.Pool{New: func() any { return new([Size]byte) }}
+var buffers = sync.Pool{New: func() any { return new([Size]byte) }}
 
 // Get returns a buffer of n bytes. Buffers larger than Size are rare; they are allocated and not pooled, so that all
 // pooled buffers have one size.
@@ -15,7 +15,7 @@
 	if n > Size {
 		return make([]byte, n)
 	}
-	return free.Get().(*[Size]byte)[:n]
+	return buffers.Get().(*[Size]byte)[:n]
 }
 
 // Copy returns a buffer with a copy of the bytes.
@@ -28,6 +28,6 @@
 // Put returns a buffer to the pool. The caller must not use any part of it afterwards.
 func Put(b []byte) {
 	if cap(b) == Size {
-		free.Put((*[Size]byte)(b[:Size]))
+		buffers.Put((*[Size]byte)(b[:Size]))
 	}
 }
--- a/internal/publish/publish.go
+++ b/internal/publish/publish.go
@@ -19,19 +19,19 @@
 
 // Limits of versions.
 const (
-	MostFiles = 16        // files of a version
-	MaxBytes  = 256 << 10 // bytes of all files of a version
-	keep      = 8         // versions in the history
+	MaxFiles    = 16        // files of a version
+	MaxBytes    = 256 << 10 // bytes of all files of a version
+	maxVersions = 8         // versions in the history
 )
 
-// Sum is one line of a manifest.
-type Sum struct{ Digest, Name string }
+// ManifestEntry is one line of a manifest.
+type ManifestEntry struct{ Digest, Name string }
 
-var digest = regexp.MustCompile(`^[0-9a-f]{64}$`)
+var digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
 // ParseManifest parses a manifest, which names files of its own directory.
-func ParseManifest(text []byte) ([]Sum, error) {
-	var sums []Sum
+func ParseManifest(text []byte) ([]ManifestEntry, error) {
+	var entries []ManifestEntry
 	if len(text) > 0 && text[len(text)-1] != '\n' {
 		return nil, errors.New("the last line is incomplete: it has no line break")
 	}
@@ -40,24 +40,24 @@
 		d, name, ok := strings.Cut(s.Text(), " ")
 		name = strings.TrimPrefix(strings.TrimPrefix(name, " "), "*")
 		switch {
-		case !ok || !digest.MatchString(d):
+		case !ok || !digestPattern.MatchString(d):
 			return nil, fmt.Errorf("line %d: no SHA-256 digest and file name", line)
 		case name == "" || name != filepath.Base(name) || name == "." || name == "..":
 			return nil, fmt.Errorf("line %d: %q is not a file name in the manifest's directory", line, name)
-		case slices.ContainsFunc(sums, func(o Sum) bool { return o.Name == name }):
+		case slices.ContainsFunc(entries, func(o ManifestEntry) bool { return o.Name == name }):
 			return nil, fmt.Errorf("line %d: %q is listed twice", line, name)
 		}
-		sums = append(sums, Sum{d, name})
+		entries = append(entries, ManifestEntry{d, name})
 	}
 	switch {
 	case s.Err() != nil:
 		return nil, s.Err()
-	case len(sums) == 0:
+	case len(entries) == 0:
 		return nil, errors.New("the manifest lists no file")
-	case len(sums) > MostFiles:
-		return nil, fmt.Errorf("the manifest lists %d files; the maximum is %d", len(sums), MostFiles)
+	case len(entries) > MaxFiles:
+		return nil, fmt.Errorf("the manifest lists %d files; the maximum is %d", len(entries), MaxFiles)
 	}
-	return sums, nil
+	return entries, nil
 }
 
 // File is one file of a version.
@@ -67,9 +67,9 @@
 }
 
 // Match returns an error that names the first file that does not match the manifest, if any.
-func Match(sums []Sum, files []File) error {
+func Match(entries []ManifestEntry, files []File) error {
 	size := 0
-	for i, s := range sums {
+	for i, s := range entries {
 		if i >= len(files) || files[i].Name != s.Name {
 			return fmt.Errorf("%s is missing", s.Name)
 		}
@@ -134,39 +134,39 @@
 	return b.Versions[len(b.Versions)-1]
 }
 
-// Publish adds a version and returns its number. It fails unless the publisher knows the latest version, whose number is
-// after. Files that equal those of the latest version make no new version.
-func (b *History) Publish(files []File, after, epoch uint64) (uint64, error) {
+// Publish adds a version and returns its number. It fails unless known, the number of the latest version that the
+// publisher knows, is that of the latest version. Files that equal those of the latest version make no new version.
+func (b *History) Publish(files []File, known, epoch uint64) (uint64, error) {
 	last := b.Latest()
 	switch {
-	case last.No != after:
-		return 0, fmt.Errorf("publish: the latest version is %d, and the publisher knows %d", last.No, after)
-	case len(files) == 0 || len(files) > MostFiles:
+	case last.No != known:
+		return 0, fmt.Errorf("publish: the latest version is %d, and the publisher knows %d", last.No, known)
+	case len(files) == 0 || len(files) > MaxFiles:
 		return 0, fmt.Errorf("publish: %d files", len(files))
 	case last.No > 0 && Digest(last.Files) == Digest(files):
 		return last.No, nil
 	}
 	b.Versions = append(b.Versions, Version{No: last.No + 1, Epoch: epoch, Files: files})
-	if len(b.Versions) > keep {
-		b.Versions = slices.Clone(b.Versions[len(b.Versions)-keep:])
+	if len(b.Versions) > maxVersions {
+		b.Versions = slices.Clone(b.Versions[len(b.Versions)-maxVersions:])
 	}
 	return last.No + 1, nil
 }
 
 // Acknowledge records a process's acknowledgement of a version; one of a version that was never published is an error.
-func (b *History) Acknowledge(who string, w Acknowledgement) error {
-	if w.No == 0 || w.No > b.Latest().No {
-		return fmt.Errorf("publish: there is no version %d", w.No)
+func (b *History) Acknowledge(process string, ack Acknowledgement) error {
+	if ack.No == 0 || ack.No > b.Latest().No {
+		return fmt.Errorf("publish: there is no version %d", ack.No)
 	}
-	if len(w.Reason) > 512 {
-		w.Reason = w.Reason[:512]
+	if len(ack.Reason) > 512 {
+		ack.Reason = ack.Reason[:512]
 	}
-	b.Acknowledgements[who] = w
+	b.Acknowledgements[process] = ack
 	return nil
 }
 
 // Drop removes the acknowledgement of a process that is gone.
-func (b *History) Drop(who string) { delete(b.Acknowledgements, who) }
+func (b *History) Drop(process string) { delete(b.Acknowledgements, process) }
 
 // VersionSelector decides in a server which version is in force: the latest that passed the server's check as a whole.
 type VersionSelector struct {
@@ -175,16 +175,16 @@
 }
 
 // Offer checks a version, unless it was checked before, and returns the acknowledgement and whether it is a new one.
-func (k *VersionSelector) Offer(v Version, check func([]File) error) (w Acknowledgement, fresh bool) {
+func (k *VersionSelector) Offer(v Version, check func([]File) error) (ack Acknowledgement, isNew bool) {
 	if v.No <= k.LastChecked {
 		return Acknowledgement{}, false
 	}
 	k.LastChecked = v.No
-	w.No = v.No
+	ack.No = v.No
 	if err := check(v.Files); err != nil {
-		w.Reason = err.Error()
-		return w, true
+		ack.Reason = err.Error()
+		return ack, true
 	}
 	k.InForce = v.No
-	return w, true
+	return ack, true
 }
--- a/internal/publish/publish_test.go
+++ b/internal/publish/publish_test.go
@@ -8,20 +8,20 @@
 	"testing"
 )
 
-func line(name, text string) string {
+func manifestLine(name, text string) string {
 	return fmt.Sprintf("%x  %s\n", sha256.Sum256([]byte(text)), name)
 }
 
 // Incomplete and malformed manifests are rejected, with an error that names the line and the fault.
-func TestManifestsThatAreNotWhole(t *testing.T) {
-	good := line("a.yaml", "x")
+func TestInvalidManifestsAreRejected(t *testing.T) {
+	good := manifestLine("a.yaml", "x")
 	for text, want := range map[string]string{
 		"":                             "the manifest lists no file",
 		strings.TrimSuffix(good, "\n"): "the last line is incomplete",
 		good + good:                    `line 2: "a.yaml" is listed twice`,
 		"abc  a.yaml\n":                "line 1: no SHA-256",
-		line("../a.yaml", "x"):         `line 1: "../a.yaml" is not a file name`,
-		line("..", "x"):                `line 1: ".." is not a file name`,
+		manifestLine("../a.yaml", "x"): `line 1: "../a.yaml" is not a file name`,
+		manifestLine("..", "x"):        `line 1: ".." is not a file name`,
 		strings.ToUpper(good):          "line 1: no SHA-256",
 		good[:64] + "\n":               "line 1: no SHA-256",
 	} {
@@ -32,28 +32,28 @@
 }
 
 // A file that is being written may be truncated at any byte: no truncated file matches the manifest.
-func TestHalfWrittenFilesDoNotMatch(t *testing.T) {
+func TestTruncatedFilesDoNotMatch(t *testing.T) {
 	text := "uwsgi:\n  servers: [127.0.0.1:1]\n"
-	sums, err := ParseManifest([]byte(line("operator.yaml", text)))
+	entries, err := ParseManifest([]byte(manifestLine("operator.yaml", text)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range len(text) {
-		if err := Match(sums, []File{{"operator.yaml", []byte(text[:n])}}); err == nil {
+		if err := Match(entries, []File{{"operator.yaml", []byte(text[:n])}}); err == nil {
 			t.Fatalf("a file truncated to %d bytes matches the manifest", n)
 		}
 	}
-	if err := Match(sums, []File{{"operator.yaml", []byte(text)}}); err != nil {
+	if err := Match(entries, []File{{"operator.yaml", []byte(text)}}); err != nil {
 		t.Error(err)
 	}
-	if err := Match(sums, nil); err == nil {
+	if err := Match(entries, nil); err == nil {
 		t.Error("a missing file matches the manifest")
 	}
 }
 
 // Version numbers count up, equal files make no new version, and a server puts a version into force only if all of it
 // passes the check.
-func TestVersionsCountAndAreTakenWholeOrNotAtAll(t *testing.T) {
+func TestVersionsApplyCompletelyOrNotAtAll(t *testing.T) {
 	b := NewHistory()
 	one, two := []File{{"f", []byte("1")}}, []File{{"f", []byte("2")}}
 	if n, err := b.Publish(one, 0, 1); n != 1 || err != nil {
@@ -66,15 +66,15 @@
 		t.Errorf("publishing equal files: version %d, %v, want version 1", n, err)
 	}
 	var k VersionSelector
-	if w, fresh := k.Offer(b.Latest(), func([]File) error { return nil }); !fresh || w != (Acknowledgement{No: 1}) || k.InForce != 1 {
-		t.Errorf("%+v %v", w, fresh)
+	if ack, isNew := k.Offer(b.Latest(), func([]File) error { return nil }); !isNew || ack != (Acknowledgement{No: 1}) || k.InForce != 1 {
+		t.Errorf("%+v %v", ack, isNew)
 	}
 	b.Publish(two, 1, 2)
-	w, fresh := k.Offer(b.Latest(), func([]File) error { return errors.New("key x") })
-	if !fresh || w != (Acknowledgement{2, "key x"}) || k.InForce != 1 {
-		t.Errorf("%+v %v, in force %d", w, fresh, k.InForce)
+	ack, isNew := k.Offer(b.Latest(), func([]File) error { return errors.New("key x") })
+	if !isNew || ack != (Acknowledgement{2, "key x"}) || k.InForce != 1 {
+		t.Errorf("%+v %v, in force %d", ack, isNew, k.InForce)
 	}
-	if _, fresh := k.Offer(b.Latest(), nil); fresh {
+	if _, isNew := k.Offer(b.Latest(), nil); isNew {
 		t.Error("a version was checked twice")
 	}
 	if err := b.Acknowledge("a", Acknowledgement{No: 3}); err == nil {
@@ -83,7 +83,7 @@
 	for n := uint64(2); n < 20; n++ {
 		b.Publish([]File{{"f", []byte(fmt.Sprint("v", n))}}, n, 3)
 	}
-	if len(b.Versions) != keep || b.Latest().No != 20 {
+	if len(b.Versions) != maxVersions || b.Latest().No != 20 {
 		t.Errorf("%d versions kept, the latest %d, want 20", len(b.Versions), b.Latest().No)
 	}
 }
--- a/internal/settle/settle.go
+++ b/internal/settle/settle.go
@@ -31,22 +31,22 @@
 
 // EffectLog is the effect log. Its methods are called in the order of the raft log, so they must be deterministic.
 type EffectLog struct {
-	Seq     uint64             `json:"seq"`
-	Effects map[string]*Effect `json:"effects"`
-	Most    int                `json:"-"`
+	Seq        uint64             `json:"seq"`     // sequence number of the latest effect
+	Effects    map[string]*Effect `json:"effects"` // by ID
+	MaxEffects int                `json:"-"`
 
-	order []string // ids by Seq
-	open  map[string]*Effect
+	order []string           // IDs in the order of Seq
+	open  map[string]*Effect // effects with an owner that have neither ended nor been resolved, by ID
 }
 
 // NewEffectLog returns an empty effect log for at most the given number of effects.
-func NewEffectLog(most int) *EffectLog {
-	return &EffectLog{Effects: map[string]*Effect{}, Most: most, open: map[string]*Effect{}}
+func NewEffectLog(maxEffects int) *EffectLog {
+	return &EffectLog{Effects: map[string]*Effect{}, MaxEffects: maxEffects, open: map[string]*Effect{}}
 }
 
 // RebuildIndexes rebuilds the indexes of an effect log that was read from a snapshot.
-func (b *EffectLog) RebuildIndexes(most int) {
-	b.Most, b.order, b.open = most, nil, map[string]*Effect{}
+func (b *EffectLog) RebuildIndexes(maxEffects int) {
+	b.MaxEffects, b.order, b.open = maxEffects, nil, map[string]*Effect{}
 	if b.Effects == nil {
 		b.Effects = map[string]*Effect{}
 	}
@@ -71,21 +71,21 @@
 		v := *e
 		c.Effects[id] = &v
 	}
-	c.RebuildIndexes(b.Most)
+	c.RebuildIndexes(b.MaxEffects)
 	return c
 }
 
 // Begin records an effect and returns false if it was recorded before. In a full log it removes the oldest effects,
-// unless keep is set: then the settler removes effects by age, and Begin returns ErrFull.
-func (b *EffectLog) Begin(id, owner string, epoch uint64, keep bool) (bool, error) {
+// unless keepAll is set: then the settler removes effects by age, and Begin returns ErrFull.
+func (b *EffectLog) Begin(id, owner string, epoch uint64, keepAll bool) (bool, error) {
 	if b.Effects[id] != nil {
 		return false, nil
 	}
-	for len(b.Effects) >= b.Most {
-		if keep {
-			return false, fmt.Errorf("%w: %d", ErrFull, b.Most)
+	for len(b.Effects) >= b.MaxEffects {
+		if keepAll {
+			return false, fmt.Errorf("%w: %d", ErrFull, b.MaxEffects)
 		}
-		b.forget(b.order[0])
+		b.remove(b.order[0])
 		b.order = b.order[1:]
 	}
 	b.Seq++
@@ -98,7 +98,7 @@
 	return true, nil
 }
 
-func (b *EffectLog) forget(id string) {
+func (b *EffectLog) remove(id string) {
 	delete(b.Effects, id)
 	delete(b.open, id)
 }
@@ -122,7 +122,7 @@
 type Live func(owner string, epoch uint64) bool
 
 // Orphans lists at most the given number of orphaned effects, the oldest first.
-func (b *EffectLog) Orphans(live Live, most int) []string {
+func (b *EffectLog) Orphans(live Live, limit int) []string {
 	var ids []string
 	for id, e := range b.open {
 		if !live(e.Owner, e.Epoch) {
@@ -135,20 +135,20 @@
 		}
 		return 1
 	})
-	return ids[:min(len(ids), most)]
+	return ids[:min(len(ids), limit)]
 }
 
 // Resolve resolves effects whose process is gone by marking their outcome as unknown, and returns how many it marked. An
 // effect is never run to resolve it.
-func (b *EffectLog) Resolve(ids []string, live Live) (settled int) {
+func (b *EffectLog) Resolve(ids []string, live Live) (resolved int) {
 	for _, id := range ids {
 		if e := b.open[id]; e != nil && !live(e.Owner, e.Epoch) {
 			e.State = Unknown
 			delete(b.open, id)
-			settled++
+			resolved++
 		}
 	}
-	return settled
+	return resolved
 }
 
 // Prune removes the effects with a sequence number of at most upTo that are no longer open, and returns how many.
@@ -158,39 +158,39 @@
 		if e.Seq > upTo || b.open[id] != nil {
 			return false
 		}
-		b.forget(id)
+		b.remove(id)
 		pruned++
 		return true
 	})
 	return pruned
 }
 
-// AgeTracker determines which effects have reached an age by the settler's own clock alone: an effect is at least as old as the
-// time since the settler first observed its sequence number. A new settler starts without observations, so the effects
-// that it prunes are older still.
+// AgeTracker determines which effects have reached an age by the settler's own clock alone: an effect is at least as old
+// as the time since the settler first observed its sequence number. A new settler starts without observations, so the
+// effects that it prunes are older still.
 type AgeTracker struct {
-	marks []mark
+	observations []observation
 }
 
-type mark struct {
+type observation struct {
 	seq uint64
 	at  float64
 }
 
 // Observe records that the latest sequence number is seq at the time now, in milliseconds.
 func (a *AgeTracker) Observe(now float64, seq uint64) {
-	if n := len(a.marks); n > 0 && a.marks[n-1].seq == seq {
+	if n := len(a.observations); n > 0 && a.observations[n-1].seq == seq {
 		return // no new effects: the first observation of the number gives their age
 	}
-	a.marks = append(a.marks, mark{seq, now})
+	a.observations = append(a.observations, observation{seq, now})
 }
 
-// OlderThan returns the sequence number up to which all effects are older than keep milliseconds of true time, and removes the
-// observations used; 0 if there is none. The clock may run fast by the fraction rate.
-func (a *AgeTracker) OlderThan(now, keep, rate float64) (seq uint64) {
-	for len(a.marks) > 0 && now-a.marks[0].at >= keep*(1+rate) {
-		seq = a.marks[0].seq
-		a.marks = a.marks[1:]
+// OlderThan returns the sequence number up to which all effects are older than ageMS milliseconds of true time, or 0, and
+// removes the observations used. The clock may run fast by the fraction drift.
+func (a *AgeTracker) OlderThan(now, ageMS, drift float64) (seq uint64) {
+	for len(a.observations) > 0 && now-a.observations[0].at >= ageMS*(1+drift) {
+		seq = a.observations[0].seq
+		a.observations = a.observations[1:]
 	}
 	return seq
 }
--- a/internal/settle/settle_test.go
+++ b/internal/settle/settle_test.go
@@ -8,10 +8,10 @@
 
 // Orphaned effects are those whose owner's presence of that epoch is gone. Resolving them is final and changes no other
 // effect, and pruning keeps open ones.
-func TestEffectsOfServersThatAreGone(t *testing.T) {
+func TestOrphanedEffectsAreResolved(t *testing.T) {
 	b := NewEffectLog(10)
-	here := map[string]uint64{"a": 1, "b": 2}
-	live := func(who string, epoch uint64) bool { return here[who] == epoch }
+	present := map[string]uint64{"a": 1, "b": 2}
+	live := func(owner string, epoch uint64) bool { return present[owner] == epoch }
 	for _, id := range []string{"1", "2", "3"} {
 		if fresh, err := b.Begin(id, "a", 1, true); !fresh || err != nil {
 			t.Fatal(id, fresh, err)
@@ -27,16 +27,16 @@
 	if o := b.Orphans(live, 10); len(o) != 0 {
 		t.Errorf("orphans %q while all owners are present", o)
 	}
-	delete(here, "a")
+	delete(present, "a")
 	orphans := b.Orphans(live, 10)
 	if !slices.Equal(orphans, []string{"2", "3"}) {
 		t.Fatalf("orphans %q", orphans)
 	}
-	here["a"] = 1
+	present["a"] = 1
 	if n := b.Resolve([]string{"2"}, live); n != 0 {
 		t.Error("an effect was resolved although its owner is present")
 	}
-	here["a"] = 9 // present again, in another epoch: its effects of the first epoch stay orphaned
+	present["a"] = 9 // present again, in another epoch: its effects of the first epoch stay orphaned
 	if n := b.Resolve(append(orphans, "4", "none"), live); n != 2 {
 		t.Errorf("%d effects resolved, want 2", n)
 	}
@@ -56,7 +56,7 @@
 }
 
 // A full log refuses effects with ErrFull if a settler removes them by age; otherwise the oldest is removed.
-func TestFullRecordForgetsNothingYoung(t *testing.T) {
+func TestFullLogRefusesEffects(t *testing.T) {
 	b := NewEffectLog(2)
 	b.Begin("1", "a", 1, true)
 	b.Begin("2", "a", 1, true)
@@ -69,7 +69,7 @@
 }
 
 // Effects age from the first observation of their sequence number, on a clock that may run fast by a tenth.
-func TestAgesCountFromWhenTheSettlerSawThem(t *testing.T) {
+func TestAgesCountFromFirstObservation(t *testing.T) {
 	var a AgeTracker
 	a.Observe(0, 5)
 	a.Observe(400, 5)
