--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -262,15 +262,15 @@
 		if c.Fence != nil {
 			e.Duty, e.Epoch, e.Cause = c.Fence.Name, c.Fence.Epoch, r.Error
 		}
-		if c.Op == state.Compare || c.Op == state.Change {
-			e.N = r.N
+		if c.Op == state.OpCompareDigests || c.Op == state.OpChangeRecords {
+			e.N = r.Value
 		}
-		if c.Op == state.Begin && r.Fresh {
+		if c.Op == state.OpBeginEffect && r.WasAbsent {
 			e.Cause = c.Key
 		}
 		var grants []string
 		for i, o := range c.Orders {
-			if i < len(r.Part) && r.Part[i] == "" {
+			if i < len(r.Refusals) && r.Refusals[i] == "" {
 				grants = append(grants, fmt.Sprintf("%s %s %s", o.Kind, o.Name, o.Holder))
 			}
 		}
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -327,14 +327,14 @@
 		return fmt.Errorf("%w: %v", errWrong, err)
 	}
 	return c.talk(func(ctx context.Context, client *session.Client, _ config.Duties) error {
-		r, err := client.Do(ctx, state.Command{Op: state.Change, Change: &change})
+		r, err := client.Do(ctx, state.Command{Op: state.OpChangeRecords, Change: &change})
 		if err != nil {
 			if errors.Is(err, session.ErrUnconfirmed) {
 				err = fmt.Errorf("%w; look at the revision before it is tried again", err)
 			}
 			return err
 		}
-		return c.told(out, map[string]uint64{"revision": r.N}, fmt.Sprintf("revision %d", r.N))
+		return c.told(out, map[string]uint64{"revision": r.Value}, fmt.Sprintf("revision %d", r.Value))
 	})
 }
 
--- a/internal/duties/keeper.go
+++ b/internal/duties/keeper.go
@@ -182,7 +182,7 @@
 	sent.What = trace.Sent // before it goes: this process may be killed with the answer on its way
 	k.Trace.Add(sent, 0)
 	r, err := k.client.Act(ctx, under, do...)
-	began.N = r.N
+	began.N = r.Value
 	switch {
 	case errors.Is(err, session.ErrStale):
 		began.What = trace.Refused
@@ -227,7 +227,7 @@
 		k.Log.Error().Uint64("version", w.No).Str("reason", w.Reason).Uint64("in_force", k.keeper.InForce).Msg("version turned down")
 	}
 	k.Trace.Add(trace.Event{What: trace.Took, N: w.No, Cause: w.Reason}, 0)
-	if _, err := k.client.Do(k.ctx, state.Command{Op: state.AcknowledgeVersion, Who: k.me, Said: &w}); err != nil {
+	if _, err := k.client.Do(k.ctx, state.Command{Op: state.OpAcknowledgeVersion, Process: k.me, Acknowledgement: &w}); err != nil {
 		k.Log.Warn().Err(err).Msg("word on a version not confirmed")
 		k.keeper.LastChecked = before.LastChecked // it is looked at again, and the word said again
 	}
--- a/internal/duties/works.go
+++ b/internal/duties/works.go
@@ -19,7 +19,7 @@
 func (k *Keeper) Marks(every float64) Work {
 	return Work{every, func() func(context.Context, duty.Ref) error {
 		return func(ctx context.Context, under duty.Ref) error {
-			_, err := k.Act(ctx, under, state.Command{Op: state.Mark})
+			_, err := k.Act(ctx, under, state.Command{Op: state.OpIncrementCounter})
 			return err
 		}
 	}}
@@ -36,10 +36,10 @@
 			}
 			var steps []state.Command
 			if f.Pool != room.Pool() {
-				steps = append(steps, state.Command{Op: state.Pool, Amount: room.Pool()})
+				steps = append(steps, state.Command{Op: state.OpSetPool, Amount: room.Pool()})
 			}
 			for _, c := range allot.Plan(room.Pool(), f.Of, plant == duty.PlantEarlyGrowth) {
-				steps = append(steps, state.Command{Op: state.Share, Who: c.Who, Amount: c.Amount})
+				steps = append(steps, state.Command{Op: state.OpSetAllocation, Process: c.Who, Amount: c.Amount})
 			}
 			if len(steps) == 0 {
 				return nil
@@ -72,9 +72,9 @@
 			if err != nil || v.No > 0 && publish.Digest(v.Files) == publish.Digest(files) {
 				return err
 			}
-			r, err := k.Act(ctx, under, state.Command{Op: state.Publish, Files: files, Seq: v.No})
+			r, err := k.Act(ctx, under, state.Command{Op: state.OpPublishVersion, Files: files, Seq: v.No})
 			if err == nil {
-				k.Log.Info().Uint64("version", r.N).Int("files", len(files)).Msg("published")
+				k.Log.Info().Uint64("version", r.Value).Int("files", len(files)).Msg("published")
 			}
 			return err
 		}
@@ -121,20 +121,20 @@
 			}
 			var do []state.Command
 			if len(e.Orphans) > 0 {
-				do = append(do, state.Command{Op: state.Settle, IDs: e.Orphans})
+				do = append(do, state.Command{Op: state.OpResolveEffects, EffectIDs: e.Orphans})
 			}
 			now := steady.Now()
 			ages.Observe(now, e.Seq)
 			due := ages.OlderThan(now, keep, rate)
 			if due > 0 {
-				do = append(do, state.Command{Op: state.Prune, Seq: due})
+				do = append(do, state.Command{Op: state.OpPruneEffects, Seq: due})
 			}
 			if len(do) == 0 {
 				return nil
 			}
 			r, err := k.Act(ctx, under, do...)
 			if err == nil {
-				k.Log.Info().Int("orphans", len(e.Orphans)).Uint64("up_to", due).Uint64("n", r.N).Msg("settled")
+				k.Log.Info().Int("orphans", len(e.Orphans)).Uint64("up_to", due).Uint64("n", r.Value).Msg("settled")
 			}
 			return err
 		}
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -108,10 +108,10 @@
 // do has a change agreed on. It is tried again where it is not known what came of it: to put the same again does no harm.
 func (w *writer) do(ctx context.Context, c records.Change) error {
 	for ctx.Err() == nil {
-		r, err := w.client.Do(ctx, state.Command{Op: state.Change, Change: &c})
+		r, err := w.client.Do(ctx, state.Command{Op: state.OpChangeRecords, Change: &c})
 		if err == nil {
 			w.mu.Lock()
-			w.latest = max(w.latest, r.N)
+			w.latest = max(w.latest, r.Value)
 			w.n++
 			w.mu.Unlock()
 			return nil
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -151,11 +151,11 @@
 	follow := open(t, &oneCopy{st: state.New(), term: 1, other: "lead"}, steady)
 	c, events := join(t, "a#1", map[string]string{"lead": lead.at, "follow": follow.at}, steady)
 	g := want(t, events, gains)
-	if r, err := c.Act(t.Context(), g.Ref, state.Command{Op: state.Mark}); err != nil || r.N != 1 {
+	if r, err := c.Act(t.Context(), g.Ref, state.Command{Op: state.OpIncrementCounter}); err != nil || r.Value != 1 {
 		t.Errorf("%+v %v", r, err)
 	}
 	forged := duty.Ref{Name: g.Name, Epoch: g.Epoch + 1}
-	if _, err := c.Act(t.Context(), forged, state.Command{Op: state.Mark}); !errors.Is(err, ErrStale) || c.Fenced() != 1 {
+	if _, err := c.Act(t.Context(), forged, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStale) || c.Fenced() != 1 {
 		t.Errorf("a forged epoch: %v, %d counted", err, c.Fenced())
 	}
 	if fresh, err := c.Begin("0a"); !fresh || err != nil {
@@ -171,7 +171,7 @@
 	if err := c.Read(t.Context(), "nonsense", &d); err == nil {
 		t.Error("an unknown question has an answer")
 	}
-	if _, err := c.Do(t.Context(), state.Command{Op: state.Ask, Key: "allotter"}); err != nil {
+	if _, err := c.Do(t.Context(), state.Command{Op: state.OpRequestYield, Key: "allotter"}); err != nil {
 		t.Fatal(err)
 	}
 	y := want(t, events, func(duty.Yields) bool { return true })
@@ -188,7 +188,7 @@
 			t.Fatal("what was handed on is not given back")
 		}
 	}
-	if _, err := c.Act(t.Context(), y.Ref, state.Command{Op: state.Mark}); !errors.Is(err, ErrStale) {
+	if _, err := c.Act(t.Context(), y.Ref, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStale) {
 		t.Errorf("an act after the duty was handed on: %v", err)
 	}
 }
@@ -527,7 +527,7 @@
 				entries++
 				index++
 			}
-			st.Apply(state.Command{Op: state.Orders, Orders: orders}, 1)
+			st.Apply(state.Command{Op: state.OpLeaseOrders, Orders: orders}, 1)
 			for _, o := range orders {
 				g.Done(now, o, st.Duties)
 			}
@@ -594,7 +594,7 @@
 					}
 					came = nil
 					orders = append(orders, g.Tick(now, st.Duties)...)
-					text, err := json.Marshal(state.Command{Op: state.Orders, Orders: orders})
+					text, err := json.Marshal(state.Command{Op: state.OpLeaseOrders, Orders: orders})
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -38,7 +38,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	c := records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Setting, Name: name}, Value: []byte(value)}}}
-	if r := e.st.Apply(state.Command{Op: state.Change, Change: &c}, 1); r.Error != "" {
+	if r := e.st.Apply(state.Command{Op: state.OpChangeRecords, Change: &c}, 1); r.Error != "" {
 		t.Fatal(r.Error)
 	}
 	e.wake()
