--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -156,7 +156,7 @@
 	h.keeper.Take = func(v publish.Version) {
 		servers, err := servers(v.Files)
 		if err == nil && farm != nil && len(servers) > 0 {
-			farm.Move(servers)
+			farm.SetServers(servers)
 		}
 	}
 	h.client.Switch(duty.Failing) // until the executor is up
--- a/cmd/puffinsaddle/main.go
+++ b/cmd/puffinsaddle/main.go
@@ -242,9 +242,9 @@
 				ok := reload(load, inForce, log, func(now *config.Config) {
 					inForce = now
 					if link != nil && now.Executor != "" {
-						link.Move(now.Executor)
+						link.SetAddress(now.Executor)
 					}
-					calls.Move(now.Vault)
+					calls.SetAddress(now.Vault)
 					reporter.Move(now.Members)
 					c.Adopt(now.Settings)
 				})
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -142,7 +142,7 @@
 		return err
 	}
 	if w.farm != nil && len(list) > 0 {
-		w.farm.Move(list)
+		w.farm.SetServers(list)
 	}
 	return nil
 }
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -110,7 +110,7 @@
 		}
 		c.RunnerStarted(cold)
 	})
-	link.Silent = time.Hour // the script answers only while a test asks it to
+	link.ReadTimeout = time.Hour // the script answers only while a test asks it to
 	for _, c := range change {
 		c(link)
 	}
--- a/internal/net/stories_test.go
+++ b/internal/net/stories_test.go
@@ -86,7 +86,7 @@
 // notice is sent again.
 func TestSilentLinkIsMadeAnew(t *testing.T) {
 	x := newExecutor(t)
-	h := withExecutor(t, x, "127.0.0.1:1", func(l *executor.Link) { l.Silent = 2 * time.Second })
+	h := withExecutor(t, x, "127.0.0.1:1", func(l *executor.Link) { l.ReadTimeout = 2 * time.Second })
 	x.welcome(0)
 	x.pass()
 	p := h.router()
@@ -322,8 +322,8 @@
 	x.want("DIAG")
 	y := newExecutor(t)
 	y.n = x.n
-	h.link.Move(y.ln.Addr().String())
-	h.vault.Move(newVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "from the new") }))
+	h.link.SetAddress(y.ln.Addr().String())
+	h.vault.SetAddress(newVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "from the new") }))
 	y.welcome(1)
 	y.pass()
 	y.say("DIAGNOSED %s success", y.want("DIAG").words[1])
