--- a/cmd/puffinsaddle/main.go
+++ b/cmd/puffinsaddle/main.go
@@ -214,7 +214,7 @@
 	up := make(chan struct{}, 1)
 	rise = func(cold bool) {
 		c.RunnerStarted(cold)
-		held.up(cold, clock.Millis(cfg.Settings.Cold))
+		held.up(cold, clock.Millis(cfg.Settings.WarmupPeriod))
 		select {
 		case up <- struct{}{}:
 		default:
--- a/cmd/puffinsaddle/main_test.go
+++ b/cmd/puffinsaddle/main_test.go
@@ -468,7 +468,7 @@
 	clk, starts := clock.Manual(1.7e12), make(chan string, 1)
 	c := core.New(clk, zerolog.Nop(), policy.Settings{
 		Classes: []policy.Class{{Name: "pay", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safety: policy.Keyed, KeyTTL: time.Second}},
-		Cores:   8, MemoryKB: 1e6, RunFactor: 4, FallMultiple: 8, BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1,
+		Cores:   8, MemoryKB: 1e6, RunMemoryFactor: 4, MaxRunningPerCore: 8, BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnectionGauge: -1,
 	}, 1, idle{starts}, nil, nil)
 	c.RunnerStarted(false)
 	go c.Run()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -87,7 +87,7 @@
 	effectLog EffectLog) *Core {
 	c := &Core{clock: clk, log: log, tickMS: clock.Millis(settings.Tick), seed: seed, runner: runner, downstream: downstream,
 		effectLog: effectLog, inbox: mailbox.New[event](), stop: make(chan struct{}), handlers: map[policy.ID]*Handler{},
-		byRequestID: map[string]*Handler{}, keys: newKeyTable(clock.Millis(settings.FreshFor), defaultKeyTableBytes)}
+		byRequestID: map[string]*Handler{}, keys: newKeyTable(clock.Millis(settings.SharedResultTTL), defaultKeyTableBytes)}
 	c.counts.byClass = map[string]*classCounts{}
 	c.adopt(settings)
 	if c.effectLog == nil {
@@ -118,7 +118,7 @@
 func (c *Core) AfterPendingEvents(call func()) { c.inbox.Put(event{callback: call}) }
 
 func (c *Core) adopt(settings policy.Settings) {
-	c.settings, c.classes, c.keys.freshMS = settings, map[string]policy.Class{}, clock.Millis(settings.FreshFor)
+	c.settings, c.classes, c.keys.freshMS = settings, map[string]policy.Class{}, clock.Millis(settings.SharedResultTTL)
 	longest := time.Duration(0)
 	for _, k := range settings.Classes {
 		c.classes[k.Name] = k
@@ -126,11 +126,11 @@
 		longest = max(longest, k.Deadline)
 	}
 	c.longestDeadline.Store(int64(longest))
-	c.callerIdleTimeout.Store(int64(settings.Idle))
+	c.callerIdleTimeout.Store(int64(settings.IdleTimeout))
 	if c.module == nil {
 		return
 	}
-	if err := c.module.Adopt(settings); err != nil {
+	if err := c.module.UpdateSettings(settings); err != nil {
 		panic(err) // package config has validated the same settings
 	}
 }
@@ -253,7 +253,7 @@
 
 // sendEnd sends the end of an attempt; the result is kept where other requests may share it.
 func (c *Core) sendEnd(l *Handler, n Notice) {
-	c.inbox.Put(event{handler: l, notice: n, event: policy.Finished{ID: l.id, Outcome: n.Outcome, Took: clock.Duration(n.TookMS)}})
+	c.inbox.Put(event{handler: l, notice: n, event: policy.Finished{ID: l.id, Outcome: n.Outcome, Duration: clock.Duration(n.TookMS)}})
 }
 
 // Stop ends Run.
@@ -305,7 +305,7 @@
 			e.callback()
 		case e.stopAt > 0:
 			c.startModule(now, false)
-			c.events = append(c.events, policy.DrainNotice{Left: clock.Duration(max(e.stopAt-now, 0)), Ago: clock.Duration(max(now-e.noticedAt, 0))})
+			c.events = append(c.events, policy.DrainNotice{TimeLeft: clock.Duration(max(e.stopAt-now, 0)), Age: clock.Duration(max(now-e.noticedAt, 0))})
 		case e.event != nil:
 			c.startModule(now, false) // requests are not expected before the runner starts, but must be answered
 			if ev := c.completeEvent(now, e); ev != nil {
@@ -334,8 +334,8 @@
 		return
 	}
 	if c.downstreamShare != nil { // read before each call of the module: an expired share permits no further downstream call
-		c.module.SetBelowShare(c.downstreamShare())
-		if callTime, span := c.module.BelowTime(); span > 0 {
+		c.module.SetDownstreamShare(c.downstreamShare())
+		if callTime, span := c.module.DownstreamTime(); span > 0 {
 			c.downstreamConcurrency.Store(math.Float64bits(callTime / span))
 		}
 	}
@@ -371,7 +371,7 @@
 		if q.WaitMS == 0 {
 			l.due = q.ArrivedAt + clock.Millis(l.class.Deadline)
 		}
-		ev.Class, ev.Caller, ev.KB, ev.Rank, ev.Key, ev.Resent = q.Class, q.Caller, q.KB, q.Rank, q.Key, q.Retry
+		ev.Class, ev.Caller, ev.KB, ev.Rank, ev.Key, ev.IsRetry = q.Class, q.Caller, q.KB, q.Rank, q.Key, q.Retry
 		ev.Tenant, ev.Size = q.Tenant, clock.Duration(q.CostMS)
 		ev.Waited = clock.Duration(max(now-q.ArrivedAt, 0))
 		ev.Write = l.class.Safety != policy.Safe
@@ -379,7 +379,7 @@
 			// Limited to the class's deadline: the key table keeps attempts for the window plus that deadline.
 			l.due = min(l.due, q.ArrivedAt+clock.Millis(l.class.Deadline))
 			var same bool
-			if ev.Original, ev.Repeats, same = c.keys.findAttempt(l); q.IdempotencyKey == "" || !same {
+			if ev.Original, ev.HasOriginal, same = c.keys.findAttempt(l); q.IdempotencyKey == "" || !same {
 				c.log.Debug().Str("id", q.ID).Str("class", q.Class).Str("once", q.IdempotencyKey).
 					Msg(`field "once" is missing or was used with another body: request failed without running`)
 				l.inbox.Put(policy.Fail{})
@@ -398,10 +398,10 @@
 				}
 				return nil
 			}
-			ev.Original, ev.Repeats = c.keys.findRead(l, now)
+			ev.Original, ev.HasOriginal = c.keys.findRead(l, now)
 		}
 		if q.WaitMS > 0 {
-			ev.Left = max(clock.Duration(l.due-now), minTimeLeft)
+			ev.TimeLeft = max(clock.Duration(l.due-now), minTimeLeft)
 		}
 		return ev
 	case policy.Finished:
@@ -433,31 +433,31 @@
 		c.deliver(a.ID, a)
 	case policy.Fail:
 		c.deliver(a.ID, a)
-	case policy.CallOut:
+	case policy.MakeCall:
 		c.deliver(a.ID, a)
 	case policy.SkipCall:
 		c.deliver(a.ID, a)
-	case policy.Remember:
+	case policy.StoreKey:
 		if l := c.handlerOf(a.ID); l != nil {
-			c.keys.remember(l, now+clock.Millis(a.Span))
+			c.keys.remember(l, now+clock.Millis(a.TTL))
 		}
-	case policy.Forget:
+	case policy.DeleteKey:
 		c.keys.forget(a.ID)
 	case policy.Health:
 		if c.yielding.Load() {
 			return
 		}
 		c.shallow.Store(a.Shallow)
-		if c.healthy.Swap(a.Good) != a.Good {
-			c.log.Info().Bool("good", a.Good).Msg("health")
+		if c.healthy.Swap(a.Healthy) != a.Healthy {
+			c.log.Info().Bool("good", a.Healthy).Msg("health")
 		}
-	case policy.Advise:
+	case policy.SetHint:
 		c.hint.Store(math.Float64bits(a.Value))
 	case policy.CloseIdle:
 		c.idleCloseAfter.Store(int64(a.After))
-	case policy.WakeAt:
+	case policy.SetTimer:
 		c.clock.After(c.moduleStartedAt+clock.Millis(a.At)-now, func() { c.wake(a.Token) })
-	case policy.Note:
+	case policy.LogLine:
 		c.log.Info().Msg(a.Text)
 	}
 }
@@ -466,7 +466,7 @@
 func (c *Core) wake(token uint64) {
 	c.inbox.Put(event{})
 	c.runner.ReadGauges(func(gauges []float64) {
-		c.inbox.Put(event{event: policy.Woke{Token: token, Gauges: gauges}})
+		c.inbox.Put(event{event: policy.TimerFired{Token: token, Gauges: gauges}})
 	})
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -29,14 +29,14 @@
 func (h *fakeRunner) ReadGauges(func([]float64))      {}
 func (h *fakeRunner) Diagnose(func(bool)) bool        { return false }
 func (h *fakeRunner) Call(context.Context, string, float64, []byte) (policy.Outcome, []byte) {
-	return policy.Unreached, nil
+	return policy.Unreachable, nil
 }
 
 var testSettings = policy.Settings{
 	Classes: []policy.Class{{Name: "read", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1},
 		{Name: "book", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 4, Safety: policy.Unsafe}},
-	Cores: 8, MemoryKB: 1e6, RunFactor: 4, FallMultiple: 8, FreshFor: 200 * time.Millisecond, PassesDeadline: true,
-	BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1,
+	Cores: 8, MemoryKB: 1e6, RunMemoryFactor: 4, MaxRunningPerCore: 8, SharedResultTTL: 200 * time.Millisecond, PassesDeadline: true,
+	BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnectionGauge: -1,
 }
 
 type fixture struct {
@@ -276,7 +276,7 @@
 // module has the new share.
 func TestDownstreamShareIsReadBeforeEachDecision(t *testing.T) {
 	set := testSettings
-	set.Below, set.BelowShare, set.CallSpan = true, 100, 5*time.Second
+	set.HasDownstream, set.DownstreamShare, set.CallPeriod = true, 100, 5*time.Second
 	set.Classes = []policy.Class{{Name: "read", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Calls: true, SkipWorth: 0.5}}
 	h := &callRecorder{fakeRunner{make(chan *Attempt, 10)}, make(chan string, 10)}
 	clk := clock.Manual(startMS)
@@ -390,7 +390,7 @@
 		}
 	})
 	a := <-r.runner.started
-	a.Notify(Notice{Ended: true, Outcome: policy.Moot})
+	a.Notify(Notice{Ended: true, Outcome: policy.NotRun})
 	if got := <-started; got != attempt(2).ID {
 		t.Errorf("started: %s, want the second attempt", got)
 	}
--- a/internal/core/handler.go
+++ b/internal/core/handler.go
@@ -109,7 +109,7 @@
 	for attempt == nil {
 		switch m := l.inbox.Next().(type) {
 		case policy.Refuse:
-			l.answer(Outcome{Verdict: Refused, RetryAfterMS: clock.Millis(m.Pause), NoRetry: m.NoRetry, UnknownClass: !l.knownClass})
+			l.answer(Outcome{Verdict: Refused, RetryAfterMS: clock.Millis(m.RetryAfter), NoRetry: m.NoRetry, UnknownClass: !l.knownClass})
 			return
 		case policy.Fail:
 			l.fail()
@@ -137,11 +137,11 @@
 			c.log.Warn().Str("id", l.request.ID).Str("class", l.request.Class).
 				Msg("keyed request not run: the key table is full, or another process may run keyed requests")
 			l.answer(Outcome{Verdict: Refused, RetryAfterMS: refusalRetryAfterMS})
-			c.send(l, policy.Finished{ID: l.id, Outcome: policy.Moot})
+			c.send(l, policy.Finished{ID: l.id, Outcome: policy.NotRun})
 			return
 		case policy.Start:
 			if gone { // the module started the request before it received CallerGone; nothing ran
-				c.send(l, policy.Finished{ID: l.id, Outcome: policy.Moot})
+				c.send(l, policy.Finished{ID: l.id, Outcome: policy.NotRun})
 				return
 			}
 			if ok, err := c.recordEffect(l.request, l.class); !ok {
@@ -152,7 +152,7 @@
 				} else {
 					l.answer(Outcome{Verdict: Failed})
 				}
-				c.send(l, policy.Finished{ID: l.id, Outcome: policy.Moot})
+				c.send(l, policy.Finished{ID: l.id, Outcome: policy.NotRun})
 				return
 			}
 			attempt = &Attempt{Request: l.request, Due: l.due, CallsSkippable: l.class.SkipWorth > 0,
@@ -201,7 +201,7 @@
 				l.fail()
 			}
 			return
-		case policy.CallOut:
+		case policy.MakeCall:
 			cancelCall() // a second call of one request cancels the first
 			if l.answered || gone {
 				continue // the module receives the end of the attempt
@@ -217,7 +217,7 @@
 				c.runner.Return(attempt, pendingCall.Number, m.body)
 			}
 			pool.Put(m.body)
-			c.send(l, policy.CallReturned{ID: l.id, Outcome: m.outcome, Took: clock.Duration(m.tookMS)})
+			c.send(l, policy.CallReturned{ID: l.id, Outcome: m.outcome, Duration: clock.Duration(m.tookMS)})
 		case policy.SkipCall:
 			c.runner.Skip(attempt, pendingCall.Number)
 		case policy.Fail, policy.Refuse:
@@ -234,7 +234,7 @@
 }
 
 // call makes one downstream call and returns a function that cancels it.
-func (l *Handler) call(number int, action policy.CallOut, body []byte) func() {
+func (l *Handler) call(number int, action policy.MakeCall, body []byte) func() {
 	c := l.core
 	limitMS := clock.Millis(action.MaxWait)
 	if limitMS <= 0 {
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -276,7 +276,7 @@
 		return
 	}
 	if e.key.keyed {
-		if f.Outcome == policy.Moot {
+		if f.Outcome == policy.NotRun {
 			t.forget(f.ID)
 			return
 		}
--- a/internal/net/executor/executor.go
+++ b/internal/net/executor/executor.go
@@ -375,7 +375,7 @@
 			return errMalformed
 		}
 		outcome, ok := map[string]policy.Outcome{"success": policy.OK, "failure": policy.Failed,
-			"interrupted": policy.Cancelled, "nothing": policy.Moot}[words[3]]
+			"interrupted": policy.Cancelled, "nothing": policy.NotRun}[words[3]]
 		if !ok {
 			return errMalformed
 		}
@@ -393,7 +393,7 @@
 	case words[0] == "BAD" && len(words) >= 3:
 		l.log.Debug().Strs("notice", words).Msg("command not carried out") // bad clients bring any number of these
 		if words[1] == "EXEC" {                                            // it never ran, and nothing else will tell its end
-			l.deliver(0, words[2], core.Notice{Ended: true, Outcome: policy.Moot, UnknownRequest: true})
+			l.deliver(0, words[2], core.Notice{Ended: true, Outcome: policy.NotRun, UnknownRequest: true})
 		}
 		if words[1] == "METER" { // a site may have no gauges; the fence stands all the same
 			l.handleMeters(words[2], nil)
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -35,10 +35,10 @@
 		{Name: "tank-level", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second, Worth: 1, LateValue: 1, Calls: true, SkipWorth: 0.5},
 		{Name: "book-delivery", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second, Worth: 4, LateValue: 1, Safety: policy.Unsafe},
 	},
-	Servers: 2, Callers: 2, Cores: 50, MemoryKB: 1e6, RunFactor: 4, FallMultiple: 8, FallSpan: 3 * time.Second,
-	FreshFor: 200 * time.Millisecond, DrainGrace: 2500 * time.Millisecond, PassesDeadline: true, MarksRetry: true,
-	Below: true, BelowShare: 100, CallSpan: 5 * time.Second, MaxPause: time.Second, Hint: policy.HintCredit,
-	BusyGauge: 0, RunnableGauge: 1, MemoryGauge: 2, ConnGauge: 3, ColdShare: 1,
+	Servers: 2, Callers: 2, Cores: 50, MemoryKB: 1e6, RunMemoryFactor: 4, MaxRunningPerCore: 8, MaxRunningPeriod: 3 * time.Second,
+	SharedResultTTL: 200 * time.Millisecond, DrainGrace: 2500 * time.Millisecond, PassesDeadline: true, MarksRetry: true,
+	HasDownstream: true, DownstreamShare: 100, CallPeriod: 5 * time.Second, MaxRetryAfter: time.Second, Hint: policy.HintCredit,
+	BusyGauge: 0, RunnableGauge: 1, MemoryGauge: 2, ConnectionGauge: 3, ColdSpeedShare: 1,
 }
 
 func must(t *testing.T, err error) {
--- a/internal/net/rare_test.go
+++ b/internal/net/rare_test.go
@@ -235,7 +235,7 @@
 // begun beside the first as before.
 func TestAnotherExecutorIsCold(t *testing.T) {
 	set := settings
-	set.Cores, set.ColdShare, set.Cold = 1, 0, time.Hour
+	set.Cores, set.ColdSpeedShare, set.WarmupPeriod = 1, 0, time.Hour
 	x := newExecutor(t)
 	h := withExecutorBy(t, clock.System(), set, x, "127.0.0.1:1")
 	x.welcome(0)
--- a/internal/net/respfront/front_test.go
+++ b/internal/net/respfront/front_test.go
@@ -34,7 +34,7 @@
 func (echoRunner) ReadGauges(func([]float64))           {}
 func (echoRunner) Diagnose(func(bool)) bool             { return false }
 func (echoRunner) Call(context.Context, string, float64, []byte) (policy.Outcome, []byte) {
-	return policy.Unreached, nil
+	return policy.Unreachable, nil
 }
 
 // startFront builds a front with room for one connection, on a clock that the test sets.
@@ -44,7 +44,7 @@
 	clk := clock.Manual(startMS)
 	c := core.New(clk, zerolog.Nop(), policy.Settings{
 		Classes: []policy.Class{{Name: "read", Aim: time.Minute, Deadline: time.Minute, Worth: 1}},
-		Cores:   8, MemoryKB: 1e6, RunFactor: 4, FallMultiple: 8, BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1, Idle: 15 * time.Second,
+		Cores:   8, MemoryKB: 1e6, RunMemoryFactor: 4, MaxRunningPerCore: 8, BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnectionGauge: -1, IdleTimeout: 15 * time.Second,
 	}, 1, runner, echoRunner{}, nil)
 	c.RunnerStarted(false)
 	go c.Run()
--- a/internal/net/uwsgi/runner.go
+++ b/internal/net/uwsgi/runner.go
@@ -69,7 +69,7 @@
 		varWait: strconv.FormatInt(int64(math.Max(a.Due-r.clock.Now(), 1)), 10),
 	})
 	if err != nil {
-		return policy.Moot, nil, err
+		return policy.NotRun, nil, err
 	}
 	var conn net.Conn
 	first, servers := r.nextServer.Add(1), *r.servers.Load()
@@ -81,7 +81,7 @@
 		}
 	}
 	if err != nil {
-		return policy.Moot, nil, err
+		return policy.NotRun, nil, err
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
--- a/internal/net/vault/vault.go
+++ b/internal/net/vault/vault.go
@@ -60,12 +60,12 @@
 	c.mu.Unlock()
 	conn, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return policy.Unreached, nil // never connected, so no call ran, whatever ended the dialing
+		return policy.Unreachable, nil // never connected, so no call ran, whatever ended the dialing
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	outcome, reply := roundTrip(conn, id, timeoutMS, body)
-	if !stop() && outcome == policy.CutOff && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+	if !stop() && outcome == policy.InvalidReply && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		outcome = policy.TimedOut
 	}
 	return outcome, reply
@@ -80,17 +80,17 @@
 	_, err := conn.Write(b)
 	pool.Put(b)
 	if err != nil {
-		return policy.CutOff, nil
+		return policy.InvalidReply, nil
 	}
 	// Guards against heads without end, and against replies that keep coming.
 	resp, err := readFinalResponse(bufio.NewReaderSize(io.LimitReader(conn, maxHeaderBytes+maxReplyBytes), 4096))
 	if err != nil {
-		return policy.CutOff, nil
+		return policy.InvalidReply, nil
 	}
 	reply, err := readBody(resp) // never closed: to close a body of 3 GB reads it to its end
 	if err != nil {
 		pool.Put(reply)
-		return policy.CutOff, nil
+		return policy.InvalidReply, nil
 	}
 	var outcome policy.Outcome
 	switch {
@@ -99,7 +99,7 @@
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(refusedUnseenHeader) == "1":
 		outcome = policy.Full
 	case resp.StatusCode == http.StatusConflict && resp.Header.Get(refusedUnseenHeader) == "1":
-		outcome = policy.Moot
+		outcome = policy.NotRun
 	case resp.StatusCode == http.StatusGatewayTimeout:
 		outcome = policy.TimedOut
 	default:
