--- a/internal/net/executor/executor.go
+++ b/internal/net/executor/executor.go
@@ -219,7 +219,7 @@
 // arrived. The caller holds the lock.
 func (l *Link) resend(r *run) (lost bool) {
 	if r.sent && r.replyTo > 0 {
-		if !r.attempt.Skippable {
+		if !r.attempt.CallsSkippable {
 			r.unconfirmed = nil
 			return true
 		}
@@ -252,11 +252,11 @@
 	l.submit(a.Request.ID, 0, fmt.Appendf(nil, "BYPASS %s %d\r\n", a.Request.ID, notice))
 }
 
-// Drop does nothing: the executor detects by itself that a caller disconnected or got its answer.
-func (l *Link) Drop(*core.Attempt) {}
+// Abandon does nothing: the executor detects by itself that a caller disconnected or got its answer.
+func (l *Link) Abandon(*core.Attempt) {}
 
-// Meter requests the gauges.
-func (l *Link) Meter(callback func([]float64)) {
+// ReadGauges requests the gauges.
+func (l *Link) ReadGauges(callback func([]float64)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.ready || len(l.meterCallbacks) >= maxPendingQueries {
@@ -389,13 +389,13 @@
 		if !ok {
 			return errMalformed
 		}
-		l.deliver(n, words[2], core.Notice{Ended: true, N: n, Outcome: outcome, Took: ms, Body: body})
+		l.deliver(n, words[2], core.Notice{Ended: true, Number: n, Outcome: outcome, TookMS: ms, Body: body})
 	case words[0] == "CALLOUT" && len(words) == 4:
 		n, err := strconv.ParseUint(words[1], 10, 64)
 		if err != nil {
 			return errMalformed
 		}
-		l.deliver(n, words[2], core.Notice{N: n, Body: body})
+		l.deliver(n, words[2], core.Notice{Number: n, Body: body})
 	case words[0] == "METERS" && len(words) >= 2:
 		l.handleMeters(words[1], words[2:])
 	case words[0] == "DIAGNOSED" && len(words) == 3:
@@ -404,7 +404,7 @@
 		// Logged at debug level, since faulty clients can cause any number of these.
 		l.log.Debug().Strs("notice", words).Msg("executor rejected a command")
 		if words[1] == "EXEC" { // the request never ran, and no EXIT will follow
-			l.deliver(0, words[2], core.Notice{Ended: true, Outcome: policy.NotRun, Forged: true})
+			l.deliver(0, words[2], core.Notice{Ended: true, Outcome: policy.NotRun, UnknownRequest: true})
 		}
 		if words[1] == "METER" { // a site may have no gauges; the answer serves as barrier and acknowledgement all the same
 			l.handleMeters(words[2], nil)
@@ -496,7 +496,7 @@
 	for _, r := range lost {
 		l.log.Warn().Str("id", r.attempt.Request.ID).
 			Msg("reply to a call may be lost with the link and cannot be resent; attempt failed")
-		r.attempt.Notify(core.Notice{Lost: true})
+		r.attempt.Notify(core.Notice{ReplyLost: true})
 	}
 	if callback == nil {
 		return
--- a/internal/net/respfront/codec.go
+++ b/internal/net/respfront/codec.go
@@ -59,18 +59,18 @@
 		return nil, fmt.Errorf("%w: %w", errInvalidValue, err)
 	}
 	q := &core.Request{
-		ID: strings.Clone(f["id"]), Class: string(args[2]), At: f.number("at", &err), From: int64(f.number("from", &err)),
+		ID: strings.Clone(f["id"]), Class: string(args[2]), ArrivedAt: f.number("at", &err), Caller: int64(f.number("from", &err)),
 		Retry: f["retry"] == "1", KB: f.number("kb", &err), Rank: f.number("rank", &err), Key: strings.Clone(f["key"]),
-		Once: strings.Clone(f["once"]), For: strings.Clone(f["tenant"]),
+		IdempotencyKey: strings.Clone(f["once"]), Tenant: strings.Clone(f["tenant"]),
 	}
-	for key, target := range map[string]*float64{"wait": &q.Wait, "cost": &q.Cost} { // optional, and above 0 if present
+	for key, target := range map[string]*float64{"wait": &q.WaitMS, "cost": &q.CostMS} { // optional, and above 0 if present
 		if _, present := f[key]; present {
 			if *target = f.number(key, &err); *target == 0 && err == nil {
 				err = fmt.Errorf("%w: field %q", errInvalidValue, key)
 			}
 		}
 	}
-	if _, present := f["once"]; present && q.Once == "" && err == nil {
+	if _, present := f["once"]; present && q.IdempotencyKey == "" && err == nil {
 		err = fmt.Errorf("%w: field %q", errInvalidValue, "once")
 	}
 	if e := q.Check(now); e != nil && err == nil {
@@ -130,10 +130,10 @@
 	if hasHint {
 		f = fmt.Appendf(f, ",say=%s", strconv.FormatFloat(hint, 'f', -1, 64))
 	}
-	if o.Verdict == core.Refused && o.After > 0 {
-		f = fmt.Appendf(f, ",after=%d", int64(math.Ceil(o.After)))
+	if o.Verdict == core.Refused && o.RetryAfterMS > 0 {
+		f = fmt.Appendf(f, ",after=%d", int64(math.Ceil(o.RetryAfterMS)))
 	}
-	if o.Verdict == core.Refused && o.Last {
+	if o.Verdict == core.Refused && o.NoRetry {
 		f = append(f, ",last=1"...)
 	}
 	if len(f) > 0 {
--- a/internal/net/respfront/front.go
+++ b/internal/net/respfront/front.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// Shut closes the listener once its queue is empty.
-func (f *Front) Shut() { f.ln.Shut() }
+// StopAccepting closes the listener once its queue is empty.
+func (f *Front) StopAccepting() { f.ln.Shut() }
 
 // Yield leaves new connections to the process that shares the listening socket, and asks all routers to connect there.
 func (f *Front) Yield() {
@@ -195,7 +195,7 @@
 	f.mu.Lock()
 	closed := f.closed
 	idleAfterMS := float64(idleTimeoutMS)
-	if moduleIdleMS := f.core.CloseIdle(); moduleIdleMS > 0 {
+	if moduleIdleMS := f.core.IdleCloseAfterMS(); moduleIdleMS > 0 {
 		idleAfterMS = min(idleAfterMS, moduleIdleMS)
 	}
 	now := f.clock.Now()
@@ -279,7 +279,7 @@
 	case !c.inCommand:
 		return time.Time{}
 	case c.servedRequest || len(c.openRequests) > 0:
-		return c.waitingSince.Add(max(commandTimeout, c.front.core.Rests()))
+		return c.waitingSince.Add(max(commandTimeout, c.front.core.CallerIdleTimeout()))
 	}
 	return c.waitingSince.Add(commandTimeout)
 }
@@ -354,7 +354,7 @@
 	}
 	c.mu.Unlock()
 	for _, handler := range abandoned {
-		handler.Gone()
+		handler.CallerGone()
 	}
 	c.wakeWriter()
 }
@@ -420,7 +420,7 @@
 		delete(c.openRequests, tag)
 		c.mu.Unlock()
 		if handler != nil {
-			handler.Gone()
+			handler.CallerGone()
 		}
 		return nil
 	case bytes.Equal(args[0], []byte("HEALTH")):
@@ -433,7 +433,7 @@
 			deep = f["deep"] == "1"
 		}
 		c.front.core.Health(deep, func(healthy bool) {
-			hint, hasHint := c.front.core.Say()
+			hint, hasHint := c.front.core.Hint()
 			c.enqueue(func(b []byte) []byte { return appendHealth(b, tag, hint, hasHint, healthy) })
 		})
 		return nil
@@ -465,7 +465,7 @@
 		return fmt.Errorf("tag %d is already in use", tag)
 	}
 	if full {
-		c.sendAnswer(tag, core.Outcome{Verdict: core.Refused, After: 1})
+		c.sendAnswer(tag, core.Outcome{Verdict: core.Refused, RetryAfterMS: 1})
 		return nil
 	}
 	handler := c.front.core.Open(q, func(o core.Outcome) { c.sendAnswer(tag, o) })
@@ -498,15 +498,15 @@
 
 // sendAnswer sends a request its only answer.
 func (c *conn) sendAnswer(tag uint64, o core.Outcome) {
-	hint, hasHint := c.front.core.Say()
+	hint, hasHint := c.front.core.Hint()
 	c.enqueue(func(b []byte) []byte {
 		delete(c.openRequests, tag)
 		c.lastUsedMS = c.front.clock.Now()
 		c.servedRequest = c.servedRequest || o.Verdict == core.Served
-		o.Forged = o.Forged && !c.servedRequest
+		o.UnknownRequest = o.UnknownRequest && !c.servedRequest
 		return appendAnswer(b, tag, hint, hasHint, o)
 	})
-	if o.Forged && !c.forgedSeen.Swap(true) {
+	if o.UnknownRequest && !c.forgedSeen.Swap(true) {
 		// The other requests of this connection are most likely forged too: those that have not started fail.
 		c.mu.Lock()
 		var others []*core.Handler
@@ -517,7 +517,7 @@
 		}
 		c.mu.Unlock()
 		for _, handler := range others {
-			handler.Spurn()
+			handler.FailUnlessStarted()
 		}
 	}
 }
@@ -622,7 +622,7 @@
 				c.mu.Unlock()
 				for _, handler := range abandoned {
 					if handler != nil {
-						handler.Gone()
+						handler.CallerGone()
 					}
 				}
 				return
--- a/internal/net/respfront/front_test.go
+++ b/internal/net/respfront/front_test.go
@@ -30,8 +30,8 @@
 }
 func (echoRunner) Return(*core.Attempt, uint64, []byte) {}
 func (echoRunner) Skip(*core.Attempt, uint64)           {}
-func (echoRunner) Drop(*core.Attempt)                   {}
-func (echoRunner) Meter(func([]float64))                {}
+func (echoRunner) Abandon(*core.Attempt)                {}
+func (echoRunner) ReadGauges(func([]float64))           {}
 func (echoRunner) Diagnose(func(bool)) bool             { return false }
 func (echoRunner) Call(context.Context, string, float64, []byte) (policy.Outcome, []byte) {
 	return policy.Unreachable, nil
@@ -48,7 +48,7 @@
 		Cores:   8, MemoryKB: 1e6, RunMemoryFactor: 4, MaxRunningPerCore: 8,
 		BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnectionGauge: -1, IdleTimeout: 15 * time.Second,
 	}, 1, runner, echoRunner{}, nil)
-	c.Up(false)
+	c.RunnerStarted(false)
 	go c.Run()
 	ln, err := accept.Listen("127.0.0.1:0", zerolog.Nop())
 	if err != nil {
@@ -164,7 +164,7 @@
 	if n, err := io.Copy(io.Discard, conn); n > 0 {
 		t.Errorf("after the closing message: read %d bytes, %v; want none", n, err)
 	}
-	if n := f.core.Figures().Tries; n != 1 {
+	if n := f.core.Metrics().Attempts; n != 1 {
 		t.Errorf("%d attempts; want 1", n)
 	}
 }
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -171,7 +171,7 @@
 			return
 		case <-c.on.Ready:
 		}
-		batch = c.on.Take(batch)
+		batch = c.on.TakeAll(batch)
 		for _, e := range batch {
 			if c.o.On != nil {
 				c.o.On(e)
@@ -441,7 +441,7 @@
 	return json.Unmarshal(got.Body, into)
 }
 
-// Begin records an effect with the copies before its run, under this process's presence. It is a core.Ledger.
+// Begin records an effect with the copies before its run, under this process's presence. It is a core.EffectLog.
 func (c *Client) Begin(id string) (bool, error) {
 	here, ok := c.May(duty.PresenceOf(c.o.Me))
 	if !ok {
--- a/internal/net/uwsgi/front.go
+++ b/internal/net/uwsgi/front.go
@@ -85,8 +85,8 @@
 // Drain does nothing: each connection carries one request, and the policy module decides on those that still arrive.
 func (f *Front) Drain() {}
 
-// Shut closes the listener and stops reading incomplete requests, which are answered with status 408.
-func (f *Front) Shut() {
+// StopAccepting closes the listener and stops reading incomplete requests, which are answered with status 408.
+func (f *Front) StopAccepting() {
 	f.ln.Shut()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -169,7 +169,7 @@
 	select {
 	case <-answered:
 	case <-disconnected:
-		handler.Gone()
+		handler.CallerGone()
 		return
 	}
 	linger(conn)
@@ -179,8 +179,8 @@
 // unless the packet names an earlier time.
 func (f *Front) parseRequest(p *packet, arrivedMS float64) (*core.Request, error) {
 	v := p.vars
-	q := &core.Request{ID: v[varID], Class: v[varClass], At: arrivedMS, Retry: v[varRetry] == "1", KB: f.settings.KB,
-		Rank: defaultRank, Key: v[varKey], Once: v[varIdempotencyKey], For: v[varTenant], Body: p.body}
+	q := &core.Request{ID: v[varID], Class: v[varClass], ArrivedAt: arrivedMS, Retry: v[varRetry] == "1", KB: f.settings.KB,
+		Rank: defaultRank, Key: v[varKey], IdempotencyKey: v[varIdempotencyKey], Tenant: v[varTenant], Body: p.body}
 	if q.Class == "" {
 		uri := v["PATH_INFO"]
 		if uri == "" {
@@ -199,7 +199,7 @@
 	for _, n := range []struct {
 		name string
 		to   *float64
-	}{{varArrival, &q.At}, {varWait, &q.Wait}, {varCaller, &from}, {varKB, &q.KB}, {varRank, &q.Rank}, {varCost, &q.Cost}} {
+	}{{varArrival, &q.ArrivedAt}, {varWait, &q.WaitMS}, {varCaller, &from}, {varKB, &q.KB}, {varRank, &q.Rank}, {varCost, &q.CostMS}} {
 		s := v[n.name]
 		if s == "" {
 			continue
@@ -210,11 +210,11 @@
 		}
 		*n.to = x
 	}
-	q.From = int64(from)
+	q.Caller = int64(from)
 	if err := q.Check(arrivedMS); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	q.At = min(q.At, arrivedMS) // a gateway whose clock is ahead must not prolong the wait
+	q.ArrivedAt = min(q.ArrivedAt, arrivedMS) // a gateway whose clock is ahead must not prolong the wait
 	return q, nil
 }
 
@@ -223,10 +223,10 @@
 	switch {
 	case o.Verdict == core.Served:
 		return http.StatusOK, 0
-	case o.Verdict == core.Refused && o.Unknown:
+	case o.Verdict == core.Refused && o.UnknownClass:
 		return http.StatusNotFound, 0
 	case o.Verdict == core.Refused:
-		return http.StatusServiceUnavailable, max(int(math.Ceil(o.After/1000)), 1)
+		return http.StatusServiceUnavailable, max(int(math.Ceil(o.RetryAfterMS/1000)), 1)
 	case o.Verdict == core.Overdue:
 		return http.StatusGatewayTimeout, 0
 	}
--- a/internal/net/uwsgi/runner.go
+++ b/internal/net/uwsgi/runner.go
@@ -49,7 +49,7 @@
 		if err != nil {
 			r.log.Warn().Err(err).Str("id", a.Request.ID).Msg("attempt failed")
 		}
-		a.Notify(core.Notice{Ended: true, Outcome: outcome, Took: r.clock.Now() - startedMS, Body: result})
+		a.Notify(core.Notice{Ended: true, Outcome: outcome, TookMS: r.clock.Now() - startedMS, Body: result})
 	}()
 }
 
@@ -118,11 +118,11 @@
 // Skip does nothing: uwsgi servers make no downstream calls through the order server.
 func (r *Runner) Skip(*core.Attempt, uint64) {}
 
-// Drop does nothing: the attempt continues to its end or to its due time, since breaking it off would not undo it.
-func (r *Runner) Drop(*core.Attempt) {}
+// Abandon does nothing: the attempt continues to its end or to its due time, since breaking it off would not undo it.
+func (r *Runner) Abandon(*core.Attempt) {}
 
-// Meter never calls back: uwsgi servers have no gauges, and without gauges the policy module counts its own starts.
-func (r *Runner) Meter(func([]float64)) {}
+// ReadGauges never calls back: uwsgi servers have no gauges, and without gauges the policy module counts its own starts.
+func (r *Runner) ReadGauges(func([]float64)) {}
 
 // Diagnose always reports false: uwsgi servers offer no deep health check.
 func (r *Runner) Diagnose(func(bool)) bool { return false }
--- a/internal/settle/settle.go
+++ b/internal/settle/settle.go
@@ -1,4 +1,4 @@
-// Package settle keeps the record of effects and decides what becomes of those whose server is gone. It is free of I/O.
+// Package settle keeps the effect log and resolves orphaned effects, those whose server is gone. It does no I/O.
 package settle
 
 import (
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// ErrFull refuses an effect where the record has no room and nothing in it may be forgotten yet.
-var ErrFull = errors.New("settle: the record of effects is full")
+// ErrFull is returned for an effect if the log has reached its limit and no effect in it may be removed yet.
+var ErrFull = errors.New("settle: the effect log is full")
 
-// State of an effect.
+// State is the state of an effect.
 type State string
 
-// States. Unknown stays so: what ran on a server that is gone can't be learned here.
+// The states. Unknown is final: the outcome of an effect on a server that is gone can't be determined.
 const (
 	Begun   State = ""
 	Done    State = "done"
@@ -21,32 +21,32 @@
 	Unknown State = "unknown"
 )
 
-// Effect is one record: an effect that a process was about to run.
+// Effect is one entry of the log: an effect that a process was about to run.
 type Effect struct {
-	Owner string `json:"o,omitempty"` // the process; "": nobody settles it
+	Owner string `json:"o,omitempty"` // the process; empty: the effect is never resolved
 	Epoch uint64 `json:"e,omitempty"` // of the owner's presence
-	Seq   uint64 `json:"q"`           // effects count from 1
+	Seq   uint64 `json:"q"`           // sequence number, from 1
 	State State  `json:"s,omitempty"`
 }
 
-// Ledger is the record. Its methods are steps of the log.
-type Ledger struct {
-	Seq     uint64             `json:"seq"`
-	Effects map[string]*Effect `json:"effects"`
-	Most    int                `json:"-"`
+// EffectLog is the effect log. Its methods are called in the order of the raft log, so they must be deterministic.
+type EffectLog struct {
+	Seq        uint64             `json:"seq"`     // sequence number of the latest effect
+	Effects    map[string]*Effect `json:"effects"` // by ID
+	MaxEffects int                `json:"-"`
 
-	order []string // ids by Seq
-	open  map[string]*Effect
+	order []string           // IDs in the order of Seq
+	open  map[string]*Effect // effects with an owner that have neither ended nor been resolved, by ID
 }
 
-// NewLedger is an empty record for so many effects.
-func NewLedger(most int) *Ledger {
-	return &Ledger{Effects: map[string]*Effect{}, Most: most, open: map[string]*Effect{}}
+// NewEffectLog returns an empty effect log for at most the given number of effects.
+func NewEffectLog(maxEffects int) *EffectLog {
+	return &EffectLog{Effects: map[string]*Effect{}, MaxEffects: maxEffects, open: map[string]*Effect{}}
 }
 
-// Restored completes a record that was read from a snapshot.
-func (b *Ledger) Restored(most int) {
-	b.Most, b.order, b.open = most, nil, map[string]*Effect{}
+// RebuildIndexes rebuilds the indexes of an effect log that was read from a snapshot.
+func (b *EffectLog) RebuildIndexes(maxEffects int) {
+	b.MaxEffects, b.order, b.open = maxEffects, nil, map[string]*Effect{}
 	if b.Effects == nil {
 		b.Effects = map[string]*Effect{}
 	}
@@ -64,28 +64,28 @@
 	})
 }
 
-// Clone copies a record.
-func (b *Ledger) Clone() *Ledger {
-	c := &Ledger{Seq: b.Seq, Effects: make(map[string]*Effect, len(b.Effects))}
+// Clone returns a deep copy.
+func (b *EffectLog) Clone() *EffectLog {
+	c := &EffectLog{Seq: b.Seq, Effects: make(map[string]*Effect, len(b.Effects))}
 	for id, e := range b.Effects {
 		v := *e
 		c.Effects[id] = &v
 	}
-	c.Restored(b.Most)
+	c.RebuildIndexes(b.MaxEffects)
 	return c
 }
 
-// Begin records an effect; false: it was begun before. Where keep is set, nothing is forgotten to make room: that is
-// the settler's, by age.
-func (b *Ledger) Begin(id, owner string, epoch uint64, keep bool) (bool, error) {
+// Begin records an effect and returns false if it was recorded before. In a full log it removes the oldest effects,
+// unless keepAll is set: then the settler removes effects by age, and Begin returns ErrFull.
+func (b *EffectLog) Begin(id, owner string, epoch uint64, keepAll bool) (bool, error) {
 	if b.Effects[id] != nil {
 		return false, nil
 	}
-	for len(b.Effects) >= b.Most {
-		if keep {
-			return false, fmt.Errorf("%w: %d", ErrFull, b.Most)
+	for len(b.Effects) >= b.MaxEffects {
+		if keepAll {
+			return false, fmt.Errorf("%w: %d", ErrFull, b.MaxEffects)
 		}
-		b.forget(b.order[0])
+		b.remove(b.order[0])
 		b.order = b.order[1:]
 	}
 	b.Seq++
@@ -98,13 +98,14 @@
 	return true, nil
 }
 
-func (b *Ledger) forget(id string) {
+func (b *EffectLog) remove(id string) {
 	delete(b.Effects, id)
 	delete(b.open, id)
 }
 
-// End books how an effect ended; what was settled, or is another's, stays as it is.
-func (b *Ledger) End(id, owner string, ok bool) bool {
+// End records how an effect ended and returns whether it did. An effect that has ended, was resolved or has another owner
+// is not changed.
+func (b *EffectLog) End(id, owner string, ok bool) bool {
 	e := b.open[id]
 	if e == nil || e.Owner != owner {
 		return false
@@ -117,11 +118,11 @@
 	return true
 }
 
-// Live tells whether a process's presence of that epoch is in force.
+// Live reports whether a process's presence of that epoch is in force.
 type Live func(owner string, epoch uint64) bool
 
-// Orphans lists effects begun by processes that are gone, the oldest first, at most so many.
-func (b *Ledger) Orphans(live Live, most int) []string {
+// Orphans lists at most the given number of orphaned effects, the oldest first.
+func (b *EffectLog) Orphans(live Live, limit int) []string {
 	var ids []string
 	for id, e := range b.open {
 		if !live(e.Owner, e.Epoch) {
@@ -134,60 +135,62 @@
 		}
 		return 1
 	})
-	return ids[:min(len(ids), most)]
+	return ids[:min(len(ids), limit)]
 }
 
-// Settle marks effects as of unknown outcome, as far as their process is gone now. Nothing runs one.
-func (b *Ledger) Settle(ids []string, live Live) (settled int) {
+// Resolve resolves effects whose process is gone by marking their outcome as unknown, and returns how many it marked. An
+// effect is never run to resolve it.
+func (b *EffectLog) Resolve(ids []string, live Live) (resolved int) {
 	for _, id := range ids {
 		if e := b.open[id]; e != nil && !live(e.Owner, e.Epoch) {
 			e.State = Unknown
 			delete(b.open, id)
-			settled++
+			resolved++
 		}
 	}
-	return settled
+	return resolved
 }
 
-// Prune forgets effects up to a number that have ended.
-func (b *Ledger) Prune(upTo uint64) (pruned int) {
+// Prune removes the effects with a sequence number of at most upTo that are no longer open, and returns how many.
+func (b *EffectLog) Prune(upTo uint64) (pruned int) {
 	b.order = slices.DeleteFunc(b.order, func(id string) bool {
 		e := b.Effects[id]
 		if e.Seq > upTo || b.open[id] != nil {
 			return false
 		}
-		b.forget(id)
+		b.remove(id)
 		pruned++
 		return true
 	})
 	return pruned
 }
 
-// Ages tells which effects have reached an age, by the settler's own clock alone: an effect is as old as the time since
-// the settler first saw its number passed, at least. A new settler begins anew, so what it prunes is older still.
-type Ages struct {
-	marks []mark
+// AgeTracker determines which effects have reached an age by the settler's own clock alone: an effect is at least as old
+// as the time since the settler first observed its sequence number. A new settler starts without observations, so the
+// effects that it prunes are older still.
+type AgeTracker struct {
+	observations []observation
 }
 
-type mark struct {
+type observation struct {
 	seq uint64
 	at  float64
 }
 
-// Note notes that the count stands at a number.
-func (a *Ages) Note(now float64, seq uint64) {
-	if n := len(a.marks); n > 0 && a.marks[n-1].seq == seq {
-		return // nothing new: these are as old as the first note says
+// Observe records that the latest sequence number is seq at the time now, in milliseconds.
+func (a *AgeTracker) Observe(now float64, seq uint64) {
+	if n := len(a.observations); n > 0 && a.observations[n-1].seq == seq {
+		return // no new effects: the first observation of the number gives their age
 	}
-	a.marks = append(a.marks, mark{seq, now})
+	a.observations = append(a.observations, observation{seq, now})
 }
 
-// Due is the number up to which all effects are older than keep, in ms of true time, on a clock that may run fast by
-// rate; 0: none is.
-func (a *Ages) Due(now, keep, rate float64) (seq uint64) {
-	for len(a.marks) > 0 && now-a.marks[0].at >= keep*(1+rate) {
-		seq = a.marks[0].seq
-		a.marks = a.marks[1:]
+// OlderThan returns the sequence number up to which all effects are older than ageMS milliseconds of true time, or 0, and
+// removes the observations used. The clock may run fast by the fraction drift.
+func (a *AgeTracker) OlderThan(now, ageMS, drift float64) (seq uint64) {
+	for len(a.observations) > 0 && now-a.observations[0].at >= ageMS*(1+drift) {
+		seq = a.observations[0].seq
+		a.observations = a.observations[1:]
 	}
 	return seq
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -88,7 +88,7 @@
 	Values        map[string][]byte
 	Duties        *duty.Table
 	Allocations   *allot.Ledger
-	Effects       *settle.Ledger
+	Effects       *settle.EffectLog
 	Config        *publish.History
 	Records       *records.Set
 	Counters      map[string]uint64 // counters, by duty
@@ -100,7 +100,7 @@
 // New returns an empty state.
 func New() *State {
 	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Allocations: allot.NewLedger(),
-		Effects: settle.NewLedger(maxEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
+		Effects: settle.NewEffectLog(maxEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
 		Counters: map[string]uint64{}, StaleRefusals: map[string]uint64{}}
 }
 
@@ -164,7 +164,7 @@
 		if c.Acknowledgement == nil {
 			return Result{Error: "state: acknowledgement command without an acknowledgement"}
 		}
-		return Result{Error: errorText(s.Config.Say(c.Process, *c.Acknowledgement))}
+		return Result{Error: errorText(s.Config.Acknowledge(c.Process, *c.Acknowledgement))}
 	case OpFenced:
 		return s.applyFenced(c)
 	}
@@ -235,7 +235,7 @@
 			return 0, fmt.Errorf("state: %d effects to resolve exceed the limit of %d in one command",
 				len(c.EffectIDs), maxOrphansPerCommand)
 		}
-		return uint64(s.Effects.Settle(c.EffectIDs, s.PresenceInForce)), nil
+		return uint64(s.Effects.Resolve(c.EffectIDs, s.PresenceInForce)), nil
 	case OpPruneEffects:
 		return uint64(s.Effects.Prune(c.Seq)), nil
 	case OpPublishVersion:
@@ -257,7 +257,7 @@
 	EffectOrder   []string          `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
 	Duties        *duty.Table       `json:"duties,omitempty"`
 	Allocations   *allot.Ledger     `json:"shares,omitempty"`
-	Effects       *settle.Ledger    `json:"effects,omitempty"`
+	Effects       *settle.EffectLog `json:"effects,omitempty"`
 	Config        *publish.History  `json:"config,omitempty"`
 	Records       *records.Frozen   `json:"records,omitempty"`
 	Counters      map[string]uint64 `json:"marks,omitempty"`
@@ -302,7 +302,7 @@
 	}
 	if k.Effects != nil {
 		s.Effects = k.Effects
-		s.Effects.Restored(maxEffects)
+		s.Effects.RebuildIndexes(maxEffects)
 	}
 	for _, key := range k.EffectOrder {
 		s.Effects.Begin(strings.TrimPrefix(key, legacyEffectPrefix), "", 0, false)
