--- a/internal/allot/allot.go
+++ b/internal/allot/allot.go
@@ -1,7 +1,9 @@
-// Package allot divides the room of what lies below among the live order servers by their need. It is free of I/O.
+// Package allot divides the downstream capacity, counted in concurrent calls, among the live order servers by their need.
+// It does no I/O.
 //
-// Amounts are whole thousandths of a call in hand, so that sums are exact. Each process may always use its part for
-// being alone; what the allotter divides is the rest, so a process without a valid share is part of the sum.
+// Amounts are integers in thousandths of a concurrent call, so that sums are exact. Each process may always use a fixed
+// reserve, even without a valid share. The allotter divides the pool, which is the capacity less the reserves of all
+// processes.
 package allot
 
 import (
@@ -12,23 +14,23 @@
 	"slices"
 )
 
-// Unit is a thousandth.
+// Unit is the number of units in one concurrent call: amounts are in thousandths.
 const Unit = 1000
 
-// ErrOver refuses a growth that would bring the shares in force above the whole.
-var ErrOver = errors.New("allot: over the whole")
+// ErrOver is returned for a change that would bring the sum of shares in force above the pool.
+var ErrOver = errors.New("allot: shares would exceed the pool")
 
-// Room tells what there is to divide.
+// Room is the downstream capacity and the reserve of each process.
 type Room struct {
-	Whole   int64 // all that may be in force at once
-	Alone   int64 // what a process may use without a share
-	Servers int   // processes alive at once, replacements beside themselves counted twice
+	Whole   int64 // maximum in use at once, by all processes
+	Alone   int64 // reserve of each process, usable without a share
+	Servers int   // maximum number of live processes; a server being replaced counts twice
 }
 
-// Pool is what remains to be divided.
+// Pool returns the amount to be divided into shares.
 func (r Room) Pool() int64 { return r.Whole - r.Alone*int64(r.Servers) }
 
-// Check names what makes no sense, by its key below duties.allot.
+// Check reports the first invalid value, by its key under duties.allot in the operator's file.
 func (r Room) Check() error {
 	switch {
 	case r.Whole <= 0:
@@ -43,27 +45,28 @@
 	return nil
 }
 
-// Share is one process's part of the pool.
+// Share is one process's part of the pool, in thousandths of a call.
 type Share struct {
-	Cap     int64  `json:"cap"`     // the most that it may have in force; counts against the pool
-	Want    int64  `json:"want"`    // what it shall have; below Cap until it has said that it uses no more
-	Version uint64 `json:"version"` // of Want
+	Cap     int64  `json:"cap"`     // upper bound of what the process may be using; counts against the pool
+	Want    int64  `json:"want"`    // target; below Cap until the process has acknowledged a reduction
+	Version uint64 `json:"version"` // changes with Want
 }
 
-// Ledger is what all copies agree on about shares. Its methods are steps of the log.
+// Ledger holds the shares of all processes. It is part of the replicated state: its methods are called from log entries and
+// are deterministic.
 type Ledger struct {
 	Pool    int64             `json:"pool"`
 	Version uint64            `json:"version"`
 	Shares  map[string]*Share `json:"shares"`
 
-	summed bool  // sum holds; else it has to be built from Shares
-	sum    int64 // of all Caps
+	summed bool  // sum is valid; otherwise it has to be computed from Shares
+	sum    int64 // total of Cap over all shares
 }
 
-// NewLedger is an empty book.
+// NewLedger returns a Ledger without processes.
 func NewLedger() *Ledger { return &Ledger{Shares: map[string]*Share{}} }
 
-// Clone copies a book.
+// Clone returns a deep copy.
 func (b *Ledger) Clone() *Ledger {
 	c := &Ledger{Pool: b.Pool, Version: b.Version, Shares: make(map[string]*Share, len(b.Shares))}
 	for who, s := range b.Shares {
@@ -73,7 +76,7 @@
 	return c
 }
 
-// Sum is the most that can be in force now.
+// Sum returns the total of Cap over all shares: the upper bound of what can be in use now.
 func (b *Ledger) Sum() int64 {
 	if b.summed {
 		return b.sum
@@ -85,22 +88,22 @@
 	return b.sum
 }
 
-// setCap changes the most that one process may have in force.
+// setCap changes the cap of one share and keeps the total up to date.
 func (b *Ledger) setCap(s *Share, most int64) {
 	b.sum = b.Sum() + most - s.Cap
 	s.Cap = most
 }
 
-// SetPool changes what there is to divide; less only once that much is free.
+// SetPool changes the size of the pool. It refuses a size below the sum of shares in force.
 func (b *Ledger) SetPool(pool int64) error {
 	if pool < b.Sum() {
-		return fmt.Errorf("%w: a pool of %d with %d in force", ErrOver, pool, b.Sum())
+		return fmt.Errorf("%w: pool of %d with %d in force", ErrOver, pool, b.Sum())
 	}
 	b.Pool = pool
 	return nil
 }
 
-// Join opens a process's entry, with nothing in force.
+// Join adds a process with a share of 0. It does nothing if the process has an entry.
 func (b *Ledger) Join(who string) {
 	if b.Shares[who] == nil {
 		b.Version++
@@ -108,7 +111,7 @@
 	}
 }
 
-// Drop closes an entry: the process's presence has ended, and with it its share.
+// Drop removes a process whose presence lease has ended, and returns its share to the pool.
 func (b *Ledger) Drop(who string) {
 	if s := b.Shares[who]; s != nil {
 		b.setCap(s, 0)
@@ -116,19 +119,20 @@
 	}
 }
 
-// Set changes what a process shall have. A growth counts at once and needs the room; a cut counts once the process has
-// said that it holds, so until then nobody else can have what it gives up.
+// Set changes the target of a process. An increase counts at once, and is refused if the pool has too little left. A reduction
+// counts only once the process has acknowledged it: until then its old amount may be in use and is not given to another
+// process. unchecked skips the check against the pool (an injected bug).
 func (b *Ledger) Set(who string, amount int64, unchecked bool) error {
 	s := b.Shares[who]
 	switch {
 	case s == nil:
-		return fmt.Errorf("allot: %s is not there", who)
+		return fmt.Errorf("allot: no entry for process %s", who)
 	case amount < 0:
-		return fmt.Errorf("allot: %d for %s", amount, who)
+		return fmt.Errorf("allot: negative share of %d for %s", amount, who)
 	case amount == s.Want:
 		return nil
 	case amount > s.Cap && !unchecked && b.Sum()-s.Cap+amount > b.Pool:
-		return fmt.Errorf("%w: %d for %s, %d of %d in force", ErrOver, amount, who, b.Sum(), b.Pool)
+		return fmt.Errorf("%w: %d for %s with %d of %d in force", ErrOver, amount, who, b.Sum(), b.Pool)
 	}
 	b.Version++
 	s.Want, s.Version = amount, b.Version
@@ -136,33 +140,33 @@
 	return nil
 }
 
-// Ack books that a process uses no more than it shall by a version.
+// Ack records that a process uses no more than its target as of a version. Acknowledgements of other versions are ignored.
 func (b *Ledger) Ack(who string, version uint64) {
 	if s := b.Shares[who]; s != nil && s.Version == version {
 		b.setCap(s, s.Want)
 	}
 }
 
-// Need is what the allotter knows of one process.
+// Need is the demand and the current share of one process. It is sent as JSON under its Go field names.
 type Need struct {
 	Who  string
-	Need int64 // what it could use beyond its part for being alone
+	Need int64 // amount that it could use beyond its reserve
 	Share
 }
 
-// Change is one step of a plan.
+// Change sets the target of one process.
 type Change struct {
 	Who    string `json:"who"`
 	Amount int64  `json:"amount"`
 }
 
 const (
-	stir  = 10 // a change of less than one part in so many is not made: shares that stand still cost nothing
-	least = 8  // and none of less than so many thousandths
+	stir  = 10 // changes below 1/10 of the current target are skipped, since each change costs a log entry
+	least = 8  // changes below this amount, in thousandths of a call, are skipped
 )
 
-// Divide tells what each should have: no more than it needs while others lack, and what nobody needs in equal parts,
-// so that a surge finds some room at once.
+// Divide returns the target of each process by max-min fairness: no process gets more than its need while another gets less
+// than its own. What remains is divided equally, so that a process can absorb a surge before the next division.
 func Divide(pool int64, fleet []Need) map[string]int64 {
 	out := make(map[string]int64, len(fleet))
 	if len(fleet) == 0 {
@@ -179,7 +183,7 @@
 		return 1
 	})
 	rest := pool
-	for i, n := range order { // those that need least first: what they leave raises the part of the others
+	for i, n := range order { // smallest need first: what these leave unused is divided among the others
 		part := min(max(n.Need, 0), rest/int64(len(order)-i))
 		out[n.Who] = part
 		rest -= part
@@ -191,7 +195,8 @@
 	return out
 }
 
-// Plan turns what each should have into steps that can be made now: cuts, and growths as far as what is free allows.
+// Plan returns the changes towards the targets that can be made now: all reductions, then increases as far as the free part of
+// the pool allows. unchecked ignores that limit (an injected bug).
 func Plan(pool int64, fleet []Need, unchecked bool) (steps []Change) {
 	target := Divide(pool, fleet)
 	var sum, lack int64
@@ -221,7 +226,7 @@
 			more = int64(math.Floor(float64(more) / float64(lack) * float64(free)))
 		}
 		if amount := caps[g.Who] + more; g.Amount <= caps[g.Who] {
-			steps = append(steps, g) // takes a cut back that was not acknowledged yet
+			steps = append(steps, g) // within the cap: reverts a reduction that is not acknowledged yet
 		} else if more >= least {
 			steps = append(steps, Change{g.Who, amount})
 		}
@@ -231,14 +236,14 @@
 
 func abs(v int64) int64 { return max(v, -v) }
 
-// Mine is a process's view of its own share.
+// Mine is a process's own copy of its share.
 type Mine struct {
 	Amount  int64
 	Version uint64
 }
 
-// Take puts what the copies tell into force. changed: the amount is another one, and must be in use before the version
-// is acknowledged.
+// Take applies a share that a store replica sent, unless it is older than the present one. It reports whether the amount
+// changed; the new amount must be in use before the version is acknowledged.
 func (m *Mine) Take(s Share) (changed bool) {
 	if s.Version <= m.Version {
 		return false
@@ -248,12 +253,12 @@
 	return changed
 }
 
-// Lose forgets the share: the process's presence has ended.
+// Lose clears the share after the process's presence lease has ended. It reports whether the amount changed.
 func (m *Mine) Lose() (changed bool) {
 	changed = m.Amount != 0
 	*m = Mine{}
 	return changed
 }
 
-// Whos lists the processes with an entry.
+// Whos returns the processes with an entry, sorted.
 func (b *Ledger) Whos() []string { return slices.Sorted(maps.Keys(b.Shares)) }
--- a/internal/allot/allot_test.go
+++ b/internal/allot/allot_test.go
@@ -24,16 +24,16 @@
 func TestDivideByNeed(t *testing.T) {
 	got := Divide(100, []Need{{Who: "a", Need: 10}, {Who: "b", Need: 80}, {Who: "c", Need: 70}})
 	if got["a"] != 10 || got["b"] != 45 || got["c"] != 45 {
-		t.Errorf("%v: who needs little gets it, the others the same", got)
+		t.Errorf("%v: want 10 for the process that needs little and equal parts for the others", got)
 	}
 	got = Divide(100, []Need{{Who: "a", Need: 10}, {Who: "b", Need: 30}})
 	if got["a"] != 40 || got["b"] != 60 {
-		t.Errorf("%v: what nobody needs goes to all alike", got)
+		t.Errorf("%v: want the surplus divided equally", got)
 	}
 }
 
-// Random fleets, needs, processes that come and go, acknowledgements that come late, twice or for an older version: what
-// processes use never comes to more than the pool, and with time the pool is used.
+// With random needs, processes that join and leave, plans that are carried out in part and acknowledgements that are late,
+// repeated or of an older version, the amounts in use never exceed the pool.
 func TestSharesInForceStayWithinThePool(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -50,10 +50,10 @@
 					b.Join(who)
 					uses[who] = &Mine{}
 				} else if rng.IntN(4) == 0 {
-					delete(uses, who) // its presence ended, so it stopped before its entry goes
+					delete(uses, who) // its presence ended: it stops using the share before its entry is removed
 					b.Drop(who)
 				}
-			case 1, 2: // a plan, of which a part is carried out: the book checks each step by itself
+			case 1, 2: // a plan that is carried out in part: each change is checked on its own
 				var fleet []Need
 				for _, w := range b.Whos() {
 					fleet = append(fleet, Need{w, rng.Int64N(8000), *b.Shares[w]})
@@ -65,7 +65,7 @@
 						}
 					}
 				}
-			case 3, 4: // it hears, uses, and says so
+			case 3, 4: // the process applies its share and acknowledges it, not always
 				if m := uses[who]; m != nil {
 					m.Take(*b.Shares[who])
 					if rng.IntN(3) > 0 {
@@ -83,13 +83,14 @@
 				sum += m.Amount
 			}
 			if sum > pool || b.Sum() > pool {
-				t.Fatalf("seed %d, step %d: %d in use and %d booked of %d", seed, step, sum, b.Sum(), pool)
+				t.Fatalf("seed %d, step %d: %d in use and %d counted of a pool of %d", seed, step, sum, b.Sum(), pool)
 			}
 		}
 	}
 }
 
-// The planted bug breaks what the test above holds: a growth before the cut that makes room for it is in use.
+// An increase is refused until the reduction that frees its amount is acknowledged. With the injected bug (unchecked) the amounts
+// in use exceed the pool.
 func TestGrowthBeforeACutIsRefused(t *testing.T) {
 	for _, unchecked := range []bool{false, true} {
 		b := NewLedger()
@@ -110,7 +111,7 @@
 		}
 		b.Ack("a", b.Shares["a"].Version)
 		if err := b.Set("b", 80, false); err != nil {
-			t.Errorf("after the cut is in use: %v", err)
+			t.Errorf("after the reduction is acknowledged: %v", err)
 		}
 	}
 }
@@ -140,12 +141,12 @@
 		steps = len(plan)
 	}
 	if steps != 0 {
-		t.Errorf("%d steps are still made with needs that stand still", steps)
+		t.Errorf("%d changes in the last round though the needs are constant", steps)
 	}
 	if b.Shares["b"].Want < 8000 || b.Sum() > 10000 {
-		t.Errorf("b has %d of its 9000, %d in all", b.Shares["b"].Want, b.Sum())
+		t.Errorf("b has a target of %d with a need of 9000; sum of shares %d", b.Shares["b"].Want, b.Sum())
 	}
 	if err := b.SetPool(5000); !errors.Is(err, ErrOver) {
-		t.Errorf("a pool under what is in force: %v", err)
+		t.Errorf("pool below the sum in force: %v, want ErrOver", err)
 	}
 }
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,28 +1,28 @@
-// Package backoff spaces the tries of something that fails: each waits a random part of a span that doubles up to a bound, so
-// that many who failed at one moment neither come back at one moment nor keep coming at the rate of the first tries. It is free
-// of I/O and of time.
+// Package backoff computes the delays between attempts of a failing operation: exponential backoff with full jitter. Clients
+// that fail at the same moment thus neither retry at the same moment nor keep retrying at the initial rate. The package does no
+// I/O and reads no clock.
 package backoff
 
 import "math/rand/v2"
 
-// Backoff counts the failures of one who tries. It is not safe for concurrent use.
+// Backoff holds the state of one sequence of attempts. It is not safe for concurrent use.
 type Backoff struct {
 	first, max float64
 	rng        *rand.Rand
-	span       float64 // of the next wait
+	span       float64 // upper bound of the next delay, in ms
 }
 
-// New begins with a span of first milliseconds, which doubles with each failure up to max.
+// New returns a Backoff whose first delay is at most first milliseconds. This bound doubles with each failure, up to max.
 func New(first, max float64, rng *rand.Rand) *Backoff {
 	return &Backoff{first: first, max: max, rng: rng, span: first}
 }
 
-// Next is the wait after another failure, in milliseconds: any part of the span, each as likely.
+// Next returns the delay after a further failure, in milliseconds, drawn uniformly between 0 and the current bound.
 func (b *Backoff) Next() float64 {
 	wait := b.span * b.rng.Float64()
 	b.span = min(b.span*2, b.max)
 	return wait
 }
 
-// Reset tells that a try succeeded.
+// Reset returns to the initial bound after a successful attempt.
 func (b *Backoff) Reset() { b.span = b.first }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Waits stay within spans that double up to the bound, spread over them, and begin anew after a success.
+// Delays are spread uniformly over a range that doubles up to the maximum, and the range starts over after a success.
 func TestSpansDoubleUpToTheBound(t *testing.T) {
 	const first, most, tries = 100.0, 1000.0, 2000
 	spans := []float64{100, 200, 400, 800, 1000, 1000}
@@ -17,7 +17,7 @@
 		for i, span := range spans {
 			wait := b.Next()
 			if wait < 0 || wait > span {
-				t.Fatalf("failure %d waits %v ms of a span of %v", i+1, wait, span)
+				t.Fatalf("failure %d: delay of %v ms is outside 0 to %v", i+1, wait, span)
 			}
 			longest[i] = max(longest[i], wait)
 			sum[i] += wait
@@ -26,10 +26,10 @@
 	}
 	for i, span := range spans {
 		if longest[i] < 0.95*span {
-			t.Errorf("failure %d never waits longer than %v ms of a span of %v", i+1, longest[i], span)
+			t.Errorf("failure %d: longest delay is %v ms, want close to %v", i+1, longest[i], span)
 		}
 		if mean := sum[i] / tries; mean < 0.45*span || mean > 0.55*span {
-			t.Errorf("failure %d waits %v ms in the mean of a span of %v", i+1, mean, span)
+			t.Errorf("failure %d: mean delay is %v ms, want about half of %v", i+1, mean, span)
 		}
 	}
 }
--- a/internal/duties/keeper.go
+++ b/internal/duties/keeper.go
@@ -1,6 +1,6 @@
-// Package duties carries duties out: it runs a duty's work while this process holds it, and puts into force what the
-// holders elsewhere decide for this process. What is decided, and when an act may be done, is in duty, allot, settle and
-// publish.
+// Package duties performs duties: it runs the work of a duty while this process holds its lease, and applies the decisions of
+// holders in other processes to this one. The decisions themselves, and the rules for when an act is permitted, are in the
+// packages duty, allot, settle and publish.
 package duties
 
 import (
@@ -19,29 +19,29 @@
 	"puffinsaddle/internal/trace"
 )
 
-// Names of the duties that have work of their own. Any other that is on the list is held and counts marks.
+// Names of the duties with specific work. The holder of any other duty on the list only increments a counter.
 const (
 	Allotter  = "allotter"
 	Publisher = "publisher"
 	Settler   = "settler"
 )
 
-// Work is what a duty does once every span while it is held. An act needs the grant that it is given.
+// Work is what the holder of a duty does periodically. New returns the function to call, which receives the grant for its acts.
 type Work struct {
-	Every float64 // ms of the steady clock
+	Every float64 // ms of the monotonic clock, from the end of one call to the next
 	New   func() func(ctx context.Context, under duty.Ref) error
 }
 
-// Keeper runs the work of the duties that this process holds.
+// Keeper runs the work of the duties that this process holds. Its exported fields are set before Start.
 type Keeper struct {
 	Steady *clock.Clock
 	Log    zerolog.Logger
 	Trace  *trace.Log
 	Works  map[string]Work
 
-	// Below puts a share into force, what a process may use alone included, and calls used once no more is used.
+	// Below applies a share in addition to the process's reserve, and calls used once no more than that is in use.
 	Below func(amount int64, used func())
-	// Check tells whether a published version can be taken; Take puts it into force, whole.
+	// Check reports whether a published version can be applied; Take applies it as a unit.
 	Check func([]publish.File) error
 	Take  func(publish.Version)
 
@@ -56,18 +56,18 @@
 
 type loop struct {
 	ref  duty.Ref
-	stop context.CancelFunc // ends acts under way
-	halt chan struct{}      // begins no more
+	stop context.CancelFunc // aborts acts under way
+	halt chan struct{}      // closed to begin no more acts
 	once *sync.Once
 }
 
-// Start runs the client, whose options must have On as their On.
+// Start runs the client, whose options must have this On as their On.
 func (k *Keeper) Start(ctx context.Context, me string, c *session.Client) {
 	k.ctx, k.me, k.client, k.loops = ctx, me, c, map[string]loop{}
 	go c.Run(ctx)
 }
 
-// On takes the client's events, one at a time.
+// On handles the client's events. The client calls it for one event at a time.
 func (k *Keeper) On(e any) {
 	presence := duty.PresenceOf(k.me)
 	switch e := e.(type) {
@@ -82,15 +82,15 @@
 	case duty.Held:
 		k.Trace.Add(trace.Event{What: trace.Held, Duty: e.Name, Epoch: e.Epoch}, e.Until)
 		if e.Late {
-			k.Log.Warn().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("renewed late")
+			k.Log.Warn().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("lease renewed late")
 		}
 		if e.Name == presence {
 			k.shared(e.Until)
 		}
 	case duty.Yields:
-		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg("handing on")
+		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg("yielding duty")
 		if l, ok := k.loops[e.Name]; ok && l.ref == e.Ref {
-			l.once.Do(func() { close(l.halt) }) // its end calls Quiet
+			l.once.Do(func() { close(l.halt) }) // when the work has stopped, it calls Quiet
 		} else {
 			k.client.Quiet(e.Ref)
 		}
@@ -110,7 +110,7 @@
 			k.Below(0, func() {})
 		}
 	case duty.Behind:
-		k.Log.Error().Uint64("index", e.Index).Uint64("seen", e.Seen).Msg("a copy knows less than was told before; it is not believed")
+		k.Log.Error().Uint64("index", e.Index).Uint64("seen", e.Seen).Msg("reply ignored: its log index is lower than one seen before")
 	case session.Allotted:
 		if k.Below == nil {
 			k.client.Used(e.Version)
@@ -123,18 +123,18 @@
 			k.client.Used(e.Version)
 		})
 	case session.Published, session.Linked:
-		go k.take() // after a cut too: a word may not have been heard
+		go k.take() // on a new session too: a notification may have been lost
 	}
 }
 
-// shared writes down that the share goes on with the presence.
+// shared traces that the share stays in force until the renewed presence lease ends.
 func (k *Keeper) shared(until float64) {
 	if k.Trace != nil {
 		k.Trace.Add(trace.Event{What: trace.Share, Amount: k.client.Share()}, until)
 	}
 }
 
-// begin runs a duty's work until it ends.
+// begin runs the work of a duty in a goroutine until its lease ends.
 func (k *Keeper) begin(ref duty.Ref) {
 	w, ok := k.Works[ref.Name]
 	if !ok {
@@ -148,7 +148,7 @@
 		defer stop()
 		do := w.New()
 		for {
-			// Asked before each: this process may have stood still, or have been cut off.
+			// Checked before each call: the lease may have ended while this process was stalled or disconnected.
 			if now, may := k.client.May(ref.Name); !may || now != ref {
 				return
 			}
@@ -157,7 +157,7 @@
 			case errors.Is(err, session.ErrStale):
 				k.Log.Warn().Str("duty", ref.Name).Uint64("epoch", ref.Epoch).Err(err).Msg("fenced")
 			case err != nil && ctx.Err() == nil:
-				k.Log.Warn().Str("duty", ref.Name).Err(err).Msg("duty's work failed")
+				k.Log.Warn().Str("duty", ref.Name).Err(err).Msg("duty work failed")
 			}
 			next := make(chan struct{})
 			t := k.Steady.After(w.Every, func() { close(next) })
@@ -174,12 +174,12 @@
 	}()
 }
 
-// Act does something under a duty and writes down what came of it.
+// Act sends a fenced command under a grant and traces the outcome.
 func (k *Keeper) Act(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
 	began := trace.Event{Duty: under.Name, Epoch: under.Epoch, What: trace.Act, Began: machineNow(k.Trace)}
 	began.Text = do[0].Op
 	sent := began
-	sent.What = trace.Sent // before it goes: this process may be killed with the answer on its way
+	sent.What = trace.Sent // traced before it is sent, since this process may be killed before the reply arrives
 	k.Trace.Add(sent, 0)
 	r, err := k.client.Act(ctx, under, do...)
 	began.N = r.N
@@ -191,7 +191,7 @@
 	case err != nil && r.Error == "":
 		began.What = trace.Unknown
 	case err != nil:
-		return r, err // refused for what it is
+		return r, err // refused for its content, not for its epoch
 	}
 	k.Trace.Add(began, 0)
 	return r, err
@@ -206,13 +206,13 @@
 
 var steady = clock.Steady()
 
-// take looks at the latest version, takes it whole or turns it down, and says which.
+// take fetches the latest published version, applies or rejects it as a unit, and acknowledges it with the outcome.
 func (k *Keeper) take() {
 	k.taking.Lock()
 	defer k.taking.Unlock()
 	v, err := k.client.Version(k.ctx)
 	if err != nil || k.Check == nil {
-		return // the next version, or session, brings another look
+		return // retried with the next version or session
 	}
 	before := k.keeper
 	w, fresh := k.keeper.Offer(v, k.Check)
@@ -220,18 +220,18 @@
 		return
 	}
 	if w.Reason == "" {
-		k.Log.Info().Uint64("version", w.No).Msg("version taken")
+		k.Log.Info().Uint64("version", w.No).Msg("configuration version applied")
 		k.Take(v)
 		k.inForce.Store(w.No)
 	} else {
-		k.Log.Error().Uint64("version", w.No).Str("reason", w.Reason).Uint64("in_force", k.keeper.InForce).Msg("version turned down")
+		k.Log.Error().Uint64("version", w.No).Str("reason", w.Reason).Uint64("in_force", k.keeper.InForce).Msg("configuration version rejected")
 	}
 	k.Trace.Add(trace.Event{What: trace.Took, N: w.No, Cause: w.Reason}, 0)
 	if _, err := k.client.Do(k.ctx, state.Command{Op: state.AcknowledgeVersion, Who: k.me, Said: &w}); err != nil {
-		k.Log.Warn().Err(err).Msg("word on a version not confirmed")
-		k.keeper.Looked = before.Looked // it is looked at again, and the word said again
+		k.Log.Warn().Err(err).Msg("acknowledgement of configuration version not confirmed")
+		k.keeper.Looked = before.Looked // the version is checked and acknowledged again
 	}
 }
 
-// InForce is the number of the version in force; 0: none.
+// InForce returns the number of the configuration version in force, or 0 if there is none.
 func (k *Keeper) InForce() uint64 { return k.inForce.Load() }
--- a/internal/duties/works.go
+++ b/internal/duties/works.go
@@ -15,7 +15,7 @@
 	"puffinsaddle/internal/state"
 )
 
-// Marks is the work of a duty that has none of its own: it counts, so that its holder can be seen at it.
+// Marks returns the work of a duty without specific work: it increments a counter, which shows that the holder is active.
 func (k *Keeper) Marks(every float64) Work {
 	return Work{every, func() func(context.Context, duty.Ref) error {
 		return func(ctx context.Context, under duty.Ref) error {
@@ -25,8 +25,8 @@
 	}}
 }
 
-// Allots divides what lies below. Each step is an act of its own, refused where the shares in force would come to more
-// than the whole, whatever was read before.
+// Allots returns the work of the allotter: it divides the downstream capacity among the order servers. Each step is checked when
+// it is applied and refused if the shares in force would exceed the pool, so a plan made from old state does no harm.
 func (k *Keeper) Allots(every float64, room allot.Room, plant string) Work {
 	return Work{every, func() func(context.Context, duty.Ref) error {
 		return func(ctx context.Context, under duty.Ref) error {
@@ -50,8 +50,9 @@
 	}}
 }
 
-// Publishes publishes the files that a manifest names as a new version whenever they are whole and others than before.
-// check is what the servers will check, so that nothing is published that all would turn down.
+// Publishes returns the work of the publisher: it publishes the files of a manifest as a new version whenever they match the
+// manifest and differ from the latest version. check is the check that the servers make, so that no version is published that
+// all of them would reject.
 func (k *Keeper) Publishes(every float64, manifest string, check func([]publish.File) error) Work {
 	return Work{every, func() func(context.Context, duty.Ref) error {
 		said := ""
@@ -62,10 +63,10 @@
 			}
 			if err != nil {
 				if err.Error() == said {
-					return nil // once is enough
+					return nil // already logged
 				}
 				said = err.Error()
-				return fmt.Errorf("nothing published: %w", err)
+				return fmt.Errorf("configuration not published: %w", err)
 			}
 			said = ""
 			v, err := k.client.Version(ctx)
@@ -81,7 +82,7 @@
 	}}
 }
 
-// ReadFiles reads a manifest and its files, which have to be what it says.
+// ReadFiles reads a manifest and its files, and fails if they do not match it.
 func ReadFiles(manifest string) ([]publish.File, error) {
 	text, err := os.ReadFile(manifest)
 	if err != nil {
@@ -95,7 +96,7 @@
 	for _, s := range sums {
 		path := filepath.Join(filepath.Dir(manifest), s.Name)
 		if info, err := os.Stat(path); err == nil && info.Size() > publish.MostBytes {
-			return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), publish.MostBytes)
+			return nil, fmt.Errorf("%s: %d bytes exceed the limit of %d", path, info.Size(), publish.MostBytes)
 		}
 		b, err := os.ReadFile(path)
 		if err != nil {
@@ -109,8 +110,8 @@
 	return files, nil
 }
 
-// Settles marks effects of servers that are gone as of unknown outcome, and forgets those that ended and are older than
-// keep, in ms.
+// Settles returns the work of the settler: it resolves orphaned effects as of unknown outcome, and removes effects that have ended
+// and are older than keep, in ms.
 func (k *Keeper) Settles(every, keep, rate float64, steady *clock.Clock) Work {
 	return Work{every, func() func(context.Context, duty.Ref) error {
 		var ages settle.Ages
--- a/internal/duty/depth_test.go
+++ b/internal/duty/depth_test.go
@@ -2,4 +2,5 @@
 
 package duty
 
+// exploreDepth is the number of steps that the exhaustive search covers.
 const exploreDepth = 8
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -17,20 +17,20 @@
 		t.Fatal(err)
 	}
 	for want, change := range map[string]func(*Rules){
-		"list[1].ttl_ms must be above 0, not 0":             func(r *Rules) { r.Duties[1].TTL = 0 },
-		"list[0].ttl_ms must be above 0, not -1":            func(r *Rules) { r.Duties[0].TTL = -1 },
-		"list[0].ttl_ms must be above 0, not NaN":           func(r *Rules) { r.Duties[0].TTL = math.NaN() },
-		"list[0].ttl_ms must be above 0, not +Inf":          func(r *Rules) { r.Duties[0].TTL = math.Inf(1) },
-		"list[0].ttl_ms of 1000 ms leaves a holder 850 ms":  func(r *Rules) { r.Duties[0].TTL = 1000 },
-		"presence_ms of 100 ms leaves":                      func(r *Rules) { r.Presence = 100 },
-		`list[1].name "allotter" stands in list[0] already`: func(r *Rules) { r.Duties[1].Name = "allotter" },
-		`list[0].name "a/b" may hold`:                       func(r *Rules) { r.Duties[0].Name = "a/b" },
-		"list[0].name must have 1 to 64 characters":         func(r *Rules) { r.Duties[0].Name = "" },
-		"clock_rate must be from 0 to 0.5, not 0.6":         func(r *Rules) { r.Rate = 0.6 },
-		"renew_ms must be above 0, not NaN":                 func(r *Rules) { r.Renew = math.NaN() },
-		"margin_ms must be 0 or more, not -1":               func(r *Rules) { r.Margin = -1 },
-		"cool_ms must be 0 or more, not +Inf":               func(r *Rules) { r.Cool = math.Inf(1) },
-		"cold_wait_ms must be 0 or more, not -3":            func(r *Rules) { r.ColdWait = -3 },
+		"list[1].ttl_ms must be above 0, not 0":                  func(r *Rules) { r.Duties[1].TTL = 0 },
+		"list[0].ttl_ms must be above 0, not -1":                 func(r *Rules) { r.Duties[0].TTL = -1 },
+		"list[0].ttl_ms must be above 0, not NaN":                func(r *Rules) { r.Duties[0].TTL = math.NaN() },
+		"list[0].ttl_ms must be above 0, not +Inf":               func(r *Rules) { r.Duties[0].TTL = math.Inf(1) },
+		"list[0].ttl_ms of 1000 ms leaves a holder 850 ms":       func(r *Rules) { r.Duties[0].TTL = 1000 },
+		"presence_ms of 100 ms leaves":                           func(r *Rules) { r.Presence = 100 },
+		`list[1].name "allotter" is the name of list[0] already`: func(r *Rules) { r.Duties[1].Name = "allotter" },
+		`list[0].name "a/b" may contain only a to z`:             func(r *Rules) { r.Duties[0].Name = "a/b" },
+		"list[0].name must have 1 to 64 characters":              func(r *Rules) { r.Duties[0].Name = "" },
+		"clock_rate must be from 0 to 0.5, not 0.6":              func(r *Rules) { r.Rate = 0.6 },
+		"renew_ms must be above 0, not NaN":                      func(r *Rules) { r.Renew = math.NaN() },
+		"margin_ms must be 0 or more, not -1":                    func(r *Rules) { r.Margin = -1 },
+		"cool_ms must be 0 or more, not +Inf":                    func(r *Rules) { r.Cool = math.Inf(1) },
+		"cold_wait_ms must be 0 or more, not -3":                 func(r *Rules) { r.ColdWait = -3 },
 	} {
 		r := testRules
 		r.Duties = append([]Terms(nil), testRules.Duties...)
@@ -55,33 +55,33 @@
 	}
 	first := grant("a")
 	if err := table.Fence(Ref{"d", first}); err != nil {
-		t.Errorf("the epoch in force: %v", err)
+		t.Errorf("fence for the epoch in force: %v", err)
 	}
 	if err := table.Apply(Order{Kind: Grant, Name: "d", Holder: "b", Epoch: first, Term: 1}, 1); !errors.Is(err, ErrHeld) {
-		t.Errorf("granted while it is held: %v", err)
+		t.Errorf("grant of a held lease: %v, want ErrHeld", err)
 	}
 	if err := table.Apply(Order{Kind: Lapse, Name: "d", Epoch: first, Term: 1}, 2); !errors.Is(err, ErrTerm) {
-		t.Errorf("another leader's lapse: %v", err)
+		t.Errorf("expiry from another term: %v, want ErrTerm", err)
 	}
 	if err := table.Apply(Order{Kind: Lapse, Name: "d", Epoch: first, Term: 1}, 1); err != nil {
 		t.Fatal(err)
 	}
 	if err := table.Fence(Ref{"d", first}); !errors.Is(err, ErrStale) {
-		t.Errorf("an epoch that ended, before the next is granted: %v", err)
+		t.Errorf("fence for an epoch that ended, before the next grant: %v, want ErrStale", err)
 	}
 	second := grant("b")
 	if second <= first {
-		t.Errorf("epoch %d after %d", second, first)
+		t.Errorf("second grant has epoch %d after %d", second, first)
 	}
 	for _, e := range []uint64{0, first, second + 1} {
 		if err := table.Fence(Ref{"d", e}); !errors.Is(err, ErrStale) {
-			t.Errorf("epoch %d with %d in force: %v", e, second, err)
+			t.Errorf("fence for epoch %d with %d in force: %v, want ErrStale", e, second, err)
 		}
 	}
 	if err := table.Apply(Order{Kind: Release, Name: "d", Epoch: first, Term: 1}, 1); !errors.Is(err, ErrStale) {
-		t.Errorf("a release of what is past: %v", err)
+		t.Errorf("release of an epoch that ended: %v, want ErrStale", err)
 	}
-	// A presence that is forgotten and comes back has a higher epoch all the same.
+	// A presence lease is deleted when it is released; a later grant has a higher epoch nevertheless.
 	p := PresenceOf("a")
 	for last, i := uint64(0), 0; i < 3; i++ {
 		if err := table.Apply(Order{Kind: Grant, Name: p, Holder: "a", Term: 1}, 1); err != nil {
@@ -89,7 +89,7 @@
 		}
 		e := table.Leases[p].Epoch
 		if e <= last {
-			t.Errorf("presence %d after %d", e, last)
+			t.Errorf("presence lease has epoch %d after %d", e, last)
 		}
 		last = e
 		if err := table.Apply(Order{Kind: Release, Name: p, Epoch: e, Term: 1}, 1); err != nil {
@@ -98,17 +98,17 @@
 	}
 	table.Freeze("d", true)
 	if !table.Leases["d"].Yield {
-		t.Error("the holder of a frozen duty is not asked")
+		t.Error("the holder of a frozen duty is not asked to yield")
 	}
 	if err := table.Apply(Order{Kind: Release, Name: "d", Epoch: second, Term: 1}, 1); err != nil {
 		t.Fatal(err)
 	}
 	if err := table.Apply(Order{Kind: Grant, Name: "d", Holder: "a", Epoch: second, Term: 1}, 1); !errors.Is(err, ErrFrozen) {
-		t.Errorf("granted while frozen: %v", err)
+		t.Errorf("grant of a frozen duty: %v, want ErrFrozen", err)
 	}
 }
 
-// fleet plays servers and the leader with no messages lost, on one clock.
+// fleet simulates servers and the leader on one clock, without message loss except for the servers that a test names.
 type fleet struct {
 	t     *testing.T
 	now   float64
@@ -116,7 +116,7 @@
 	g     *Grantor
 	m     map[string]*Machine
 	index uint64
-	deaf  map[string]bool // these are heard and hear nothing
+	deaf  map[string]bool // their heartbeats arrive, but they receive no replies
 	last  map[string]uint64
 	log   []string
 }
@@ -130,7 +130,7 @@
 	return f
 }
 
-// run lets time pass in steps of 50 ms; servers that are named in silent say and hear nothing.
+// run advances the time in steps of 50 ms. The servers in silent send no heartbeats and receive no replies.
 func (f *fleet) run(ms float64, silent ...string) {
 	quiet := map[string]bool{}
 	for _, s := range silent {
@@ -156,7 +156,7 @@
 			}
 			f.g.Done(f.now, o, f.table)
 			f.index++
-			if n := o.Holder; o.Kind == Grant && !f.deaf[n] && !quiet[n] { // told at once, as of the heartbeat in which it stood
+			if n := o.Holder; o.Kind == Grant && !f.deaf[n] && !quiet[n] { // replied to at once, to the heartbeat with its candidacy
 				f.do(n, f.m[n].HandleReply(f.now, f.g.Answer(n, f.last[n], f.index, f.table)))
 			}
 		}
@@ -199,15 +199,15 @@
 	f.run(1000)
 	first := [2]string{f.holder("allotter"), f.holder("settler")}
 	if first[0] == "" || first[1] == "" || first[0] == first[1] {
-		t.Fatalf("held by %q: each by one, and not both by the same", first)
+		t.Fatalf("held by %q, want two different holders", first)
 	}
 	f.run(20000)
 	if now := [2]string{f.holder("allotter"), f.holder("settler")}; now != first {
-		t.Errorf("held by %q, then by %q, with nothing wrong", first, now)
+		t.Errorf("held by %q, then by %q, without a fault", first, now)
 	}
 	for _, n := range []string{"a", "b", "c"} {
 		if _, ok := f.m[n].May(f.now, PresenceOf(n)); !ok {
-			t.Errorf("%s is not present", n)
+			t.Errorf("%s does not hold its presence lease", n)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 	f := newFleet(t, "a", "b")
 	f.run(1000)
 	h := f.holder("allotter")
-	for range 60 { // it never runs either: what it believes goes by its clock
+	for range 60 { // the holder is not run either: only its clock can tell it that the lease has ended
 		f.run(50, h)
 		if o := f.holder("allotter"); o != "" && o != h {
 			if _, still := f.m[h].May(f.now, "allotter"); still {
@@ -225,15 +225,15 @@
 		}
 	}
 	if o := f.holder("allotter"); o == h || o == "" {
-		t.Errorf("held by %q long after %q fell silent", o, h)
+		t.Errorf("held by %q 3 s after the last heartbeat of %q", o, h)
 	}
-	f.run(1000) // back: it has given up, and does not stand again at once
+	f.run(1000) // connected again: its lease has ended, and it is no candidate during the cool-down
 	if o := f.holder("allotter"); o == h {
-		t.Errorf("%q has it back at once", h)
+		t.Errorf("%q holds it again during the cool-down", h)
 	}
 }
 
-// All of a large fleet stand at once after an outage: each duty is granted once, and not to one server.
+// All servers of a large fleet become candidates at once after an outage: each duty is granted once, to different servers.
 func TestManyCandidatesAfterAnOutage(t *testing.T) {
 	var names []string
 	for i := range 300 {
@@ -245,12 +245,12 @@
 		t.Errorf("held by %q and %q", a, s)
 	}
 	if grants := f.table.Last; grants != 302 {
-		t.Errorf("%d grants for 300 presences and two duties", grants)
+		t.Errorf("%d grants, want one for each of 300 presence leases and two duties", grants)
 	}
 }
 
-// A server that is heard and hears nothing gives up what it held, and does not keep for good what it is granted and
-// does not know of.
+// A server whose heartbeats arrive but which receives no replies loses its lease, and does not hold for good a lease that was
+// granted to it without its knowledge.
 func TestDeafServerKeepsNothing(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.run(1000)
@@ -265,7 +265,7 @@
 		}
 	}
 	if held < 5000 {
-		t.Errorf("the other holds the duty for %.0f of 10,000 ms", held)
+		t.Errorf("the other server holds the duty for %.0f of 10,000 ms, want 5,000 or more", held)
 	}
 }
 
@@ -275,25 +275,25 @@
 	f.m["b"].Switch(f.now, Cold)
 	f.run(2000)
 	if h := f.holder("allotter"); h != "" {
-		t.Errorf("%q holds it: nobody is warm, and it has not waited long", h)
+		t.Errorf("%q holds it though no server is warm and cold_wait_ms has not passed", h)
 	}
 	f.run(3000)
 	if h := f.holder("allotter"); h != "b" {
-		t.Errorf("%q holds it, want the cold one, since no other stands", h)
+		t.Errorf("%q holds it, want the cold server, the only candidate", h)
 	}
 	f.do("a", f.m["a"].Switch(f.now, Warm))
 	f.do("b", f.m["b"].Switch(f.now, Draining))
 	f.run(testRules.Renew)
 	if h := f.holder("allotter"); h != "a" {
-		t.Errorf("%q holds it one renewal after the drain, want a: %q", h, f.log)
+		t.Errorf("%q holds it one renewal interval after the drain, want a: %q", h, f.log)
 	}
 	if _, ok := f.m["b"].May(f.now, PresenceOf("b")); !ok {
-		t.Error("a server that drains is still present")
+		t.Error("a draining server has lost its presence lease")
 	}
 	f.do("b", f.m["b"].Switch(f.now, Warm))
 	f.run(5000)
 	if h := f.holder("allotter"); h != "a" {
-		t.Errorf("%q holds it: who drains does not come back", h)
+		t.Errorf("%q holds it, want a: draining is final", h)
 	}
 }
 
@@ -306,41 +306,42 @@
 	}
 	f.run(2 * testRules.Renew)
 	if o := f.holder("allotter"); o == h || o == "" {
-		t.Errorf("held by %q after %q was asked to yield", o, h)
+		t.Errorf("held by %q after %q was asked to yield, want the other", o, h)
 	}
 }
 
-// An answer that knows less than this process was told is not believed, and one to a heartbeat long past extends nothing.
+// A reply with a lower log index than an earlier one is ignored, and one to an old heartbeat extends no lease.
 func TestOldAnswersAreNotBelieved(t *testing.T) {
 	m := NewMachine(testRules, "a", 1)
 	heartbeat := m.Tick(0)[0].(Send).Heartbeat
 	holds := []Grantee{{Ref{"allotter", 7}, 2000, false}}
 	m.HandleReply(10, HeartbeatReply{No: heartbeat.No, Index: 50, Holds: holds})
 	if _, ok := m.May(20, "allotter"); !ok {
-		t.Fatal("not held")
+		t.Fatal("not held after the reply that grants it")
 	}
 	out := m.HandleReply(30, HeartbeatReply{No: heartbeat.No, Index: 49})
 	if _, ok := m.May(40, "allotter"); !ok || len(out) != 1 || out[0] != (Behind{49, 50}) {
-		t.Errorf("an older answer took the duty away: %v", out)
+		t.Errorf("a reply with a lower log index: %v, want Behind and the lease kept", out)
 	}
 	_, until, _ := m.Until("allotter")
 	m.Hurry()
-	m.Tick(1000) // another heartbeat; the answer is to the first one
+	m.Tick(1000) // a second heartbeat; the next reply is to the first one
 	m.HandleReply(1010, HeartbeatReply{No: heartbeat.No, Index: 60, Holds: holds})
 	if _, now, _ := m.Until("allotter"); now != until {
-		t.Errorf("an answer to the first heartbeat moved the end from %v to %v", until, now)
+		t.Errorf("a second reply to the first heartbeat moved the end from %v to %v", until, now)
 	}
 	if _, ok := m.May(until, "allotter"); ok {
-		t.Error("held at its end")
+		t.Error("held at the time of its end")
 	}
 	m.Tick(until)
 	m.HandleReply(until+1, HeartbeatReply{No: 2, Index: 61, Holds: holds})
 	if _, ok := m.May(until+2, "allotter"); ok {
-		t.Error("an epoch that was given up is held again")
+		t.Error("an epoch that expired is held again")
 	}
 }
 
-// A fleet that comes as one is granted its presences in several steps, each bounded, and one that goes as one lapses likewise.
+// A fleet that joins at once is granted its presence leases in several steps of bounded size, and the leases of one that leaves at
+// once expire in steps likewise.
 func TestOrdersOfAFleetAreBounded(t *testing.T) {
 	const fleet = 2*MaxOrders + 7
 	g := &Grantor{Rules: Rules{Renew: 300, Presence: 2000, Duties: []Terms{{Name: "allotter", TTL: 2000}}}, Seed: 1}
@@ -354,7 +355,7 @@
 		for ; !until(); n++ {
 			orders := g.Tick(now, table)
 			if len(orders) == 0 || len(orders) > MaxOrders {
-				t.Fatalf("%d orders at once", len(orders))
+				t.Fatalf("%d orders at once, want at least 1 and at most MaxOrders", len(orders))
 			}
 			for _, o := range orders {
 				if err := table.Apply(o, 1); err != nil {
@@ -367,18 +368,18 @@
 		return n
 	}
 	if n := steps(func() bool { return table.Present() == fleet }); n != 3 {
-		t.Errorf("all are present after %d steps", n)
+		t.Errorf("all presence leases are granted after %d steps, want 3", n)
 	}
 	if orders := g.Tick(now, table); len(orders) > 0 {
-		t.Errorf("%d orders though nothing is due", len(orders))
+		t.Errorf("%d orders, want none when nothing is due", len(orders))
 	}
 	now += 10 * g.Presence
 	if n := steps(func() bool { return table.Present() == 0 }); n != 3 {
-		t.Errorf("all have lapsed after %d steps", n)
+		t.Errorf("all leases have expired after %d steps, want 3", n)
 	}
 }
 
-// What a process stands for is what its latest heartbeat says, whatever others stand for.
+// The candidacies of a process are those of its latest heartbeat, whatever the heartbeats of others say.
 func TestLatestHeartbeatSaysWhatAProcessStandsFor(t *testing.T) {
 	g := &Grantor{Rules: Rules{Renew: 300, Presence: 2000, Duties: []Terms{{Name: "allotter", TTL: 2000}, {Name: "settler", TTL: 2000}}}, Seed: 1}
 	table, now := NewTable(), 1000.0
@@ -396,6 +397,6 @@
 	}
 	want := map[string]string{"allotter": "b", "settler": "a", PresenceOf("b"): "b"}
 	if !maps.Equal(got, want) {
-		t.Errorf("granted %v, %v is wanted", got, want)
+		t.Errorf("granted %v, want %v", got, want)
 	}
 }
--- a/internal/duty/explore_test.go
+++ b/internal/duty/explore_test.go
@@ -12,31 +12,31 @@
 	"testing"
 )
 
-// The world of the exploration: two candidates for one duty, the copy that leads with the log behind it, and messages
-// that are lost, come twice, late or in another order. True time goes on in steps; each part has a clock of its own that
-// runs at the worst rate that the terms allow. A leader may be replaced at any time, and the one before may go on
-// hearing messages without knowing of it.
+// Model checking of the lease protocol. The model has two candidates for one duty, the leader of the store with its log, and
+// messages that are lost, duplicated, delayed or reordered. True time advances in steps; each participant has its own clock,
+// which runs at the worst drift that the rules allow. The leader may be replaced at any time, and the former leader may go on
+// receiving messages without knowing of it.
 
 var exploreRules = Rules{Bounds: Bounds{Rate: 0.1, Margin: 10}, Renew: 250, Cool: 0, ColdWait: 0, Duties: []Terms{{"d", 1000}}}
 
 const (
 	timeStep = 400.0
-	mostMail = 5 // messages that can still come at the start; the oldest is lost for good
-	liveMail = 3 // and in the exploration
+	mostMail = 5 // messages in transit during the prefix; beyond that the oldest is lost
+	liveMail = 3 // messages in transit during the search
 )
 
 type mail struct {
-	to        int // candidate, or -1: the copy
+	to        int // index of the candidate, or -1 for the leader
 	heartbeat Heartbeat
 	told      HeartbeatReply
 }
 
 type world struct {
 	true_  float64
-	rates  [4]float64 // of the candidates, the leader, and the next leader
+	rates  [4]float64 // of the two candidates, the leader and the next leader
 	m      [2]*Machine
 	g      *Grantor
-	old    *Grantor // the leader before, and the table as it knew it
+	old    *Grantor // the former leader, with the state as of its replacement
 	oldT   *Table
 	t      *Table
 	index  uint64
@@ -44,7 +44,7 @@
 	mail   []mail
 	plant  string
 	room   int
-	told   [2]uint64 // the latest heartbeat that the leader took from each
+	told   [2]uint64 // sequence number of the latest heartbeat that the leader handled, by candidate
 }
 
 var who = [2]string{"a#1", "b#1"}
@@ -61,7 +61,7 @@
 	return w
 }
 
-// begin goes the steps before an exploration.
+// begin takes the steps that precede a search.
 func (w *world) begin(prefix []string) {
 	for _, s := range prefix {
 		w.step(s)
@@ -108,7 +108,7 @@
 	w.mail = slices.Clone(w.mail[max(len(w.mail)-w.room, 0):])
 }
 
-// act does what a machine wants done; a holder that is asked to yield has nothing under way.
+// act carries out the actions of a machine. A holder that is asked to yield has no act under way and releases at once.
 func (w *world) act(i int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// carry carries orders out, as the log does, and tells those that were granted something.
+// carry applies orders as the log does, and sends replies to the processes that were granted a lease.
 func (w *world) carry(orders []Order) {
 	for _, o := range orders {
 		w.index++
@@ -138,12 +138,12 @@
 
 var deliver = [mostMail]string{"deliver 0", "deliver 1", "deliver 2", "deliver 3", "deliver 4"}
 
-// The steps that the world can take.
+// steps returns the steps that are possible now.
 func (w *world) steps() []string {
 	s := []string{"time", "run 0", "run 1", "turn", "lead"}
 	for i, l := range w.mail {
 		if l.to >= 0 && l.told.Index < w.m[l.to].seen {
-			continue // it changes nothing
+			continue // a reply with a lower log index is ignored
 		}
 		s = append(s, deliver[i])
 		if w.old != nil && w.plant == PlantUnproven && w.mail[i].to < 0 {
@@ -163,15 +163,15 @@
 	switch name {
 	case "time":
 		w.true_ += timeStep
-	case "run": // it may never run: then it stands still, and what it believes goes by its clock alone
+	case "run": // a stalled process is one that does not take this step
 		w.m[n].Hurry()
 		w.act(n, w.m[n].Tick(w.clock(n)))
 	case "turn":
 		w.carry(w.g.Tick(w.clock(2), w.t))
 		w.carry(w.g.Tick(w.clock(2), w.t))
-	case "lead": // another copy leads, with another clock
+	case "lead": // another replica becomes the leader, with another clock
 		term := w.g.term
-		if w.plant == PlantUnproven { // else it answers nothing that counts
+		if w.plant == PlantUnproven { // without the bug, the replies of a former leader are not sent
 			w.old, w.oldT, w.oldIdx = w.g, w.t.Clone(), w.index
 		}
 		w.rates[2], w.rates[3] = w.rates[3], w.rates[2]
@@ -182,26 +182,26 @@
 	case "ask":
 		w.index++
 		w.t.Ask("d")
-	case "deliver", "deliver-old": // a message stays: it may come again
+	case "deliver", "deliver-old": // the message stays, so it may be delivered again
 		m := w.mail[n]
 		if m.to >= 0 {
 			w.act(m.to, w.m[m.to].HandleReply(w.clock(m.to), m.told))
 			return
 		}
 		i := slices.Index(who[:], m.heartbeat.From)
-		if name == "deliver-old" { // only a leader that needs no proof answers
+		if name == "deliver-old" { // only with the bug does a former leader reply
 			w.old.Take(w.clock(3), m.heartbeat, w.oldT)
 			w.post(mail{to: i, told: w.old.Answer(m.heartbeat.From, m.heartbeat.No, w.oldIdx, w.oldT)})
 			return
 		}
 		w.told[i] = max(w.told[i], m.heartbeat.No)
 		w.carry(w.g.Take(w.clock(2), m.heartbeat, w.t))
-		w.index++ // the entry that proves it
+		w.index++ // the log entry that proves the leadership
 		w.post(mail{to: i, told: w.g.Answer(m.heartbeat.From, m.heartbeat.No, w.index, w.t)})
 	}
 }
 
-// broken tells what must never be so.
+// broken returns a description of a violated invariant, or "".
 func (w *world) broken() string {
 	a, hasA := w.m[0].May(w.clock(0), "d")
 	b, hasB := w.m[1].May(w.clock(1), "d")
@@ -210,13 +210,13 @@
 	}
 	for i, r := range []Ref{a, b} {
 		if has := []bool{hasA, hasB}[i]; has && w.t.Last < r.Epoch {
-			return fmt.Sprintf("epoch %d was never granted", r.Epoch)
+			return fmt.Sprintf("candidate holds epoch %d, which was never granted", r.Epoch)
 		}
 	}
 	return ""
 }
 
-// key tells worlds apart that can go on differently.
+// key returns a hash of everything in the state that can affect later steps.
 func (w *world) key() uint64 {
 	b := make([]byte, 0, 1024)
 	num := func(v uint64) { b = binary.LittleEndian.AppendUint64(b, v) }
@@ -239,7 +239,7 @@
 		now := w.clock(i)
 		num(m.no)
 		num(m.seen)
-		for _, l := range w.mail { // times of heartbeats that can still be answered
+		for _, l := range w.mail { // sending times of heartbeats to which a reply can still arrive
 			for _, no := range []uint64{l.heartbeat.No, l.told.No} {
 				if at := m.sent[no%keptHeartbeats]; no > 0 && at.no == no {
 					flo(max(now-at.at, -1))
@@ -308,8 +308,8 @@
 
 var hashSeed = maphash.MakeSeed()
 
-// explore looks at every order of steps up to a depth; it returns a way to what must not be, and how many worlds it saw.
-// A world that was seen with as many steps to go is not gone on from again.
+// explore searches every order of steps up to a depth. It returns the steps to a violation and its description, if there is one,
+// and the number of states seen. A state is not expanded again if it was reached before with as many steps left.
 func explore(w *world, depth int) (way []string, why string, seen int) {
 	togo := map[uint64]int8{}
 	var down func(w *world, left int) string
@@ -337,7 +337,8 @@
 	return way, why, len(togo)
 }
 
-// Starts of the exploration: a holds the duty, or is about to hear of it, and b stands for it.
+// Steps that lead to the initial states of the search: no lease; a lease just granted to candidate 0; a lease that candidate 0
+// holds; a grant of which candidate 0 has not learned for a while; a lease that is held across a change of the leader.
 var starts = map[string][]string{
 	"nobody":  nil,
 	"granted": {"run 0", "deliver 0", "run 1", "deliver 2", "turn"},
@@ -346,7 +347,7 @@
 	"led":     {"run 0", "deliver 0", "turn", "deliver 2", "lead", "time", "time", "run 0"},
 }
 
-// Worst rates: holders that run slow hold longer, leaders that run fast wait less.
+// Clock rates at the limits: holders with slow clocks hold longer, leaders with fast clocks wait less.
 var worstRates = [][4]float64{{0.9, 0.9, 1.1, 1.1}, {0.9, 1.1, 1.1, 0.9}, {1.1, 0.9, 0.9, 1.1}}
 
 func TestEveryOrderOfStepsKeepsOneHolder(t *testing.T) {
@@ -358,15 +359,15 @@
 				w.begin(prefix)
 				way, why, seen := explore(w, exploreDepth)
 				if why != "" {
-					t.Fatalf("%s after %q and %q", why, prefix, way)
+					t.Fatalf("%s after the prefix %q and the steps %q", why, prefix, way)
 				}
-				t.Logf("%d worlds to depth %d", seen, exploreDepth)
+				t.Logf("%d states to depth %d", seen, exploreDepth)
 			})
 		}
 	}
 }
 
-// Each planted bug is found, with the shortest way to it.
+// The search finds a violation for each injected bug that it covers, with as few steps as possible.
 func TestPlantedBugsAreFound(t *testing.T) {
 	for plant, start := range map[string]string{PlantLateDeadline: "late", PlantHastyLeader: "held", PlantUnproven: "led"} {
 		t.Run(plant, func(t *testing.T) {
@@ -376,18 +377,18 @@
 			var way []string
 			var why string
 			seen := 0
-			for depth := 4; depth <= 8 && why == ""; depth++ { // shallow first, so that the way is short
+			for depth := 4; depth <= 8 && why == ""; depth++ { // increasing depth, so that the steps found are few
 				way, why, seen = explore(w, depth)
 			}
 			if why == "" {
-				t.Fatalf("not found in %d worlds", seen)
+				t.Fatalf("not found in %d states", seen)
 			}
-			t.Logf("%s after %q, %q; %d worlds", why, starts[start], way, seen)
+			t.Logf("%s after the prefix %q and the steps %q; %d states", why, starts[start], way, seen)
 		})
 	}
 }
 
-// Long ways, drawn by a seed, where the exhaustive search ends.
+// Random sequences of steps, by a seed, which are longer than the exhaustive search reaches.
 func TestLongWaysKeepOneHolder(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -404,17 +405,17 @@
 			w.step(s)
 			way = append(way, s)
 			if why := w.broken(); why != "" {
-				t.Fatalf("seed %d: %s after %q", seed, why, way)
+				t.Fatalf("seed %d: %s after the steps %q", seed, why, way)
 			}
 			if w.t.Last < last {
-				t.Fatalf("seed %d: the epoch fell from %d to %d", seed, last, w.t.Last)
+				t.Fatalf("seed %d: the latest epoch decreased from %d to %d", seed, last, w.t.Last)
 			}
 			if w.t.Last > last {
 				epochs, last = epochs+1, w.t.Last
 			}
 		}
 		if seed == 0 && epochs == 0 {
-			t.Fatal("nothing was ever granted")
+			t.Fatal("no lease was granted with the first seed")
 		}
 	}
 }
--- a/internal/duty/grantor.go
+++ b/internal/duty/grantor.go
@@ -8,69 +8,69 @@
 	"strings"
 )
 
-// Heartbeat is what an order server says in one message: what it renews, gives back and stands for. A heartbeat may come late,
-// twice or never.
+// Heartbeat is a message of an order server: the leases that it renews and releases, and those for which it is a candidate. A
+// heartbeat may arrive late, twice or never.
 type Heartbeat struct {
-	From   string   `json:"from"` // the process: its name and incarnation
-	No     uint64   `json:"no"`   // counts from 1 in each process
-	Seen   uint64   `json:"seen"` // the highest position of the log that it was told of
+	From   string   `json:"from"` // the process: server name and incarnation
+	No     uint64   `json:"no"`   // sequence number, from 1 in each process
+	Seen   uint64   `json:"seen"` // highest log index of the replies that it has received
 	Cold   bool     `json:"cold,omitempty"`
 	Renews []Ref    `json:"renews,omitempty"`
 	Gives  []Ref    `json:"gives,omitempty"`
 	Stands []string `json:"stands,omitempty"`
 }
 
-// Grantee is one grant in an answer.
+// Grantee is one held lease in a reply.
 type Grantee struct {
 	Ref
 	TTL   float64 `json:"t"`
-	Yield bool    `json:"y,omitempty"` // an operator wants it given up
+	Yield bool    `json:"y,omitempty"` // an operator wants it released
 }
 
-// HeartbeatReply is the answer to a heartbeat. It is sent only once an entry of the log, written after the heartbeat came, was agreed on:
-// only that proves that no other copy led by then.
+// HeartbeatReply is the reply to a heartbeat. It is sent only after a log entry that was written after the heartbeat arrived is
+// committed: that alone proves that no other replica was the leader by then.
 type HeartbeatReply struct {
-	No    uint64    `json:"no"`    // the latest heartbeat that is answered
-	Index uint64    `json:"index"` // the position of the log as of which it holds
+	No    uint64    `json:"no"`    // sequence number of the heartbeat
+	Index uint64    `json:"index"` // log index as of which the reply is valid
 	Holds []Grantee `json:"holds,omitempty"`
 }
 
-// Planted bugs, by which the laboratory and the tests show that they would find one. Nothing else sets any.
+// Injected bugs: deliberate faults by which the lab and the tests prove that their checks find them. Nothing else sets them.
 const (
-	PlantLateDeadline = "deadline-from-reply" // a holder counts its time from the answer, not from what it sent
-	PlantHastyLeader  = "hasty-leader"        // a new leader counts no earlier leader's grants as renewed
-	PlantUnfenced     = "unfenced"            // the epoch of an act is not looked at
-	PlantEarlyGrowth  = "early-growth"        // a share grows before the others have shrunk
-	PlantUnproven     = "unproven"            // a heartbeat is answered without an entry of the log that proves the leadership
+	PlantLateDeadline = "deadline-from-reply" // a holder measures its lease from the reply instead of from its heartbeat
+	PlantHastyLeader  = "hasty-leader"        // a new leader does not treat the leases of earlier leaders as renewed
+	PlantUnfenced     = "unfenced"            // the epoch of an act is not checked
+	PlantEarlyGrowth  = "early-growth"        // a share grows before others have been reduced
+	PlantUnproven     = "unproven"            // a heartbeat is answered without a log entry that proves the leadership
 )
 
-// Plants are all of them.
+// Plants lists all injected bugs of duties.
 var Plants = []string{PlantLateDeadline, PlantHastyLeader, PlantUnfenced, PlantEarlyGrowth, PlantUnproven}
 
-// Grantor is the timing of the copy that leads. Its decisions become true by the log alone.
+// Grantor decides at the leader of the store when leases are granted and expire. Its decisions take effect only through the log.
 type Grantor struct {
 	Rules
 	Seed  uint64
-	Most  int    // processes whose presence is granted at once; 0: any number
-	Plant string // a planted bug; "": none
+	Most  int    // maximum number of presence leases held at once; 0: no limit
+	Plant string // an injected bug; "": none
 
 	term  uint64
-	since float64 // when this copy took office
+	since float64 // when this replica became the leader in term
 
-	heard  map[string]heard            // by lease
-	stands map[string]map[string]stand // by duty, then process
-	free   map[string]float64          // since when a duty was seen without a holder
-	asked  map[string]bool             // leases with an order under way
-	given  map[string]heard            // leases granted in this office, and when
-	deaf   map[string]uint64           // leases, by epoch, that their holder does not seem to know of
-	shun   map[string]shunned          // who let a duty's time run out
+	heard  map[string]heard            // latest heartbeat of the holder, by lease
+	stands map[string]map[string]stand // candidates, by lease, then by process
+	free   map[string]float64          // when a duty was first seen without a holder
+	asked  map[string]bool             // leases with an order that is not yet applied
+	given  map[string]heard            // when leases were granted in this term
+	deaf   map[string]uint64           // epochs of grants that their holder does not seem to know of, by lease
+	shun   map[string]shunned          // holders whose lease expired, by lease
 
-	sweepAt float64 // who stands for duties that are held is looked through then
+	sweepAt float64 // when stale candidates of held leases are next removed
 
-	earliest float64 // no lease lapses before this time, so until then the leases need not be walked
+	earliest float64 // no lease expires before this time, so until then the leases need not be scanned
 }
 
-// shunned is not chosen for a duty until a time.
+// shunned is a process that is not chosen for a duty until a given time.
 type shunned struct {
 	who   string
 	until float64
@@ -86,11 +86,11 @@
 	cold bool
 }
 
-// Lead tells that this copy leads in a term. All grants count as renewed then: an earlier leader may have renewed them
-// up to this moment, and nothing tells which.
+// Lead starts a term in which this replica is the leader. All leases count as renewed at this moment, because an earlier leader
+// may have renewed any of them until now.
 func (g *Grantor) Lead(term uint64, now float64) {
 	if g.term == term && g.heard != nil {
-		// The same office, after an entry that was not confirmed: its orders were carried out by now, or never will be.
+		// The same term, after an entry that was not confirmed: its orders have been applied by now or never will be.
 		clear(g.asked)
 		g.earliest = now
 		return
@@ -101,10 +101,11 @@
 	g.given, g.deaf, g.shun = map[string]heard{}, map[string]uint64{}, map[string]shunned{}
 }
 
-// Term is the term of this copy's office; 0: it never led.
+// Term returns the latest term in which this replica was the leader; 0: none.
 func (g *Grantor) Term() uint64 { return g.term }
 
-// Take books a heartbeat and returns what it gives back. It answers nothing: HeartbeatReply does, once that is proven.
+// Take records a heartbeat and returns the releases to write to the log. The reply is made later by Answer, once the leadership is
+// proven.
 func (g *Grantor) Take(now float64, b Heartbeat, t *Table) []Order {
 	var out []Order
 	for _, r := range b.Gives {
@@ -123,9 +124,9 @@
 		}
 		g.stands[name][b.From] = stand{at: now, cold: b.Cold}
 	}
-	// What it holds and does not name counts as heard for a while: the answer will name it, and then it counts its time
-	// from this heartbeat. Past that it is neither heard nor named in an answer. Guards against a server that is heard and
-	// hears nothing, which would keep for good what it does not know of.
+	// A held lease that the heartbeat does not renew counts as renewed for a while after its grant: the reply will name it, and
+	// then the holder measures its lease from this heartbeat. After that it is neither renewed nor named in replies. Otherwise a
+	// server whose heartbeats arrive but which receives no replies would keep forever a lease that it does not know of.
 	for _, name := range t.HeldBy(b.From) {
 		l := t.Leases[name]
 		switch {
@@ -139,8 +140,8 @@
 	return out
 }
 
-// forgetStands forgets for what a process stood. Only its own presence can have been among that beside duties, so the presences
-// of others, of which there are as many as servers that come at once, are not walked.
+// forgetStands removes all candidacies of a process. These can only be for duties and for its own presence lease, so the presence
+// leases of others, whose number grows with the servers that start at once, are not scanned.
 func (g *Grantor) forgetStands(who string) {
 	for _, d := range g.Duties {
 		delete(g.stands[d.Name], who)
@@ -148,7 +149,7 @@
 	delete(g.stands, PresenceOf(who))
 }
 
-// grantedAt is when a lease was granted, or for all that is known when this office began.
+// grantedAt returns when a lease was granted, or the start of the term if it was granted before.
 func (g *Grantor) grantedAt(name string, epoch uint64) float64 {
 	if at := g.given[name]; at.epoch == epoch {
 		return at.at
@@ -162,18 +163,19 @@
 	}
 }
 
-// MaxOrders bounds the orders that Tick returns at once. A fleet that comes or goes as one is taken in several steps, so that no
-// entry of the log is long in the writing, and none over the most bytes of a write.
+// MaxOrders is the maximum number of orders that Tick returns at once. A large fleet that joins or leaves at once is handled in
+// several steps, so that no log entry takes long to write or exceeds the maximum size of a write.
 const MaxOrders = 512
 
-// Tick finds whose time is up and whom to grant what nobody holds. What is over MaxOrders is left for the next.
+// Tick returns the orders that are due: expired leases, and grants of leases without a holder. Orders beyond MaxOrders are left
+// for the next call.
 func (g *Grantor) Tick(now float64, t *Table) []Order {
 	out := g.lapses(now, t)
 	return append(out, g.grants(now, t, MaxOrders-len(out))...)
 }
 
-// lapses finds the leases whose time is up. To hear a holder only puts its end off, so all leases are walked no more often
-// than the earliest end that the last walk found.
+// lapses returns orders for the leases that have expired. A heartbeat can only postpone an expiry, so the leases are not scanned
+// again before the earliest expiry that the last scan found.
 func (g *Grantor) lapses(now float64, t *Table) (out []Order) {
 	if now <= g.earliest {
 		return nil
@@ -199,15 +201,15 @@
 	return out
 }
 
-// grants finds whom to grant what nobody holds, so many at most.
+// grants returns up to most orders that grant leases without a holder.
 func (g *Grantor) grants(now float64, t *Table, most int) (out []Order) {
-	load := map[string]int{} // duties that are granted in this turn, by process
-	// Those who stand for a duty that is held matter to nobody, so they are looked through only now and then, lest they grow.
+	load := map[string]int{} // leases granted in this call, by process
+	// Candidates for a held lease are not needed, so their stale entries are only removed from time to time, to bound memory.
 	sweep := now >= g.sweepAt
 	if sweep {
 		g.sweepAt = now + g.Renew
 	}
-	present, counted := -1, g.Most > 0 // the count matters only where it is bounded and somebody wants in
+	present, counted := -1, g.Most > 0 // counted only if there is a limit and a candidate
 	for _, name := range slices.Sorted(maps.Keys(g.stands)) {
 		if len(out) >= most {
 			break
@@ -250,7 +252,7 @@
 	return out
 }
 
-// lastHeard is when the holder was last heard, in this office or, for all that is known, at its start.
+// lastHeard returns the time of the last heartbeat that renewed a lease, or the start of the term if there was none since.
 func (g *Grantor) lastHeard(name string, epoch uint64) float64 {
 	if h := g.heard[name]; h.epoch == epoch {
 		return h.at
@@ -261,7 +263,7 @@
 	return g.since
 }
 
-// fade forgets those that have not said for some heartbeats that they stand.
+// fade removes the candidates of a lease from which no heartbeat has come for some intervals.
 func (g *Grantor) fade(name string, now float64) {
 	for who, s := range g.stands[name] {
 		if now > s.at+(bearLost+1)*g.Renew*(1+g.Rate) {
@@ -273,15 +275,15 @@
 	}
 }
 
-// choose picks the one with the fewest duties, ties by a draw that differs from duty to duty but not from leader to
-// leader. A cold server is taken only where no other has stood for a while. Guards against all duties on one server,
-// and against the first whose message came after an outage.
+// choose returns the candidate with the fewest duties, or "". Ties are broken by a hash that depends on the duty but not on the
+// leader. A cold server is chosen only if there has been no other candidate for a while. This spreads the duties, and prevents
+// that after an outage the server whose heartbeat comes first gets all of them.
 func (g *Grantor) choose(name string, now float64, load func(who string) int) string {
 	if _, seen := g.free[name]; !seen {
 		g.free[name] = now
 	}
 	if now < g.since+g.Renew*(1+g.Rate) {
-		return "" // all who stand have not been heard yet
+		return "" // some candidates may not have sent a heartbeat to this leader yet
 	}
 	cold := now > max(g.free[name], g.since)+g.ColdWait
 	best := ""
@@ -321,14 +323,14 @@
 	return h.Sum64()
 }
 
-// Done tells that an order was carried out or refused. A grant counts as heard now: what its holder may count from is
-// a heartbeat that came before.
+// Done records that an order was applied or refused. A grant counts as renewed now, since its holder measures the lease from an
+// earlier heartbeat.
 func (g *Grantor) Done(now float64, o Order, t *Table) {
 	if o.Term != g.term {
 		return
 	}
 	delete(g.asked, o.Name)
-	if o.Kind == Lapse { // whatever kept it from renewing may keep it from knowing that it is granted again
+	if o.Kind == Lapse { // the cause of the missed renewals may also keep it from learning of a new grant
 		g.shun[o.Name] = shunned{o.Holder, now + g.Cool}
 	}
 	if l := t.Leases[o.Name]; o.Kind == Grant && l != nil && l.Holder == o.Holder {
@@ -337,11 +339,11 @@
 		g.earliest = min(g.earliest, now+g.GrantorSpan(l.TTL))
 		delete(g.free, o.Name)
 	} else if l != nil && l.Holder != "" {
-		g.earliest = now // an order that was refused: the lease has to be looked at again
+		g.earliest = now // the order was refused: the lease has to be checked again
 	}
 }
 
-// Answer is what a process is told of its grants as the table has them.
+// Answer returns the reply to a heartbeat, with the leases that the process holds according to the table.
 func (g *Grantor) Answer(from string, no, index uint64, t *Table) HeartbeatReply {
 	told := HeartbeatReply{No: no, Index: index}
 	for _, name := range t.HeldBy(from) {
--- a/internal/duty/machine.go
+++ b/internal/duty/machine.go
@@ -6,74 +6,74 @@
 	"slices"
 )
 
-// Mode is the state of an order server as far as duties go.
+// Mode is the state of an order server with regard to duties.
 type Mode int
 
-// Modes.
+// Modes of a server.
 const (
-	Warm     Mode = iota
-	Cold          // stands only where no warm one does
-	Failing       // holds nothing
-	Away          // the same, by an operator's order
-	Draining      // the same, and does not come back
+	Warm     Mode = iota // candidate for all duties
+	Cold                 // chosen only if there is no warm candidate
+	Failing              // holds no duties
+	Away                 // holds no duties, by an operator's order
+	Draining             // holds no duties until the process ends
 )
 
-// Causes of the end of a holding.
+// Causes for the end of a lease.
 const (
-	CauseLate    = "renewed too late" // its time ended before a renewal was answered
-	CauseLost    = "lost"             // the copies say that it is another's or nobody's
+	CauseLate    = "renewed too late" // it expired before a renewal was confirmed
+	CauseLost    = "lost"             // according to the store, this process does not hold it
 	CauseYield   = "asked to yield"
 	CauseDrain   = "draining"
 	CauseFailing = "failing"
 )
 
-// Action is what a machine wants done: Send, Gained, Held, Yields, Ended or Behind.
+// Action is an action or event that Machine returns to its caller: Send, Gained, Held, Yields, Ended or Behind.
 type Action any
 
 type (
-	// Send is a heartbeat for the copy that leads.
+	// Send carries a heartbeat to be sent to the leader of the store.
 	Send struct{ Heartbeat Heartbeat }
-	// Gained tells that the process holds a duty until a time of its own clock.
+	// Gained reports that the process now holds a lease, until a time on its own clock.
 	Gained struct {
 		Ref
 		Until float64
 	}
-	// Held tells that a holding was renewed. Late: less than half of its time was left.
+	// Held reports that a lease was renewed. Late: less than half of its time was left.
 	Held struct {
 		Ref
 		Until float64
 		Late  bool
 	}
-	// Yields tells to begin no more acts under a grant, and to call Quiet once the last one has ended.
+	// Yields requests that no more acts begin under a grant, and that Quiet is called once the last one has ended.
 	Yields struct {
 		Ref
 		Cause string
 	}
-	// Ended tells that a holding is over, and acts under way with it.
+	// Ended reports that a lease is no longer held. Acts under way have to be aborted.
 	Ended struct {
 		Ref
 		Cause string
 	}
-	// Behind tells that a copy knows less than this process was told before: it was restored from an older state, or
-	// answers for one that leads no more.
+	// Behind reports an ignored reply, whose log index is lower than that of an earlier reply: the replica was restored from an
+	// older state, or is no longer the leader.
 	Behind struct{ Index, Seen uint64 }
 )
 
-const keptHeartbeats = 32 // heartbeats whose sending times are kept; an answer to an older one counts for nothing
+const keptHeartbeats = 32 // number of latest heartbeats whose sending times are kept; replies to older ones extend no lease
 
 type holding struct {
 	ref   Ref
 	until float64
-	cause string // why it yields; "": it does not
+	cause string // why it is being released; "": it is not
 }
 
-// Machine is an order server's side of all duties. It is not safe for concurrent use.
+// Machine manages the leases of one order server process. It is not safe for concurrent use.
 type Machine struct {
 	Rules
 	Me    string
-	Plant string // a planted bug; "": none
+	Plant string // an injected bug; "": none
 
-	spread func() float64 // 0 to 1, by the seed
+	spread func() float64 // seeded random numbers from 0 to 1
 	mode   Mode
 	no     uint64
 	sent   [keptHeartbeats]struct {
@@ -82,20 +82,21 @@
 	}
 	seen        uint64
 	held        map[string]*holding
-	past        map[string]uint64  // the highest epoch of a lease that this process is done with
-	gives       map[string]Ref     // given back, until an answer shows that it is gone
-	cool        map[string]float64 // until when it does not stand
+	past        map[string]uint64  // highest epoch that this process has released or lost, by lease
+	gives       map[string]Ref     // releases to be sent until a reply confirms them
+	cool        map[string]float64 // until when the process is no candidate, by lease
 	heartbeatAt float64
 	leave       bool
 }
 
-// NewMachine makes a machine that stands for all duties of the rules, and for its presence where that is kept.
+// NewMachine returns a Machine that is a candidate for all duties of the rules, and for its presence lease if the rules have
+// one. The seed is for jitter.
 func NewMachine(r Rules, me string, seed uint64) *Machine {
 	return &Machine{Rules: r, Me: me, spread: rand.New(rand.NewPCG(seed, 1)).Float64, held: map[string]*holding{},
 		past: map[string]uint64{}, gives: map[string]Ref{}, cool: map[string]float64{}}
 }
 
-// Tick looks at the time: what has run out ends, and a heartbeat that is due goes out.
+// Tick ends the leases that have expired and sends a heartbeat if one is due.
 func (m *Machine) Tick(now float64) []Action {
 	out := m.expire(now)
 	if now >= m.heartbeatAt {
@@ -104,7 +105,7 @@
 	return out
 }
 
-// Next is when Tick has to be called again, at the latest.
+// Next returns the time by which Tick has to be called again.
 func (m *Machine) Next() float64 {
 	at := m.heartbeatAt
 	for _, h := range m.held {
@@ -113,7 +114,7 @@
 	return at
 }
 
-// Hurry makes the next Tick send a heartbeat: a connection is new, or something changed.
+// Hurry makes the next Tick send a heartbeat, for example on a new connection.
 func (m *Machine) Hurry() { m.heartbeatAt = 0 }
 
 func (m *Machine) expire(now float64) (out []Action) {
@@ -125,8 +126,8 @@
 	return out
 }
 
-// end forgets a holding. It is given back as well: if the copies still think that this process holds it, others need
-// not wait for its time.
+// end removes a lease. It also releases it: if the store still has this process as the holder, others need not wait for the
+// expiry.
 func (m *Machine) end(now float64, h *holding, cause string) Action {
 	name := h.ref.Name
 	if h.cause != "" {
@@ -143,7 +144,7 @@
 }
 
 func (m *Machine) heartbeat(now float64) Action {
-	// Spread, so that a fleet that started as one does not heartbeat as one.
+	// Jitter, so that servers that started at the same time do not send their heartbeats at the same time.
 	m.heartbeatAt = now + m.Renew*(0.7+0.3*m.spread())
 	m.no++
 	m.sent[m.no%keptHeartbeats].no, m.sent[m.no%keptHeartbeats].at = m.no, now
@@ -167,17 +168,17 @@
 	return Send{b}
 }
 
-// HandleReply takes an answer in.
+// HandleReply processes a reply: it renews, gains and ends leases accordingly.
 func (m *Machine) HandleReply(now float64, t HeartbeatReply) []Action {
 	out := m.expire(now)
 	if t.Index < m.seen {
-		// Guards against old state taken for new: another copy has told of more already.
+		// Old state must not be taken for new: another replica has already reported a later one.
 		return append(out, Behind{t.Index, m.seen})
 	}
 	m.seen = t.Index
 	s := m.sent[t.No%keptHeartbeats]
 	if s.no != t.No || t.No == 0 {
-		return out // of a heartbeat that is long past: nothing tells when it was sent
+		return out // an old heartbeat, whose sending time is not known any more
 	}
 	from := s.at
 	if m.Plant == PlantLateDeadline {
@@ -228,7 +229,7 @@
 	return out
 }
 
-// wants tells whether a grant would be taken now.
+// wants reports whether a grant would be accepted now.
 func (m *Machine) wants(name string, now float64) bool {
 	if name == PresenceOf(m.Me) {
 		return m.Presence > 0 && !m.leave
@@ -244,7 +245,7 @@
 	return []Action{Yields{h.ref, cause}}
 }
 
-// Quiet tells that no act is under way any more under a grant that yields; it is given back with the next heartbeat.
+// Quiet reports that no act is under way any more under a grant after Yields; it is released with the next heartbeat.
 func (m *Machine) Quiet(now float64, r Ref) []Action {
 	h := m.held[r.Name]
 	if h == nil || h.ref != r || h.cause == "" {
@@ -253,7 +254,8 @@
 	return []Action{m.end(now, h, h.cause)}
 }
 
-// Switch puts the server into a mode. One that fails or drains yields all of its duties; its presence it keeps.
+// Switch sets the mode of the server. In all modes but Warm and Cold it releases all duties; it keeps its presence lease.
+// Draining is final.
 func (m *Machine) Switch(now float64, mode Mode) (out []Action) {
 	if m.mode == Draining || m.mode == mode {
 		return nil
@@ -274,7 +276,7 @@
 	return out
 }
 
-// Leave gives back all that is left, presence too, at the end of the process.
+// Leave releases all leases, the presence lease included, at the end of the process.
 func (m *Machine) Leave(now float64) (out []Action) {
 	m.mode, m.leave = Draining, true
 	for _, name := range slices.Sorted(maps.Keys(m.held)) {
@@ -283,7 +285,7 @@
 	return append(out, m.heartbeat(now))
 }
 
-// May tells whether an act under a duty may begin now, and under which epoch.
+// May reports whether an act under a duty may begin now, and under which grant.
 func (m *Machine) May(now float64, name string) (Ref, bool) {
 	h := m.held[name]
 	if h == nil || h.cause != "" || now >= h.until {
@@ -292,10 +294,10 @@
 	return h.ref, true
 }
 
-// Seen is the highest position of the log that this process was told of.
+// Seen returns the highest log index of the replies so far.
 func (m *Machine) Seen() uint64 { return m.seen }
 
-// Until is the end of a holding, yields included, on the server's own clock.
+// Until returns the end of a held lease on the server's own clock, also while it is being released.
 func (m *Machine) Until(name string) (Ref, float64, bool) {
 	h := m.held[name]
 	if h == nil {
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// Errors of the table. They are final: the same order is refused again.
+// Errors of Table. They are permanent: to repeat the same order fails again.
 var (
-	ErrStale  = errors.New("duty: stale epoch") // the epoch is not the one in force, or nobody's is
-	ErrHeld   = errors.New("duty: held")
+	ErrStale  = errors.New("duty: stale epoch") // the epoch is not the current one, or the lease has no holder
+	ErrHeld   = errors.New("duty: already held")
 	ErrFrozen = errors.New("duty: frozen")
-	ErrTerm   = errors.New("duty: decided by an earlier leader")
+	ErrTerm   = errors.New("duty: decided in another term")
 )
 
-// presencePrefix marks leases by which a server's process shows that it is there.
+// presencePrefix begins the names of presence leases, by which server processes show that they are alive.
 const presencePrefix = "server/"
 
-// PresenceOf is the name of the lease that shows that a process is there.
+// PresenceOf returns the name of the presence lease of a process.
 func PresenceOf(who string) string { return presencePrefix + who }
 
-// PresentWho is the way back; "" where the lease is no presence.
+// PresentWho returns the process to which a presence lease belongs, or "" if the name is not that of a presence lease.
 func PresentWho(name string) string {
 	who, ok := strings.CutPrefix(name, presencePrefix)
 	if !ok {
@@ -31,34 +31,34 @@
 	return who
 }
 
-// Ref names one grant.
+// Ref identifies one grant of a lease. Its epoch is the fencing token.
 type Ref struct {
 	Name  string `json:"n"`
 	Epoch uint64 `json:"e"`
 }
 
-// Lease is one grant, or what is left of the last one.
+// Lease is the state of one lease, held or not.
 type Lease struct {
-	Holder string  `json:"holder,omitempty"` // the process that holds it; "": nobody
-	Epoch  uint64  `json:"epoch"`            // of the last grant
+	Holder string  `json:"holder,omitempty"` // the process that holds it; "": none
+	Epoch  uint64  `json:"epoch"`            // epoch of the latest grant
 	TTL    float64 `json:"ttl"`
-	Yield  bool    `json:"yield,omitempty"` // an operator asked the holder to give it up
+	Yield  bool    `json:"yield,omitempty"` // an operator asked the holder to release it
 }
 
-// Table is what all copies agree on. Every method is one step of the log: the same steps give the same table. It knows
-// no time: whose time is up is the leader's finding, and comes in as a step like any other.
+// Table holds all leases. It is part of the replicated state: its methods are called from log entries and are deterministic.
+// It uses no clock: the leader decides that a lease has expired and writes that to the log.
 type Table struct {
-	Last   uint64            `json:"last"` // the highest epoch ever granted, of any duty; it only grows
+	Last   uint64            `json:"last"` // the highest epoch granted so far, over all leases; never decreases
 	Leases map[string]*Lease `json:"leases"`
 	Frozen map[string]bool   `json:"frozen,omitempty"`
 
-	held map[string]map[string]bool // names of the leases in force, by holder; nil: not built yet
+	held map[string]map[string]bool // index: names of held leases by holder; nil: not built yet
 }
 
-// NewTable is an empty table.
+// NewTable returns an empty Table.
 func NewTable() *Table { return &Table{Leases: map[string]*Lease{}, Frozen: map[string]bool{}} }
 
-// Clone copies a table, for a snapshot.
+// Clone returns a deep copy, for a snapshot.
 func (t *Table) Clone() *Table {
 	c := &Table{Last: t.Last, Leases: make(map[string]*Lease, len(t.Leases)), Frozen: maps.Clone(t.Frozen)}
 	for k, v := range t.Leases {
@@ -72,21 +72,21 @@
 const (
 	Grant   = "grant"
 	Release = "release"
-	Lapse   = "lapse" // the holder's time is up
+	Lapse   = "lapse" // expiry: the holder did not renew in time
 )
 
-// Order is one step that the grantor wants in the log. Term is the leader's, in which it decided: an order that another
-// leader's log carries out is refused, since it rests on waits that count for nothing there.
+// Order is an operation on a lease that the grantor writes to the log. Term is the raft term in which it was decided. An order
+// that is applied in another term is refused, because the waiting times on which it rests are those of the former leader.
 type Order struct {
 	Kind   string  `json:"k"`
 	Name   string  `json:"n"`
 	Holder string  `json:"h,omitempty"`
-	Epoch  uint64  `json:"e"` // the lease's as the grantor saw it
+	Epoch  uint64  `json:"e"` // epoch of the lease at the time of the decision
 	TTL    float64 `json:"t,omitempty"`
 	Term   uint64  `json:"term"`
 }
 
-// Apply carries an order out, at the log's term.
+// Apply carries out an order from a log entry of the given term.
 func (t *Table) Apply(o Order, term uint64) error {
 	if o.Term != term {
 		return ErrTerm
@@ -101,7 +101,7 @@
 			return fmt.Errorf("%w: %s by %s", ErrHeld, o.Name, l.Holder)
 		}
 		if l != nil && l.Epoch != o.Epoch {
-			return ErrStale // granted and given back since the grantor looked
+			return ErrStale // granted and released since the decision
 		}
 		t.Last++
 		t.Leases[o.Name] = &Lease{Holder: o.Holder, Epoch: t.Last, TTL: o.TTL}
@@ -116,38 +116,39 @@
 		}
 		l.Holder, l.Yield = "", false
 		if PresentWho(o.Name) != "" {
-			delete(t.Leases, o.Name) // epochs are of the whole table, so that one that comes back gets a higher one
+			delete(t.Leases, o.Name) // epochs are unique over all leases, so a later grant of this name gets a higher one
 		}
 		return nil
 	}
 	return fmt.Errorf("duty: unknown order %q", o.Kind)
 }
 
-// Fence tells whether an act under a grant may take effect now. It is called in the step that carries the act out.
+// Fence returns ErrStale if a grant is not the one in force, and nil if an act under it may take effect. It is called from the
+// log entry that carries the act out.
 func (t *Table) Fence(r Ref) error {
 	l := t.Leases[r.Name]
 	switch {
 	case l == nil || l.Epoch < r.Epoch:
-		return fmt.Errorf("%w: %s %d was never granted", ErrStale, r.Name, r.Epoch)
+		return fmt.Errorf("%w: %s epoch %d was never granted", ErrStale, r.Name, r.Epoch)
 	case l.Epoch > r.Epoch:
-		return fmt.Errorf("%w: %s %d, in force is %d", ErrStale, r.Name, r.Epoch, l.Epoch)
+		return fmt.Errorf("%w: %s epoch %d, current epoch is %d", ErrStale, r.Name, r.Epoch, l.Epoch)
 	case l.Holder == "":
-		return fmt.Errorf("%w: %s %d has ended", ErrStale, r.Name, r.Epoch)
+		return fmt.Errorf("%w: %s epoch %d has ended", ErrStale, r.Name, r.Epoch)
 	}
 	return nil
 }
 
-// Ask notes that an operator wants the holder to give a duty up.
+// Ask records that an operator wants the holder to release a duty.
 func (t *Table) Ask(name string) error {
 	l := t.Leases[name]
 	if l == nil || l.Holder == "" {
-		return fmt.Errorf("duty: nobody holds %s", name)
+		return fmt.Errorf("duty: %s has no holder", name)
 	}
 	l.Yield = true
 	return nil
 }
 
-// Freeze keeps a duty from being granted, and asks its holder to give it up; or lets it be granted again.
+// Freeze prevents grants of a duty and asks its holder to release it; with on false, it permits grants again.
 func (t *Table) Freeze(name string, on bool) {
 	if !on {
 		delete(t.Frozen, name)
@@ -159,7 +160,7 @@
 	}
 }
 
-// HeldBy lists a process's grants, by name.
+// HeldBy returns the names of the leases that a process holds, sorted.
 func (t *Table) HeldBy(who string) (names []string) {
 	if t.indexed() {
 		return slices.Sorted(maps.Keys(t.held[who]))
@@ -173,7 +174,7 @@
 	return names
 }
 
-// DutiesHeldBy counts a process's grants, its presence left out.
+// DutiesHeldBy returns the number of leases that a process holds, its presence lease not counted.
 func (t *Table) DutiesHeldBy(who string) (n int) {
 	for _, name := range t.HeldBy(who) {
 		if PresentWho(name) == "" {
@@ -183,7 +184,7 @@
 	return n
 }
 
-// Present counts the processes whose presence is in force.
+// Present returns the number of processes that hold their presence lease.
 func (t *Table) Present() (n int) {
 	for name, l := range t.Leases {
 		if l.Holder != "" && PresentWho(name) != "" {
@@ -193,11 +194,11 @@
 	return n
 }
 
-// walkUpTo is the number of leases that are walked rather than found by an index.
+// walkUpTo is the largest number of leases that are searched without an index.
 const walkUpTo = 32
 
-// indexed tells whether the index of leases by holder is there; it is built where a table has grown large, also after it was
-// read from a snapshot.
+// indexed reports whether the index of leases by holder is in use. It builds the index once the table is large enough, also
+// after the table was read from a snapshot.
 func (t *Table) indexed() bool {
 	if t.held != nil || len(t.Leases) <= walkUpTo {
 		return t.held != nil
@@ -211,7 +212,7 @@
 	return true
 }
 
-// index adds a lease in force to the index, where there is one.
+// index adds a held lease to the index, if that is in use.
 func (t *Table) index(holder, name string) {
 	if t.held == nil {
 		return
--- a/internal/duty/terms.go
+++ b/internal/duty/terms.go
@@ -1,9 +1,9 @@
-// Package duty decides which order server holds which duty. It is free of I/O: events come in with the time of the
-// caller's steady clock, in milliseconds, and actions go out.
+// Package duty decides which order server holds the lease of which duty. It does no I/O: events come in with the time of the
+// caller's monotonic clock, in milliseconds, and actions go out.
 //
-// Three parts decide. Table is what all copies of the store agree on: who holds what, under which epoch. Grantor is the
-// timing of the copy that leads: whom to grant, whose time is up. Machine is an order server's side: when to stand, to
-// renew, to stop acting. docs/duties.md has the assumptions and the argument.
+// Table is part of the replicated state: who holds which lease, under which epoch (the fencing token). Grantor runs at the
+// leader of the store and decides when a lease is granted and when it expires. Machine runs in each order server and decides
+// when to be a candidate, to renew and to stop acting. docs/duties.md has the assumptions and the safety argument.
 package duty
 
 import (
@@ -11,38 +11,39 @@
 	"math"
 )
 
-// Bounds are what is assumed of clocks, and what is kept clear of them.
+// Bounds are the assumptions about clocks on which leases rest.
 type Bounds struct {
-	Rate   float64 // each steady clock runs at 1-Rate to 1+Rate of true time
-	Margin float64 // ms of a holder's own clock that it keeps clear before its time ends
+	Rate   float64 // largest drift of a monotonic clock: it runs at 1-Rate to 1+Rate of true time
+	Margin float64 // ms on the holder's clock by which it stops before its lease ends
 }
 
-// Terms are the terms under which one duty is held.
+// Terms set up the lease of one duty.
 type Terms struct {
 	Name string
-	TTL  float64 // ms of true time for which a grant or renewal holds, from its receipt
+	TTL  float64 // ms of true time for which a grant or renewal is valid, from its receipt
 }
 
-// Rules are all that both sides have to agree on.
+// Rules are the settings that Grantor and Machine must have in common.
 type Rules struct {
 	Bounds
-	Renew    float64 // ms between two heartbeats of an order server, at most
-	Cool     float64 // ms for which a server does not stand for a duty that it gave up or lost
-	ColdWait float64 // ms for which a duty stays without a holder where only cold servers stand
+	Renew    float64 // ms; longest interval between two heartbeats of an order server
+	Cool     float64 // ms for which a server is no candidate for a duty that it released or lost
+	ColdWait float64 // ms for which a duty stays without a holder if all candidates are cold
 	Duties   []Terms
-	Presence float64 // TTL of a server's presence; 0: none is kept
+	Presence float64 // TTL of a server's presence lease, in ms; 0: servers have none
 }
 
-// Lost renewals that a holder must be able to bear.
+// bearLost is the number of successive renewals that may get lost without the holder losing its lease.
 const bearLost = 2
 
-// HolderSpan is how long a holder may act after it sent what was granted or renewed, on its own clock.
+// HolderSpan returns for how many ms on its own clock a holder may act, from the sending of the heartbeat by which it was granted
+// or renewed the lease.
 func (b Bounds) HolderSpan(ttl float64) float64 { return ttl*(1-b.Rate) - b.Margin }
 
-// GrantorSpan is how long the grantor waits after it last heard a holder, on its own clock.
+// GrantorSpan returns how many ms on its own clock the grantor waits after a holder's last heartbeat before the lease expires.
 func (b Bounds) GrantorSpan(ttl float64) float64 { return ttl * (1 + b.Rate) }
 
-// Check names the first term that makes no sense, by its key below duties in the operator's file.
+// Check reports the first invalid setting, by its key under duties in the operator's file.
 func (r Rules) Check() error {
 	finite := func(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 	switch {
@@ -62,7 +63,7 @@
 			return fmt.Errorf("%s must be above 0, not %v", key, v)
 		}
 		if need := (bearLost + 1) * r.Renew; r.HolderSpan(v) < need {
-			return fmt.Errorf("%s of %v ms leaves a holder %.0f ms of its own clock; renew_ms, clock_rate and margin_ms need %.0f",
+			return fmt.Errorf("%s of %v ms leaves a holder %.0f ms of its own clock; renew_ms, clock_rate and margin_ms require %.0f ms",
 				key, v, r.HolderSpan(v), need)
 		}
 		return nil
@@ -74,7 +75,7 @@
 			return fmt.Errorf("%s.name %w", key, err)
 		}
 		if first, twice := seen[d.Name]; twice {
-			return fmt.Errorf("%s.name %q stands in list[%d] already", key, d.Name, first)
+			return fmt.Errorf("%s.name %q is the name of list[%d] already", key, d.Name, first)
 		}
 		seen[d.Name] = i
 		if err := ttl(key+".ttl_ms", d.TTL); err != nil {
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// Known tells whether a duty is on the list.
+// Known reports whether a duty of this name is set up.
 func (r Rules) Known(name string) bool { return r.ttl(name) > 0 }
 
 func (r Rules) ttl(name string) float64 {
@@ -107,7 +108,7 @@
 	}
 	for _, c := range s {
 		if !(c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-') {
-			return fmt.Errorf("%q may hold a to z, 0 to 9 and -", s)
+			return fmt.Errorf("%q may contain only a to z, 0 to 9 and -", s)
 		}
 	}
 	return nil
