--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -144,7 +144,7 @@
 		return err
 	}
 	rules := o.Duties.Rules()
-	rules.Duties, rules.Presence = nil, 0 // an operator stands for nothing
+	rules.Duties, rules.PresenceTTLMS = nil, 0 // an operator stands for nothing
 	linked := make(chan struct{}, 1)
 	c := session.NewClient(session.Options{Me: "operator#" + hex.EncodeToString(b[:]), Copies: o.Duties.Copies, Rules: rules,
 		Seed: uint64(b[0]), Steady: clock.Steady(), Log: zerolog.Nop(), On: func(e any) {
@@ -245,7 +245,7 @@
 }
 
 func unknown(set config.Duties, name string) error {
-	if !set.Rules().Known(name) {
+	if !set.Rules().HasDuty(name) {
 		return fmt.Errorf("%w: no duty %q on duties.list", errWrong, name)
 	}
 	return nil
--- a/internal/allot/allot.go
+++ b/internal/allot/allot.go
@@ -14,33 +14,33 @@
 	"slices"
 )
 
-// Unit is the number of units in one concurrent call: amounts are in thousandths.
-const Unit = 1000
+// UnitsPerCall is the number of units in one concurrent call: amounts are in thousandths.
+const UnitsPerCall = 1000
 
 // ErrOver is returned for a change that would bring the sum of shares in force above the pool.
 var ErrOver = errors.New("allot: shares would exceed the pool")
 
-// Room is the downstream capacity and the reserve of each process.
-type Room struct {
-	Whole   int64 // maximum in use at once, by all processes
-	Alone   int64 // reserve of each process, usable without a share
-	Servers int   // maximum number of live processes; a server being replaced counts twice
+// Capacity is the downstream capacity and the reserve of each process.
+type Capacity struct {
+	Total             int64 // maximum in use at once, by all processes
+	ReservePerProcess int64 // reserve of each process, usable without a share
+	MaxProcesses      int   // maximum number of live processes; a server being replaced counts twice
 }
 
 // Pool returns the amount to be divided into shares.
-func (r Room) Pool() int64 { return r.Whole - r.Alone*int64(r.Servers) }
+func (r Capacity) Pool() int64 { return r.Total - r.ReservePerProcess*int64(r.MaxProcesses) }
 
 // Check reports the first invalid value, by its key under duties.allot in the operator's file.
-func (r Room) Check() error {
+func (r Capacity) Check() error {
 	switch {
-	case r.Whole <= 0:
-		return fmt.Errorf("whole must be above 0, not %v", float64(r.Whole)/Unit)
-	case r.Alone < 0:
-		return fmt.Errorf("alone must be 0 or more, not %v", float64(r.Alone)/Unit)
-	case r.Servers < 1:
-		return fmt.Errorf("servers must be 1 or more, not %d", r.Servers)
+	case r.Total <= 0:
+		return fmt.Errorf("whole must be above 0, not %v", float64(r.Total)/UnitsPerCall)
+	case r.ReservePerProcess < 0:
+		return fmt.Errorf("alone must be 0 or more, not %v", float64(r.ReservePerProcess)/UnitsPerCall)
+	case r.MaxProcesses < 1:
+		return fmt.Errorf("servers must be 1 or more, not %d", r.MaxProcesses)
 	case r.Pool() < 0:
-		return fmt.Errorf("alone: %v for each of %d servers is over the whole of %v", float64(r.Alone)/Unit, r.Servers, float64(r.Whole)/Unit)
+		return fmt.Errorf("alone: %v for each of %d servers is over the whole of %v", float64(r.ReservePerProcess)/UnitsPerCall, r.MaxProcesses, float64(r.Total)/UnitsPerCall)
 	}
 	return nil
 }
@@ -48,13 +48,13 @@
 // Share is one process's part of the pool, in thousandths of a call.
 type Share struct {
 	Cap     int64  `json:"cap"`     // upper bound of what the process may be using; counts against the pool
-	Want    int64  `json:"want"`    // target; below Cap until the process has acknowledged a reduction
+	Target  int64  `json:"want"`    // target; below Cap until the process has acknowledged a reduction
 	Version uint64 `json:"version"` // changes with Want
 }
 
-// Ledger holds the shares of all processes. It is part of the replicated state: its methods are called from log entries and
+// Allocations holds the shares of all processes. It is part of the replicated state: its methods are called from log entries and
 // are deterministic.
-type Ledger struct {
+type Allocations struct {
 	Pool    int64             `json:"pool"`
 	Version uint64            `json:"version"`
 	Shares  map[string]*Share `json:"shares"`
@@ -63,12 +63,12 @@
 	sum    int64 // total of Cap over all shares
 }
 
-// NewLedger returns a Ledger without processes.
-func NewLedger() *Ledger { return &Ledger{Shares: map[string]*Share{}} }
+// NewAllocations returns a Ledger without processes.
+func NewAllocations() *Allocations { return &Allocations{Shares: map[string]*Share{}} }
 
 // Clone returns a deep copy.
-func (b *Ledger) Clone() *Ledger {
-	c := &Ledger{Pool: b.Pool, Version: b.Version, Shares: make(map[string]*Share, len(b.Shares))}
+func (b *Allocations) Clone() *Allocations {
+	c := &Allocations{Pool: b.Pool, Version: b.Version, Shares: make(map[string]*Share, len(b.Shares))}
 	for who, s := range b.Shares {
 		v := *s
 		c.Shares[who] = &v
@@ -76,8 +76,8 @@
 	return c
 }
 
-// Sum returns the total of Cap over all shares: the upper bound of what can be in use now.
-func (b *Ledger) Sum() int64 {
+// TotalCap returns the total of Cap over all shares: the upper bound of what can be in use now.
+func (b *Allocations) TotalCap() int64 {
 	if b.summed {
 		return b.sum
 	}
@@ -89,66 +89,66 @@
 }
 
 // setCap changes the cap of one share and keeps the total up to date.
-func (b *Ledger) setCap(s *Share, most int64) {
-	b.sum = b.Sum() + most - s.Cap
+func (b *Allocations) setCap(s *Share, most int64) {
+	b.sum = b.TotalCap() + most - s.Cap
 	s.Cap = most
 }
 
 // SetPool changes the size of the pool. It refuses a size below the sum of shares in force.
-func (b *Ledger) SetPool(pool int64) error {
-	if pool < b.Sum() {
-		return fmt.Errorf("%w: pool of %d with %d in force", ErrOver, pool, b.Sum())
+func (b *Allocations) SetPool(pool int64) error {
+	if pool < b.TotalCap() {
+		return fmt.Errorf("%w: pool of %d with %d in force", ErrOver, pool, b.TotalCap())
 	}
 	b.Pool = pool
 	return nil
 }
 
-// Join adds a process with a share of 0. It does nothing if the process has an entry.
-func (b *Ledger) Join(who string) {
+// AddProcess adds a process with a share of 0. It does nothing if the process has an entry.
+func (b *Allocations) AddProcess(who string) {
 	if b.Shares[who] == nil {
 		b.Version++
 		b.Shares[who] = &Share{Version: b.Version}
 	}
 }
 
-// Drop removes a process whose presence lease has ended, and returns its share to the pool.
-func (b *Ledger) Drop(who string) {
+// RemoveProcess removes a process whose presence lease has ended, and returns its share to the pool.
+func (b *Allocations) RemoveProcess(who string) {
 	if s := b.Shares[who]; s != nil {
 		b.setCap(s, 0)
 		delete(b.Shares, who)
 	}
 }
 
-// Set changes the target of a process. An increase counts at once, and is refused if the pool has too little left. A reduction
+// SetTarget changes the target of a process. An increase counts at once, and is refused if the pool has too little left. A reduction
 // counts only once the process has acknowledged it: until then its old amount may be in use and is not given to another
 // process. unchecked skips the check against the pool (an injected bug).
-func (b *Ledger) Set(who string, amount int64, unchecked bool) error {
+func (b *Allocations) SetTarget(who string, amount int64, unchecked bool) error {
 	s := b.Shares[who]
 	switch {
 	case s == nil:
 		return fmt.Errorf("allot: no entry for process %s", who)
 	case amount < 0:
 		return fmt.Errorf("allot: negative share of %d for %s", amount, who)
-	case amount == s.Want:
+	case amount == s.Target:
 		return nil
-	case amount > s.Cap && !unchecked && b.Sum()-s.Cap+amount > b.Pool:
-		return fmt.Errorf("%w: %d for %s with %d of %d in force", ErrOver, amount, who, b.Sum(), b.Pool)
+	case amount > s.Cap && !unchecked && b.TotalCap()-s.Cap+amount > b.Pool:
+		return fmt.Errorf("%w: %d for %s with %d of %d in force", ErrOver, amount, who, b.TotalCap(), b.Pool)
 	}
 	b.Version++
-	s.Want, s.Version = amount, b.Version
+	s.Target, s.Version = amount, b.Version
 	b.setCap(s, max(s.Cap, amount))
 	return nil
 }
 
-// Ack records that a process uses no more than its target as of a version. Acknowledgements of other versions are ignored.
-func (b *Ledger) Ack(who string, version uint64) {
+// Acknowledge records that a process uses no more than its target as of a version. Acknowledgements of other versions are ignored.
+func (b *Allocations) Acknowledge(who string, version uint64) {
 	if s := b.Shares[who]; s != nil && s.Version == version {
-		b.setCap(s, s.Want)
+		b.setCap(s, s.Target)
 	}
 }
 
-// Need is the demand and the current share of one process. It is sent as JSON under its Go field names.
-type Need struct {
+// ProcessNeed is the demand and the current share of one process. It is sent as JSON under its Go field names.
+type ProcessNeed struct {
 	Who  string
 	Need int64 // amount that it could use beyond its reserve
 	Share
@@ -167,13 +167,13 @@
 
 // Divide returns the target of each process by max-min fairness: no process gets more than its need while another gets less
 // than its own. What remains is divided equally, so that a process can absorb a surge before the next division.
-func Divide(pool int64, fleet []Need) map[string]int64 {
+func Divide(pool int64, fleet []ProcessNeed) map[string]int64 {
 	out := make(map[string]int64, len(fleet))
 	if len(fleet) == 0 {
 		return out
 	}
 	order := slices.Clone(fleet)
-	slices.SortFunc(order, func(a, b Need) int {
+	slices.SortFunc(order, func(a, b ProcessNeed) int {
 		if a.Need != b.Need {
 			return int(min(max(a.Need-b.Need, -1), 1))
 		}
@@ -197,15 +197,15 @@
 
 // Plan returns the changes towards the targets that can be made now: all reductions, then increases as far as the free part of
 // the pool allows. unchecked ignores that limit (an injected bug).
-func Plan(pool int64, fleet []Need, unchecked bool) (steps []Change) {
+func Plan(pool int64, fleet []ProcessNeed, unchecked bool) (steps []Change) {
 	target := Divide(pool, fleet)
 	var sum, lack int64
 	var cuts, grows []Change
 	for _, n := range fleet {
 		sum += n.Cap
 		t := target[n.Who]
-		d := t - n.Want
-		if abs(d) < max(least, n.Want/stir) {
+		d := t - n.Target
+		if abs(d) < max(least, n.Target/stir) {
 			continue
 		}
 		if d < 0 {
@@ -236,29 +236,29 @@
 
 func abs(v int64) int64 { return max(v, -v) }
 
-// Mine is a process's own copy of its share.
-type Mine struct {
+// LocalShare is a process's own copy of its share.
+type LocalShare struct {
 	Amount  int64
 	Version uint64
 }
 
-// Take applies a share that a store replica sent, unless it is older than the present one. It reports whether the amount
+// Apply applies a share that a store replica sent, unless it is older than the present one. It reports whether the amount
 // changed; the new amount must be in use before the version is acknowledged.
-func (m *Mine) Take(s Share) (changed bool) {
+func (m *LocalShare) Apply(s Share) (changed bool) {
 	if s.Version <= m.Version {
 		return false
 	}
-	changed = s.Want != m.Amount
-	m.Amount, m.Version = s.Want, s.Version
+	changed = s.Target != m.Amount
+	m.Amount, m.Version = s.Target, s.Version
 	return changed
 }
 
 // Lose clears the share after the process's presence lease has ended. It reports whether the amount changed.
-func (m *Mine) Lose() (changed bool) {
+func (m *LocalShare) Lose() (changed bool) {
 	changed = m.Amount != 0
-	*m = Mine{}
+	*m = LocalShare{}
 	return changed
 }
 
-// Whos returns the processes with an entry, sorted.
-func (b *Ledger) Whos() []string { return slices.Sorted(maps.Keys(b.Shares)) }
+// Processes returns the processes with an entry, sorted.
+func (b *Allocations) Processes() []string { return slices.Sorted(maps.Keys(b.Shares)) }
--- a/internal/duties/keeper.go
+++ b/internal/duties/keeper.go
@@ -32,18 +32,18 @@
 	New   func() func(ctx context.Context, under duty.Ref) error
 }
 
-// Keeper runs the work of the duties that this process holds. Its exported fields are set before Start.
-type Keeper struct {
-	Steady *clock.Clock
-	Log    zerolog.Logger
-	Trace  *trace.Log
-	Works  map[string]Work
-
-	// Below applies a share in addition to the process's reserve, and calls used once no more than that is in use.
-	Below func(amount int64, used func())
-	// Check reports whether a published version can be applied; Take applies it as a unit.
-	Check func([]publish.File) error
-	Take  func(publish.Version)
+// Runner runs the work of the duties that this process holds. Its exported fields are set before Start.
+type Runner struct {
+	Steady     *clock.Clock
+	Log        zerolog.Logger
+	Trace      *trace.Log
+	WorkByDuty map[string]Work
+
+	// ApplyShare applies a share in addition to the process's reserve, and calls used once no more than that is in use.
+	ApplyShare func(amount int64, used func())
+	// CheckVersion reports whether a published version can be applied; Take applies it as a unit.
+	CheckVersion func([]publish.File) error
+	ApplyVersion func(publish.Version)
 
 	client  *session.Client
 	me      string
@@ -62,16 +62,16 @@
 }
 
 // Start runs the client, whose options must have this On as their On.
-func (k *Keeper) Start(ctx context.Context, me string, c *session.Client) {
+func (k *Runner) Start(ctx context.Context, me string, c *session.Client) {
 	k.ctx, k.me, k.client, k.loops = ctx, me, c, map[string]loop{}
 	go c.Run(ctx)
 }
 
-// On handles the client's events. The client calls it for one event at a time.
-func (k *Keeper) On(e any) {
-	presence := duty.PresenceOf(k.me)
+// HandleEvent handles the client's events. The client calls it for one event at a time.
+func (k *Runner) HandleEvent(e any) {
+	presence := duty.PresenceName(k.me)
 	switch e := e.(type) {
-	case duty.Gained:
+	case duty.LeaseGained:
 		k.Trace.Add(trace.Event{What: trace.Gained, Duty: e.Name, Epoch: e.Epoch}, e.Until)
 		if e.Name == presence {
 			k.Log.Info().Uint64("epoch", e.Epoch).Msg("present")
@@ -79,7 +79,7 @@
 		}
 		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("gained")
 		k.begin(e.Ref)
-	case duty.Held:
+	case duty.LeaseRenewed:
 		k.Trace.Add(trace.Event{What: trace.Held, Duty: e.Name, Epoch: e.Epoch}, e.Until)
 		if e.Late {
 			k.Log.Warn().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("lease renewed late")
@@ -87,14 +87,14 @@
 		if e.Name == presence {
 			k.shared(e.Until)
 		}
-	case duty.Yields:
+	case duty.YieldRequested:
 		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg("yielding duty")
 		if l, ok := k.loops[e.Name]; ok && l.ref == e.Ref {
 			l.once.Do(func() { close(l.halt) }) // when the work has stopped, it calls Quiet
 		} else {
 			k.client.Quiet(e.Ref)
 		}
-	case duty.Ended:
+	case duty.LeaseEnded:
 		k.Trace.Add(trace.Event{What: trace.Ended, Duty: e.Name, Epoch: e.Epoch, Cause: e.Cause}, 0)
 		say := "given up"
 		if e.Cause == duty.CauseYield || e.Cause == duty.CauseDrain {
@@ -106,17 +106,17 @@
 			l.stop()
 			delete(k.loops, e.Name)
 		}
-		if e.Name == presence && k.Below != nil {
-			k.Below(0, func() {})
+		if e.Name == presence && k.ApplyShare != nil {
+			k.ApplyShare(0, func() {})
 		}
 	case duty.Behind:
 		k.Log.Error().Uint64("index", e.Index).Uint64("seen", e.Seen).Msg("reply ignored: its log index is lower than one seen before")
 	case session.Allotted:
-		if k.Below == nil {
+		if k.ApplyShare == nil {
 			k.client.Used(e.Version)
 			return
 		}
-		k.Below(e.Amount, func() {
+		k.ApplyShare(e.Amount, func() {
 			if _, until, here := k.client.Presence(); here {
 				k.Trace.Add(trace.Event{What: trace.Share, Amount: e.Amount}, until)
 			}
@@ -128,15 +128,15 @@
 }
 
 // shared traces that the share stays in force until the renewed presence lease ends.
-func (k *Keeper) shared(until float64) {
+func (k *Runner) shared(until float64) {
 	if k.Trace != nil {
 		k.Trace.Add(trace.Event{What: trace.Share, Amount: k.client.Share()}, until)
 	}
 }
 
 // begin runs the work of a duty in a goroutine until its lease ends.
-func (k *Keeper) begin(ref duty.Ref) {
-	w, ok := k.Works[ref.Name]
+func (k *Runner) begin(ref duty.Ref) {
+	w, ok := k.WorkByDuty[ref.Name]
 	if !ok {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // Act sends a fenced command under a grant and traces the outcome.
-func (k *Keeper) Act(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
+func (k *Runner) Act(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
 	began := trace.Event{Duty: under.Name, Epoch: under.Epoch, What: trace.Act, Began: machineNow(k.Trace)}
 	began.Text = do[0].Op
 	sent := began
@@ -207,21 +207,21 @@
 var steady = clock.Steady()
 
 // take fetches the latest published version, applies or rejects it as a unit, and acknowledges it with the outcome.
-func (k *Keeper) take() {
+func (k *Runner) take() {
 	k.taking.Lock()
 	defer k.taking.Unlock()
 	v, err := k.client.Version(k.ctx)
-	if err != nil || k.Check == nil {
+	if err != nil || k.CheckVersion == nil {
 		return // retried with the next version or session
 	}
 	before := k.keeper
-	w, fresh := k.keeper.Offer(v, k.Check)
+	w, fresh := k.keeper.Offer(v, k.CheckVersion)
 	if !fresh {
 		return
 	}
 	if w.Reason == "" {
 		k.Log.Info().Uint64("version", w.No).Msg("configuration version applied")
-		k.Take(v)
+		k.ApplyVersion(v)
 		k.inForce.Store(w.No)
 	} else {
 		k.Log.Error().Uint64("version", w.No).Str("reason", w.Reason).Uint64("in_force", k.keeper.InForce).Msg("configuration version rejected")
@@ -233,5 +233,5 @@
 	}
 }
 
-// InForce returns the number of the configuration version in force, or 0 if there is none.
-func (k *Keeper) InForce() uint64 { return k.inForce.Load() }
+// VersionInForce returns the number of the configuration version in force, or 0 if there is none.
+func (k *Runner) VersionInForce() uint64 { return k.inForce.Load() }
--- a/internal/duties/works.go
+++ b/internal/duties/works.go
@@ -15,8 +15,8 @@
 	"puffinsaddle/internal/state"
 )
 
-// Marks returns the work of a duty without specific work: it increments a counter, which shows that the holder is active.
-func (k *Keeper) Marks(every float64) Work {
+// CounterWork returns the work of a duty without specific work: it increments a counter, which shows that the holder is active.
+func (k *Runner) CounterWork(every float64) Work {
 	return Work{every, func() func(context.Context, duty.Ref) error {
 		return func(ctx context.Context, under duty.Ref) error {
 			_, err := k.Act(ctx, under, state.Command{Op: state.Mark})
@@ -25,9 +25,9 @@
 	}}
 }
 
-// Allots returns the work of the allotter: it divides the downstream capacity among the order servers. Each step is checked when
+// AllotterWork returns the work of the allotter: it divides the downstream capacity among the order servers. Each step is checked when
 // it is applied and refused if the shares in force would exceed the pool, so a plan made from old state does no harm.
-func (k *Keeper) Allots(every float64, room allot.Room, plant string) Work {
+func (k *Runner) AllotterWork(every float64, room allot.Capacity, plant string) Work {
 	return Work{every, func() func(context.Context, duty.Ref) error {
 		return func(ctx context.Context, under duty.Ref) error {
 			var f session.Fleet
@@ -38,7 +38,7 @@
 			if f.Pool != room.Pool() {
 				steps = append(steps, state.Command{Op: state.Pool, Amount: room.Pool()})
 			}
-			for _, c := range allot.Plan(room.Pool(), f.Of, plant == duty.PlantEarlyGrowth) {
+			for _, c := range allot.Plan(room.Pool(), f.Of, plant == duty.BugEarlyGrowth) {
 				steps = append(steps, state.Command{Op: state.Share, Who: c.Who, Amount: c.Amount})
 			}
 			if len(steps) == 0 {
@@ -50,10 +50,10 @@
 	}}
 }
 
-// Publishes returns the work of the publisher: it publishes the files of a manifest as a new version whenever they match the
+// PublisherWork returns the work of the publisher: it publishes the files of a manifest as a new version whenever they match the
 // manifest and differ from the latest version. check is the check that the servers make, so that no version is published that
 // all of them would reject.
-func (k *Keeper) Publishes(every float64, manifest string, check func([]publish.File) error) Work {
+func (k *Runner) PublisherWork(every float64, manifest string, check func([]publish.File) error) Work {
 	return Work{every, func() func(context.Context, duty.Ref) error {
 		said := ""
 		return func(ctx context.Context, under duty.Ref) error {
@@ -110,9 +110,9 @@
 	return files, nil
 }
 
-// Settles returns the work of the settler: it resolves orphaned effects as of unknown outcome, and removes effects that have ended
+// SettlerWork returns the work of the settler: it resolves orphaned effects as of unknown outcome, and removes effects that have ended
 // and are older than keep, in ms.
-func (k *Keeper) Settles(every, keep, rate float64, steady *clock.Clock) Work {
+func (k *Runner) SettlerWork(every, keep, rate float64, steady *clock.Clock) Work {
 	return Work{every, func() func(context.Context, duty.Ref) error {
 		var ages settle.Ages
 		return func(ctx context.Context, under duty.Ref) error {
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -9,31 +9,31 @@
 	"testing"
 )
 
-var testRules = Rules{Bounds: Bounds{Rate: 0.1, Margin: 50}, Renew: 300, Cool: 1500, ColdWait: 3000, Presence: 2000,
-	Duties: []Terms{{"allotter", 2000}, {"settler", 2000}}}
+var testRules = Rules{ClockBounds: ClockBounds{MaxDrift: 0.1, MarginMS: 50}, RenewIntervalMS: 300, CooldownMS: 1500, ColdWaitMS: 3000, PresenceTTLMS: 2000,
+	Duties: []DutyRule{{"allotter", 2000}, {"settler", 2000}}}
 
 func TestTermsThatMakeNoSenseAreNamed(t *testing.T) {
 	if err := testRules.Check(); err != nil {
 		t.Fatal(err)
 	}
 	for want, change := range map[string]func(*Rules){
-		"list[1].ttl_ms must be above 0, not 0":                  func(r *Rules) { r.Duties[1].TTL = 0 },
-		"list[0].ttl_ms must be above 0, not -1":                 func(r *Rules) { r.Duties[0].TTL = -1 },
-		"list[0].ttl_ms must be above 0, not NaN":                func(r *Rules) { r.Duties[0].TTL = math.NaN() },
-		"list[0].ttl_ms must be above 0, not +Inf":               func(r *Rules) { r.Duties[0].TTL = math.Inf(1) },
-		"list[0].ttl_ms of 1000 ms leaves a holder 850 ms":       func(r *Rules) { r.Duties[0].TTL = 1000 },
-		"presence_ms of 100 ms leaves":                           func(r *Rules) { r.Presence = 100 },
+		"list[1].ttl_ms must be above 0, not 0":                  func(r *Rules) { r.Duties[1].TTLMS = 0 },
+		"list[0].ttl_ms must be above 0, not -1":                 func(r *Rules) { r.Duties[0].TTLMS = -1 },
+		"list[0].ttl_ms must be above 0, not NaN":                func(r *Rules) { r.Duties[0].TTLMS = math.NaN() },
+		"list[0].ttl_ms must be above 0, not +Inf":               func(r *Rules) { r.Duties[0].TTLMS = math.Inf(1) },
+		"list[0].ttl_ms of 1000 ms leaves a holder 850 ms":       func(r *Rules) { r.Duties[0].TTLMS = 1000 },
+		"presence_ms of 100 ms leaves":                           func(r *Rules) { r.PresenceTTLMS = 100 },
 		`list[1].name "allotter" is the name of list[0] already`: func(r *Rules) { r.Duties[1].Name = "allotter" },
 		`list[0].name "a/b" may contain only a to z`:             func(r *Rules) { r.Duties[0].Name = "a/b" },
 		"list[0].name must have 1 to 64 characters":              func(r *Rules) { r.Duties[0].Name = "" },
-		"clock_rate must be from 0 to 0.5, not 0.6":              func(r *Rules) { r.Rate = 0.6 },
-		"renew_ms must be above 0, not NaN":                      func(r *Rules) { r.Renew = math.NaN() },
-		"margin_ms must be 0 or more, not -1":                    func(r *Rules) { r.Margin = -1 },
-		"cool_ms must be 0 or more, not +Inf":                    func(r *Rules) { r.Cool = math.Inf(1) },
-		"cold_wait_ms must be 0 or more, not -3":                 func(r *Rules) { r.ColdWait = -3 },
+		"clock_rate must be from 0 to 0.5, not 0.6":              func(r *Rules) { r.MaxDrift = 0.6 },
+		"renew_ms must be above 0, not NaN":                      func(r *Rules) { r.RenewIntervalMS = math.NaN() },
+		"margin_ms must be 0 or more, not -1":                    func(r *Rules) { r.MarginMS = -1 },
+		"cool_ms must be 0 or more, not +Inf":                    func(r *Rules) { r.CooldownMS = math.Inf(1) },
+		"cold_wait_ms must be 0 or more, not -3":                 func(r *Rules) { r.ColdWaitMS = -3 },
 	} {
 		r := testRules
-		r.Duties = append([]Terms(nil), testRules.Duties...)
+		r.Duties = append([]DutyRule(nil), testRules.Duties...)
 		change(&r)
 		if err := r.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -44,7 +44,7 @@
 func TestEpochsGrowAndFenceOffWhatIsPast(t *testing.T) {
 	table := NewTable()
 	grant := func(who string) uint64 {
-		o := Order{Kind: Grant, Name: "d", Holder: who, TTL: 1, Term: 1}
+		o := Order{Kind: Grant, Name: "d", Holder: who, TTLMS: 1, Term: 1}
 		if l := table.Leases["d"]; l != nil {
 			o.Epoch = l.Epoch
 		}
@@ -60,10 +60,10 @@
 	if err := table.Apply(Order{Kind: Grant, Name: "d", Holder: "b", Epoch: first, Term: 1}, 1); !errors.Is(err, ErrHeld) {
 		t.Errorf("grant of a held lease: %v, want ErrHeld", err)
 	}
-	if err := table.Apply(Order{Kind: Lapse, Name: "d", Epoch: first, Term: 1}, 2); !errors.Is(err, ErrTerm) {
+	if err := table.Apply(Order{Kind: Expire, Name: "d", Epoch: first, Term: 1}, 2); !errors.Is(err, ErrTerm) {
 		t.Errorf("expiry from another term: %v, want ErrTerm", err)
 	}
-	if err := table.Apply(Order{Kind: Lapse, Name: "d", Epoch: first, Term: 1}, 1); err != nil {
+	if err := table.Apply(Order{Kind: Expire, Name: "d", Epoch: first, Term: 1}, 1); err != nil {
 		t.Fatal(err)
 	}
 	if err := table.Fence(Ref{"d", first}); !errors.Is(err, ErrStale) {
@@ -82,7 +82,7 @@
 		t.Errorf("release of an epoch that ended: %v, want ErrStale", err)
 	}
 	// A presence lease is deleted when it is released; a later grant has a higher epoch nevertheless.
-	p := PresenceOf("a")
+	p := PresenceName("a")
 	for last, i := uint64(0), 0; i < 3; i++ {
 		if err := table.Apply(Order{Kind: Grant, Name: p, Holder: "a", Term: 1}, 1); err != nil {
 			t.Fatal(err)
@@ -123,7 +123,7 @@
 
 func newFleet(t *testing.T, names ...string) *fleet {
 	f := &fleet{t: t, table: NewTable(), g: &Grantor{Rules: testRules, Seed: 5}, m: map[string]*Machine{}, now: 1000, last: map[string]uint64{}}
-	f.g.Lead(1, f.now)
+	f.g.StartTerm(1, f.now)
 	for i, n := range names {
 		f.m[n] = NewMachine(testRules, n, uint64(i))
 	}
@@ -147,23 +147,23 @@
 		}
 		var orders []Order
 		for _, b := range heartbeats {
-			f.last[b.From] = b.No
-			orders = append(orders, f.g.Take(f.now, b, f.table)...)
+			f.last[b.From] = b.Seq
+			orders = append(orders, f.g.HandleHeartbeat(f.now, b, f.table)...)
 		}
 		for _, o := range append(orders, f.g.Tick(f.now, f.table)...) {
 			if err := f.table.Apply(o, 1); err != nil {
 				f.t.Fatal(err)
 			}
-			f.g.Done(f.now, o, f.table)
+			f.g.HandleOrderResult(f.now, o, f.table)
 			f.index++
 			if n := o.Holder; o.Kind == Grant && !f.deaf[n] && !quiet[n] { // replied to at once, to the heartbeat with its candidacy
-				f.do(n, f.m[n].HandleReply(f.now, f.g.Answer(n, f.last[n], f.index, f.table)))
+				f.do(n, f.m[n].HandleReply(f.now, f.g.Reply(n, f.last[n], f.index, f.table)))
 			}
 		}
 		f.index++
 		for _, b := range heartbeats {
 			if !f.deaf[b.From] {
-				f.do(b.From, f.m[b.From].HandleReply(f.now, f.g.Answer(b.From, b.No, f.index, f.table)))
+				f.do(b.From, f.m[b.From].HandleReply(f.now, f.g.Reply(b.From, b.Seq, f.index, f.table)))
 			}
 		}
 	}
@@ -172,13 +172,13 @@
 func (f *fleet) do(n string, actions []Action) (heartbeats []Heartbeat) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Send:
+		case SendHeartbeat:
 			heartbeats = append(heartbeats, a.Heartbeat)
-		case Gained:
+		case LeaseGained:
 			f.log = append(f.log, fmt.Sprintf("%s gains %s", n, a.Name))
-		case Yields:
-			f.do(n, f.m[n].Quiet(f.now, a.Ref))
-		case Ended:
+		case YieldRequested:
+			f.do(n, f.m[n].Quiesced(f.now, a.Ref))
+		case LeaseEnded:
 			f.log = append(f.log, fmt.Sprintf("%s ends %s: %s", n, a.Name, a.Cause))
 		}
 	}
@@ -187,7 +187,7 @@
 
 func (f *fleet) holder(name string) string {
 	for n, m := range f.m {
-		if _, ok := m.May(f.now, name); ok {
+		if _, ok := m.ActiveGrant(f.now, name); ok {
 			return n
 		}
 	}
@@ -206,7 +206,7 @@
 		t.Errorf("held by %q, then by %q, without a fault", first, now)
 	}
 	for _, n := range []string{"a", "b", "c"} {
-		if _, ok := f.m[n].May(f.now, PresenceOf(n)); !ok {
+		if _, ok := f.m[n].ActiveGrant(f.now, PresenceName(n)); !ok {
 			t.Errorf("%s does not hold its presence lease", n)
 		}
 	}
@@ -219,7 +219,7 @@
 	for range 60 { // the holder is not run either: only its clock can tell it that the lease has ended
 		f.run(50, h)
 		if o := f.holder("allotter"); o != "" && o != h {
-			if _, still := f.m[h].May(f.now, "allotter"); still {
+			if _, still := f.m[h].ActiveGrant(f.now, "allotter"); still {
 				t.Fatal("two holders")
 			}
 		}
@@ -244,7 +244,7 @@
 	if a, s := f.holder("allotter"), f.holder("settler"); a == "" || s == "" || a == s {
 		t.Errorf("held by %q and %q", a, s)
 	}
-	if grants := f.table.Last; grants != 302 {
+	if grants := f.table.LastEpoch; grants != 302 {
 		t.Errorf("%d grants, want one for each of 300 presence leases and two duties", grants)
 	}
 }
@@ -271,8 +271,8 @@
 
 func TestModesDecideWhoStands(t *testing.T) {
 	f := newFleet(t, "a", "b")
-	f.m["a"].Switch(f.now, Failing)
-	f.m["b"].Switch(f.now, Cold)
+	f.m["a"].SetMode(f.now, Failing)
+	f.m["b"].SetMode(f.now, Cold)
 	f.run(2000)
 	if h := f.holder("allotter"); h != "" {
 		t.Errorf("%q holds it though no server is warm and cold_wait_ms has not passed", h)
@@ -281,16 +281,16 @@
 	if h := f.holder("allotter"); h != "b" {
 		t.Errorf("%q holds it, want the cold server, the only candidate", h)
 	}
-	f.do("a", f.m["a"].Switch(f.now, Warm))
-	f.do("b", f.m["b"].Switch(f.now, Draining))
-	f.run(testRules.Renew)
+	f.do("a", f.m["a"].SetMode(f.now, Warm))
+	f.do("b", f.m["b"].SetMode(f.now, Draining))
+	f.run(testRules.RenewIntervalMS)
 	if h := f.holder("allotter"); h != "a" {
 		t.Errorf("%q holds it one renewal interval after the drain, want a: %q", h, f.log)
 	}
-	if _, ok := f.m["b"].May(f.now, PresenceOf("b")); !ok {
+	if _, ok := f.m["b"].ActiveGrant(f.now, PresenceName("b")); !ok {
 		t.Error("a draining server has lost its presence lease")
 	}
-	f.do("b", f.m["b"].Switch(f.now, Warm))
+	f.do("b", f.m["b"].SetMode(f.now, Warm))
 	f.run(5000)
 	if h := f.holder("allotter"); h != "a" {
 		t.Errorf("%q holds it, want a: draining is final", h)
@@ -301,10 +301,10 @@
 	f := newFleet(t, "a", "b")
 	f.run(1000)
 	h := f.holder("allotter")
-	if err := f.table.Ask("allotter"); err != nil {
+	if err := f.table.RequestYield("allotter"); err != nil {
 		t.Fatal(err)
 	}
-	f.run(2 * testRules.Renew)
+	f.run(2 * testRules.RenewIntervalMS)
 	if o := f.holder("allotter"); o == h || o == "" {
 		t.Errorf("held by %q after %q was asked to yield, want the other", o, h)
 	}
@@ -313,29 +313,29 @@
 // A reply with a lower log index than an earlier one is ignored, and one to an old heartbeat extends no lease.
 func TestOldAnswersAreNotBelieved(t *testing.T) {
 	m := NewMachine(testRules, "a", 1)
-	heartbeat := m.Tick(0)[0].(Send).Heartbeat
+	heartbeat := m.Tick(0)[0].(SendHeartbeat).Heartbeat
 	holds := []Grantee{{Ref{"allotter", 7}, 2000, false}}
-	m.HandleReply(10, HeartbeatReply{No: heartbeat.No, Index: 50, Holds: holds})
-	if _, ok := m.May(20, "allotter"); !ok {
+	m.HandleReply(10, HeartbeatReply{Seq: heartbeat.Seq, LogIndex: 50, Holds: holds})
+	if _, ok := m.ActiveGrant(20, "allotter"); !ok {
 		t.Fatal("not held after the reply that grants it")
 	}
-	out := m.HandleReply(30, HeartbeatReply{No: heartbeat.No, Index: 49})
-	if _, ok := m.May(40, "allotter"); !ok || len(out) != 1 || out[0] != (Behind{49, 50}) {
+	out := m.HandleReply(30, HeartbeatReply{Seq: heartbeat.Seq, LogIndex: 49})
+	if _, ok := m.ActiveGrant(40, "allotter"); !ok || len(out) != 1 || out[0] != (Behind{49, 50}) {
 		t.Errorf("a reply with a lower log index: %v, want Behind and the lease kept", out)
 	}
-	_, until, _ := m.Until("allotter")
-	m.Hurry()
+	_, until, _ := m.LeaseEnd("allotter")
+	m.ExpediteHeartbeat()
 	m.Tick(1000) // a second heartbeat; the next reply is to the first one
-	m.HandleReply(1010, HeartbeatReply{No: heartbeat.No, Index: 60, Holds: holds})
-	if _, now, _ := m.Until("allotter"); now != until {
+	m.HandleReply(1010, HeartbeatReply{Seq: heartbeat.Seq, LogIndex: 60, Holds: holds})
+	if _, now, _ := m.LeaseEnd("allotter"); now != until {
 		t.Errorf("a second reply to the first heartbeat moved the end from %v to %v", until, now)
 	}
-	if _, ok := m.May(until, "allotter"); ok {
+	if _, ok := m.ActiveGrant(until, "allotter"); ok {
 		t.Error("held at the time of its end")
 	}
 	m.Tick(until)
-	m.HandleReply(until+1, HeartbeatReply{No: 2, Index: 61, Holds: holds})
-	if _, ok := m.May(until+2, "allotter"); ok {
+	m.HandleReply(until+1, HeartbeatReply{Seq: 2, LogIndex: 61, Holds: holds})
+	if _, ok := m.ActiveGrant(until+2, "allotter"); ok {
 		t.Error("an epoch that expired is held again")
 	}
 }
@@ -343,59 +343,61 @@
 // A fleet that joins at once is granted its presence leases in several steps of bounded size, and the leases of one that leaves at
 // once expire in steps likewise.
 func TestOrdersOfAFleetAreBounded(t *testing.T) {
-	const fleet = 2*MaxOrders + 7
-	g := &Grantor{Rules: Rules{Renew: 300, Presence: 2000, Duties: []Terms{{Name: "allotter", TTL: 2000}}}, Seed: 1}
+	const fleet = 2*MaxOrdersPerTick + 7
+	g := &Grantor{Rules: Rules{RenewIntervalMS: 300, PresenceTTLMS: 2000, Duties: []DutyRule{{Name: "allotter", TTLMS: 2000}}}, Seed: 1}
 	table, now := NewTable(), 1000.0
-	g.Lead(1, now)
+	g.StartTerm(1, now)
 	for i := range fleet {
 		who := fmt.Sprintf("os-%d#1", i)
-		g.Take(now, Heartbeat{From: who, No: 1, Stands: []string{PresenceOf(who)}}, table)
+		g.HandleHeartbeat(now, Heartbeat{From: who, Seq: 1, Candidacies: []string{PresenceName(who)}}, table)
 	}
 	steps := func(until func() bool) (n int) {
 		for ; !until(); n++ {
 			orders := g.Tick(now, table)
-			if len(orders) == 0 || len(orders) > MaxOrders {
+			if len(orders) == 0 || len(orders) > MaxOrdersPerTick {
 				t.Fatalf("%d orders at once, want at least 1 and at most MaxOrders", len(orders))
 			}
 			for _, o := range orders {
 				if err := table.Apply(o, 1); err != nil {
 					t.Fatal(err)
 				}
-				g.Done(now, o, table)
+				g.HandleOrderResult(now, o, table)
 			}
 			now++
 		}
 		return n
 	}
-	if n := steps(func() bool { return table.Present() == fleet }); n != 3 {
+	if n := steps(func() bool { return table.CountPresent() == fleet }); n != 3 {
 		t.Errorf("all presence leases are granted after %d steps, want 3", n)
 	}
 	if orders := g.Tick(now, table); len(orders) > 0 {
 		t.Errorf("%d orders, want none when nothing is due", len(orders))
 	}
-	now += 10 * g.Presence
-	if n := steps(func() bool { return table.Present() == 0 }); n != 3 {
+	now += 10 * g.PresenceTTLMS
+	if n := steps(func() bool { return table.CountPresent() == 0 }); n != 3 {
 		t.Errorf("all leases have expired after %d steps, want 3", n)
 	}
 }
 
 // The candidacies of a process are those of its latest heartbeat, whatever the heartbeats of others say.
 func TestLatestHeartbeatSaysWhatAProcessStandsFor(t *testing.T) {
-	g := &Grantor{Rules: Rules{Renew: 300, Presence: 2000, Duties: []Terms{{Name: "allotter", TTL: 2000}, {Name: "settler", TTL: 2000}}}, Seed: 1}
+	g := &Grantor{Rules: Rules{RenewIntervalMS: 300, PresenceTTLMS: 2000, Duties: []DutyRule{{Name: "allotter", TTLMS: 2000}, {Name: "settler", TTLMS: 2000}}}, Seed: 1}
 	table, now := NewTable(), 1000.0
-	g.Lead(1, now)
-	stands := func(who string, names ...string) { g.Take(now, Heartbeat{From: who, Stands: names}, table) }
-	stands("a", "allotter", "settler", PresenceOf("a"))
-	stands("b", "allotter", PresenceOf("b"))
+	g.StartTerm(1, now)
+	stands := func(who string, names ...string) {
+		g.HandleHeartbeat(now, Heartbeat{From: who, Candidacies: names}, table)
+	}
+	stands("a", "allotter", "settler", PresenceName("a"))
+	stands("b", "allotter", PresenceName("b"))
 	stands("a", "settler")
-	now += 2 * g.Renew
+	now += 2 * g.RenewIntervalMS
 	stands("a", "settler")
-	stands("b", "allotter", PresenceOf("b"))
+	stands("b", "allotter", PresenceName("b"))
 	got := map[string]string{}
 	for _, o := range g.Tick(now, table) {
 		got[o.Name] = o.Holder
 	}
-	want := map[string]string{"allotter": "b", "settler": "a", PresenceOf("b"): "b"}
+	want := map[string]string{"allotter": "b", "settler": "a", PresenceName("b"): "b"}
 	if !maps.Equal(got, want) {
 		t.Errorf("granted %v, want %v", got, want)
 	}
--- a/internal/duty/explore_test.go
+++ b/internal/duty/explore_test.go
@@ -17,7 +17,7 @@
 // which runs at the worst drift that the rules allow. The leader may be replaced at any time, and the former leader may go on
 // receiving messages without knowing of it.
 
-var exploreRules = Rules{Bounds: Bounds{Rate: 0.1, Margin: 10}, Renew: 250, Cool: 0, ColdWait: 0, Duties: []Terms{{"d", 1000}}}
+var exploreRules = Rules{ClockBounds: ClockBounds{MaxDrift: 0.1, MarginMS: 10}, RenewIntervalMS: 250, CooldownMS: 0, ColdWaitMS: 0, Duties: []DutyRule{{"d", 1000}}}
 
 const (
 	timeStep = 400.0
@@ -54,10 +54,10 @@
 	for i := range w.m {
 		w.m[i] = NewMachine(exploreRules, who[i], 1)
 		w.m[i].spread = func() float64 { return 1 }
-		w.m[i].Plant = plant
+		w.m[i].InjectedBug = plant
 	}
-	w.g = &Grantor{Rules: exploreRules, Seed: 1, Plant: plant}
-	w.g.Lead(1, w.clock(2)-exploreRules.Renew*2)
+	w.g = &Grantor{Rules: exploreRules, Seed: 1, InjectedBug: plant}
+	w.g.StartTerm(1, w.clock(2)-exploreRules.RenewIntervalMS*2)
 	return w
 }
 
@@ -112,10 +112,10 @@
 func (w *world) act(i int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Send:
+		case SendHeartbeat:
 			w.post(mail{to: -1, heartbeat: a.Heartbeat})
-		case Yields:
-			w.act(i, w.m[i].Quiet(w.clock(i), a.Ref))
+		case YieldRequested:
+			w.act(i, w.m[i].Quiesced(w.clock(i), a.Ref))
 		}
 	}
 }
@@ -125,11 +125,11 @@
 	for _, o := range orders {
 		w.index++
 		err := w.t.Apply(o, w.g.term)
-		w.g.Done(w.clock(2), o, w.t)
+		w.g.HandleOrderResult(w.clock(2), o, w.t)
 		if err == nil && o.Kind == Grant {
 			for i := range who {
 				if who[i] == o.Holder && w.told[i] > 0 {
-					w.post(mail{to: i, told: w.g.Answer(who[i], w.told[i], w.index, w.t)})
+					w.post(mail{to: i, told: w.g.Reply(who[i], w.told[i], w.index, w.t)})
 				}
 			}
 		}
@@ -142,11 +142,11 @@
 func (w *world) steps() []string {
 	s := []string{"time", "run 0", "run 1", "turn", "lead"}
 	for i, l := range w.mail {
-		if l.to >= 0 && l.told.Index < w.m[l.to].seen {
+		if l.to >= 0 && l.told.LogIndex < w.m[l.to].seen {
 			continue // a reply with a lower log index is ignored
 		}
 		s = append(s, deliver[i])
-		if w.old != nil && w.plant == PlantUnproven && w.mail[i].to < 0 {
+		if w.old != nil && w.plant == BugUnproven && w.mail[i].to < 0 {
 			s = append(s, fmt.Sprintf("deliver-old %d", i))
 		}
 	}
@@ -164,24 +164,24 @@
 	case "time":
 		w.true_ += timeStep
 	case "run": // a stalled process is one that does not take this step
-		w.m[n].Hurry()
+		w.m[n].ExpediteHeartbeat()
 		w.act(n, w.m[n].Tick(w.clock(n)))
 	case "turn":
 		w.carry(w.g.Tick(w.clock(2), w.t))
 		w.carry(w.g.Tick(w.clock(2), w.t))
 	case "lead": // another replica becomes the leader, with another clock
 		term := w.g.term
-		if w.plant == PlantUnproven { // without the bug, the replies of a former leader are not sent
+		if w.plant == BugUnproven { // without the bug, the replies of a former leader are not sent
 			w.old, w.oldT, w.oldIdx = w.g, w.t.Clone(), w.index
 		}
 		w.rates[2], w.rates[3] = w.rates[3], w.rates[2]
-		g := &Grantor{Rules: exploreRules, Seed: 1, Plant: w.plant}
+		g := &Grantor{Rules: exploreRules, Seed: 1, InjectedBug: w.plant}
 		w.index++
-		g.Lead(term+1, w.clock(2))
+		g.StartTerm(term+1, w.clock(2))
 		w.g, w.told = g, [2]uint64{}
 	case "ask":
 		w.index++
-		w.t.Ask("d")
+		w.t.RequestYield("d")
 	case "deliver", "deliver-old": // the message stays, so it may be delivered again
 		m := w.mail[n]
 		if m.to >= 0 {
@@ -190,26 +190,26 @@
 		}
 		i := slices.Index(who[:], m.heartbeat.From)
 		if name == "deliver-old" { // only with the bug does a former leader reply
-			w.old.Take(w.clock(3), m.heartbeat, w.oldT)
-			w.post(mail{to: i, told: w.old.Answer(m.heartbeat.From, m.heartbeat.No, w.oldIdx, w.oldT)})
+			w.old.HandleHeartbeat(w.clock(3), m.heartbeat, w.oldT)
+			w.post(mail{to: i, told: w.old.Reply(m.heartbeat.From, m.heartbeat.Seq, w.oldIdx, w.oldT)})
 			return
 		}
-		w.told[i] = max(w.told[i], m.heartbeat.No)
-		w.carry(w.g.Take(w.clock(2), m.heartbeat, w.t))
+		w.told[i] = max(w.told[i], m.heartbeat.Seq)
+		w.carry(w.g.HandleHeartbeat(w.clock(2), m.heartbeat, w.t))
 		w.index++ // the log entry that proves the leadership
-		w.post(mail{to: i, told: w.g.Answer(m.heartbeat.From, m.heartbeat.No, w.index, w.t)})
+		w.post(mail{to: i, told: w.g.Reply(m.heartbeat.From, m.heartbeat.Seq, w.index, w.t)})
 	}
 }
 
 // broken returns a description of a violated invariant, or "".
 func (w *world) broken() string {
-	a, hasA := w.m[0].May(w.clock(0), "d")
-	b, hasB := w.m[1].May(w.clock(1), "d")
+	a, hasA := w.m[0].ActiveGrant(w.clock(0), "d")
+	b, hasB := w.m[1].ActiveGrant(w.clock(1), "d")
 	if hasA && hasB {
 		return fmt.Sprintf("two holders: a of epoch %d and b of epoch %d", a.Epoch, b.Epoch)
 	}
 	for i, r := range []Ref{a, b} {
-		if has := []bool{hasA, hasB}[i]; has && w.t.Last < r.Epoch {
+		if has := []bool{hasA, hasB}[i]; has && w.t.LastEpoch < r.Epoch {
 			return fmt.Sprintf("candidate holds epoch %d, which was never granted", r.Epoch)
 		}
 	}
@@ -240,7 +240,7 @@
 		num(m.no)
 		num(m.seen)
 		for _, l := range w.mail { // sending times of heartbeats to which a reply can still arrive
-			for _, no := range []uint64{l.heartbeat.No, l.told.No} {
+			for _, no := range []uint64{l.heartbeat.Seq, l.told.Seq} {
 				if at := m.sent[no%keptHeartbeats]; no > 0 && at.no == no {
 					flo(max(now-at.at, -1))
 				}
@@ -256,7 +256,7 @@
 		flag(now >= m.cool["d"])
 	}
 	table := func(t *Table) {
-		num(t.Last)
+		num(t.LastEpoch)
 		if l := t.Leases["d"]; l != nil {
 			str(l.Holder)
 			num(l.Epoch)
@@ -285,19 +285,19 @@
 	num(w.index)
 	num(w.told[0])
 	num(w.told[1])
-	if w.old != nil && w.plant == PlantUnproven {
+	if w.old != nil && w.plant == BugUnproven {
 		table(w.oldT)
 		num(w.oldIdx)
 	}
 	for _, m := range w.mail {
 		num(uint64(m.to + 1))
-		num(m.heartbeat.No)
+		num(m.heartbeat.Seq)
 		str(m.heartbeat.From)
-		refs(m.heartbeat.Renews)
-		refs(m.heartbeat.Gives)
-		num(uint64(len(m.heartbeat.Stands)))
-		num(m.told.No)
-		num(m.told.Index)
+		refs(m.heartbeat.Renewals)
+		refs(m.heartbeat.Releases)
+		num(uint64(len(m.heartbeat.Candidacies)))
+		num(m.told.Seq)
+		num(m.told.LogIndex)
 		for _, g := range m.told.Holds {
 			num(g.Epoch)
 			flag(g.Yield)
@@ -369,7 +369,7 @@
 
 // The search finds a violation for each injected bug that it covers, with as few steps as possible.
 func TestPlantedBugsAreFound(t *testing.T) {
-	for plant, start := range map[string]string{PlantLateDeadline: "late", PlantHastyLeader: "held", PlantUnproven: "led"} {
+	for plant, start := range map[string]string{BugDeadlineFromReply: "late", BugHastyLeader: "held", BugUnproven: "led"} {
 		t.Run(plant, func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(worstRates[0], plant)
@@ -407,11 +407,11 @@
 			if why := w.broken(); why != "" {
 				t.Fatalf("seed %d: %s after the steps %q", seed, why, way)
 			}
-			if w.t.Last < last {
-				t.Fatalf("seed %d: the latest epoch decreased from %d to %d", seed, last, w.t.Last)
+			if w.t.LastEpoch < last {
+				t.Fatalf("seed %d: the latest epoch decreased from %d to %d", seed, last, w.t.LastEpoch)
 			}
-			if w.t.Last > last {
-				epochs, last = epochs+1, w.t.Last
+			if w.t.LastEpoch > last {
+				epochs, last = epochs+1, w.t.LastEpoch
 			}
 		}
 		if seed == 0 && epochs == 0 {
--- a/internal/duty/grantor.go
+++ b/internal/duty/grantor.go
@@ -11,13 +11,13 @@
 // Heartbeat is a message of an order server: the leases that it renews and releases, and those for which it is a candidate. A
 // heartbeat may arrive late, twice or never.
 type Heartbeat struct {
-	From   string   `json:"from"` // the process: server name and incarnation
-	No     uint64   `json:"no"`   // sequence number, from 1 in each process
-	Seen   uint64   `json:"seen"` // highest log index of the replies that it has received
-	Cold   bool     `json:"cold,omitempty"`
-	Renews []Ref    `json:"renews,omitempty"`
-	Gives  []Ref    `json:"gives,omitempty"`
-	Stands []string `json:"stands,omitempty"`
+	From        string   `json:"from"` // the process: server name and incarnation
+	Seq         uint64   `json:"no"`   // sequence number, from 1 in each process
+	Seen        uint64   `json:"seen"` // highest log index of the replies that it has received
+	Cold        bool     `json:"cold,omitempty"`
+	Renewals    []Ref    `json:"renews,omitempty"`
+	Releases    []Ref    `json:"gives,omitempty"`
+	Candidacies []string `json:"stands,omitempty"`
 }
 
 // Grantee is one held lease in a reply.
@@ -30,29 +30,29 @@
 // HeartbeatReply is the reply to a heartbeat. It is sent only after a log entry that was written after the heartbeat arrived is
 // committed: that alone proves that no other replica was the leader by then.
 type HeartbeatReply struct {
-	No    uint64    `json:"no"`    // sequence number of the heartbeat
-	Index uint64    `json:"index"` // log index as of which the reply is valid
-	Holds []Grantee `json:"holds,omitempty"`
+	Seq      uint64    `json:"no"`    // sequence number of the heartbeat
+	LogIndex uint64    `json:"index"` // log index as of which the reply is valid
+	Holds    []Grantee `json:"holds,omitempty"`
 }
 
 // Injected bugs: deliberate faults by which the lab and the tests prove that their checks find them. Nothing else sets them.
 const (
-	PlantLateDeadline = "deadline-from-reply" // a holder measures its lease from the reply instead of from its heartbeat
-	PlantHastyLeader  = "hasty-leader"        // a new leader does not treat the leases of earlier leaders as renewed
-	PlantUnfenced     = "unfenced"            // the epoch of an act is not checked
-	PlantEarlyGrowth  = "early-growth"        // a share grows before others have been reduced
-	PlantUnproven     = "unproven"            // a heartbeat is answered without a log entry that proves the leadership
+	BugDeadlineFromReply = "deadline-from-reply" // a holder measures its lease from the reply instead of from its heartbeat
+	BugHastyLeader       = "hasty-leader"        // a new leader does not treat the leases of earlier leaders as renewed
+	BugUnfenced          = "unfenced"            // the epoch of an act is not checked
+	BugEarlyGrowth       = "early-growth"        // a share grows before others have been reduced
+	BugUnproven          = "unproven"            // a heartbeat is answered without a log entry that proves the leadership
 )
 
-// Plants lists all injected bugs of duties.
-var Plants = []string{PlantLateDeadline, PlantHastyLeader, PlantUnfenced, PlantEarlyGrowth, PlantUnproven}
+// InjectedBugs lists all injected bugs of duties.
+var InjectedBugs = []string{BugDeadlineFromReply, BugHastyLeader, BugUnfenced, BugEarlyGrowth, BugUnproven}
 
 // Grantor decides at the leader of the store when leases are granted and expire. Its decisions take effect only through the log.
 type Grantor struct {
 	Rules
-	Seed  uint64
-	Most  int    // maximum number of presence leases held at once; 0: no limit
-	Plant string // an injected bug; "": none
+	Seed        uint64
+	MaxPresent  int    // maximum number of presence leases held at once; 0: no limit
+	InjectedBug string // an injected bug; "": none
 
 	term  uint64
 	since float64 // when this replica became the leader in term
@@ -86,9 +86,9 @@
 	cold bool
 }
 
-// Lead starts a term in which this replica is the leader. All leases count as renewed at this moment, because an earlier leader
+// StartTerm starts a term in which this replica is the leader. All leases count as renewed at this moment, because an earlier leader
 // may have renewed any of them until now.
-func (g *Grantor) Lead(term uint64, now float64) {
+func (g *Grantor) StartTerm(term uint64, now float64) {
 	if g.term == term && g.heard != nil {
 		// The same term, after an entry that was not confirmed: its orders have been applied by now or never will be.
 		clear(g.asked)
@@ -104,19 +104,19 @@
 // Term returns the latest term in which this replica was the leader; 0: none.
 func (g *Grantor) Term() uint64 { return g.term }
 
-// Take records a heartbeat and returns the releases to write to the log. The reply is made later by Answer, once the leadership is
+// HandleHeartbeat records a heartbeat and returns the releases to write to the log. The reply is made later by Answer, once the leadership is
 // proven.
-func (g *Grantor) Take(now float64, b Heartbeat, t *Table) []Order {
+func (g *Grantor) HandleHeartbeat(now float64, b Heartbeat, t *Table) []Order {
 	var out []Order
-	for _, r := range b.Gives {
+	for _, r := range b.Releases {
 		if l := t.Leases[r.Name]; l != nil && l.Holder == b.From && l.Epoch == r.Epoch {
 			out = append(out, Order{Kind: Release, Name: r.Name, Epoch: r.Epoch, Term: g.term})
 			g.asked[r.Name] = true
 		}
 	}
 	g.forgetStands(b.From)
-	for _, name := range b.Stands {
-		if !g.Known(name) && name != PresenceOf(b.From) {
+	for _, name := range b.Candidacies {
+		if !g.HasDuty(name) && name != PresenceName(b.From) {
 			continue
 		}
 		if g.stands[name] == nil {
@@ -130,7 +130,7 @@
 	for _, name := range t.HeldBy(b.From) {
 		l := t.Leases[name]
 		switch {
-		case slices.Contains(b.Renews, Ref{name, l.Epoch}), now <= g.grantedAt(name, l.Epoch)+g.GrantorSpan(l.TTL):
+		case slices.Contains(b.Renewals, Ref{name, l.Epoch}), now <= g.grantedAt(name, l.Epoch)+g.GrantorSpan(l.TTLMS):
 			g.hear(name, l.Epoch, now)
 			delete(g.deaf, name)
 		default:
@@ -146,7 +146,7 @@
 	for _, d := range g.Duties {
 		delete(g.stands[d.Name], who)
 	}
-	delete(g.stands, PresenceOf(who))
+	delete(g.stands, PresenceName(who))
 }
 
 // grantedAt returns when a lease was granted, or the start of the term if it was granted before.
@@ -163,15 +163,15 @@
 	}
 }
 
-// MaxOrders is the maximum number of orders that Tick returns at once. A large fleet that joins or leaves at once is handled in
+// MaxOrdersPerTick is the maximum number of orders that Tick returns at once. A large fleet that joins or leaves at once is handled in
 // several steps, so that no log entry takes long to write or exceeds the maximum size of a write.
-const MaxOrders = 512
+const MaxOrdersPerTick = 512
 
-// Tick returns the orders that are due: expired leases, and grants of leases without a holder. Orders beyond MaxOrders are left
+// Tick returns the orders that are due: expired leases, and grants of leases without a holder. Orders beyond MaxOrdersPerTick are left
 // for the next call.
 func (g *Grantor) Tick(now float64, t *Table) []Order {
 	out := g.lapses(now, t)
-	return append(out, g.grants(now, t, MaxOrders-len(out))...)
+	return append(out, g.grants(now, t, MaxOrdersPerTick-len(out))...)
 }
 
 // lapses returns orders for the leases that have expired. A heartbeat can only postpone an expiry, so the leases are not scanned
@@ -185,16 +185,16 @@
 		if l.Holder == "" || g.asked[name] {
 			continue
 		}
-		end := g.lastHeard(name, l.Epoch) + g.GrantorSpan(l.TTL)
+		end := g.lastHeard(name, l.Epoch) + g.GrantorSpan(l.TTLMS)
 		if now <= end {
 			g.earliest = min(g.earliest, end)
 			continue
 		}
-		if len(out) == MaxOrders {
+		if len(out) == MaxOrdersPerTick {
 			g.earliest = now
 			break
 		}
-		out = append(out, Order{Kind: Lapse, Name: name, Holder: l.Holder, Epoch: l.Epoch, Term: g.term})
+		out = append(out, Order{Kind: Expire, Name: name, Holder: l.Holder, Epoch: l.Epoch, Term: g.term})
 		g.asked[name] = true
 	}
 	slices.SortFunc(out, func(a, b Order) int { return strings.Compare(a.Name, b.Name) })
@@ -207,9 +207,9 @@
 	// Candidates for a held lease are not needed, so their stale entries are only removed from time to time, to bound memory.
 	sweep := now >= g.sweepAt
 	if sweep {
-		g.sweepAt = now + g.Renew
+		g.sweepAt = now + g.RenewIntervalMS
 	}
-	present, counted := -1, g.Most > 0 // counted only if there is a limit and a candidate
+	present, counted := -1, g.MaxPresent > 0 // counted only if there is a limit and a candidate
 	for _, name := range slices.Sorted(maps.Keys(g.stands)) {
 		if len(out) >= most {
 			break
@@ -227,12 +227,12 @@
 			continue
 		}
 		who, ttl := "", g.ttl(name)
-		if p := PresentWho(name); p != "" {
+		if p := PresenceProcess(name); p != "" {
 			if counted && present < 0 {
-				present = t.Present()
+				present = t.CountPresent()
 			}
-			if _, stands := g.stands[name][p]; stands && (!counted || present < g.Most) {
-				who, ttl = p, g.Presence
+			if _, stands := g.stands[name][p]; stands && (!counted || present < g.MaxPresent) {
+				who, ttl = p, g.PresenceTTLMS
 				present++
 			}
 		} else {
@@ -241,7 +241,7 @@
 		if who == "" || ttl <= 0 {
 			continue
 		}
-		o := Order{Kind: Grant, Name: name, Holder: who, TTL: ttl, Term: g.term}
+		o := Order{Kind: Grant, Name: name, Holder: who, TTLMS: ttl, Term: g.term}
 		if l != nil {
 			o.Epoch = l.Epoch
 		}
@@ -257,7 +257,7 @@
 	if h := g.heard[name]; h.epoch == epoch {
 		return h.at
 	}
-	if g.Plant == PlantHastyLeader {
+	if g.InjectedBug == BugHastyLeader {
 		return g.since - g.GrantorSpan(g.ttl(name))
 	}
 	return g.since
@@ -266,7 +266,7 @@
 // fade removes the candidates of a lease from which no heartbeat has come for some intervals.
 func (g *Grantor) fade(name string, now float64) {
 	for who, s := range g.stands[name] {
-		if now > s.at+(bearLost+1)*g.Renew*(1+g.Rate) {
+		if now > s.at+(bearLost+1)*g.RenewIntervalMS*(1+g.MaxDrift) {
 			delete(g.stands[name], who)
 		}
 	}
@@ -282,10 +282,10 @@
 	if _, seen := g.free[name]; !seen {
 		g.free[name] = now
 	}
-	if now < g.since+g.Renew*(1+g.Rate) {
+	if now < g.since+g.RenewIntervalMS*(1+g.MaxDrift) {
 		return "" // some candidates may not have sent a heartbeat to this leader yet
 	}
-	cold := now > max(g.free[name], g.since)+g.ColdWait
+	cold := now > max(g.free[name], g.since)+g.ColdWaitMS
 	best := ""
 	for who, s := range g.stands[name] {
 		if s.cold && !cold || g.shun[name].who == who && now < g.shun[name].until {
@@ -323,35 +323,35 @@
 	return h.Sum64()
 }
 
-// Done records that an order was applied or refused. A grant counts as renewed now, since its holder measures the lease from an
+// HandleOrderResult records that an order was applied or refused. A grant counts as renewed now, since its holder measures the lease from an
 // earlier heartbeat.
-func (g *Grantor) Done(now float64, o Order, t *Table) {
+func (g *Grantor) HandleOrderResult(now float64, o Order, t *Table) {
 	if o.Term != g.term {
 		return
 	}
 	delete(g.asked, o.Name)
-	if o.Kind == Lapse { // the cause of the missed renewals may also keep it from learning of a new grant
-		g.shun[o.Name] = shunned{o.Holder, now + g.Cool}
+	if o.Kind == Expire { // the cause of the missed renewals may also keep it from learning of a new grant
+		g.shun[o.Name] = shunned{o.Holder, now + g.CooldownMS}
 	}
 	if l := t.Leases[o.Name]; o.Kind == Grant && l != nil && l.Holder == o.Holder {
 		g.hear(o.Name, l.Epoch, now)
 		g.given[o.Name] = heard{l.Epoch, now}
-		g.earliest = min(g.earliest, now+g.GrantorSpan(l.TTL))
+		g.earliest = min(g.earliest, now+g.GrantorSpan(l.TTLMS))
 		delete(g.free, o.Name)
 	} else if l != nil && l.Holder != "" {
 		g.earliest = now // the order was refused: the lease has to be checked again
 	}
 }
 
-// Answer returns the reply to a heartbeat, with the leases that the process holds according to the table.
-func (g *Grantor) Answer(from string, no, index uint64, t *Table) HeartbeatReply {
-	told := HeartbeatReply{No: no, Index: index}
+// Reply returns the reply to a heartbeat, with the leases that the process holds according to the table.
+func (g *Grantor) Reply(from string, no, index uint64, t *Table) HeartbeatReply {
+	told := HeartbeatReply{Seq: no, LogIndex: index}
 	for _, name := range t.HeldBy(from) {
 		l := t.Leases[name]
 		if g.deaf[name] == l.Epoch {
 			continue
 		}
-		told.Holds = append(told.Holds, Grantee{Ref{name, l.Epoch}, l.TTL, l.Yield})
+		told.Holds = append(told.Holds, Grantee{Ref{name, l.Epoch}, l.TTLMS, l.Yield})
 	}
 	return told
 }
--- a/internal/duty/machine.go
+++ b/internal/duty/machine.go
@@ -11,16 +11,16 @@
 
 // Modes of a server.
 const (
-	Warm     Mode = iota // candidate for all duties
-	Cold                 // chosen only if there is no warm candidate
-	Failing              // holds no duties
-	Away                 // holds no duties, by an operator's order
-	Draining             // holds no duties until the process ends
+	Warm         Mode = iota // candidate for all duties
+	Cold                     // chosen only if there is no warm candidate
+	Failing                  // holds no duties
+	OutOfService             // holds no duties, by an operator's order
+	Draining                 // holds no duties until the process ends
 )
 
 // Causes for the end of a lease.
 const (
-	CauseLate    = "renewed too late" // it expired before a renewal was confirmed
+	CauseExpired = "renewed too late" // it expired before a renewal was confirmed
 	CauseLost    = "lost"             // according to the store, this process does not hold it
 	CauseYield   = "asked to yield"
 	CauseDrain   = "draining"
@@ -31,26 +31,26 @@
 type Action any
 
 type (
-	// Send carries a heartbeat to be sent to the leader of the store.
-	Send struct{ Heartbeat Heartbeat }
-	// Gained reports that the process now holds a lease, until a time on its own clock.
-	Gained struct {
+	// SendHeartbeat carries a heartbeat to be sent to the leader of the store.
+	SendHeartbeat struct{ Heartbeat Heartbeat }
+	// LeaseGained reports that the process now holds a lease, until a time on its own clock.
+	LeaseGained struct {
 		Ref
 		Until float64
 	}
-	// Held reports that a lease was renewed. Late: less than half of its time was left.
-	Held struct {
+	// LeaseRenewed reports that a lease was renewed. Late: less than half of its time was left.
+	LeaseRenewed struct {
 		Ref
 		Until float64
 		Late  bool
 	}
-	// Yields requests that no more acts begin under a grant, and that Quiet is called once the last one has ended.
-	Yields struct {
+	// YieldRequested requests that no more acts begin under a grant, and that Quiet is called once the last one has ended.
+	YieldRequested struct {
 		Ref
 		Cause string
 	}
-	// Ended reports that a lease is no longer held. Acts under way have to be aborted.
-	Ended struct {
+	// LeaseEnded reports that a lease is no longer held. Acts under way have to be aborted.
+	LeaseEnded struct {
 		Ref
 		Cause string
 	}
@@ -70,8 +70,8 @@
 // Machine manages the leases of one order server process. It is not safe for concurrent use.
 type Machine struct {
 	Rules
-	Me    string
-	Plant string // an injected bug; "": none
+	ProcessID   string
+	InjectedBug string // an injected bug; "": none
 
 	spread func() float64 // seeded random numbers from 0 to 1
 	mode   Mode
@@ -92,7 +92,7 @@
 // NewMachine returns a Machine that is a candidate for all duties of the rules, and for its presence lease if the rules have
 // one. The seed is for jitter.
 func NewMachine(r Rules, me string, seed uint64) *Machine {
-	return &Machine{Rules: r, Me: me, spread: rand.New(rand.NewPCG(seed, 1)).Float64, held: map[string]*holding{},
+	return &Machine{Rules: r, ProcessID: me, spread: rand.New(rand.NewPCG(seed, 1)).Float64, held: map[string]*holding{},
 		past: map[string]uint64{}, gives: map[string]Ref{}, cool: map[string]float64{}}
 }
 
@@ -105,8 +105,8 @@
 	return out
 }
 
-// Next returns the time by which Tick has to be called again.
-func (m *Machine) Next() float64 {
+// NextTick returns the time by which Tick has to be called again.
+func (m *Machine) NextTick() float64 {
 	at := m.heartbeatAt
 	for _, h := range m.held {
 		at = min(at, h.until)
@@ -114,13 +114,13 @@
 	return at
 }
 
-// Hurry makes the next Tick send a heartbeat, for example on a new connection.
-func (m *Machine) Hurry() { m.heartbeatAt = 0 }
+// ExpediteHeartbeat makes the next Tick send a heartbeat, for example on a new connection.
+func (m *Machine) ExpediteHeartbeat() { m.heartbeatAt = 0 }
 
 func (m *Machine) expire(now float64) (out []Action) {
 	for _, name := range slices.Sorted(maps.Keys(m.held)) {
 		if h := m.held[name]; now >= h.until {
-			out = append(out, m.end(now, h, CauseLate))
+			out = append(out, m.end(now, h, CauseExpired))
 		}
 	}
 	return out
@@ -136,52 +136,52 @@
 	delete(m.held, name)
 	m.past[name] = max(m.past[name], h.ref.Epoch)
 	m.gives[name] = h.ref
-	if PresentWho(name) == "" {
-		m.cool[name] = now + m.Cool
+	if PresenceProcess(name) == "" {
+		m.cool[name] = now + m.CooldownMS
 	}
 	m.heartbeatAt = now
-	return Ended{h.ref, cause}
+	return LeaseEnded{h.ref, cause}
 }
 
 func (m *Machine) heartbeat(now float64) Action {
 	// Jitter, so that servers that started at the same time do not send their heartbeats at the same time.
-	m.heartbeatAt = now + m.Renew*(0.7+0.3*m.spread())
+	m.heartbeatAt = now + m.RenewIntervalMS*(0.7+0.3*m.spread())
 	m.no++
 	m.sent[m.no%keptHeartbeats].no, m.sent[m.no%keptHeartbeats].at = m.no, now
-	b := Heartbeat{From: m.Me, No: m.no, Seen: m.seen, Cold: m.mode == Cold}
+	b := Heartbeat{From: m.ProcessID, Seq: m.no, Seen: m.seen, Cold: m.mode == Cold}
 	for _, name := range slices.Sorted(maps.Keys(m.held)) {
-		b.Renews = append(b.Renews, m.held[name].ref)
+		b.Renewals = append(b.Renewals, m.held[name].ref)
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.gives)) {
-		b.Gives = append(b.Gives, m.gives[name])
+		b.Releases = append(b.Releases, m.gives[name])
 	}
 	if m.mode == Warm || m.mode == Cold {
 		for _, d := range m.Duties {
 			if m.held[d.Name] == nil && now >= m.cool[d.Name] {
-				b.Stands = append(b.Stands, d.Name)
+				b.Candidacies = append(b.Candidacies, d.Name)
 			}
 		}
 	}
-	if p := PresenceOf(m.Me); m.Presence > 0 && m.held[p] == nil && !m.leave {
-		b.Stands = append(b.Stands, p)
+	if p := PresenceName(m.ProcessID); m.PresenceTTLMS > 0 && m.held[p] == nil && !m.leave {
+		b.Candidacies = append(b.Candidacies, p)
 	}
-	return Send{b}
+	return SendHeartbeat{b}
 }
 
 // HandleReply processes a reply: it renews, gains and ends leases accordingly.
 func (m *Machine) HandleReply(now float64, t HeartbeatReply) []Action {
 	out := m.expire(now)
-	if t.Index < m.seen {
+	if t.LogIndex < m.seen {
 		// Old state must not be taken for new: another replica has already reported a later one.
-		return append(out, Behind{t.Index, m.seen})
+		return append(out, Behind{t.LogIndex, m.seen})
 	}
-	m.seen = t.Index
-	s := m.sent[t.No%keptHeartbeats]
-	if s.no != t.No || t.No == 0 {
+	m.seen = t.LogIndex
+	s := m.sent[t.Seq%keptHeartbeats]
+	if s.no != t.Seq || t.Seq == 0 {
 		return out // an old heartbeat, whose sending time is not known any more
 	}
 	from := s.at
-	if m.Plant == PlantLateDeadline {
+	if m.InjectedBug == BugDeadlineFromReply {
 		from = now
 	}
 	holds := map[string]Grantee{}
@@ -209,7 +209,7 @@
 			if until > h.until {
 				late := h.until-now < m.HolderSpan(g.TTL)/2
 				h.until = until
-				out = append(out, Held{h.ref, until, late})
+				out = append(out, LeaseRenewed{h.ref, until, late})
 			}
 			if g.Yield {
 				out = append(out, m.yield(h, CauseYield)...)
@@ -220,7 +220,7 @@
 		case until > now:
 			h = &holding{ref: g.Ref, until: until}
 			m.held[name] = h
-			out = append(out, Gained{g.Ref, until})
+			out = append(out, LeaseGained{g.Ref, until})
 			if g.Yield {
 				out = append(out, m.yield(h, CauseYield)...)
 			}
@@ -231,10 +231,10 @@
 
 // wants reports whether a grant would be accepted now.
 func (m *Machine) wants(name string, now float64) bool {
-	if name == PresenceOf(m.Me) {
-		return m.Presence > 0 && !m.leave
+	if name == PresenceName(m.ProcessID) {
+		return m.PresenceTTLMS > 0 && !m.leave
 	}
-	return m.Known(name) && (m.mode == Warm || m.mode == Cold) && now >= m.cool[name]
+	return m.HasDuty(name) && (m.mode == Warm || m.mode == Cold) && now >= m.cool[name]
 }
 
 func (m *Machine) yield(h *holding, cause string) []Action {
@@ -242,11 +242,11 @@
 		return nil
 	}
 	h.cause = cause
-	return []Action{Yields{h.ref, cause}}
+	return []Action{YieldRequested{h.ref, cause}}
 }
 
-// Quiet reports that no act is under way any more under a grant after Yields; it is released with the next heartbeat.
-func (m *Machine) Quiet(now float64, r Ref) []Action {
+// Quiesced reports that no act is under way any more under a grant after Yields; it is released with the next heartbeat.
+func (m *Machine) Quiesced(now float64, r Ref) []Action {
 	h := m.held[r.Name]
 	if h == nil || h.ref != r || h.cause == "" {
 		return nil
@@ -254,9 +254,9 @@
 	return []Action{m.end(now, h, h.cause)}
 }
 
-// Switch sets the mode of the server. In all modes but Warm and Cold it releases all duties; it keeps its presence lease.
+// SetMode sets the mode of the server. In all modes but Warm and Cold it releases all duties; it keeps its presence lease.
 // Draining is final.
-func (m *Machine) Switch(now float64, mode Mode) (out []Action) {
+func (m *Machine) SetMode(now float64, mode Mode) (out []Action) {
 	if m.mode == Draining || m.mode == mode {
 		return nil
 	}
@@ -269,15 +269,15 @@
 		cause = CauseFailing
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.held)) {
-		if PresentWho(name) == "" {
+		if PresenceProcess(name) == "" {
 			out = append(out, m.yield(m.held[name], cause)...)
 		}
 	}
 	return out
 }
 
-// Leave releases all leases, the presence lease included, at the end of the process.
-func (m *Machine) Leave(now float64) (out []Action) {
+// ReleaseAll releases all leases, the presence lease included, at the end of the process.
+func (m *Machine) ReleaseAll(now float64) (out []Action) {
 	m.mode, m.leave = Draining, true
 	for _, name := range slices.Sorted(maps.Keys(m.held)) {
 		out = append(out, m.end(now, m.held[name], CauseDrain))
@@ -285,8 +285,8 @@
 	return append(out, m.heartbeat(now))
 }
 
-// May reports whether an act under a duty may begin now, and under which grant.
-func (m *Machine) May(now float64, name string) (Ref, bool) {
+// ActiveGrant reports whether an act under a duty may begin now, and under which grant.
+func (m *Machine) ActiveGrant(now float64, name string) (Ref, bool) {
 	h := m.held[name]
 	if h == nil || h.cause != "" || now >= h.until {
 		return Ref{}, false
@@ -294,11 +294,11 @@
 	return h.ref, true
 }
 
-// Seen returns the highest log index of the replies so far.
-func (m *Machine) Seen() uint64 { return m.seen }
+// SeenIndex returns the highest log index of the replies so far.
+func (m *Machine) SeenIndex() uint64 { return m.seen }
 
-// Until returns the end of a held lease on the server's own clock, also while it is being released.
-func (m *Machine) Until(name string) (Ref, float64, bool) {
+// LeaseEnd returns the end of a held lease on the server's own clock, also while it is being released.
+func (m *Machine) LeaseEnd(name string) (Ref, float64, bool) {
 	h := m.held[name]
 	if h == nil {
 		return Ref{}, 0, false
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -19,11 +19,11 @@
 // presencePrefix begins the names of presence leases, by which server processes show that they are alive.
 const presencePrefix = "server/"
 
-// PresenceOf returns the name of the presence lease of a process.
-func PresenceOf(who string) string { return presencePrefix + who }
+// PresenceName returns the name of the presence lease of a process.
+func PresenceName(who string) string { return presencePrefix + who }
 
-// PresentWho returns the process to which a presence lease belongs, or "" if the name is not that of a presence lease.
-func PresentWho(name string) string {
+// PresenceProcess returns the process to which a presence lease belongs, or "" if the name is not that of a presence lease.
+func PresenceProcess(name string) string {
 	who, ok := strings.CutPrefix(name, presencePrefix)
 	if !ok {
 		return ""
@@ -41,16 +41,16 @@
 type Lease struct {
 	Holder string  `json:"holder,omitempty"` // the process that holds it; "": none
 	Epoch  uint64  `json:"epoch"`            // epoch of the latest grant
-	TTL    float64 `json:"ttl"`
+	TTLMS  float64 `json:"ttl"`
 	Yield  bool    `json:"yield,omitempty"` // an operator asked the holder to release it
 }
 
 // Table holds all leases. It is part of the replicated state: its methods are called from log entries and are deterministic.
 // It uses no clock: the leader decides that a lease has expired and writes that to the log.
 type Table struct {
-	Last   uint64            `json:"last"` // the highest epoch granted so far, over all leases; never decreases
-	Leases map[string]*Lease `json:"leases"`
-	Frozen map[string]bool   `json:"frozen,omitempty"`
+	LastEpoch uint64            `json:"last"` // the highest epoch granted so far, over all leases; never decreases
+	Leases    map[string]*Lease `json:"leases"`
+	Frozen    map[string]bool   `json:"frozen,omitempty"`
 
 	held map[string]map[string]bool // index: names of held leases by holder; nil: not built yet
 }
@@ -60,7 +60,7 @@
 
 // Clone returns a deep copy, for a snapshot.
 func (t *Table) Clone() *Table {
-	c := &Table{Last: t.Last, Leases: make(map[string]*Lease, len(t.Leases)), Frozen: maps.Clone(t.Frozen)}
+	c := &Table{LastEpoch: t.LastEpoch, Leases: make(map[string]*Lease, len(t.Leases)), Frozen: maps.Clone(t.Frozen)}
 	for k, v := range t.Leases {
 		l := *v
 		c.Leases[k] = &l
@@ -72,7 +72,7 @@
 const (
 	Grant   = "grant"
 	Release = "release"
-	Lapse   = "lapse" // expiry: the holder did not renew in time
+	Expire  = "lapse" // expiry: the holder did not renew in time
 )
 
 // Order is an operation on a lease that the grantor writes to the log. Term is the raft term in which it was decided. An order
@@ -82,7 +82,7 @@
 	Name   string  `json:"n"`
 	Holder string  `json:"h,omitempty"`
 	Epoch  uint64  `json:"e"` // epoch of the lease at the time of the decision
-	TTL    float64 `json:"t,omitempty"`
+	TTLMS  float64 `json:"t,omitempty"`
 	Term   uint64  `json:"term"`
 }
 
@@ -103,11 +103,11 @@
 		if l != nil && l.Epoch != o.Epoch {
 			return ErrStale // granted and released since the decision
 		}
-		t.Last++
-		t.Leases[o.Name] = &Lease{Holder: o.Holder, Epoch: t.Last, TTL: o.TTL}
+		t.LastEpoch++
+		t.Leases[o.Name] = &Lease{Holder: o.Holder, Epoch: t.LastEpoch, TTLMS: o.TTLMS}
 		t.index(o.Holder, o.Name)
 		return nil
-	case Release, Lapse:
+	case Release, Expire:
 		if l == nil || l.Holder == "" || l.Epoch != o.Epoch {
 			return ErrStale
 		}
@@ -115,7 +115,7 @@
 			delete(t.held, l.Holder)
 		}
 		l.Holder, l.Yield = "", false
-		if PresentWho(o.Name) != "" {
+		if PresenceProcess(o.Name) != "" {
 			delete(t.Leases, o.Name) // epochs are unique over all leases, so a later grant of this name gets a higher one
 		}
 		return nil
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// Ask records that an operator wants the holder to release a duty.
-func (t *Table) Ask(name string) error {
+// RequestYield records that an operator wants the holder to release a duty.
+func (t *Table) RequestYield(name string) error {
 	l := t.Leases[name]
 	if l == nil || l.Holder == "" {
 		return fmt.Errorf("duty: %s has no holder", name)
@@ -177,17 +177,17 @@
 // DutiesHeldBy returns the number of leases that a process holds, its presence lease not counted.
 func (t *Table) DutiesHeldBy(who string) (n int) {
 	for _, name := range t.HeldBy(who) {
-		if PresentWho(name) == "" {
+		if PresenceProcess(name) == "" {
 			n++
 		}
 	}
 	return n
 }
 
-// Present returns the number of processes that hold their presence lease.
-func (t *Table) Present() (n int) {
+// CountPresent returns the number of processes that hold their presence lease.
+func (t *Table) CountPresent() (n int) {
 	for name, l := range t.Leases {
-		if l.Holder != "" && PresentWho(name) != "" {
+		if l.Holder != "" && PresenceProcess(name) != "" {
 			n++
 		}
 	}
--- a/internal/duty/terms.go
+++ b/internal/duty/terms.go
@@ -11,26 +11,26 @@
 	"math"
 )
 
-// Bounds are the assumptions about clocks on which leases rest.
-type Bounds struct {
-	Rate   float64 // largest drift of a monotonic clock: it runs at 1-Rate to 1+Rate of true time
-	Margin float64 // ms on the holder's clock by which it stops before its lease ends
+// ClockBounds are the assumptions about clocks on which leases rest.
+type ClockBounds struct {
+	MaxDrift float64 // largest drift of a monotonic clock: it runs at 1-Rate to 1+Rate of true time
+	MarginMS float64 // ms on the holder's clock by which it stops before its lease ends
 }
 
-// Terms set up the lease of one duty.
-type Terms struct {
-	Name string
-	TTL  float64 // ms of true time for which a grant or renewal is valid, from its receipt
+// DutyRule set up the lease of one duty.
+type DutyRule struct {
+	Name  string
+	TTLMS float64 // ms of true time for which a grant or renewal is valid, from its receipt
 }
 
 // Rules are the settings that Grantor and Machine must have in common.
 type Rules struct {
-	Bounds
-	Renew    float64 // ms; longest interval between two heartbeats of an order server
-	Cool     float64 // ms for which a server is no candidate for a duty that it released or lost
-	ColdWait float64 // ms for which a duty stays without a holder if all candidates are cold
-	Duties   []Terms
-	Presence float64 // TTL of a server's presence lease, in ms; 0: servers have none
+	ClockBounds
+	RenewIntervalMS float64 // ms; longest interval between two heartbeats of an order server
+	CooldownMS      float64 // ms for which a server is no candidate for a duty that it released or lost
+	ColdWaitMS      float64 // ms for which a duty stays without a holder if all candidates are cold
+	Duties          []DutyRule
+	PresenceTTLMS   float64 // TTLMS of a server's presence lease, in ms; 0: servers have none
 }
 
 // bearLost is the number of successive renewals that may get lost without the holder losing its lease.
@@ -38,31 +38,31 @@
 
 // HolderSpan returns for how many ms on its own clock a holder may act, from the sending of the heartbeat by which it was granted
 // or renewed the lease.
-func (b Bounds) HolderSpan(ttl float64) float64 { return ttl*(1-b.Rate) - b.Margin }
+func (b ClockBounds) HolderSpan(ttl float64) float64 { return ttl*(1-b.MaxDrift) - b.MarginMS }
 
 // GrantorSpan returns how many ms on its own clock the grantor waits after a holder's last heartbeat before the lease expires.
-func (b Bounds) GrantorSpan(ttl float64) float64 { return ttl * (1 + b.Rate) }
+func (b ClockBounds) GrantorSpan(ttl float64) float64 { return ttl * (1 + b.MaxDrift) }
 
 // Check reports the first invalid setting, by its key under duties in the operator's file.
 func (r Rules) Check() error {
 	finite := func(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 	switch {
-	case !finite(r.Rate) || r.Rate < 0 || r.Rate > 0.5:
-		return fmt.Errorf("clock_rate must be from 0 to 0.5, not %v", r.Rate)
-	case !finite(r.Margin) || r.Margin < 0:
-		return fmt.Errorf("margin_ms must be 0 or more, not %v", r.Margin)
-	case !finite(r.Renew) || r.Renew <= 0:
-		return fmt.Errorf("renew_ms must be above 0, not %v", r.Renew)
-	case !finite(r.Cool) || r.Cool < 0:
-		return fmt.Errorf("cool_ms must be 0 or more, not %v", r.Cool)
-	case !finite(r.ColdWait) || r.ColdWait < 0:
-		return fmt.Errorf("cold_wait_ms must be 0 or more, not %v", r.ColdWait)
+	case !finite(r.MaxDrift) || r.MaxDrift < 0 || r.MaxDrift > 0.5:
+		return fmt.Errorf("clock_rate must be from 0 to 0.5, not %v", r.MaxDrift)
+	case !finite(r.MarginMS) || r.MarginMS < 0:
+		return fmt.Errorf("margin_ms must be 0 or more, not %v", r.MarginMS)
+	case !finite(r.RenewIntervalMS) || r.RenewIntervalMS <= 0:
+		return fmt.Errorf("renew_ms must be above 0, not %v", r.RenewIntervalMS)
+	case !finite(r.CooldownMS) || r.CooldownMS < 0:
+		return fmt.Errorf("cool_ms must be 0 or more, not %v", r.CooldownMS)
+	case !finite(r.ColdWaitMS) || r.ColdWaitMS < 0:
+		return fmt.Errorf("cold_wait_ms must be 0 or more, not %v", r.ColdWaitMS)
 	}
 	ttl := func(key string, v float64) error {
 		if !finite(v) || v <= 0 {
 			return fmt.Errorf("%s must be above 0, not %v", key, v)
 		}
-		if need := (bearLost + 1) * r.Renew; r.HolderSpan(v) < need {
+		if need := (bearLost + 1) * r.RenewIntervalMS; r.HolderSpan(v) < need {
 			return fmt.Errorf("%s of %v ms leaves a holder %.0f ms of its own clock; renew_ms, clock_rate and margin_ms require %.0f ms",
 				key, v, r.HolderSpan(v), need)
 		}
@@ -78,23 +78,23 @@
 			return fmt.Errorf("%s.name %q is the name of list[%d] already", key, d.Name, first)
 		}
 		seen[d.Name] = i
-		if err := ttl(key+".ttl_ms", d.TTL); err != nil {
+		if err := ttl(key+".ttl_ms", d.TTLMS); err != nil {
 			return err
 		}
 	}
-	if r.Presence != 0 {
-		return ttl("presence_ms", r.Presence)
+	if r.PresenceTTLMS != 0 {
+		return ttl("presence_ms", r.PresenceTTLMS)
 	}
 	return nil
 }
 
-// Known reports whether a duty of this name is set up.
-func (r Rules) Known(name string) bool { return r.ttl(name) > 0 }
+// HasDuty reports whether a duty of this name is set up.
+func (r Rules) HasDuty(name string) bool { return r.ttl(name) > 0 }
 
 func (r Rules) ttl(name string) float64 {
 	for _, d := range r.Duties {
 		if d.Name == name {
-			return d.TTL
+			return d.TTLMS
 		}
 	}
 	return 0
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -132,7 +132,7 @@
 	open := map[key]*Span{}
 	var all []*Span
 	for _, e := range o.Events {
-		if duty.PresentWho(e.Duty) != "" {
+		if duty.PresenceProcess(e.Duty) != "" {
 			continue
 		}
 		k := key{e.Duty, e.Who, e.Epoch}
@@ -294,7 +294,7 @@
 			latest[e.Who] = s
 			all = append(all, s)
 		case trace.Ended:
-			if duty.PresentWho(e.Duty) == e.Who {
+			if duty.PresenceProcess(e.Duty) == e.Who {
 				if s := latest[e.Who]; s != nil {
 					s.to = min(s.to, e.At)
 					delete(latest, e.Who)
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -23,8 +23,8 @@
 
 const patience = 60 * time.Second
 
-var rules = duty.Rules{Bounds: duty.Bounds{Rate: 0.1, Margin: 50}, Renew: 300, Cool: 1000, ColdWait: 1000, Presence: 2000,
-	Duties: []duty.Terms{{Name: "allotter", TTL: 2000}}}
+var rules = duty.Rules{ClockBounds: duty.ClockBounds{MaxDrift: 0.1, MarginMS: 50}, RenewIntervalMS: 300, CooldownMS: 1000, ColdWaitMS: 1000, PresenceTTLMS: 2000,
+	Duties: []duty.DutyRule{{Name: "allotter", TTLMS: 2000}}}
 
 // oneCopy is a copy whose log is agreed on at once, unless the test says that it does not lead.
 type oneCopy struct {
@@ -141,7 +141,7 @@
 
 func leads(st *state.State) *oneCopy { return &oneCopy{st: st, term: 1, leads: true} }
 
-func gains(g duty.Gained) bool { return g.Name == "allotter" }
+func gains(g duty.LeaseGained) bool { return g.Name == "allotter" }
 
 // A server is sent on to the copy that leads, gains what it stands for, acts under it, and is refused under any other
 // epoch.
@@ -174,9 +174,9 @@
 	if _, err := c.Do(t.Context(), state.Command{Op: state.Ask, Key: "allotter"}); err != nil {
 		t.Fatal(err)
 	}
-	y := want(t, events, func(duty.Yields) bool { return true })
+	y := want(t, events, func(duty.YieldRequested) bool { return true })
 	c.Quiet(y.Ref)
-	want(t, events, func(e duty.Ended) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
+	want(t, events, func(e duty.LeaseEnded) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
 	for late := time.Now().Add(patience); ; {
 		if err := c.Read(t.Context(), ReadDuties, &d); err != nil {
 			t.Fatal(err)
@@ -273,7 +273,7 @@
 	var full *fullError
 	if err := ask(); !errors.As(err, &full) {
 		t.Errorf("one more than the bound is not told when to come back: %v", err)
-	} else if least, most := fullRetry*rules.Renew*0.5, fullRetry*rules.Renew*1.5; full.retryMs < least || full.retryMs > most {
+	} else if least, most := fullRetry*rules.RenewIntervalMS*0.5, fullRetry*rules.RenewIntervalMS*1.5; full.retryMs < least || full.retryMs > most {
 		t.Errorf("it may come back in %v ms; from %v to %v are wanted", full.retryMs, least, most)
 	}
 	if f := lead.server.Figures(); f.Open != 16 || f.Cut != 1 {
@@ -290,11 +290,11 @@
 // Servers that come at once, while the copy is busy with its term's first entry, are all granted their presence, in entries that
 // are each bounded.
 func TestServersThatComeAtOnceAreTakenInSteps(t *testing.T) {
-	const fleet = 2*duty.MaxOrders + 100
+	const fleet = 2*duty.MaxOrdersPerTick + 100
 	copy := leads(state.New())
 	copy.begin = make(chan struct{})
 	patient := rules
-	patient.Renew = clock.Millis(patience) // no session is cut off for its silence while the others come
+	patient.RenewIntervalMS = clock.Millis(patience) // no session is cut off for its silence while the others come
 	lead := openFor(t, copy, clock.Steady(), patient, fleet)
 	for i := range fleet {
 		conn, err := net.Dial("tcp", lead.at)
@@ -303,7 +303,7 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		who := fmt.Sprintf("os-%d#1", i)
-		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, No: 1, Stands: []string{duty.PresenceOf(who)}}}))...))
+		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, Seq: 1, Candidacies: []string{duty.PresenceName(who)}}}))...))
 		go io.Copy(io.Discard, conn)
 	}
 	until := func(what string, holds func() bool) {
@@ -317,12 +317,12 @@
 	close(copy.begin)
 	present := 0
 	until("all are present", func() bool {
-		copy.View(func(st *state.State, _ uint64) { present = max(present, st.Duties.Present()) })
+		copy.View(func(st *state.State, _ uint64) { present = max(present, st.Duties.CountPresent()) })
 		return present == fleet
 	})
 	copy.mu.Lock()
 	defer copy.mu.Unlock()
-	if copy.largest > duty.MaxOrders {
+	if copy.largest > duty.MaxOrdersPerTick {
 		t.Errorf("an entry with %d orders", copy.largest)
 	}
 }
@@ -331,7 +331,7 @@
 func TestServerComesBackWhenItWasTold(t *testing.T) {
 	t.Parallel()
 	steady, slow := clock.Steady(), rules
-	slow.Renew = 1000 // so that no session is given up as silent on a busy machine
+	slow.RenewIntervalMS = 1000 // so that no session is given up as silent on a busy machine
 	lead := openFor(t, leads(state.New()), steady, slow, 16)
 	var conns []net.Conn
 	for range 16 {
@@ -380,7 +380,7 @@
 	}
 	mu.Lock()
 	for i := 1; i < len(tries); i++ {
-		if gap := tries[i] - tries[i-1]; gap < fullRetry*slow.Renew*0.5 {
+		if gap := tries[i] - tries[i-1]; gap < fullRetry*slow.RenewIntervalMS*0.5 {
 			t.Errorf("tried again after %v ms", gap)
 		}
 	}
@@ -417,13 +417,13 @@
 				}
 			}()
 			quick := rules
-			quick.Renew = 200
+			quick.RenewIntervalMS = 200
 			c := NewClient(Options{Me: "a#1", Copies: map[string]string{"a": ln.Addr().String()}, Rules: quick, Seed: 1, Steady: steady, Log: zerolog.Nop()})
 			go c.Run(t.Context())
 			first := <-tries
 			select {
 			case second := <-tries:
-				if gap := second - first; gap < fullMost*quick.Renew {
+				if gap := second - first; gap < fullMost*quick.RenewIntervalMS {
 					t.Errorf("tried again after %v ms", gap)
 				}
 			case <-time.After(patience):
@@ -458,7 +458,7 @@
 	second.leads, second.term, second.index = true, 2, index
 	second.mu.Unlock()
 	want(t, events, func(Linked) bool { return true })
-	want(t, events, func(h duty.Held) bool { return h.Name == "allotter" })
+	want(t, events, func(h duty.LeaseRenewed) bool { return h.Name == "allotter" })
 	if r, ok := c.May("allotter"); !ok || r != g.Ref {
 		t.Errorf("held under %+v, %v; gained under %+v", r, ok, g.Ref)
 	}
@@ -484,17 +484,17 @@
 	r := rules
 	r.Duties = nil
 	for i := range dutyCount {
-		r.Duties = append(r.Duties, duty.Terms{Name: fmt.Sprintf("duty-%d", i), TTL: 2000})
+		r.Duties = append(r.Duties, duty.DutyRule{Name: fmt.Sprintf("duty-%d", i), TTLMS: 2000})
 	}
 	st, now, index := state.New(), 1000.0, uint64(0)
 	g := &duty.Grantor{Rules: r, Seed: 1}
-	g.Lead(1, now)
+	g.StartTerm(1, now)
 	var fleet []*duty.Machine
 	byName := map[string]*duty.Machine{}
 	for i := range servers {
 		m := duty.NewMachine(r, fmt.Sprintf("os-%d#%016x", i, i), uint64(i))
 		fleet = append(fleet, m)
-		byName[m.Me] = m
+		byName[m.ProcessID] = m
 	}
 	var entries, in, out, heartbeats int
 	var ours, theirs time.Duration
@@ -504,7 +504,7 @@
 			var came [][]byte
 			for _, m := range fleet {
 				for _, a := range m.Tick(now) {
-					if s, ok := a.(duty.Send); ok {
+					if s, ok := a.(duty.SendHeartbeat); ok {
 						came = append(came, must(framed(toCopy{Heartbeat: &s.Heartbeat})))
 					}
 				}
@@ -520,7 +520,7 @@
 				}
 				in += len(f)
 				from = append(from, *m.Heartbeat)
-				orders = append(orders, g.Take(now, *m.Heartbeat, st.Duties)...)
+				orders = append(orders, g.HandleHeartbeat(now, *m.Heartbeat, st.Duties)...)
 			}
 			orders = append(orders, g.Tick(now, st.Duties)...)
 			if len(orders)+len(came) > 0 {
@@ -529,11 +529,11 @@
 			}
 			st.Apply(state.Command{Op: state.Orders, Orders: orders}, 1)
 			for _, o := range orders {
-				g.Done(now, o, st.Duties)
+				g.HandleOrderResult(now, o, st.Duties)
 			}
 			var told [][]byte
 			for _, f := range from {
-				a := g.Answer(f.From, f.No, index, st.Duties)
+				a := g.Reply(f.From, f.Seq, index, st.Duties)
 				told = append(told, must(framed(toServer{Reply: &a})))
 				out += len(told[len(told)-1])
 			}
@@ -576,13 +576,13 @@
 			for b.Loop() {
 				st, now := state.New(), 1000.0
 				g := &duty.Grantor{Rules: r, Seed: 1}
-				g.Lead(1, now)
+				g.StartTerm(1, now)
 				var came [][]byte
 				for i := range servers {
 					who := fmt.Sprintf("os-%d#%016x", i, i)
-					came = append(came, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, No: 1, Stands: []string{duty.PresenceOf(who)}}})))
+					came = append(came, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, Seq: 1, Candidacies: []string{duty.PresenceName(who)}}})))
 				}
-				for entries = 0; st.Duties.Present() < servers; entries++ {
+				for entries = 0; st.Duties.CountPresent() < servers; entries++ {
 					begun := time.Now()
 					var orders []duty.Order
 					for _, f := range came {
@@ -590,7 +590,7 @@
 						if err := json.Unmarshal(f[4:], &m); err != nil {
 							b.Fatal(err)
 						}
-						orders = append(orders, g.Take(now, *m.Heartbeat, st.Duties)...)
+						orders = append(orders, g.HandleHeartbeat(now, *m.Heartbeat, st.Duties)...)
 					}
 					came = nil
 					orders = append(orders, g.Tick(now, st.Duties)...)
@@ -604,7 +604,7 @@
 					}
 					st.Apply(c, 1)
 					for _, o := range orders {
-						g.Done(now, o, st.Duties)
+						g.HandleOrderResult(now, o, st.Duties)
 					}
 					longest = max(longest, time.Since(begun))
 					now += batchEvery
--- a/internal/net/session/wire.go
+++ b/internal/net/session/wire.go
@@ -71,8 +71,8 @@
 
 // Fleet is the answer to ReadFleet.
 type Fleet struct {
-	Pool int64        `json:"pool"`
-	Of   []allot.Need `json:"of"`
+	Pool int64               `json:"pool"`
+	Of   []allot.ProcessNeed `json:"of"`
 }
 
 // Effects is the answer to ReadEffects.
--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -50,7 +50,7 @@
 			add("whole", "records", r)
 		}
 		add("whole", "frozen", slices.Sorted(maps.Keys(s.Duties.Frozen)))
-		add("whole", "counts", []any{s.Duties.Last, s.Shares.Pool, s.Shares.Version, s.Effects.Seq})
+		add("whole", "counts", []any{s.Duties.LastEpoch, s.Shares.Pool, s.Shares.Version, s.Effects.Seq})
 		add("whole", "version", s.Config.Latest())
 	}
 	return sum
--- a/internal/state/digest_test.go
+++ b/internal/state/digest_test.go
@@ -18,8 +18,8 @@
 			t.Fatalf("%s: %s", c.Op, r.Error)
 		}
 	}
-	for i, name := range []string{"allotter", duty.PresenceOf("a#1")} {
-		o := duty.Order{Kind: duty.Grant, Name: name, Holder: "a#1", TTL: 2000, Term: 1}
+	for i, name := range []string{"allotter", duty.PresenceName("a#1")} {
+		o := duty.Order{Kind: duty.Grant, Name: name, Holder: "a#1", TTLMS: 2000, Term: 1}
 		if r := s.Apply(Command{Op: Orders, Orders: []duty.Order{o}}, 1); r.Part[0] != "" {
 			t.Fatalf("%d: %s", i, r.Part[0])
 		}
@@ -76,7 +76,7 @@
 		"an effect is missing": func(s *State) { delete(s.Effects.Effects, "0000000000000009") },
 		"a lease's epoch":      func(s *State) { s.Duties.Leases["allotter"].Epoch++ },
 		"a lease's holder":     func(s *State) { s.Duties.Leases["allotter"].Holder = "b#1" },
-		"the highest epoch":    func(s *State) { s.Duties.Last++ },
+		"the highest epoch":    func(s *State) { s.Duties.LastEpoch++ },
 		"a frozen duty":        func(s *State) { s.Duties.Frozen["x"] = true },
 		"a share":              func(s *State) { s.Shares.Shares["a#1"].Cap++ },
 		"the pool":             func(s *State) { s.Shares.Pool++ },
--- a/internal/state/slopes_test.go
+++ b/internal/state/slopes_test.go
@@ -46,9 +46,9 @@
 func withServers(tb testing.TB, n int) *State {
 	s := New()
 	for i := range n {
-		apply(tb, s, entry(tb, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: duty.PresenceOf(process(i)), Holder: process(i), TTL: 3000, Term: 1}}}))
+		apply(tb, s, entry(tb, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: duty.PresenceName(process(i)), Holder: process(i), TTLMS: 3000, Term: 1}}}))
 	}
-	apply(tb, s, entry(tb, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: "allotter", Holder: process(0), TTL: 3000, Term: 1}}}))
+	apply(tb, s, entry(tb, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: "allotter", Holder: process(0), TTLMS: 3000, Term: 1}}}))
 	return s
 }
 
@@ -79,9 +79,9 @@
 			for b.Loop() {
 				i++
 				who := process(1 + i%(n-1))
-				name := duty.PresenceOf(who)
-				apply(b, s, entry(b, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Lapse, Name: name, Epoch: s.Duties.Leases[name].Epoch, Term: 1}}}))
-				apply(b, s, entry(b, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: name, Holder: who, TTL: 3000, Term: 1}}}))
+				name := duty.PresenceName(who)
+				apply(b, s, entry(b, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Expire, Name: name, Epoch: s.Duties.Leases[name].Epoch, Term: 1}}}))
+				apply(b, s, entry(b, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: name, Holder: who, TTLMS: 3000, Term: 1}}}))
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 			s := withServers(b, n)
 			under := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
 			apply(b, s, entry(b, Command{Op: Act, Fence: &under, Do: []Command{{Op: Pool, Amount: int64(n) * 1000}}}))
-			fleet, bytes := []allot.Need{}, 0
+			fleet, bytes := []allot.ProcessNeed{}, 0
 			for i := 0; b.Loop(); i++ {
 				var do []Command
 				for j := range n {
@@ -118,8 +118,8 @@
 				apply(b, s, act)
 				bytes = len(act)
 			}
-			for _, who := range s.Shares.Whos() {
-				fleet = append(fleet, allot.Need{Who: who, Share: *s.Shares.Shares[who]})
+			for _, who := range s.Shares.Processes() {
+				fleet = append(fleet, allot.ProcessNeed{Who: who, Share: *s.Shares.Shares[who]})
 			}
 			text, err := json.Marshal(fleet)
 			if err != nil {
@@ -137,7 +137,7 @@
 		b.Run(fmt.Sprintf("kept=%d", n), func(b *testing.B) {
 			s := withServers(b, 12)
 			who, next := process(0), 0
-			epoch := s.Duties.Leases[duty.PresenceOf(who)].Epoch
+			epoch := s.Duties.Leases[duty.PresenceName(who)].Epoch
 			book := func() {
 				next++
 				id := fmt.Sprintf("%016x", next)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -86,7 +86,7 @@
 type State struct {
 	Values  map[string][]byte
 	Duties  *duty.Table
-	Shares  *allot.Ledger
+	Shares  *allot.Allocations
 	Effects *settle.Ledger
 	Config  *publish.History
 	Records *records.Set
@@ -98,14 +98,14 @@
 
 // New is the empty state.
 func New() *State {
-	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Shares: allot.NewLedger(),
+	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Shares: allot.NewAllocations(),
 		Effects: settle.NewLedger(mostEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
 		Marks: map[string]uint64{}, Stale: map[string]uint64{}}
 }
 
 // Live tells whether a process's presence of an epoch is in force.
 func (s *State) Live(who string, epoch uint64) bool {
-	l := s.Duties.Leases[duty.PresenceOf(who)]
+	l := s.Duties.Leases[duty.PresenceName(who)]
 	return l != nil && l.Holder == who && l.Epoch == epoch
 }
 
@@ -152,12 +152,12 @@
 	case Compare:
 		return Result{N: s.Digest(c.Seq)}
 	case Ask:
-		return Result{Error: text(s.Duties.Ask(c.Key))}
+		return Result{Error: text(s.Duties.RequestYield(c.Key))}
 	case Freeze, Thaw:
 		s.Duties.Freeze(c.Key, c.Op == Freeze)
 		return Result{}
 	case Ack:
-		s.Shares.Ack(c.Who, c.Epoch)
+		s.Shares.Acknowledge(c.Who, c.Epoch)
 		return Result{}
 	case AcknowledgeVersion:
 		if c.Said == nil {
@@ -175,11 +175,11 @@
 	if err := s.Duties.Apply(o, term); err != nil {
 		return err
 	}
-	if who := duty.PresentWho(o.Name); who != "" {
+	if who := duty.PresenceProcess(o.Name); who != "" {
 		if o.Kind == duty.Grant {
-			s.Shares.Join(who)
+			s.Shares.AddProcess(who)
 		} else {
-			s.Shares.Drop(who)
+			s.Shares.RemoveProcess(who)
 			s.Config.Drop(who)
 		}
 	}
@@ -191,7 +191,7 @@
 	if c.Fence == nil {
 		return Result{Error: "state: an act without an epoch"}
 	}
-	if err := s.Duties.Fence(*c.Fence); err != nil && s.Plant != duty.PlantUnfenced {
+	if err := s.Duties.Fence(*c.Fence); err != nil && s.Plant != duty.BugUnfenced {
 		if s.Stale[c.Fence.Name]++; len(s.Stale) > mostMarks {
 			clear(s.Stale) // names are made up
 		}
@@ -224,7 +224,7 @@
 		s.Marks[under.Name]++
 		return s.Marks[under.Name], nil
 	case Share:
-		return 0, s.Shares.Set(c.Who, c.Amount, s.Plant == duty.PlantEarlyGrowth)
+		return 0, s.Shares.SetTarget(c.Who, c.Amount, s.Plant == duty.BugEarlyGrowth)
 	case Pool:
 		return 0, s.Shares.SetPool(c.Amount)
 	case Settle:
@@ -249,15 +249,15 @@
 
 // Kept is the state's form in a snapshot. Values and Order are all that earlier versions wrote.
 type Kept struct {
-	Values  map[string][]byte `json:"values"`
-	Order   []string          `json:"order,omitempty"`
-	Duties  *duty.Table       `json:"duties,omitempty"`
-	Shares  *allot.Ledger     `json:"shares,omitempty"`
-	Effects *settle.Ledger    `json:"effects,omitempty"`
-	Config  *publish.History  `json:"config,omitempty"`
-	Records *records.Frozen   `json:"records,omitempty"`
-	Marks   map[string]uint64 `json:"marks,omitempty"`
-	Stale   map[string]uint64 `json:"stale,omitempty"`
+	Values  map[string][]byte  `json:"values"`
+	Order   []string           `json:"order,omitempty"`
+	Duties  *duty.Table        `json:"duties,omitempty"`
+	Shares  *allot.Allocations `json:"shares,omitempty"`
+	Effects *settle.Ledger     `json:"effects,omitempty"`
+	Config  *publish.History   `json:"config,omitempty"`
+	Records *records.Frozen    `json:"records,omitempty"`
+	Marks   map[string]uint64  `json:"marks,omitempty"`
+	Stale   map[string]uint64  `json:"stale,omitempty"`
 }
 
 // Keep copies the state, so that it can be written while commands go on.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -12,7 +12,7 @@
 
 func grant(t *testing.T, s *State, name, who string) duty.Ref {
 	t.Helper()
-	o := duty.Order{Kind: duty.Grant, Name: name, Holder: who, TTL: 2000, Term: 3}
+	o := duty.Order{Kind: duty.Grant, Name: name, Holder: who, TTLMS: 2000, Term: 3}
 	if l := s.Duties.Leases[name]; l != nil {
 		o.Epoch = l.Epoch
 	}
@@ -24,7 +24,7 @@
 
 func end(t *testing.T, s *State, r duty.Ref) {
 	t.Helper()
-	if got := s.Apply(Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Lapse, Name: r.Name, Epoch: r.Epoch, Term: 3}}}, 3); got.Part[0] != "" {
+	if got := s.Apply(Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Expire, Name: r.Name, Epoch: r.Epoch, Term: 3}}}, 3); got.Part[0] != "" {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -53,7 +53,7 @@
 	if r := s.Apply(Command{Op: Act, Do: []Command{{Op: Mark}}}, 3); r.Error == "" {
 		t.Error("an act without an epoch")
 	}
-	s.Plant = duty.PlantUnfenced
+	s.Plant = duty.BugUnfenced
 	if r := s.Apply(act(first, Command{Op: Mark}), 3); r.Stale || s.Marks["d"] != 2 {
 		t.Error("the planted bug is none")
 	}
@@ -62,7 +62,7 @@
 // An act is carried out whole or not at all, and shares go with the presence that they hang on.
 func TestActsAreWhole(t *testing.T) {
 	s := New()
-	a, b := grant(t, s, duty.PresenceOf("a"), "a"), grant(t, s, duty.PresenceOf("b"), "b")
+	a, b := grant(t, s, duty.PresenceName("a"), "a"), grant(t, s, duty.PresenceName("b"), "b")
 	allot := grant(t, s, "allotter", "a")
 	if r := s.Apply(act(allot, Command{Op: Pool, Amount: 100}, Command{Op: Share, Who: "a", Amount: 60}), 3); r.Error != "" {
 		t.Fatalf("%+v", r)
@@ -70,7 +70,7 @@
 	if r := s.Apply(act(allot, Command{Op: Share, Who: "a", Amount: 30}, Command{Op: Share, Who: "b", Amount: 70}), 3); r.Error == "" {
 		t.Error("over the whole: what is cut is in use until its process says otherwise")
 	}
-	if v := s.Shares.Shares["a"]; v.Want != 60 || v.Cap != 60 {
+	if v := s.Shares.Shares["a"]; v.Target != 60 || v.Cap != 60 {
 		t.Errorf("half of a refused act was done: %+v", v)
 	}
 	if r := s.Apply(act(allot, Command{Op: Share, Who: "a", Amount: 30}), 3); r.Error != "" {
@@ -81,8 +81,8 @@
 		t.Errorf("after the cut is in use: %+v", r)
 	}
 	end(t, s, b)
-	if s.Shares.Sum() != 30 {
-		t.Errorf("%d in force after a presence ended", s.Shares.Sum())
+	if s.Shares.TotalCap() != 30 {
+		t.Errorf("%d in force after a presence ended", s.Shares.TotalCap())
 	}
 	if r := s.Apply(Command{Op: Begin, Key: "e1", Who: "a", Epoch: a.Epoch, Keep: true}, 3); !r.Fresh {
 		t.Errorf("%+v", r)
@@ -103,7 +103,7 @@
 func TestSnapshotsHoldEverything(t *testing.T) {
 	s := New()
 	s.Apply(Command{Op: Set, Key: "k", Value: []byte("v")}, 1)
-	a := grant(t, s, duty.PresenceOf("a"), "a")
+	a := grant(t, s, duty.PresenceName("a"), "a")
 	p := grant(t, s, "publisher", "a")
 	s.Apply(Command{Op: Begin, Key: "e1", Who: "a", Epoch: a.Epoch, Keep: true}, 3)
 	s.Apply(act(p, Command{Op: Publish, Files: []publish.File{{Name: "f", Text: []byte("x")}}}, Command{Op: Mark}), 3)
@@ -121,7 +121,7 @@
 	if !reflect.DeepEqual(s, back) {
 		t.Errorf("\n%s\n%s", b, must(json.Marshal(back.Keep())))
 	}
-	last := back.Duties.Last
+	last := back.Duties.LastEpoch
 	if r := grant(t, back, "other", "b"); r.Epoch <= last {
 		t.Errorf("epoch %d after a snapshot with %d", r.Epoch, last)
 	}
--- a/internal/store/rates_test.go
+++ b/internal/store/rates_test.go
@@ -170,8 +170,8 @@
 			measureRate(b, float64(rate), func(lead *Store, i int) error {
 				term, _ := lead.Office()
 				who := fmt.Sprintf("os-%04d#%016x", i%4300, i)
-				name := duty.PresenceOf(who)
-				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: who, TTL: 3000, Term: term}
+				name := duty.PresenceName(who)
+				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: who, TTLMS: 3000, Term: term}
 				if err := proposed(lead, state.Command{Op: state.Orders, Orders: []duty.Order{grant}}); err != nil {
 					return err
 				}
@@ -181,7 +181,7 @@
 						epoch = l.Epoch
 					}
 				})
-				lapse := duty.Order{Kind: duty.Lapse, Name: name, Holder: who, Epoch: epoch, Term: term}
+				lapse := duty.Order{Kind: duty.Expire, Name: name, Holder: who, Epoch: epoch, Term: term}
 				return proposed(lead, state.Command{Op: state.Orders, Orders: []duty.Order{lapse}})
 			})
 		})
