--- a/internal/allot/allot_test.go
+++ b/internal/allot/allot_test.go
@@ -8,12 +8,13 @@
 	"testing"
 )
 
-func TestRoomThatMakesNoSenseIsNamed(t *testing.T) {
+func TestInvalidCapacityIsReportedByKey(t *testing.T) {
 	for want, r := range map[string]Capacity{
-		"whole must be above 0":                                  {Total: 0, ReservePerProcess: 1, MaxProcesses: 1},
-		"alone must be 0 or more":                                {Total: 1, ReservePerProcess: -1, MaxProcesses: 1},
-		"servers must be 1 or more":                              {Total: 1, MaxProcesses: 0},
-		"alone: 2 for each of 6 servers is over the whole of 10": {Total: 10 * UnitsPerCall, ReservePerProcess: 2 * UnitsPerCall, MaxProcesses: 6},
+		"whole must be above 0":     {Total: 0, ReservePerProcess: 1, MaxProcesses: 1},
+		"alone must be 0 or more":   {Total: 1, ReservePerProcess: -1, MaxProcesses: 1},
+		"servers must be 1 or more": {Total: 1, MaxProcesses: 0},
+		"alone: 2 for each of 6 servers is over the whole of 10": {Total: 10 * UnitsPerCall, ReservePerProcess: 2 * UnitsPerCall,
+			MaxProcesses: 6},
 	} {
 		if err := r.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -41,45 +42,45 @@
 		if err := b.SetPool(pool); err != nil {
 			t.Fatal(err)
 		}
-		uses := map[string]*LocalShare{}
+		inUse := map[string]*LocalShare{}
 		for step := range 400 {
-			who := fmt.Sprint("s", rng.IntN(8))
+			process := fmt.Sprint("s", rng.IntN(8))
 			switch rng.IntN(6) {
 			case 0:
-				if uses[who] == nil {
-					b.AddProcess(who)
-					uses[who] = &LocalShare{}
+				if inUse[process] == nil {
+					b.AddProcess(process)
+					inUse[process] = &LocalShare{}
 				} else if rng.IntN(4) == 0 {
-					delete(uses, who) // its presence ended: it stops using the share before its entry is removed
-					b.RemoveProcess(who)
+					delete(inUse, process) // its presence ended: it stops using the share before its entry is removed
+					b.RemoveProcess(process)
 				}
 			case 1, 2: // a plan that is carried out in part: each change is checked on its own
-				var fleet []ProcessNeed
+				var needs []ProcessNeed
 				for _, w := range b.Processes() {
-					fleet = append(fleet, ProcessNeed{w, rng.Int64N(8000), *b.Shares[w]})
+					needs = append(needs, ProcessNeed{w, rng.Int64N(8000), *b.Shares[w]})
 				}
-				for _, c := range Plan(pool, fleet, false) {
+				for _, c := range Plan(pool, needs, false) {
 					if rng.IntN(5) > 0 {
-						if err := b.SetTarget(c.Who, c.Amount, false); err != nil && !errors.Is(err, ErrOver) {
+						if err := b.SetTarget(c.Who, c.Amount, false); err != nil && !errors.Is(err, ErrOverPool) {
 							t.Fatal(err)
 						}
 					}
 				}
 			case 3, 4: // the process applies its share and acknowledges it, not always
-				if m := uses[who]; m != nil {
-					m.Apply(*b.Shares[who])
+				if m := inUse[process]; m != nil {
+					m.Apply(*b.Shares[process])
 					if rng.IntN(3) > 0 {
-						b.Acknowledge(who, m.Version)
+						b.Acknowledge(process, m.Version)
 					}
 				}
 			case 5:
-				if m := uses[who]; m != nil {
-					b.Acknowledge(who, m.Version)
-					b.Acknowledge(who, m.Version-1)
+				if m := inUse[process]; m != nil {
+					b.Acknowledge(process, m.Version)
+					b.Acknowledge(process, m.Version-1)
 				}
 			}
 			sum := int64(0)
-			for _, m := range uses {
+			for _, m := range inUse {
 				sum += m.Amount
 			}
 			if sum > pool || b.TotalCap() > pool {
@@ -91,7 +92,7 @@
 
 // An increase is refused until the reduction that frees its amount is acknowledged. With the injected bug (unchecked) the amounts
 // in use exceed the pool.
-func TestGrowthBeforeACutIsRefused(t *testing.T) {
+func TestIncreaseBeforeReductionIsAcknowledgedIsRefused(t *testing.T) {
 	for _, unchecked := range []bool{false, true} {
 		b := NewAllocations()
 		b.SetPool(100)
@@ -100,12 +101,12 @@
 		if err := b.SetTarget("a", 100, false); err != nil {
 			t.Fatal(err)
 		}
-		uses := b.Shares["a"].Target
+		inUse := b.Shares["a"].Target
 		if err := b.SetTarget("a", 20, false); err != nil {
 			t.Fatal(err)
 		}
 		err := b.SetTarget("b", 80, unchecked)
-		over := uses+b.Shares["b"].Target > 100
+		over := inUse+b.Shares["b"].Target > 100
 		if unchecked != over || unchecked != (err == nil) {
 			t.Errorf("unchecked %v: over %v, %v", unchecked, over, err)
 		}
@@ -116,7 +117,7 @@
 	}
 }
 
-func TestPlanSettles(t *testing.T) {
+func TestPlanConverges(t *testing.T) {
 	b := NewAllocations()
 	b.SetPool(10000)
 	needs := map[string]int64{"a": 500, "b": 9000, "c": 100}
@@ -125,11 +126,11 @@
 	}
 	steps := 0
 	for range 20 {
-		var fleet []ProcessNeed
+		var current []ProcessNeed
 		for _, w := range b.Processes() {
-			fleet = append(fleet, ProcessNeed{w, needs[w], *b.Shares[w]})
+			current = append(current, ProcessNeed{w, needs[w], *b.Shares[w]})
 		}
-		plan := Plan(10000, fleet, false)
+		plan := Plan(10000, current, false)
 		for _, c := range plan {
 			if err := b.SetTarget(c.Who, c.Amount, false); err != nil {
 				t.Fatal(err)
@@ -146,7 +147,7 @@
 	if b.Shares["b"].Target < 8000 || b.TotalCap() > 10000 {
 		t.Errorf("b has a target of %d with a need of 9000; sum of shares %d", b.Shares["b"].Target, b.TotalCap())
 	}
-	if err := b.SetPool(5000); !errors.Is(err, ErrOver) {
-		t.Errorf("pool below the sum in force: %v, want ErrOver", err)
+	if err := b.SetPool(5000); !errors.Is(err, ErrOverPool) {
+		t.Errorf("pool below the sum in force: %v, want ErrOverPool", err)
 	}
 }
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -7,22 +7,22 @@
 
 // Backoff holds the state of one sequence of attempts. It is not safe for concurrent use.
 type Backoff struct {
-	first, max float64
-	rng        *rand.Rand
-	span       float64 // upper bound of the next delay, in ms
+	initialMS, maxMS float64
+	rng              *rand.Rand
+	ceilingMS        float64 // upper bound of the next delay, in ms
 }
 
-// New returns a Backoff whose first delay is at most first milliseconds. This bound doubles with each failure, up to max.
-func New(first, max float64, rng *rand.Rand) *Backoff {
-	return &Backoff{first: first, max: max, rng: rng, span: first}
+// New returns a Backoff whose first delay is at most initialMS. This bound doubles with each failure, up to maxMS.
+func New(initialMS, maxMS float64, rng *rand.Rand) *Backoff {
+	return &Backoff{initialMS: initialMS, maxMS: maxMS, rng: rng, ceilingMS: initialMS}
 }
 
 // Next returns the delay after a further failure, in milliseconds, drawn uniformly between 0 and the current bound.
 func (b *Backoff) Next() float64 {
-	wait := b.span * b.rng.Float64()
-	b.span = min(b.span*2, b.max)
-	return wait
+	delayMS := b.ceilingMS * b.rng.Float64()
+	b.ceilingMS = min(b.ceilingMS*2, b.maxMS)
+	return delayMS
 }
 
 // Reset returns to the initial bound after a successful attempt.
-func (b *Backoff) Reset() { b.span = b.first }
+func (b *Backoff) Reset() { b.ceilingMS = b.initialMS }
--- a/internal/duties/keeper.go
+++ b/internal/duties/keeper.go
@@ -28,8 +28,8 @@
 
 // Work is what the holder of a duty does periodically. New returns the function to call, which receives the grant for its acts.
 type Work struct {
-	Every float64 // ms of the monotonic clock, from the end of one call to the next
-	New   func() func(ctx context.Context, under duty.Ref) error
+	IntervalMS float64 // ms of the monotonic clock, from the end of one call to the next
+	New        func() func(ctx context.Context, under duty.Ref) error
 }
 
 // Runner runs the work of the duties that this process holds. Its exported fields are set before Start.
@@ -41,35 +41,36 @@
 
 	// ApplyShare applies a share in addition to the process's reserve, and calls used once no more than that is in use.
 	ApplyShare func(amount int64, used func())
-	// CheckVersion reports whether a published version can be applied; Take applies it as a unit.
+	// CheckVersion returns an error if a published version cannot be applied; ApplyVersion applies it as a unit.
 	CheckVersion func([]publish.File) error
 	ApplyVersion func(publish.Version)
 
-	client  *session.Client
-	me      string
-	loops   map[string]loop
-	keeper  publish.Keeper
-	taking  sync.Mutex
-	inForce atomic.Uint64
-	ctx     context.Context
+	client         *session.Client
+	processID      string
+	workLoops      map[string]workLoop
+	versions       publish.Keeper
+	applyMu        sync.Mutex
+	versionInForce atomic.Uint64
+	ctx            context.Context
 }
 
-type loop struct {
-	ref  duty.Ref
-	stop context.CancelFunc // aborts acts under way
-	halt chan struct{}      // closed to begin no more acts
-	once *sync.Once
+// workLoop is the running work of one held duty.
+type workLoop struct {
+	ref      duty.Ref
+	cancel   context.CancelFunc // aborts acts under way
+	stopping chan struct{}      // closed to begin no more acts
+	stopOnce *sync.Once
 }
 
-// Start runs the client, whose options must have this On as their On.
-func (k *Runner) Start(ctx context.Context, me string, c *session.Client) {
-	k.ctx, k.me, k.client, k.loops = ctx, me, c, map[string]loop{}
+// Start runs the client. The option On of the client must be HandleEvent.
+func (k *Runner) Start(ctx context.Context, processID string, c *session.Client) {
+	k.ctx, k.processID, k.client, k.workLoops = ctx, processID, c, map[string]workLoop{}
 	go c.Run(ctx)
 }
 
 // HandleEvent handles the client's events. The client calls it for one event at a time.
 func (k *Runner) HandleEvent(e any) {
-	presence := duty.PresenceName(k.me)
+	presence := duty.PresenceName(k.processID)
 	switch e := e.(type) {
 	case duty.LeaseGained:
 		k.Trace.Add(trace.Event{What: trace.Gained, Duty: e.Name, Epoch: e.Epoch}, e.Until)
@@ -78,39 +79,40 @@
 			return
 		}
 		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("gained")
-		k.begin(e.Ref)
+		k.startWork(e.Ref)
 	case duty.LeaseRenewed:
 		k.Trace.Add(trace.Event{What: trace.Held, Duty: e.Name, Epoch: e.Epoch}, e.Until)
 		if e.Late {
 			k.Log.Warn().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("lease renewed late")
 		}
 		if e.Name == presence {
-			k.shared(e.Until)
+			k.traceShare(e.Until)
 		}
 	case duty.YieldRequested:
 		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg("yielding duty")
-		if l, ok := k.loops[e.Name]; ok && l.ref == e.Ref {
-			l.once.Do(func() { close(l.halt) }) // when the work has stopped, it calls Quiet
+		if l, ok := k.workLoops[e.Name]; ok && l.ref == e.Ref {
+			l.stopOnce.Do(func() { close(l.stopping) }) // the goroutine of the work calls Quiet when it ends
 		} else {
 			k.client.Quiet(e.Ref)
 		}
 	case duty.LeaseEnded:
 		k.Trace.Add(trace.Event{What: trace.Ended, Duty: e.Name, Epoch: e.Epoch, Cause: e.Cause}, 0)
-		say := "given up"
+		outcome := "given up"
 		if e.Cause == duty.CauseYield || e.Cause == duty.CauseDrain {
-			say = "handed on"
+			outcome = "handed on"
 		}
-		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg(say)
-		if l, ok := k.loops[e.Name]; ok && l.ref == e.Ref {
-			l.once.Do(func() { close(l.halt) })
-			l.stop()
-			delete(k.loops, e.Name)
+		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg(outcome)
+		if l, ok := k.workLoops[e.Name]; ok && l.ref == e.Ref {
+			l.stopOnce.Do(func() { close(l.stopping) })
+			l.cancel()
+			delete(k.workLoops, e.Name)
 		}
 		if e.Name == presence && k.ApplyShare != nil {
 			k.ApplyShare(0, func() {})
 		}
-	case duty.Behind:
-		k.Log.Error().Uint64("index", e.Index).Uint64("seen", e.Seen).Msg("reply ignored: its log index is lower than one seen before")
+	case duty.StaleReply:
+		k.Log.Error().Uint64("index", e.LogIndex).Uint64("seen", e.SeenIndex).
+			Msg("reply ignored: its log index is lower than one seen before")
 	case session.Allotted:
 		if k.ApplyShare == nil {
 			k.client.Used(e.Version)
@@ -123,36 +125,36 @@
 			k.client.Used(e.Version)
 		})
 	case session.Published, session.Linked:
-		go k.take() // on a new session too: a notification may have been lost
+		go k.applyLatestVersion() // on a new session too: a notification may have been lost
 	}
 }
 
-// shared traces that the share stays in force until the renewed presence lease ends.
-func (k *Runner) shared(until float64) {
+// traceShare traces that the share stays in force until the renewed presence lease ends.
+func (k *Runner) traceShare(until float64) {
 	if k.Trace != nil {
 		k.Trace.Add(trace.Event{What: trace.Share, Amount: k.client.Share()}, until)
 	}
 }
 
-// begin runs the work of a duty in a goroutine until its lease ends.
-func (k *Runner) begin(ref duty.Ref) {
+// startWork runs the work of a duty in a goroutine until its lease ends.
+func (k *Runner) startWork(ref duty.Ref) {
 	w, ok := k.WorkByDuty[ref.Name]
 	if !ok {
 		return
 	}
-	ctx, stop := context.WithCancel(k.ctx)
-	l := loop{ref, stop, make(chan struct{}), &sync.Once{}}
-	k.loops[ref.Name] = l
+	ctx, cancel := context.WithCancel(k.ctx)
+	l := workLoop{ref, cancel, make(chan struct{}), &sync.Once{}}
+	k.workLoops[ref.Name] = l
 	go func() {
 		defer k.client.Quiet(ref)
-		defer stop()
-		do := w.New()
+		defer cancel()
+		run := w.New()
 		for {
 			// Checked before each call: the lease may have ended while this process was stalled or disconnected.
-			if now, may := k.client.May(ref.Name); !may || now != ref {
+			if current, active := k.client.May(ref.Name); !active || current != ref {
 				return
 			}
-			err := do(ctx, ref)
+			err := run(ctx, ref)
 			switch {
 			case errors.Is(err, session.ErrStale):
 				k.Log.Warn().Str("duty", ref.Name).Uint64("epoch", ref.Epoch).Err(err).Msg("fenced")
@@ -160,10 +162,10 @@
 				k.Log.Warn().Str("duty", ref.Name).Err(err).Msg("duty work failed")
 			}
 			next := make(chan struct{})
-			t := k.Steady.After(w.Every, func() { close(next) })
+			t := k.Steady.After(w.IntervalMS, func() { close(next) })
 			select {
 			case <-next:
-			case <-l.halt:
+			case <-l.stopping:
 				t.Stop()
 				return
 			case <-ctx.Done():
@@ -175,63 +177,66 @@
 }
 
 // Act sends a fenced command under a grant and traces the outcome.
-func (k *Runner) Act(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
-	began := trace.Event{Duty: under.Name, Epoch: under.Epoch, What: trace.Act, Began: machineNow(k.Trace)}
-	began.Text = do[0].Op
-	sent := began
+func (k *Runner) Act(ctx context.Context, grant duty.Ref, commands ...state.Command) (state.Result, error) {
+	event := trace.Event{Duty: grant.Name, Epoch: grant.Epoch, What: trace.Act, Began: machineNow(k.Trace)}
+	event.Text = commands[0].Op
+	sent := event
 	sent.What = trace.Sent // traced before it is sent, since this process may be killed before the reply arrives
 	k.Trace.Add(sent, 0)
-	r, err := k.client.Act(ctx, under, do...)
-	began.N = r.N
+	r, err := k.client.Act(ctx, grant, commands...)
+	event.N = r.N
 	switch {
 	case errors.Is(err, session.ErrStale):
-		began.What = trace.Refused
+		event.What = trace.Refused
 	case errors.Is(err, session.ErrNotSent):
 		return r, err
 	case err != nil && r.Error == "":
-		began.What = trace.Unknown
+		event.What = trace.Unknown
 	case err != nil:
 		return r, err // refused for its content, not for its epoch
 	}
-	k.Trace.Add(began, 0)
+	k.Trace.Add(event, 0)
 	return r, err
 }
 
+// machineNow returns the time of the machine's clock, or 0 if there is no trace.
 func machineNow(t *trace.Log) float64 {
 	if t == nil {
 		return 0
 	}
-	return steady.Now()
+	return machineClock.Now()
 }
 
-var steady = clock.Steady()
+// machineClock is the monotonic clock of the machine. The process's own clock may run at another rate in the lab.
+var machineClock = clock.Steady()
 
-// take fetches the latest published version, applies or rejects it as a unit, and acknowledges it with the outcome.
-func (k *Runner) take() {
-	k.taking.Lock()
-	defer k.taking.Unlock()
+// applyLatestVersion fetches the latest published version, applies or rejects it as a unit, and acknowledges it with the outcome.
+func (k *Runner) applyLatestVersion() {
+	k.applyMu.Lock()
+	defer k.applyMu.Unlock()
 	v, err := k.client.Version(k.ctx)
 	if err != nil || k.CheckVersion == nil {
 		return // retried with the next version or session
 	}
-	before := k.keeper
-	w, fresh := k.keeper.Offer(v, k.CheckVersion)
-	if !fresh {
+	before := k.versions
+	ack, isNew := k.versions.Offer(v, k.CheckVersion)
+	if !isNew {
 		return
 	}
-	if w.Reason == "" {
-		k.Log.Info().Uint64("version", w.No).Msg("configuration version applied")
+	if ack.Reason == "" {
+		k.Log.Info().Uint64("version", ack.No).Msg("configuration version applied")
 		k.ApplyVersion(v)
-		k.inForce.Store(w.No)
+		k.versionInForce.Store(ack.No)
 	} else {
-		k.Log.Error().Uint64("version", w.No).Str("reason", w.Reason).Uint64("in_force", k.keeper.InForce).Msg("configuration version rejected")
+		k.Log.Error().Uint64("version", ack.No).Str("reason", ack.Reason).Uint64("in_force", k.versions.InForce).
+			Msg("configuration version rejected")
 	}
-	k.Trace.Add(trace.Event{What: trace.Took, N: w.No, Cause: w.Reason}, 0)
-	if _, err := k.client.Do(k.ctx, state.Command{Op: state.AcknowledgeVersion, Who: k.me, Said: &w}); err != nil {
+	k.Trace.Add(trace.Event{What: trace.Took, N: ack.No, Cause: ack.Reason}, 0)
+	if _, err := k.client.Do(k.ctx, state.Command{Op: state.AcknowledgeVersion, Who: k.processID, Said: &ack}); err != nil {
 		k.Log.Warn().Err(err).Msg("acknowledgement of configuration version not confirmed")
-		k.keeper.Looked = before.Looked // the version is checked and acknowledged again
+		k.versions.Looked = before.Looked // the version is checked and acknowledged again
 	}
 }
 
 // VersionInForce returns the number of the configuration version in force, or 0 if there is none.
-func (k *Runner) VersionInForce() uint64 { return k.inForce.Load() }
+func (k *Runner) VersionInForce() uint64 { return k.versionInForce.Load() }
--- a/internal/duties/works.go
+++ b/internal/duties/works.go
@@ -16,35 +16,36 @@
 )
 
 // CounterWork returns the work of a duty without specific work: it increments a counter, which shows that the holder is active.
-func (k *Runner) CounterWork(every float64) Work {
-	return Work{every, func() func(context.Context, duty.Ref) error {
-		return func(ctx context.Context, under duty.Ref) error {
-			_, err := k.Act(ctx, under, state.Command{Op: state.Mark})
+func (k *Runner) CounterWork(intervalMS float64) Work {
+	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
+		return func(ctx context.Context, grant duty.Ref) error {
+			_, err := k.Act(ctx, grant, state.Command{Op: state.Mark})
 			return err
 		}
 	}}
 }
 
-// AllotterWork returns the work of the allotter: it divides the downstream capacity among the order servers. Each step is checked when
-// it is applied and refused if the shares in force would exceed the pool, so a plan made from old state does no harm.
-func (k *Runner) AllotterWork(every float64, room allot.Capacity, plant string) Work {
-	return Work{every, func() func(context.Context, duty.Ref) error {
-		return func(ctx context.Context, under duty.Ref) error {
+// AllotterWork returns the work of the allotter: it divides the downstream capacity among the order servers. Each step is
+// checked when it is applied and refused if the shares in force would exceed the pool, so a plan made from old state does no
+// harm.
+func (k *Runner) AllotterWork(intervalMS float64, capacity allot.Capacity, injectedBug string) Work {
+	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
+		return func(ctx context.Context, grant duty.Ref) error {
 			var f session.Fleet
 			if err := k.client.Read(ctx, session.ReadFleet, &f); err != nil {
 				return err
 			}
 			var steps []state.Command
-			if f.Pool != room.Pool() {
-				steps = append(steps, state.Command{Op: state.Pool, Amount: room.Pool()})
+			if f.Pool != capacity.Pool() {
+				steps = append(steps, state.Command{Op: state.Pool, Amount: capacity.Pool()})
 			}
-			for _, c := range allot.Plan(room.Pool(), f.Of, plant == duty.BugEarlyGrowth) {
+			for _, c := range allot.Plan(capacity.Pool(), f.Of, injectedBug == duty.BugEarlyGrowth) {
 				steps = append(steps, state.Command{Op: state.Share, Who: c.Who, Amount: c.Amount})
 			}
 			if len(steps) == 0 {
 				return nil
 			}
-			_, err := k.Act(ctx, under, steps...)
+			_, err := k.Act(ctx, grant, steps...)
 			return err
 		}
 	}}
@@ -53,27 +54,27 @@
 // PublisherWork returns the work of the publisher: it publishes the files of a manifest as a new version whenever they match the
 // manifest and differ from the latest version. check is the check that the servers make, so that no version is published that
 // all of them would reject.
-func (k *Runner) PublisherWork(every float64, manifest string, check func([]publish.File) error) Work {
-	return Work{every, func() func(context.Context, duty.Ref) error {
-		said := ""
-		return func(ctx context.Context, under duty.Ref) error {
-			files, err := ReadFiles(manifest)
+func (k *Runner) PublisherWork(intervalMS float64, manifest string, check func([]publish.File) error) Work {
+	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
+		lastError := ""
+		return func(ctx context.Context, grant duty.Ref) error {
+			files, err := ReadManifestFiles(manifest)
 			if err == nil {
 				err = check(files)
 			}
 			if err != nil {
-				if err.Error() == said {
+				if err.Error() == lastError {
 					return nil // already logged
 				}
-				said = err.Error()
+				lastError = err.Error()
 				return fmt.Errorf("configuration not published: %w", err)
 			}
-			said = ""
+			lastError = ""
 			v, err := k.client.Version(ctx)
 			if err != nil || v.No > 0 && publish.Digest(v.Files) == publish.Digest(files) {
 				return err
 			}
-			r, err := k.Act(ctx, under, state.Command{Op: state.Publish, Files: files, Seq: v.No})
+			r, err := k.Act(ctx, grant, state.Command{Op: state.Publish, Files: files, Seq: v.No})
 			if err == nil {
 				k.Log.Info().Uint64("version", r.N).Int("files", len(files)).Msg("published")
 			}
@@ -82,8 +83,8 @@
 	}}
 }
 
-// ReadFiles reads a manifest and its files, and fails if they do not match it.
-func ReadFiles(manifest string) ([]publish.File, error) {
+// ReadManifestFiles reads a manifest and its files, and fails if they do not match it.
+func ReadManifestFiles(manifest string) ([]publish.File, error) {
 	text, err := os.ReadFile(manifest)
 	if err != nil {
 		return nil, err
@@ -110,32 +111,32 @@
 	return files, nil
 }
 
-// SettlerWork returns the work of the settler: it resolves orphaned effects as of unknown outcome, and removes effects that have ended
-// and are older than keep, in ms.
-func (k *Runner) SettlerWork(every, keep, rate float64, steady *clock.Clock) Work {
-	return Work{every, func() func(context.Context, duty.Ref) error {
+// SettlerWork returns the work of the settler: it resolves orphaned effects as of unknown outcome, and removes effects that have
+// ended and are older than retentionMS.
+func (k *Runner) SettlerWork(intervalMS, retentionMS, maxDrift float64, steady *clock.Clock) Work {
+	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
 		var ages settle.Ages
-		return func(ctx context.Context, under duty.Ref) error {
+		return func(ctx context.Context, grant duty.Ref) error {
 			var e session.Effects
 			if err := k.client.Read(ctx, session.ReadEffects, &e); err != nil {
 				return err
 			}
-			var do []state.Command
+			var commands []state.Command
 			if len(e.Orphans) > 0 {
-				do = append(do, state.Command{Op: state.Settle, IDs: e.Orphans})
+				commands = append(commands, state.Command{Op: state.Settle, IDs: e.Orphans})
 			}
 			now := steady.Now()
 			ages.Note(now, e.Seq)
-			due := ages.Due(now, keep, rate)
-			if due > 0 {
-				do = append(do, state.Command{Op: state.Prune, Seq: due})
+			pruneUpTo := ages.Due(now, retentionMS, maxDrift)
+			if pruneUpTo > 0 {
+				commands = append(commands, state.Command{Op: state.Prune, Seq: pruneUpTo})
 			}
-			if len(do) == 0 {
+			if len(commands) == 0 {
 				return nil
 			}
-			r, err := k.Act(ctx, under, do...)
+			r, err := k.Act(ctx, grant, commands...)
 			if err == nil {
-				k.Log.Info().Int("orphans", len(e.Orphans)).Uint64("up_to", due).Uint64("n", r.N).Msg("settled")
+				k.Log.Info().Int("orphans", len(e.Orphans)).Uint64("up_to", pruneUpTo).Uint64("n", r.N).Msg("settled")
 			}
 			return err
 		}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-var testRules = Rules{ClockBounds: ClockBounds{MaxDrift: 0.1, MarginMS: 50}, RenewIntervalMS: 300, CooldownMS: 1500, ColdWaitMS: 3000, PresenceTTLMS: 2000,
-	Duties: []DutyRule{{"allotter", 2000}, {"settler", 2000}}}
+var testRules = Rules{ClockBounds: ClockBounds{MaxDrift: 0.1, MarginMS: 50}, RenewIntervalMS: 300, CooldownMS: 1500,
+	ColdWaitMS: 3000, PresenceTTLMS: 2000, Duties: []DutyRule{{"allotter", 2000}, {"settler", 2000}}}
 
-func TestTermsThatMakeNoSenseAreNamed(t *testing.T) {
+func TestInvalidRulesAreReportedByKey(t *testing.T) {
 	if err := testRules.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -41,10 +41,10 @@
 	}
 }
 
-func TestEpochsGrowAndFenceOffWhatIsPast(t *testing.T) {
+func TestEpochsIncreaseAndOldEpochsAreFenced(t *testing.T) {
 	table := NewTable()
-	grant := func(who string) uint64 {
-		o := Order{Kind: Grant, Name: "d", Holder: who, TTLMS: 1, Term: 1}
+	grant := func(process string) uint64 {
+		o := Order{Kind: Grant, Name: "d", Holder: process, TTLMS: 1, Term: 1}
 		if l := table.Leases["d"]; l != nil {
 			o.Epoch = l.Epoch
 		}
@@ -60,8 +60,8 @@
 	if err := table.Apply(Order{Kind: Grant, Name: "d", Holder: "b", Epoch: first, Term: 1}, 1); !errors.Is(err, ErrHeld) {
 		t.Errorf("grant of a held lease: %v, want ErrHeld", err)
 	}
-	if err := table.Apply(Order{Kind: Expire, Name: "d", Epoch: first, Term: 1}, 2); !errors.Is(err, ErrTerm) {
-		t.Errorf("expiry from another term: %v, want ErrTerm", err)
+	if err := table.Apply(Order{Kind: Expire, Name: "d", Epoch: first, Term: 1}, 2); !errors.Is(err, ErrOtherTerm) {
+		t.Errorf("expiry from another term: %v, want ErrOtherTerm", err)
 	}
 	if err := table.Apply(Order{Kind: Expire, Name: "d", Epoch: first, Term: 1}, 1); err != nil {
 		t.Fatal(err)
@@ -110,83 +110,85 @@
 
 // fleet simulates servers and the leader on one clock, without message loss except for the servers that a test names.
 type fleet struct {
-	t     *testing.T
-	now   float64
-	table *Table
-	g     *Grantor
-	m     map[string]*Machine
-	index uint64
-	deaf  map[string]bool // their heartbeats arrive, but they receive no replies
-	last  map[string]uint64
-	log   []string
+	t              *testing.T
+	now            float64
+	table          *Table
+	grantor        *Grantor
+	machines       map[string]*Machine
+	logIndex       uint64
+	withoutReplies map[string]bool // their heartbeats arrive, but they receive no replies
+	lastSeq        map[string]uint64
+	events         []string
 }
 
 func newFleet(t *testing.T, names ...string) *fleet {
-	f := &fleet{t: t, table: NewTable(), g: &Grantor{Rules: testRules, Seed: 5}, m: map[string]*Machine{}, now: 1000, last: map[string]uint64{}}
-	f.g.StartTerm(1, f.now)
+	f := &fleet{t: t, table: NewTable(), grantor: &Grantor{Rules: testRules, Seed: 5}, machines: map[string]*Machine{},
+		now: 1000, lastSeq: map[string]uint64{}}
+	f.grantor.StartTerm(1, f.now)
 	for i, n := range names {
-		f.m[n] = NewMachine(testRules, n, uint64(i))
+		f.machines[n] = NewMachine(testRules, n, uint64(i))
 	}
 	return f
 }
 
 // run advances the time in steps of 50 ms. The servers in silent send no heartbeats and receive no replies.
 func (f *fleet) run(ms float64, silent ...string) {
-	quiet := map[string]bool{}
+	isSilent := map[string]bool{}
 	for _, s := range silent {
-		quiet[s] = true
+		isSilent[s] = true
 	}
 	for end := f.now + ms; f.now < end; f.now += 50 {
 		var heartbeats []Heartbeat
-		for n, m := range f.m {
-			for _, a := range f.do(n, m.Tick(f.now)) {
-				if !quiet[n] {
+		for n, m := range f.machines {
+			for _, a := range f.handleActions(n, m.Tick(f.now)) {
+				if !isSilent[n] {
 					heartbeats = append(heartbeats, a)
 				}
 			}
 		}
 		var orders []Order
 		for _, b := range heartbeats {
-			f.last[b.From] = b.Seq
-			orders = append(orders, f.g.HandleHeartbeat(f.now, b, f.table)...)
+			f.lastSeq[b.From] = b.Seq
+			orders = append(orders, f.grantor.HandleHeartbeat(f.now, b, f.table)...)
 		}
-		for _, o := range append(orders, f.g.Tick(f.now, f.table)...) {
+		for _, o := range append(orders, f.grantor.Tick(f.now, f.table)...) {
 			if err := f.table.Apply(o, 1); err != nil {
 				f.t.Fatal(err)
 			}
-			f.g.HandleOrderResult(f.now, o, f.table)
-			f.index++
-			if n := o.Holder; o.Kind == Grant && !f.deaf[n] && !quiet[n] { // replied to at once, to the heartbeat with its candidacy
-				f.do(n, f.m[n].HandleReply(f.now, f.g.Reply(n, f.last[n], f.index, f.table)))
+			f.grantor.HandleOrderResult(f.now, o, f.table)
+			f.logIndex++
+			// The new holder gets a reply at once, to the heartbeat with its candidacy.
+			if n := o.Holder; o.Kind == Grant && !f.withoutReplies[n] && !isSilent[n] {
+				f.handleActions(n, f.machines[n].HandleReply(f.now, f.grantor.Reply(n, f.lastSeq[n], f.logIndex, f.table)))
 			}
 		}
-		f.index++
+		f.logIndex++
 		for _, b := range heartbeats {
-			if !f.deaf[b.From] {
-				f.do(b.From, f.m[b.From].HandleReply(f.now, f.g.Reply(b.From, b.Seq, f.index, f.table)))
+			if !f.withoutReplies[b.From] {
+				f.handleActions(b.From, f.machines[b.From].HandleReply(f.now, f.grantor.Reply(b.From, b.Seq, f.logIndex, f.table)))
 			}
 		}
 	}
 }
 
-func (f *fleet) do(n string, actions []Action) (heartbeats []Heartbeat) {
+func (f *fleet) handleActions(n string, actions []Action) (heartbeats []Heartbeat) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SendHeartbeat:
 			heartbeats = append(heartbeats, a.Heartbeat)
 		case LeaseGained:
-			f.log = append(f.log, fmt.Sprintf("%s gains %s", n, a.Name))
+			f.events = append(f.events, fmt.Sprintf("%s gains %s", n, a.Name))
 		case YieldRequested:
-			f.do(n, f.m[n].Quiesced(f.now, a.Ref))
+			f.handleActions(n, f.machines[n].Quiesced(f.now, a.Ref))
 		case LeaseEnded:
-			f.log = append(f.log, fmt.Sprintf("%s ends %s: %s", n, a.Name, a.Cause))
+			f.events = append(f.events, fmt.Sprintf("%s ends %s: %s", n, a.Name, a.Cause))
 		}
 	}
 	return heartbeats
 }
 
 func (f *fleet) holder(name string) string {
-	for n, m := range f.m {
+	for n, m := range f.machines {
 		if _, ok := m.ActiveGrant(f.now, name); ok {
 			return n
 		}
@@ -194,7 +196,7 @@
 	return ""
 }
 
-func TestDutiesSpreadAndStay(t *testing.T) {
+func TestDutiesAreSpreadAndKeepTheirHolders(t *testing.T) {
 	f := newFleet(t, "a", "b", "c")
 	f.run(1000)
 	first := [2]string{f.holder("allotter"), f.holder("settler")}
@@ -206,20 +208,20 @@
 		t.Errorf("held by %q, then by %q, without a fault", first, now)
 	}
 	for _, n := range []string{"a", "b", "c"} {
-		if _, ok := f.m[n].ActiveGrant(f.now, PresenceName(n)); !ok {
+		if _, ok := f.machines[n].ActiveGrant(f.now, PresenceName(n)); !ok {
 			t.Errorf("%s does not hold its presence lease", n)
 		}
 	}
 }
 
-func TestSilentHolderStopsBeforeAnotherStarts(t *testing.T) {
+func TestDisconnectedHolderStopsBeforeAnotherStarts(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.run(1000)
 	h := f.holder("allotter")
 	for range 60 { // the holder is not run either: only its clock can tell it that the lease has ended
 		f.run(50, h)
 		if o := f.holder("allotter"); o != "" && o != h {
-			if _, still := f.m[h].ActiveGrant(f.now, "allotter"); still {
+			if _, still := f.machines[h].ActiveGrant(f.now, "allotter"); still {
 				t.Fatal("two holders")
 			}
 		}
@@ -234,7 +236,7 @@
 }
 
 // All servers of a large fleet become candidates at once after an outage: each duty is granted once, to different servers.
-func TestManyCandidatesAfterAnOutage(t *testing.T) {
+func TestEachDutyIsGrantedOnceAfterAnOutage(t *testing.T) {
 	var names []string
 	for i := range 300 {
 		names = append(names, fmt.Sprint("os-", i))
@@ -251,11 +253,11 @@
 
 // A server whose heartbeats arrive but which receives no replies loses its lease, and does not hold for good a lease that was
 // granted to it without its knowledge.
-func TestDeafServerKeepsNothing(t *testing.T) {
+func TestServerWithoutRepliesKeepsNoLease(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.run(1000)
 	h := f.holder("allotter")
-	f.deaf = map[string]bool{h: true}
+	f.withoutReplies = map[string]bool{h: true}
 	f.run(20000)
 	held := 0.0
 	for end := f.now + 10000; f.now < end; {
@@ -269,10 +271,10 @@
 	}
 }
 
-func TestModesDecideWhoStands(t *testing.T) {
+func TestModeDecidesCandidacy(t *testing.T) {
 	f := newFleet(t, "a", "b")
-	f.m["a"].SetMode(f.now, Failing)
-	f.m["b"].SetMode(f.now, Cold)
+	f.machines["a"].SetMode(f.now, Failing)
+	f.machines["b"].SetMode(f.now, Cold)
 	f.run(2000)
 	if h := f.holder("allotter"); h != "" {
 		t.Errorf("%q holds it though no server is warm and cold_wait_ms has not passed", h)
@@ -281,23 +283,23 @@
 	if h := f.holder("allotter"); h != "b" {
 		t.Errorf("%q holds it, want the cold server, the only candidate", h)
 	}
-	f.do("a", f.m["a"].SetMode(f.now, Warm))
-	f.do("b", f.m["b"].SetMode(f.now, Draining))
+	f.handleActions("a", f.machines["a"].SetMode(f.now, Warm))
+	f.handleActions("b", f.machines["b"].SetMode(f.now, Draining))
 	f.run(testRules.RenewIntervalMS)
 	if h := f.holder("allotter"); h != "a" {
-		t.Errorf("%q holds it one renewal interval after the drain, want a: %q", h, f.log)
+		t.Errorf("%q holds it one renewal interval after the drain, want a: %q", h, f.events)
 	}
-	if _, ok := f.m["b"].ActiveGrant(f.now, PresenceName("b")); !ok {
+	if _, ok := f.machines["b"].ActiveGrant(f.now, PresenceName("b")); !ok {
 		t.Error("a draining server has lost its presence lease")
 	}
-	f.do("b", f.m["b"].SetMode(f.now, Warm))
+	f.handleActions("b", f.machines["b"].SetMode(f.now, Warm))
 	f.run(5000)
 	if h := f.holder("allotter"); h != "a" {
 		t.Errorf("%q holds it, want a: draining is final", h)
 	}
 }
 
-func TestYieldIsNotTakenBack(t *testing.T) {
+func TestYieldedDutyGoesToAnotherServer(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.run(1000)
 	h := f.holder("allotter")
@@ -311,22 +313,22 @@
 }
 
 // A reply with a lower log index than an earlier one is ignored, and one to an old heartbeat extends no lease.
-func TestOldAnswersAreNotBelieved(t *testing.T) {
+func TestOutdatedRepliesAreIgnored(t *testing.T) {
 	m := NewMachine(testRules, "a", 1)
 	heartbeat := m.Tick(0)[0].(SendHeartbeat).Heartbeat
-	holds := []Grantee{{Ref{"allotter", 7}, 2000, false}}
-	m.HandleReply(10, HeartbeatReply{Seq: heartbeat.Seq, LogIndex: 50, Holds: holds})
+	grants := []HeldLease{{Ref{"allotter", 7}, 2000, false}}
+	m.HandleReply(10, HeartbeatReply{Seq: heartbeat.Seq, LogIndex: 50, HeldLeases: grants})
 	if _, ok := m.ActiveGrant(20, "allotter"); !ok {
 		t.Fatal("not held after the reply that grants it")
 	}
 	out := m.HandleReply(30, HeartbeatReply{Seq: heartbeat.Seq, LogIndex: 49})
-	if _, ok := m.ActiveGrant(40, "allotter"); !ok || len(out) != 1 || out[0] != (Behind{49, 50}) {
-		t.Errorf("a reply with a lower log index: %v, want Behind and the lease kept", out)
+	if _, ok := m.ActiveGrant(40, "allotter"); !ok || len(out) != 1 || out[0] != (StaleReply{49, 50}) {
+		t.Errorf("a reply with a lower log index: %v, want StaleReply and the lease kept", out)
 	}
 	_, until, _ := m.LeaseEnd("allotter")
 	m.ExpediteHeartbeat()
 	m.Tick(1000) // a second heartbeat; the next reply is to the first one
-	m.HandleReply(1010, HeartbeatReply{Seq: heartbeat.Seq, LogIndex: 60, Holds: holds})
+	m.HandleReply(1010, HeartbeatReply{Seq: heartbeat.Seq, LogIndex: 60, HeldLeases: grants})
 	if _, now, _ := m.LeaseEnd("allotter"); now != until {
 		t.Errorf("a second reply to the first heartbeat moved the end from %v to %v", until, now)
 	}
@@ -334,28 +336,28 @@
 		t.Error("held at the time of its end")
 	}
 	m.Tick(until)
-	m.HandleReply(until+1, HeartbeatReply{Seq: 2, LogIndex: 61, Holds: holds})
+	m.HandleReply(until+1, HeartbeatReply{Seq: 2, LogIndex: 61, HeldLeases: grants})
 	if _, ok := m.ActiveGrant(until+2, "allotter"); ok {
 		t.Error("an epoch that expired is held again")
 	}
 }
 
-// A fleet that joins at once is granted its presence leases in several steps of bounded size, and the leases of one that leaves at
-// once expire in steps likewise.
-func TestOrdersOfAFleetAreBounded(t *testing.T) {
-	const fleet = 2*MaxOrdersPerTick + 7
+// A fleet that joins at once is granted its presence leases in several steps of bounded size, and the leases of one that leaves
+// at once expire in steps likewise.
+func TestOrdersPerTickAreBounded(t *testing.T) {
+	const servers = 2*MaxOrdersPerTick + 7
 	g := &Grantor{Rules: Rules{RenewIntervalMS: 300, PresenceTTLMS: 2000, Duties: []DutyRule{{Name: "allotter", TTLMS: 2000}}}, Seed: 1}
 	table, now := NewTable(), 1000.0
 	g.StartTerm(1, now)
-	for i := range fleet {
-		who := fmt.Sprintf("os-%d#1", i)
-		g.HandleHeartbeat(now, Heartbeat{From: who, Seq: 1, Candidacies: []string{PresenceName(who)}}, table)
+	for i := range servers {
+		process := fmt.Sprintf("os-%d#1", i)
+		g.HandleHeartbeat(now, Heartbeat{From: process, Seq: 1, Candidacies: []string{PresenceName(process)}}, table)
 	}
 	steps := func(until func() bool) (n int) {
 		for ; !until(); n++ {
 			orders := g.Tick(now, table)
 			if len(orders) == 0 || len(orders) > MaxOrdersPerTick {
-				t.Fatalf("%d orders at once, want at least 1 and at most MaxOrders", len(orders))
+				t.Fatalf("%d orders at once, want at least 1 and at most MaxOrdersPerTick", len(orders))
 			}
 			for _, o := range orders {
 				if err := table.Apply(o, 1); err != nil {
@@ -367,7 +369,7 @@
 		}
 		return n
 	}
-	if n := steps(func() bool { return table.CountPresent() == fleet }); n != 3 {
+	if n := steps(func() bool { return table.CountPresent() == servers }); n != 3 {
 		t.Errorf("all presence leases are granted after %d steps, want 3", n)
 	}
 	if orders := g.Tick(now, table); len(orders) > 0 {
@@ -380,19 +382,20 @@
 }
 
 // The candidacies of a process are those of its latest heartbeat, whatever the heartbeats of others say.
-func TestLatestHeartbeatSaysWhatAProcessStandsFor(t *testing.T) {
-	g := &Grantor{Rules: Rules{RenewIntervalMS: 300, PresenceTTLMS: 2000, Duties: []DutyRule{{Name: "allotter", TTLMS: 2000}, {Name: "settler", TTLMS: 2000}}}, Seed: 1}
+func TestLatestHeartbeatReplacesCandidacies(t *testing.T) {
+	g := &Grantor{Rules: Rules{RenewIntervalMS: 300, PresenceTTLMS: 2000,
+		Duties: []DutyRule{{Name: "allotter", TTLMS: 2000}, {Name: "settler", TTLMS: 2000}}}, Seed: 1}
 	table, now := NewTable(), 1000.0
 	g.StartTerm(1, now)
-	stands := func(who string, names ...string) {
-		g.HandleHeartbeat(now, Heartbeat{From: who, Candidacies: names}, table)
+	heartbeat := func(process string, names ...string) {
+		g.HandleHeartbeat(now, Heartbeat{From: process, Candidacies: names}, table)
 	}
-	stands("a", "allotter", "settler", PresenceName("a"))
-	stands("b", "allotter", PresenceName("b"))
-	stands("a", "settler")
+	heartbeat("a", "allotter", "settler", PresenceName("a"))
+	heartbeat("b", "allotter", PresenceName("b"))
+	heartbeat("a", "settler")
 	now += 2 * g.RenewIntervalMS
-	stands("a", "settler")
-	stands("b", "allotter", PresenceName("b"))
+	heartbeat("a", "settler")
+	heartbeat("b", "allotter", PresenceName("b"))
 	got := map[string]string{}
 	for _, o := range g.Tick(now, table) {
 		got[o.Name] = o.Holder
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -10,25 +10,25 @@
 
 // Errors of Table. They are permanent: to repeat the same order fails again.
 var (
-	ErrStale  = errors.New("duty: stale epoch") // the epoch is not the current one, or the lease has no holder
-	ErrHeld   = errors.New("duty: already held")
-	ErrFrozen = errors.New("duty: frozen")
-	ErrTerm   = errors.New("duty: decided in another term")
+	ErrStale     = errors.New("duty: stale epoch") // the epoch is not the current one, or the lease has no holder
+	ErrHeld      = errors.New("duty: already held")
+	ErrFrozen    = errors.New("duty: frozen")
+	ErrOtherTerm = errors.New("duty: decided in another term")
 )
 
 // presencePrefix begins the names of presence leases, by which server processes show that they are alive.
 const presencePrefix = "server/"
 
 // PresenceName returns the name of the presence lease of a process.
-func PresenceName(who string) string { return presencePrefix + who }
+func PresenceName(process string) string { return presencePrefix + process }
 
 // PresenceProcess returns the process to which a presence lease belongs, or "" if the name is not that of a presence lease.
 func PresenceProcess(name string) string {
-	who, ok := strings.CutPrefix(name, presencePrefix)
+	process, ok := strings.CutPrefix(name, presencePrefix)
 	if !ok {
 		return ""
 	}
-	return who
+	return process
 }
 
 // Ref identifies one grant of a lease. Its epoch is the fencing token.
@@ -52,7 +52,7 @@
 	Leases    map[string]*Lease `json:"leases"`
 	Frozen    map[string]bool   `json:"frozen,omitempty"`
 
-	held map[string]map[string]bool // index: names of held leases by holder; nil: not built yet
+	leasesByHolder map[string]map[string]bool // index: names of held leases by holder; nil: not built yet
 }
 
 // NewTable returns an empty Table.
@@ -89,7 +89,7 @@
 // Apply carries out an order from a log entry of the given term.
 func (t *Table) Apply(o Order, term uint64) error {
 	if o.Term != term {
-		return ErrTerm
+		return ErrOtherTerm
 	}
 	l := t.Leases[o.Name]
 	switch o.Kind {
@@ -105,14 +105,14 @@
 		}
 		t.LastEpoch++
 		t.Leases[o.Name] = &Lease{Holder: o.Holder, Epoch: t.LastEpoch, TTLMS: o.TTLMS}
-		t.index(o.Holder, o.Name)
+		t.addToIndex(o.Holder, o.Name)
 		return nil
 	case Release, Expire:
 		if l == nil || l.Holder == "" || l.Epoch != o.Epoch {
 			return ErrStale
 		}
-		if delete(t.held[l.Holder], o.Name); len(t.held[l.Holder]) == 0 {
-			delete(t.held, l.Holder)
+		if delete(t.leasesByHolder[l.Holder], o.Name); len(t.leasesByHolder[l.Holder]) == 0 {
+			delete(t.leasesByHolder, l.Holder)
 		}
 		l.Holder, l.Yield = "", false
 		if PresenceProcess(o.Name) != "" {
@@ -160,13 +160,13 @@
 	}
 }
 
-// HeldBy returns the names of the leases that a process holds, sorted.
-func (t *Table) HeldBy(who string) (names []string) {
-	if t.indexed() {
-		return slices.Sorted(maps.Keys(t.held[who]))
+// LeasesHeldBy returns the names of the leases that a process holds, sorted.
+func (t *Table) LeasesHeldBy(process string) (names []string) {
+	if t.useIndex() {
+		return slices.Sorted(maps.Keys(t.leasesByHolder[process]))
 	}
 	for name, l := range t.Leases {
-		if l.Holder == who {
+		if l.Holder == process {
 			names = append(names, name)
 		}
 	}
@@ -174,9 +174,9 @@
 	return names
 }
 
-// DutiesHeldBy returns the number of leases that a process holds, its presence lease not counted.
-func (t *Table) DutiesHeldBy(who string) (n int) {
-	for _, name := range t.HeldBy(who) {
+// CountDutiesHeldBy returns the number of leases that a process holds, its presence lease not counted.
+func (t *Table) CountDutiesHeldBy(process string) (n int) {
+	for _, name := range t.LeasesHeldBy(process) {
 		if PresenceProcess(name) == "" {
 			n++
 		}
@@ -194,31 +194,31 @@
 	return n
 }
 
-// walkUpTo is the largest number of leases that are searched without an index.
-const walkUpTo = 32
+// maxUnindexedLeases is the largest number of leases that are searched without an index.
+const maxUnindexedLeases = 32
 
-// indexed reports whether the index of leases by holder is in use. It builds the index once the table is large enough, also
+// useIndex reports whether the index of leases by holder is in use. It builds the index once the table is large enough, also
 // after the table was read from a snapshot.
-func (t *Table) indexed() bool {
-	if t.held != nil || len(t.Leases) <= walkUpTo {
-		return t.held != nil
+func (t *Table) useIndex() bool {
+	if t.leasesByHolder != nil || len(t.Leases) <= maxUnindexedLeases {
+		return t.leasesByHolder != nil
 	}
-	t.held = map[string]map[string]bool{}
+	t.leasesByHolder = map[string]map[string]bool{}
 	for name, l := range t.Leases {
 		if l.Holder != "" {
-			t.index(l.Holder, name)
+			t.addToIndex(l.Holder, name)
 		}
 	}
 	return true
 }
 
-// index adds a held lease to the index, if that is in use.
-func (t *Table) index(holder, name string) {
-	if t.held == nil {
+// addToIndex adds a held lease to the index, if that is in use.
+func (t *Table) addToIndex(holder, name string) {
+	if t.leasesByHolder == nil {
 		return
 	}
-	if t.held[holder] == nil {
-		t.held[holder] = map[string]bool{}
+	if t.leasesByHolder[holder] == nil {
+		t.leasesByHolder[holder] = map[string]bool{}
 	}
-	t.held[holder][name] = true
+	t.leasesByHolder[holder][name] = true
 }
--- a/internal/duty/terms.go
+++ b/internal/duty/terms.go
@@ -13,11 +13,11 @@
 
 // ClockBounds are the assumptions about clocks on which leases rest.
 type ClockBounds struct {
-	MaxDrift float64 // largest drift of a monotonic clock: it runs at 1-Rate to 1+Rate of true time
+	MaxDrift float64 // largest drift of a monotonic clock: it runs at 1-MaxDrift to 1+MaxDrift of true time
 	MarginMS float64 // ms on the holder's clock by which it stops before its lease ends
 }
 
-// DutyRule set up the lease of one duty.
+// DutyRule sets up the lease of one duty.
 type DutyRule struct {
 	Name  string
 	TTLMS float64 // ms of true time for which a grant or renewal is valid, from its receipt
@@ -30,18 +30,18 @@
 	CooldownMS      float64 // ms for which a server is no candidate for a duty that it released or lost
 	ColdWaitMS      float64 // ms for which a duty stays without a holder if all candidates are cold
 	Duties          []DutyRule
-	PresenceTTLMS   float64 // TTLMS of a server's presence lease, in ms; 0: servers have none
+	PresenceTTLMS   float64 // ms; TTL of a server's presence lease; 0: servers have none
 }
 
-// bearLost is the number of successive renewals that may get lost without the holder losing its lease.
-const bearLost = 2
+// toleratedLostRenewals is the number of successive renewals that may get lost without the holder losing its lease.
+const toleratedLostRenewals = 2
 
-// HolderSpan returns for how many ms on its own clock a holder may act, from the sending of the heartbeat by which it was granted
-// or renewed the lease.
-func (b ClockBounds) HolderSpan(ttl float64) float64 { return ttl*(1-b.MaxDrift) - b.MarginMS }
+// HolderLeaseMS returns for how many ms on its own clock a holder may act, counted from the sending of the heartbeat by which it
+// obtained or renewed the lease.
+func (b ClockBounds) HolderLeaseMS(ttlMS float64) float64 { return ttlMS*(1-b.MaxDrift) - b.MarginMS }
 
-// GrantorSpan returns how many ms on its own clock the grantor waits after a holder's last heartbeat before the lease expires.
-func (b ClockBounds) GrantorSpan(ttl float64) float64 { return ttl * (1 + b.MaxDrift) }
+// GrantorWaitMS returns how many ms on its own clock the grantor waits after a holder's last heartbeat before the lease expires.
+func (b ClockBounds) GrantorWaitMS(ttlMS float64) float64 { return ttlMS * (1 + b.MaxDrift) }
 
 // Check reports the first invalid setting, by its key under duties in the operator's file.
 func (r Rules) Check() error {
@@ -58,40 +58,40 @@
 	case !finite(r.ColdWaitMS) || r.ColdWaitMS < 0:
 		return fmt.Errorf("cold_wait_ms must be 0 or more, not %v", r.ColdWaitMS)
 	}
-	ttl := func(key string, v float64) error {
+	checkTTL := func(key string, v float64) error {
 		if !finite(v) || v <= 0 {
 			return fmt.Errorf("%s must be above 0, not %v", key, v)
 		}
-		if need := (bearLost + 1) * r.RenewIntervalMS; r.HolderSpan(v) < need {
+		if requiredMS := (toleratedLostRenewals + 1) * r.RenewIntervalMS; r.HolderLeaseMS(v) < requiredMS {
 			return fmt.Errorf("%s of %v ms leaves a holder %.0f ms of its own clock; renew_ms, clock_rate and margin_ms require %.0f ms",
-				key, v, r.HolderSpan(v), need)
+				key, v, r.HolderLeaseMS(v), requiredMS)
 		}
 		return nil
 	}
-	seen := map[string]int{}
+	indexByName := map[string]int{}
 	for i, d := range r.Duties {
 		key := fmt.Sprintf("list[%d]", i)
 		if err := checkName(d.Name); err != nil {
 			return fmt.Errorf("%s.name %w", key, err)
 		}
-		if first, twice := seen[d.Name]; twice {
+		if first, twice := indexByName[d.Name]; twice {
 			return fmt.Errorf("%s.name %q is the name of list[%d] already", key, d.Name, first)
 		}
-		seen[d.Name] = i
-		if err := ttl(key+".ttl_ms", d.TTLMS); err != nil {
+		indexByName[d.Name] = i
+		if err := checkTTL(key+".ttl_ms", d.TTLMS); err != nil {
 			return err
 		}
 	}
 	if r.PresenceTTLMS != 0 {
-		return ttl("presence_ms", r.PresenceTTLMS)
+		return checkTTL("presence_ms", r.PresenceTTLMS)
 	}
 	return nil
 }
 
 // HasDuty reports whether a duty of this name is set up.
-func (r Rules) HasDuty(name string) bool { return r.ttl(name) > 0 }
+func (r Rules) HasDuty(name string) bool { return r.ttlMS(name) > 0 }
 
-func (r Rules) ttl(name string) float64 {
+func (r Rules) ttlMS(name string) float64 {
 	for _, d := range r.Duties {
 		if d.Name == name {
 			return d.TTLMS
@@ -100,11 +100,12 @@
 	return 0
 }
 
-const mostName = 64
+// maxNameLength is the maximum length of the name of a duty, in bytes.
+const maxNameLength = 64
 
 func checkName(s string) error {
-	if s == "" || len(s) > mostName {
-		return fmt.Errorf("must have 1 to %d characters", mostName)
+	if s == "" || len(s) > maxNameLength {
+		return fmt.Errorf("must have 1 to %d characters", maxNameLength)
 	}
 	for _, c := range s {
 		if !(c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-') {
