--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -90,7 +90,7 @@
 	if _, err := crand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	h := &duties{cfg: cfg, me: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, steady: clock.Steady().Apart(cfg.Operator.Lab.Rate), log: log}
+	h := &duties{cfg: cfg, me: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, steady: clock.Monotonic().SetRate(cfg.Operator.Lab.Rate), log: log}
 	if path := cfg.Operator.Lab.Trace; path != "" {
 		t, err := trace.Open(path, h.me, h.steady)
 		if err != nil {
@@ -150,13 +150,13 @@
 	h.core.Store(c)
 	if a := h.cfg.Operator.Duties.Allot; a.Whole > 0 {
 		alone := a.Room().ReservePerProcess
-		c.Divide(func() float64 { return float64(alone+h.client.Share()) / allot.UnitsPerCall })
-		h.keeper.ApplyShare = func(_ int64, used func()) { c.Then(used) }
+		c.SetDownstreamShareFunc(func() float64 { return float64(alone+h.client.Share()) / allot.UnitsPerCall })
+		h.keeper.ApplyShare = func(_ int64, used func()) { c.AfterPendingEvents(used) }
 	}
 	h.keeper.ApplyVersion = func(v publish.Version) {
 		servers, err := servers(v.Files)
 		if err == nil && farm != nil && len(servers) > 0 {
-			farm.Move(servers)
+			farm.SetServers(servers)
 		}
 	}
 	h.client.Switch(duty.Failing) // until the executor is up
@@ -170,7 +170,7 @@
 	if c == nil {
 		return 0
 	}
-	want := c.Below()*needMore + needLeast
+	want := c.DownstreamConcurrency()*needMore + needLeast
 	return max(int64(want*allot.UnitsPerCall)-h.cfg.Operator.Duties.Allot.Room().ReservePerProcess, 0)
 }
 
@@ -183,7 +183,7 @@
 		mode = duty.Draining
 	case h.aside:
 		mode = duty.OutOfService
-	case !h.risen || !h.core.Load().Good():
+	case !h.risen || !h.core.Load().Healthy():
 		mode = duty.Failing
 	case h.clk.Now() < h.coldUntil:
 		mode = duty.Cold
@@ -262,15 +262,15 @@
 		if c.Fence != nil {
 			e.Duty, e.Epoch, e.Cause = c.Fence.Name, c.Fence.Epoch, r.Error
 		}
-		if c.Op == state.Compare || c.Op == state.Change {
-			e.N = r.N
+		if c.Op == state.OpCompareDigests || c.Op == state.OpChangeRecords {
+			e.N = r.Value
 		}
-		if c.Op == state.Begin && r.Fresh {
+		if c.Op == state.OpBeginEffect && r.WasAbsent {
 			e.Cause = c.Key
 		}
 		var grants []string
 		for i, o := range c.Orders {
-			if i < len(r.Part) && r.Part[i] == "" {
+			if i < len(r.Refusals) && r.Refusals[i] == "" {
 				grants = append(grants, fmt.Sprintf("%s %s %s", o.Kind, o.Name, o.Holder))
 			}
 		}
@@ -294,7 +294,7 @@
 		}
 	}
 	if c := h.core.Load(); c != nil {
-		f.Used = c.Below()
+		f.Used = c.DownstreamConcurrency()
 	}
 	if h.sessions != nil {
 		v := h.sessions.Figures()
--- a/internal/duties/keeper.go
+++ b/internal/duties/keeper.go
@@ -48,7 +48,7 @@
 	client         *session.Client
 	processID      string
 	workLoops      map[string]workLoop
-	versions       publish.Keeper
+	versions       publish.VersionSelector
 	applyMu        sync.Mutex
 	versionInForce atomic.Uint64
 	ctx            context.Context
@@ -184,7 +184,7 @@
 	sent.What = trace.Sent // traced before it is sent, since this process may be killed before the reply arrives
 	k.Trace.Add(sent, 0)
 	r, err := k.client.Act(ctx, grant, commands...)
-	event.N = r.N
+	event.N = r.Value
 	switch {
 	case errors.Is(err, session.ErrStale):
 		event.What = trace.Refused
@@ -208,7 +208,7 @@
 }
 
 // machineClock is the monotonic clock of the machine. The process's own clock may run at another rate in the lab.
-var machineClock = clock.Steady()
+var machineClock = clock.Monotonic()
 
 // applyLatestVersion fetches the latest published version, applies or rejects it as a unit, and acknowledges it with the outcome.
 func (k *Runner) applyLatestVersion() {
@@ -232,9 +232,9 @@
 			Msg("configuration version rejected")
 	}
 	k.Trace.Add(trace.Event{What: trace.Took, N: ack.No, Cause: ack.Reason}, 0)
-	if _, err := k.client.Do(k.ctx, state.Command{Op: state.AcknowledgeVersion, Who: k.processID, Said: &ack}); err != nil {
+	if _, err := k.client.Do(k.ctx, state.Command{Op: state.OpAcknowledgeVersion, Process: k.processID, Acknowledgement: &ack}); err != nil {
 		k.Log.Warn().Err(err).Msg("acknowledgement of configuration version not confirmed")
-		k.versions.Looked = before.Looked // the version is checked and acknowledged again
+		k.versions.LastChecked = before.LastChecked // the version is checked and acknowledged again
 	}
 }
 
--- a/internal/duties/works.go
+++ b/internal/duties/works.go
@@ -19,7 +19,7 @@
 func (k *Runner) CounterWork(intervalMS float64) Work {
 	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
 		return func(ctx context.Context, grant duty.Ref) error {
-			_, err := k.Act(ctx, grant, state.Command{Op: state.Mark})
+			_, err := k.Act(ctx, grant, state.Command{Op: state.OpIncrementCounter})
 			return err
 		}
 	}}
@@ -37,10 +37,10 @@
 			}
 			var steps []state.Command
 			if f.Pool != capacity.Pool() {
-				steps = append(steps, state.Command{Op: state.Pool, Amount: capacity.Pool()})
+				steps = append(steps, state.Command{Op: state.OpSetPool, Amount: capacity.Pool()})
 			}
 			for _, c := range allot.Plan(capacity.Pool(), f.Of, injectedBug == duty.BugEarlyGrowth) {
-				steps = append(steps, state.Command{Op: state.Share, Who: c.Who, Amount: c.Amount})
+				steps = append(steps, state.Command{Op: state.OpSetAllocation, Process: c.Who, Amount: c.Amount})
 			}
 			if len(steps) == 0 {
 				return nil
@@ -74,9 +74,9 @@
 			if err != nil || v.No > 0 && publish.Digest(v.Files) == publish.Digest(files) {
 				return err
 			}
-			r, err := k.Act(ctx, grant, state.Command{Op: state.Publish, Files: files, Seq: v.No})
+			r, err := k.Act(ctx, grant, state.Command{Op: state.OpPublishVersion, Files: files, Seq: v.No})
 			if err == nil {
-				k.Log.Info().Uint64("version", r.N).Int("files", len(files)).Msg("published")
+				k.Log.Info().Uint64("version", r.Value).Int("files", len(files)).Msg("published")
 			}
 			return err
 		}
@@ -96,8 +96,8 @@
 	var files []publish.File
 	for _, s := range sums {
 		path := filepath.Join(filepath.Dir(manifest), s.Name)
-		if info, err := os.Stat(path); err == nil && info.Size() > publish.MostBytes {
-			return nil, fmt.Errorf("%s: %d bytes exceed the limit of %d", path, info.Size(), publish.MostBytes)
+		if info, err := os.Stat(path); err == nil && info.Size() > publish.MaxBytes {
+			return nil, fmt.Errorf("%s: %d bytes exceed the limit of %d", path, info.Size(), publish.MaxBytes)
 		}
 		b, err := os.ReadFile(path)
 		if err != nil {
@@ -115,7 +115,7 @@
 // ended and are older than retentionMS.
 func (k *Runner) SettlerWork(intervalMS, retentionMS, maxDrift float64, steady *clock.Clock) Work {
 	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
-		var ages settle.Ages
+		var ages settle.AgeTracker
 		return func(ctx context.Context, grant duty.Ref) error {
 			var e session.Effects
 			if err := k.client.Read(ctx, session.ReadEffects, &e); err != nil {
@@ -123,20 +123,20 @@
 			}
 			var commands []state.Command
 			if len(e.Orphans) > 0 {
-				commands = append(commands, state.Command{Op: state.Settle, IDs: e.Orphans})
+				commands = append(commands, state.Command{Op: state.OpResolveEffects, EffectIDs: e.Orphans})
 			}
 			now := steady.Now()
-			ages.Note(now, e.Seq)
-			pruneUpTo := ages.Due(now, retentionMS, maxDrift)
+			ages.Observe(now, e.Seq)
+			pruneUpTo := ages.OlderThan(now, retentionMS, maxDrift)
 			if pruneUpTo > 0 {
-				commands = append(commands, state.Command{Op: state.Prune, Seq: pruneUpTo})
+				commands = append(commands, state.Command{Op: state.OpPruneEffects, Seq: pruneUpTo})
 			}
 			if len(commands) == 0 {
 				return nil
 			}
 			r, err := k.Act(ctx, grant, commands...)
 			if err == nil {
-				k.Log.Info().Int("orphans", len(e.Orphans)).Uint64("up_to", pruneUpTo).Uint64("n", r.N).Msg("settled")
+				k.Log.Info().Int("orphans", len(e.Orphans)).Uint64("up_to", pruneUpTo).Uint64("n", r.Value).Msg("settled")
 			}
 			return err
 		}
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -218,7 +218,7 @@
 			entries[e.Index] = e
 			continue
 		}
-		if e.Text == state.Compare { // its memory may be spoilt: differing looks at that
+		if e.Text == state.OpCompareDigests { // its memory may be spoilt: differing looks at that
 			continue
 		}
 		if first.Term != e.Term || first.Text != e.Text || first.Cause != e.Cause || first.Duty != e.Duty || first.Epoch != e.Epoch {
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -171,7 +171,7 @@
 			return
 		case <-c.on.Ready:
 		}
-		batch = c.on.Take(batch)
+		batch = c.on.TakeAll(batch)
 		for _, e := range batch {
 			if c.o.On != nil {
 				c.o.On(e)
@@ -200,7 +200,7 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	conn.SetWriteDeadline(time.Now().Add(frame.Whole))
+	conn.SetWriteDeadline(time.Now().Add(frame.MessageTimeout))
 	if _, err := conn.Write([]byte{store.ForSessions}); err != nil {
 		return err
 	}
@@ -429,7 +429,7 @@
 
 // Act does something under a duty. The epoch goes with it, and is checked in the step in which the act takes effect.
 func (c *Client) Act(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
-	return c.Do(ctx, state.Command{Op: state.Act, Fence: &under, Do: do})
+	return c.Do(ctx, state.Command{Op: state.OpFenced, Fence: &under, Batch: do})
 }
 
 // Read asks a question; the answer holds as of some time after it was asked.
@@ -441,14 +441,14 @@
 	return json.Unmarshal(got.Body, into)
 }
 
-// Begin records an effect with the copies before its run, under this process's presence. It is a core.Ledger.
+// Begin records an effect with the copies before its run, under this process's presence. It is a core.EffectLog.
 func (c *Client) Begin(id string) (bool, error) {
 	here, ok := c.May(duty.PresenceName(c.o.Me))
 	if !ok {
 		return false, fmt.Errorf("%w: no presence is in force", ErrNotSent)
 	}
-	r, err := c.Do(context.Background(), state.Command{Op: state.Begin, Key: id, Who: c.o.Me, Epoch: here.Epoch, Keep: true})
-	return err == nil && r.Fresh, err
+	r, err := c.Do(context.Background(), state.Command{Op: state.OpBeginEffect, Key: id, Process: c.o.Me, Epoch: here.Epoch, NoEviction: true})
+	return err == nil && r.WasAbsent, err
 }
 
 // Ended tells how an effect ended. It waits for nothing: what gets lost is settled as unknown once this process is gone.
@@ -477,14 +477,14 @@
 func (c *Client) end() {
 	c.mu.Lock()
 	ok, failed := c.ended[:min(len(c.ended), mostEnded)], c.failed[:min(len(c.failed), mostEnded)]
-	cmd := state.Command{Op: state.End, Who: c.o.Me, IDs: slices.Clone(ok), Failed: slices.Clone(failed)}
+	cmd := state.Command{Op: state.OpEndEffects, Process: c.o.Me, EffectIDs: slices.Clone(ok), FailedIDs: slices.Clone(failed)}
 	c.mu.Unlock()
 	_, err := c.Do(context.Background(), cmd)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ending = false
 	if err == nil {
-		c.ended, c.failed = c.ended[len(cmd.IDs):], c.failed[len(cmd.Failed):]
+		c.ended, c.failed = c.ended[len(cmd.EffectIDs):], c.failed[len(cmd.FailedIDs):]
 	}
 	if len(c.ended)+len(c.failed) > 0 {
 		c.endSoon()
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -146,16 +146,16 @@
 // A server is sent on to the copy that leads, gains what it stands for, acts under it, and is refused under any other
 // epoch.
 func TestHolderActsAndForgedEpochsAreRefused(t *testing.T) {
-	steady := clock.Steady()
+	steady := clock.Monotonic()
 	lead := open(t, leads(state.New()), steady)
 	follow := open(t, &oneCopy{st: state.New(), term: 1, other: "lead"}, steady)
 	c, events := join(t, "a#1", map[string]string{"lead": lead.at, "follow": follow.at}, steady)
 	g := want(t, events, gains)
-	if r, err := c.Act(t.Context(), g.Ref, state.Command{Op: state.Mark}); err != nil || r.N != 1 {
+	if r, err := c.Act(t.Context(), g.Ref, state.Command{Op: state.OpIncrementCounter}); err != nil || r.Value != 1 {
 		t.Errorf("%+v %v", r, err)
 	}
 	forged := duty.Ref{Name: g.Name, Epoch: g.Epoch + 1}
-	if _, err := c.Act(t.Context(), forged, state.Command{Op: state.Mark}); !errors.Is(err, ErrStale) || c.Fenced() != 1 {
+	if _, err := c.Act(t.Context(), forged, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStale) || c.Fenced() != 1 {
 		t.Errorf("a forged epoch: %v, %d counted", err, c.Fenced())
 	}
 	if fresh, err := c.Begin("0a"); !fresh || err != nil {
@@ -171,7 +171,7 @@
 	if err := c.Read(t.Context(), "nonsense", &d); err == nil {
 		t.Error("an unknown question has an answer")
 	}
-	if _, err := c.Do(t.Context(), state.Command{Op: state.Ask, Key: "allotter"}); err != nil {
+	if _, err := c.Do(t.Context(), state.Command{Op: state.OpRequestYield, Key: "allotter"}); err != nil {
 		t.Fatal(err)
 	}
 	y := want(t, events, func(duty.YieldRequested) bool { return true })
@@ -188,14 +188,14 @@
 			t.Fatal("what was handed on is not given back")
 		}
 	}
-	if _, err := c.Act(t.Context(), y.Ref, state.Command{Op: state.Mark}); !errors.Is(err, ErrStale) {
+	if _, err := c.Act(t.Context(), y.Ref, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStale) {
 		t.Errorf("an act after the duty was handed on: %v", err)
 	}
 }
 
 // What no client of ours would send ends its own connection and changes nothing.
 func TestMalformedMessagesEndTheirConnection(t *testing.T) {
-	lead := open(t, leads(state.New()), clock.Steady())
+	lead := open(t, leads(state.New()), clock.Monotonic())
 	message := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
@@ -242,7 +242,7 @@
 
 // Sessions past the bound are turned away, and their room is free again when one ends.
 func TestSessionsAreBounded(t *testing.T) {
-	lead := open(t, leads(state.New()), clock.Steady())
+	lead := open(t, leads(state.New()), clock.Monotonic())
 	var conns []net.Conn
 	ask := func() error { // opens a session and has one question answered
 		conn, err := net.Dial("tcp", lead.at)
@@ -295,7 +295,7 @@
 	copy.begin = make(chan struct{})
 	patient := rules
 	patient.RenewIntervalMS = clock.Millis(patience) // no session is cut off for its silence while the others come
-	lead := openFor(t, copy, clock.Steady(), patient, fleet)
+	lead := openFor(t, copy, clock.Monotonic(), patient, fleet)
 	for i := range fleet {
 		conn, err := net.Dial("tcp", lead.at)
 		if err != nil {
@@ -330,7 +330,7 @@
 // A server that a full copy sends away comes back no sooner than it was told, and is served once there is room.
 func TestServerComesBackWhenItWasTold(t *testing.T) {
 	t.Parallel()
-	steady, slow := clock.Steady(), rules
+	steady, slow := clock.Monotonic(), rules
 	slow.RenewIntervalMS = 1000 // so that no session is given up as silent on a busy machine
 	lead := openFor(t, leads(state.New()), steady, slow, 16)
 	var conns []net.Conn
@@ -403,7 +403,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { ln.Close() })
-			steady := clock.Steady()
+			steady := clock.Monotonic()
 			tries := make(chan float64, 1000)
 			go func() {
 				for {
@@ -442,7 +442,7 @@
 
 // The copy that leads falls silent and another takes office with the same log: the holder finds it and keeps its duty.
 func TestHolderKeepsItsDutyOverAChangeOfLeader(t *testing.T) {
-	steady := clock.Steady()
+	steady := clock.Monotonic()
 	st := state.New()
 	first := leads(st)
 	one := open(t, first, steady)
@@ -527,7 +527,7 @@
 				entries++
 				index++
 			}
-			st.Apply(state.Command{Op: state.Orders, Orders: orders}, 1)
+			st.Apply(state.Command{Op: state.OpLeaseOrders, Orders: orders}, 1)
 			for _, o := range orders {
 				g.HandleOrderResult(now, o, st.Duties)
 			}
@@ -594,7 +594,7 @@
 					}
 					came = nil
 					orders = append(orders, g.Tick(now, st.Duties)...)
-					text, err := json.Marshal(state.Command{Op: state.Orders, Orders: orders})
+					text, err := json.Marshal(state.Command{Op: state.OpLeaseOrders, Orders: orders})
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/net/session/wire.go
+++ b/internal/net/session/wire.go
@@ -112,7 +112,7 @@
 		for {
 			select {
 			case b := <-l.out:
-				conn.SetWriteDeadline(time.Now().Add(frame.Whole))
+				conn.SetWriteDeadline(time.Now().Add(frame.MessageTimeout))
 				if _, err := conn.Write(b); err != nil {
 					return
 				}
