--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -50,7 +50,7 @@
 			add("whole", "records", r)
 		}
 		add("whole", "frozen", slices.Sorted(maps.Keys(s.Duties.Frozen)))
-		add("whole", "counts", []any{s.Duties.Last, s.Allocations.Pool, s.Allocations.Version, s.Effects.Seq})
+		add("whole", "counts", []any{s.Duties.LastEpoch, s.Allocations.Pool, s.Allocations.Version, s.Effects.Seq})
 		add("whole", "version", s.Config.Latest())
 	}
 	return sum
--- a/internal/state/slopes_test.go
+++ b/internal/state/slopes_test.go
@@ -46,9 +46,9 @@
 func stateWithServers(tb testing.TB, n int) *State {
 	s := New()
 	for i := range n {
-		applyEntry(tb, s, encodeEntry(tb, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: duty.PresenceOf(processID(i)), Holder: processID(i), TTL: 3000, Term: 1}}}))
+		applyEntry(tb, s, encodeEntry(tb, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: duty.PresenceName(processID(i)), Holder: processID(i), TTLMS: 3000, Term: 1}}}))
 	}
-	applyEntry(tb, s, encodeEntry(tb, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: "allotter", Holder: processID(0), TTL: 3000, Term: 1}}}))
+	applyEntry(tb, s, encodeEntry(tb, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: "allotter", Holder: processID(0), TTLMS: 3000, Term: 1}}}))
 	return s
 }
 
@@ -79,9 +79,9 @@
 			for b.Loop() {
 				i++
 				process := processID(1 + i%(n-1))
-				name := duty.PresenceOf(process)
-				applyEntry(b, s, encodeEntry(b, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Lapse, Name: name, Epoch: s.Duties.Leases[name].Epoch, Term: 1}}}))
-				applyEntry(b, s, encodeEntry(b, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: name, Holder: process, TTL: 3000, Term: 1}}}))
+				name := duty.PresenceName(process)
+				applyEntry(b, s, encodeEntry(b, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Expire, Name: name, Epoch: s.Duties.Leases[name].Epoch, Term: 1}}}))
+				applyEntry(b, s, encodeEntry(b, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: name, Holder: process, TTLMS: 3000, Term: 1}}}))
 			}
 		})
 	}
@@ -109,7 +109,7 @@
 			s := stateWithServers(b, n)
 			fence := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
 			applyEntry(b, s, encodeEntry(b, Command{Op: OpFenced, Fence: &fence, Batch: []Command{{Op: OpSetPool, Amount: int64(n) * 1000}}}))
-			fleet, bytes := []allot.Need{}, 0
+			fleet, bytes := []allot.ProcessNeed{}, 0
 			for i := 0; b.Loop(); i++ {
 				var batch []Command
 				for j := range n {
@@ -119,8 +119,8 @@
 				applyEntry(b, s, act)
 				bytes = len(act)
 			}
-			for _, process := range s.Allocations.Whos() {
-				fleet = append(fleet, allot.Need{Who: process, Share: *s.Allocations.Shares[process]})
+			for _, process := range s.Allocations.Processes() {
+				fleet = append(fleet, allot.ProcessNeed{Who: process, Share: *s.Allocations.Shares[process]})
 			}
 			text, err := json.Marshal(fleet)
 			if err != nil {
@@ -138,7 +138,7 @@
 		b.Run(fmt.Sprintf("kept=%d", n), func(b *testing.B) {
 			s := stateWithServers(b, 12)
 			process, next := processID(0), 0
-			epoch := s.Duties.Leases[duty.PresenceOf(process)].Epoch
+			epoch := s.Duties.Leases[duty.PresenceName(process)].Epoch
 			book := func() {
 				next++
 				id := fmt.Sprintf("%016x", next)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -87,7 +87,7 @@
 type State struct {
 	Values        map[string][]byte
 	Duties        *duty.Table
-	Allocations   *allot.Ledger
+	Allocations   *allot.Allocations
 	Effects       *settle.EffectLog
 	Config        *publish.History
 	Records       *records.Set
@@ -99,14 +99,14 @@
 
 // New returns an empty state.
 func New() *State {
-	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Allocations: allot.NewLedger(),
+	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Allocations: allot.NewAllocations(),
 		Effects: settle.NewEffectLog(maxEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
 		Counters: map[string]uint64{}, StaleRefusals: map[string]uint64{}}
 }
 
 // PresenceInForce reports whether the presence of a process with the given epoch is in force.
 func (s *State) PresenceInForce(process string, epoch uint64) bool {
-	l := s.Duties.Leases[duty.PresenceOf(process)]
+	l := s.Duties.Leases[duty.PresenceName(process)]
 	return l != nil && l.Holder == process && l.Epoch == epoch
 }
 
@@ -153,12 +153,12 @@
 	case OpCompareDigests:
 		return Result{Value: s.Digest(c.Seq)}
 	case OpRequestYield:
-		return Result{Error: errorText(s.Duties.Ask(c.Key))}
+		return Result{Error: errorText(s.Duties.RequestYield(c.Key))}
 	case OpFreezeDuty, OpUnfreezeDuty:
 		s.Duties.Freeze(c.Key, c.Op == OpFreezeDuty)
 		return Result{}
 	case OpAcknowledgeAllocation:
-		s.Allocations.Ack(c.Process, c.Epoch)
+		s.Allocations.Acknowledge(c.Process, c.Epoch)
 		return Result{}
 	case OpAcknowledgeVersion:
 		if c.Acknowledgement == nil {
@@ -177,11 +177,11 @@
 	if err := s.Duties.Apply(o, term); err != nil {
 		return err
 	}
-	if process := duty.PresentWho(o.Name); process != "" {
+	if process := duty.PresenceProcess(o.Name); process != "" {
 		if o.Kind == duty.Grant {
-			s.Allocations.Join(process)
+			s.Allocations.AddProcess(process)
 		} else {
-			s.Allocations.Drop(process)
+			s.Allocations.RemoveProcess(process)
 			s.Config.Drop(process)
 		}
 	}
@@ -193,7 +193,7 @@
 	if c.Fence == nil {
 		return Result{Error: "state: fenced command without a fencing token"}
 	}
-	if err := s.Duties.Fence(*c.Fence); err != nil && s.InjectedBug != duty.PlantUnfenced {
+	if err := s.Duties.Fence(*c.Fence); err != nil && s.InjectedBug != duty.BugUnfenced {
 		if s.StaleRefusals[c.Fence.Name]++; len(s.StaleRefusals) > maxCounters {
 			clear(s.StaleRefusals) // callers choose the names, so their number is unbounded
 		}
@@ -227,7 +227,7 @@
 		s.Counters[fence.Name]++
 		return s.Counters[fence.Name], nil
 	case OpSetAllocation:
-		return 0, s.Allocations.Set(c.Process, c.Amount, s.InjectedBug == duty.PlantEarlyGrowth)
+		return 0, s.Allocations.SetTarget(c.Process, c.Amount, s.InjectedBug == duty.BugEarlyGrowth)
 	case OpSetPool:
 		return 0, s.Allocations.SetPool(c.Amount)
 	case OpResolveEffects:
@@ -253,15 +253,15 @@
 
 // Snapshot is the encoded form of the state. Earlier versions wrote only the fields values and order.
 type Snapshot struct {
-	Values        map[string][]byte `json:"values"`
-	EffectOrder   []string          `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
-	Duties        *duty.Table       `json:"duties,omitempty"`
-	Allocations   *allot.Ledger     `json:"shares,omitempty"`
-	Effects       *settle.EffectLog `json:"effects,omitempty"`
-	Config        *publish.History  `json:"config,omitempty"`
-	Records       *records.Frozen   `json:"records,omitempty"`
-	Counters      map[string]uint64 `json:"marks,omitempty"`
-	StaleRefusals map[string]uint64 `json:"stale,omitempty"`
+	Values        map[string][]byte  `json:"values"`
+	EffectOrder   []string           `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
+	Duties        *duty.Table        `json:"duties,omitempty"`
+	Allocations   *allot.Allocations `json:"shares,omitempty"`
+	Effects       *settle.EffectLog  `json:"effects,omitempty"`
+	Config        *publish.History   `json:"config,omitempty"`
+	Records       *records.Frozen    `json:"records,omitempty"`
+	Counters      map[string]uint64  `json:"marks,omitempty"`
+	StaleRefusals map[string]uint64  `json:"stale,omitempty"`
 }
 
 // Snapshot copies the state, so that it can be encoded while further commands are applied.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -12,7 +12,7 @@
 
 func grantLease(t *testing.T, s *State, name, holder string) duty.Ref {
 	t.Helper()
-	o := duty.Order{Kind: duty.Grant, Name: name, Holder: holder, TTL: 2000, Term: 3}
+	o := duty.Order{Kind: duty.Grant, Name: name, Holder: holder, TTLMS: 2000, Term: 3}
 	if l := s.Duties.Leases[name]; l != nil {
 		o.Epoch = l.Epoch
 	}
@@ -24,7 +24,7 @@
 
 func endLease(t *testing.T, s *State, r duty.Ref) {
 	t.Helper()
-	if got := s.Apply(Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Lapse, Name: r.Name, Epoch: r.Epoch, Term: 3}}}, 3); got.Refusals[0] != "" {
+	if got := s.Apply(Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Expire, Name: r.Name, Epoch: r.Epoch, Term: 3}}}, 3); got.Refusals[0] != "" {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -55,7 +55,7 @@
 	if r := s.Apply(Command{Op: OpFenced, Batch: []Command{{Op: OpIncrementCounter}}}, 3); r.Error == "" {
 		t.Error("a command without a fencing token was accepted")
 	}
-	s.InjectedBug = duty.PlantUnfenced
+	s.InjectedBug = duty.BugUnfenced
 	if r := s.Apply(fenced(first, Command{Op: OpIncrementCounter}), 3); r.Stale || s.Counters["d"] != 2 {
 		t.Error("the injected bug has no effect")
 	}
@@ -64,7 +64,7 @@
 // A fenced batch takes effect completely or not at all, and an allocation ends with its process's presence.
 func TestFencedBatchesAreAtomic(t *testing.T) {
 	s := New()
-	a, b := grantLease(t, s, duty.PresenceOf("a"), "a"), grantLease(t, s, duty.PresenceOf("b"), "b")
+	a, b := grantLease(t, s, duty.PresenceName("a"), "a"), grantLease(t, s, duty.PresenceName("b"), "b")
 	allotter := grantLease(t, s, "allotter", "a")
 	if r := s.Apply(fenced(allotter, Command{Op: OpSetPool, Amount: 100}, Command{Op: OpSetAllocation, Process: "a", Amount: 60}), 3); r.Error != "" {
 		t.Fatalf("%+v", r)
@@ -72,7 +72,7 @@
 	if r := s.Apply(fenced(allotter, Command{Op: OpSetAllocation, Process: "a", Amount: 30}, Command{Op: OpSetAllocation, Process: "b", Amount: 70}), 3); r.Error == "" {
 		t.Error("allocations exceed the pool: a reduced one counts in full until its process acknowledges the reduction")
 	}
-	if v := s.Allocations.Shares["a"]; v.Want != 60 || v.Cap != 60 {
+	if v := s.Allocations.Shares["a"]; v.Target != 60 || v.Cap != 60 {
 		t.Errorf("part of a refused batch took effect: %+v", v)
 	}
 	if r := s.Apply(fenced(allotter, Command{Op: OpSetAllocation, Process: "a", Amount: 30}), 3); r.Error != "" {
@@ -83,8 +83,8 @@
 		t.Errorf("after the reduction was acknowledged: %+v", r)
 	}
 	endLease(t, s, b)
-	if s.Allocations.Sum() != 30 {
-		t.Errorf("%d allocated after a presence ended", s.Allocations.Sum())
+	if s.Allocations.TotalCap() != 30 {
+		t.Errorf("%d allocated after a presence ended", s.Allocations.TotalCap())
 	}
 	if r := s.Apply(Command{Op: OpBeginEffect, Key: "e1", Process: "a", Epoch: a.Epoch, NoEviction: true}, 3); !r.WasAbsent {
 		t.Errorf("%+v", r)
@@ -105,7 +105,7 @@
 func TestSnapshotsAreComplete(t *testing.T) {
 	s := New()
 	s.Apply(Command{Op: OpSet, Key: "k", Value: []byte("v")}, 1)
-	a := grantLease(t, s, duty.PresenceOf("a"), "a")
+	a := grantLease(t, s, duty.PresenceName("a"), "a")
 	p := grantLease(t, s, "publisher", "a")
 	s.Apply(Command{Op: OpBeginEffect, Key: "e1", Process: "a", Epoch: a.Epoch, NoEviction: true}, 3)
 	s.Apply(fenced(p, Command{Op: OpPublishVersion, Files: []publish.File{{Name: "f", Text: []byte("x")}}}, Command{Op: OpIncrementCounter}), 3)
@@ -123,7 +123,7 @@
 	if !reflect.DeepEqual(s, restored) {
 		t.Errorf("\n%s\n%s", b, must(json.Marshal(restored.Snapshot())))
 	}
-	last := restored.Duties.Last
+	last := restored.Duties.LastEpoch
 	if r := grantLease(t, restored, "other", "b"); r.Epoch <= last {
 		t.Errorf("epoch %d was granted after a snapshot with %d", r.Epoch, last)
 	}
