--- a/internal/recordfile/file.go
+++ b/internal/recordfile/file.go
@@ -1,8 +1,8 @@
-// Package recordfile keeps a process's copy of the records on its own disk, so that a restart asks only for what it missed.
+// Package recordfile stores the configuration replica of a process on its local disk, so that after a restart the process
+// requests only the commits that it missed.
 //
-// A file is a snapshot with the commits behind it, in blocks that each have a checksum. Commits are appended without waiting
-// for the disk: one that a crash loses is asked for again. A file that is spoilt anywhere but in its last, cut block is of no
-// use as a whole.
+// A file is a snapshot followed by commits, in blocks that each have a checksum. Commits are appended without fsync: a commit
+// lost in a crash is requested again. A truncated last block is ignored; any other corruption invalidates the whole file.
 package recordfile
 
 import (
@@ -20,30 +20,30 @@
 
 const (
 	magic      = "puffinsaddle records\n"
-	format     = 1
-	headBytes  = 13 // of a block: type, length, checksum
-	maxBlock   = 1 << 20
-	suffix     = ".new"
-	blockHead  = 'H' // the header of the snapshot, as JSON
-	blockPiece = 'P' // a piece, as it is sent
-	blockDone  = 'D' // the snapshot is whole
-	blockEntry = 'C' // a commit, packed
+	format     = 1       // version of the file format
+	headBytes  = 13      // size of a block's header in bytes: type, length, checksum
+	maxBlock   = 1 << 20 // maximum size of a block's data, in bytes
+	suffix     = ".new"  // of a file that is being written
+	blockHead  = 'H'     // header of the snapshot, as JSON
+	blockPiece = 'P'     // compressed chunk of the snapshot
+	blockDone  = 'D'     // end of the snapshot
+	blockEntry = 'C'     // packed commit
 )
 
-// ErrSpoilt is the error of a file that is not as it was written.
-var ErrSpoilt = errors.New("recordfile: spoilt")
+// ErrSpoilt is the error of a file that is damaged or of another format.
+var ErrSpoilt = errors.New("recordfile: corrupt file")
 
-// Content is what a file holds.
+// Content is the content of a file.
 type Content struct {
 	Table    *records.Table
 	Revision uint64 // of the snapshot
 	Commits  []records.Commit
 
-	end  int64 // of what is whole
-	tail int64 // bytes of the commits
+	end  int64 // offset of the end of the last complete block
+	tail int64 // size of the complete commit blocks, in bytes
 }
 
-// Read reads a file. A file that is not there is os.ErrNotExist.
+// Read reads a file. The error is os.ErrNotExist if there is no file, and ErrSpoilt if it cannot be used.
 func Read(path string) (*Content, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -53,10 +53,10 @@
 	r := &countingReader{r: bufio.NewReaderSize(f, 1<<20)}
 	head := make([]byte, len(magic)+1)
 	if _, err := io.ReadFull(r, head); err != nil || string(head[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: %s does not begin as such a file", ErrSpoilt, path)
+		return nil, fmt.Errorf("%w: %s is not a records file", ErrSpoilt, path)
 	}
 	if head[len(magic)] != format {
-		return nil, fmt.Errorf("%w: %s has format %d, and this build knows %d", ErrSpoilt, path, head[len(magic)], format)
+		return nil, fmt.Errorf("%w: %s has format version %d, this build reads version %d", ErrSpoilt, path, head[len(magic)], format)
 	}
 	c, err := readSnapshot(r)
 	if err == nil {
@@ -69,20 +69,20 @@
 	return c, nil
 }
 
-// countingReader knows how far a file was read.
+// countingReader counts the bytes read.
 type countingReader struct {
 	r io.Reader
 	n int64
 }
 
-// Read counts.
+// Read implements io.Reader.
 func (c *countingReader) Read(b []byte) (int, error) {
 	n, err := c.r.Read(b)
 	c.n += int64(n)
 	return n, err
 }
 
-// readBlock reads one block. io.EOF: there is none; io.ErrUnexpectedEOF: it is cut.
+// readBlock reads one block. It returns io.EOF at the end of the file, and io.ErrUnexpectedEOF for a truncated block.
 func readBlock(r io.Reader) (kind byte, data []byte, err error) {
 	var head [headBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -90,14 +90,14 @@
 	}
 	size := binary.BigEndian.Uint32(head[1:])
 	if size > maxBlock {
-		return 0, nil, fmt.Errorf("%w: a block of %d bytes", ErrSpoilt, size)
+		return 0, nil, fmt.Errorf("%w: block of %d bytes is too large", ErrSpoilt, size)
 	}
 	data = make([]byte, size)
 	if _, err := io.ReadFull(r, data); err != nil {
 		return 0, nil, io.ErrUnexpectedEOF
 	}
 	if records.Checksum(data)^uint64(head[0]) != binary.BigEndian.Uint64(head[5:]) {
-		return 0, nil, fmt.Errorf("%w: a block has another checksum", ErrSpoilt)
+		return 0, nil, fmt.Errorf("%w: block checksum mismatch", ErrSpoilt)
 	}
 	return head[0], data, nil
 }
@@ -115,7 +115,7 @@
 	for number := 0; ; {
 		kind, data, err := readBlock(r)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			err = fmt.Errorf("%w: its snapshot is cut", ErrSpoilt)
+			err = fmt.Errorf("%w: snapshot truncated", ErrSpoilt)
 		}
 		if err != nil {
 			return nil, err
@@ -138,7 +138,7 @@
 			}
 			return &Content{Table: table, Revision: header.Revision}, nil
 		default:
-			err = errors.New("a block out of place")
+			err = errors.New("unexpected block type")
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%w: %v", ErrSpoilt, err)
@@ -146,7 +146,7 @@
 	}
 }
 
-// readCommits reads what stands behind the snapshot; a cut block at the end is one that a crash lost.
+// readCommits reads the commits after the snapshot. A truncated block at the end is left by a crash during an append, and ignored.
 func (c *Content) readCommits(r *countingReader) error {
 	next := c.Revision + 1
 	for {
@@ -159,7 +159,7 @@
 		}
 		commit, err := records.ParseCommit(data)
 		if kind != blockEntry || err != nil || commit.Revision != next {
-			return fmt.Errorf("%w: no commit %d", ErrSpoilt, next)
+			return fmt.Errorf("%w: expected commit %d", ErrSpoilt, next)
 		}
 		c.Commits = append(c.Commits, commit)
 		c.tail += r.n - c.end
@@ -168,14 +168,14 @@
 	}
 }
 
-// File is a file that is being kept.
+// File is an open file to which commits are appended.
 type File struct {
 	path    string
 	f       *os.File
-	commits int64 // bytes of commits behind the snapshot
+	commits int64 // size of the commit blocks, in bytes
 }
 
-// Write writes a whole new file and puts it in place of the one at the path, if there is any.
+// Write writes a new file with a snapshot and atomically replaces any file at the path.
 func Write(path string, s *records.Snapshot) (*File, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, err
@@ -214,7 +214,7 @@
 	return w.Flush()
 }
 
-// Reopen goes on with a file that was read; a cut block at its end is cut off.
+// Reopen opens a file that was read for appending, and truncates it after its last complete block.
 func Reopen(path string, c *Content) (*File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
@@ -230,15 +230,15 @@
 	return &File{path: path, f: f, commits: c.tail}, nil
 }
 
-// Append adds the next commit.
+// Append appends the next commit.
 func (f *File) Append(c records.Commit) error {
 	n, err := f.f.Write(appendBlock(nil, blockEntry, records.AppendCommit(nil, c)))
 	f.commits += int64(n)
 	return err
 }
 
-// Commits is the bytes of commits behind the snapshot: past some, a new file is shorter.
+// Commits returns the size of the commit blocks, in bytes. The caller uses it to decide when to write a new, shorter file.
 func (f *File) Commits() int64 { return f.commits }
 
-// Close ends the keeping; the file stays.
+// Close closes the file, which stays on the disk.
 func (f *File) Close() error { return f.f.Close() }
--- a/internal/recordfile/file_test.go
+++ b/internal/recordfile/file_test.go
@@ -11,18 +11,19 @@
 	"puffinsaddle/internal/records"
 )
 
-// written is a file with a snapshot of some records and commits behind it.
+// written is a test file with a snapshot and commits, together with the state expected after each commit.
 type written struct {
 	path    string
 	set     *records.Set
 	commits []records.Commit
-	digests []records.Digest // after the snapshot, and after each commit
-	ends    []int64          // of the file after each of them
+	digests []records.Digest // of the records after the snapshot and after each commit
+	ends    []int64          // size of the file after the snapshot and after each commit
 }
 
+// write creates a file with a snapshot and the given number of commits.
 func write(t *testing.T, commits int) *written {
 	t.Helper()
-	w := &written{path: filepath.Join(t.TempDir(), "below", "records"), set: records.NewSet(records.DefaultLimits)}
+	w := &written{path: filepath.Join(t.TempDir(), "subdirectory", "records"), set: records.NewSet(records.DefaultLimits)}
 	for i := range 5 {
 		w.change(t, i)
 	}
@@ -44,6 +45,7 @@
 	return w
 }
 
+// change applies a change to the set without writing it to the file.
 func (w *written) change(t *testing.T, i int) records.Commit {
 	t.Helper()
 	c, err := w.set.Apply(records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("t-%d", i%7)}, Value: fmt.Append(nil, w.set.Revision())}}})
@@ -53,6 +55,7 @@
 	return c
 }
 
+// append applies a change and appends its commit to the file.
 func (w *written) append(t *testing.T, f *File, i int) {
 	t.Helper()
 	c := w.change(t, i)
@@ -63,6 +66,7 @@
 	w.note(t)
 }
 
+// note records the current digest and file size.
 func (w *written) note(t *testing.T) {
 	t.Helper()
 	info, err := os.Stat(w.path)
@@ -72,13 +76,13 @@
 	w.digests, w.ends = append(w.digests, w.set.Digest()), append(w.ends, info.Size())
 }
 
-// holds checks that what was read is the snapshot and the first n commits.
+// holds checks that the content read consists of the snapshot and the first n commits.
 func (w *written) holds(t *testing.T, c *Content, n int) {
 	t.Helper()
 	set := records.NewSet(records.DefaultLimits)
 	set.Adopt(c.Table, c.Revision)
 	if len(c.Commits) != n {
-		t.Errorf("%d commits, %d are wanted", len(c.Commits), n)
+		t.Errorf("got %d commits, want %d", len(c.Commits), n)
 		return
 	}
 	for _, commit := range c.Commits {
@@ -87,11 +91,12 @@
 		}
 	}
 	if set.Digest() != w.digests[n] {
-		t.Errorf("other records than were written, with %d commits", n)
+		t.Errorf("the digest after %d commits differs from the one written", n)
 	}
 }
 
-// A file that is cut off anywhere behind its snapshot holds what was whole; one whose snapshot is cut is of no use.
+// A crash can truncate the file at any byte. After the snapshot, all complete commits must be read; within the snapshot, the file
+// must be rejected as corrupt.
 func TestFileThatIsCutOff(t *testing.T) {
 	w := write(t, 4)
 	whole, err := os.ReadFile(w.path)
@@ -105,12 +110,12 @@
 		c, err := Read(w.path)
 		if int64(size) < w.ends[0] {
 			if !errors.Is(err, ErrSpoilt) {
-				t.Errorf("%d bytes of the snapshot's %d: %v", size, w.ends[0], err)
+				t.Errorf("truncated to %d bytes, snapshot of %d bytes: %v", size, w.ends[0], err)
 			}
 			continue
 		}
 		if err != nil {
-			t.Errorf("%d bytes: %v", size, err)
+			t.Errorf("truncated to %d bytes: %v", size, err)
 			continue
 		}
 		n := 0
@@ -121,7 +126,7 @@
 	}
 }
 
-// No byte that was changed is read as something else: the file is of no use, or ends before the change.
+// A corrupted byte must never be read as valid data: the file is rejected as corrupt, or the content ends before that byte.
 func TestFileWithAChangedByte(t *testing.T) {
 	w := write(t, 4)
 	whole, err := os.ReadFile(w.path)
@@ -139,18 +144,18 @@
 			continue
 		}
 		if err != nil || int64(at) < w.ends[0] {
-			t.Errorf("byte %d: %v", at, err)
+			t.Errorf("byte %d corrupted: %v", at, err)
 			continue
 		}
 		if len(c.Commits) == len(w.commits) {
-			t.Errorf("byte %d is changed, and all is read", at)
+			t.Errorf("byte %d corrupted, but all commits were read", at)
 			continue
 		}
 		w.holds(t, c, len(c.Commits))
 	}
 }
 
-// A file whose last block was cut goes on behind the last whole one.
+// Reopening a file with a truncated last block must remove that block, so that later commits follow the last complete one.
 func TestReopenedFileGoesOn(t *testing.T) {
 	w := write(t, 3)
 	if err := os.Truncate(w.path, w.ends[3]-1); err != nil {
@@ -166,10 +171,10 @@
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(w.path); err != nil || info.Size() != w.ends[2] {
-		t.Errorf("the cut block is still there: %v, %v", info, err)
+		t.Errorf("the truncated block was not removed: %v, %v", info, err)
 	}
 	if want := w.ends[2] - w.ends[0]; f.Commits() != want {
-		t.Errorf("%d bytes of commits, %d are wanted", f.Commits(), want)
+		t.Errorf("got %d bytes of commits, want %d", f.Commits(), want)
 	}
 	if err := f.Append(w.commits[2]); err != nil {
 		t.Fatal(err)
@@ -182,18 +187,18 @@
 	w.holds(t, c, 4)
 }
 
-// What is no such file, or of another build's format, is told apart from one that is not there.
+// A file of another kind or format version must be reported as corrupt, and a missing file as not existing.
 func TestOtherFiles(t *testing.T) {
 	w := write(t, 1)
 	if _, err := Read(w.path + ".none"); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 	whole, err := os.ReadFile(w.path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	whole[len(magic)]++
-	for name, b := range map[string][]byte{"another format": whole, "another file": []byte("name,address,port,groups\n"), "an empty file": nil} {
+	for name, b := range map[string][]byte{"unknown format version": whole, "other kind of file": []byte("name,address,port,groups\n"), "empty file": nil} {
 		if err := os.WriteFile(w.path, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -201,7 +206,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Write(filepath.Join(w.path, "below"), &records.Snapshot{}); err == nil {
-		t.Error("a file below a file is written")
+	if _, err := Write(filepath.Join(w.path, "file"), &records.Snapshot{}); err == nil {
+		t.Error("wrote a file whose parent is not a directory")
 	}
 }
--- a/internal/records/digest.go
+++ b/internal/records/digest.go
@@ -7,11 +7,11 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Digest sums the hashes of records, so that it does not depend on their order and follows each change at the cost of that
-// change alone. It guards against faults, not against somebody who makes records up to match one.
+// Digest is the sum of the 128-bit hashes of records. The sum does not depend on the order of the records, and updating it
+// costs as much as the change alone. It detects faults; it does not resist an adversary who constructs records to match.
 type Digest struct{ hi, lo uint64 }
 
-// add and remove take one record, in its packed form, into the sum and out of it.
+// add and remove add one packed record to the sum and subtract it.
 func (d *Digest) add(entry []byte) {
 	h := xxh3.Hash128(entry)
 	d.hi += h.Hi
@@ -29,16 +29,16 @@
 	d.lo += o.lo
 }
 
-// Sum64 is a part of the digest, for those who compare a number.
+// Sum64 returns the low 64 bits of the digest, for callers that compare a single number.
 func (d Digest) Sum64() uint64 { return d.lo }
 
-// String is the digest in hex.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string {
 	b, _ := d.MarshalText()
 	return string(b)
 }
 
-// MarshalText writes the digest in hex.
+// MarshalText encodes the digest in hexadecimal.
 func (d Digest) MarshalText() ([]byte, error) {
 	b := make([]byte, 0, 16)
 	for _, v := range []uint64{d.hi, d.lo} {
@@ -49,7 +49,7 @@
 	return hex.AppendEncode(nil, b), nil
 }
 
-// UnmarshalText reads a digest.
+// UnmarshalText decodes a digest from hexadecimal.
 func (d *Digest) UnmarshalText(text []byte) error {
 	b, err := hex.DecodeString(string(text))
 	if err != nil || len(b) != 16 {
@@ -66,5 +66,5 @@
 	return nil
 }
 
-// Checksum is the sum of a piece of a snapshot, or of a block of a file.
+// Checksum returns the checksum of a snapshot chunk or of a file block.
 func Checksum(b []byte) uint64 { return xxh3.Hash(b) }
--- a/internal/records/frozen.go
+++ b/internal/records/frozen.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// Frozen is a Set as of one moment, for the snapshots of the store's log. It is made at once; the work of compressing comes
-// with MarshalJSON, while the Set goes on.
+// Frozen is a point-in-time copy of a Set, for the snapshots of the store's log. Taking it is cheap; the records are compressed
+// later in MarshalJSON, while the Set keeps changing.
 type Frozen struct {
 	table    *Table
 	revision uint64
 	history  []Commit
 }
 
-// frozenJSON is its form in a file.
+// frozenJSON is the JSON encoding of a Frozen.
 type frozenJSON struct {
 	Header  Header   `json:"header"`
 	Pieces  []Piece  `json:"pieces"`
 	History []Commit `json:"history,omitempty"`
 }
 
-// Freeze copies the set.
+// Freeze returns a point-in-time copy of the set.
 func (s *Set) Freeze() *Frozen {
 	return &Frozen{table: s.table.Clone(), revision: s.revision, history: slices.Clone(s.history)}
 }
 
-// Thaw makes a set of it.
+// Thaw returns a new set with the records, the revision and the history of the copy.
 func (f *Frozen) Thaw(l Limits) *Set {
 	s := NewSet(l)
 	s.Adopt(f.table, f.revision)
@@ -41,7 +41,7 @@
 	return s
 }
 
-// MarshalJSON writes the records compressed.
+// MarshalJSON encodes the records as compressed chunks.
 func (f *Frozen) MarshalJSON() ([]byte, error) {
 	s, err := NewSnapshot(f.table, f.revision)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return json.Marshal(frozenJSON{s.Header, s.Content, f.history})
 }
 
-// UnmarshalJSON reads and checks them.
+// UnmarshalJSON decodes the records and checks them against the header.
 func (f *Frozen) UnmarshalJSON(text []byte) error {
 	var j frozenJSON
 	if err := json.Unmarshal(text, &j); err != nil {
--- a/internal/records/pack.go
+++ b/internal/records/pack.go
@@ -2,10 +2,10 @@
 
 import "encoding/binary"
 
-const digestBytes = 16
+const digestBytes = 16 // encoded size of a Digest, in bytes
 
-// AppendCommit packs a commit behind b: its revision, both digests, how many records it puts and each of them, how many keys it
-// deletes and each of them. Numbers are unsigned varints; names and values stand behind their length.
+// AppendCommit appends the packed form of a commit to b: the revision, both digests, the number of puts and each put, the number
+// of deletes and each deleted key. Numbers are unsigned varints; names and values are prefixed with their length.
 func AppendCommit(b []byte, c Commit) []byte {
 	b = binary.AppendUvarint(b, c.Revision)
 	b = appendDigest(b, c.Before)
@@ -34,8 +34,8 @@
 	return append(b, k.Name...)
 }
 
-// ParseCommit reads a packed commit that takes all of b, and keeps nothing of b. It bounds what it reads like Check does, which
-// is left to who carries the commit out. Any error is ErrMalformed.
+// ParseCommit decodes a packed commit that takes up all of b; the result does not refer to b. It enforces the bounds of Check on
+// counts and lengths; the caller runs Check itself when it applies the commit. Every error is ErrMalformed.
 func ParseCommit(b []byte) (Commit, error) {
 	p := unpacker{rest: b}
 	c := Commit{Revision: p.number(), Before: p.digest(), After: p.digest()}
@@ -54,7 +54,7 @@
 	return c, nil
 }
 
-// unpacker reads the parts of a packed commit. After the first failure all parts are zero.
+// unpacker decodes the parts of a packed commit. After the first failure every part is zero.
 type unpacker struct {
 	rest   []byte
 	failed bool
--- a/internal/records/record.go
+++ b/internal/records/record.go
@@ -1,9 +1,9 @@
-// Package records holds configuration as keyed records with a revision: what a change may be, which changes are agreed on
-// after one another, and what a process that follows them holds. It is free of I/O and of time.
+// Package records holds configuration as keyed records with a revision. It validates changes, orders them as commits, and keeps
+// the state of processes that apply the commits. It does no I/O and reads no clock.
 //
-// A Set is the agreed state: the records, the revision, and the latest commits within bounds. A Table holds records alone,
-// packed, since an order server has to hold hundreds of thousands. A snapshot is a Table in compressed pieces, each with a
-// checksum. docs/distribution.md has the argument.
+// A Set is the replicated state: the records, the revision, and the latest commits within bounds. A Table holds only the records,
+// packed, because an order server has to hold hundreds of thousands of them. A snapshot is a Table in compressed chunks, each
+// with a checksum. docs/distribution.md explains the design.
 package records
 
 import (
@@ -12,13 +12,13 @@
 	"fmt"
 )
 
-// Kind is what a record is about.
+// Kind is the type of a record.
 type Kind uint8
 
 // The kinds of records.
 const (
-	Route   Kind = 1 // where the requests of a service go
-	Tenant  Kind = 2 // what a tenant may use
+	Route   Kind = 1 // the destination of a service's requests
+	Tenant  Kind = 2 // the limits of a tenant
 	Setting Kind = 3 // a setting of the order servers, such as the file operator.yaml
 )
 
@@ -26,15 +26,15 @@
 
 // Bounds of records and changes.
 const (
-	MaxName        = 128       // bytes of a key's name
-	MaxRoute       = 4 << 10   // bytes of a route
-	MaxTenant      = 1 << 10   // bytes of a tenant
-	MaxSetting     = 64 << 10  // bytes of a setting
-	MaxChangeKeys  = 1024      // keys of one change
-	MaxChangeBytes = 128 << 10 // bytes of all names and values of one change
+	MaxName        = 128       // length of a key's name, in bytes
+	MaxRoute       = 4 << 10   // size of a route's value, in bytes
+	MaxTenant      = 1 << 10   // size of a tenant's value, in bytes
+	MaxSetting     = 64 << 10  // size of a setting's value, in bytes
+	MaxChangeKeys  = 1024      // number of keys in one change
+	MaxChangeBytes = 128 << 10 // total size of the names and values in one change, in bytes
 )
 
-// Errors for which a change is refused. A refusal is final: the same change against the same revision is refused again.
+// Reasons for refusing a change. A refusal is final: the same change against the same revision is refused again.
 var (
 	ErrKind      = errors.New("unknown kind of record")
 	ErrName      = errors.New("a name must have 1 to 128 printable characters without spaces")
@@ -43,11 +43,11 @@
 	ErrStale     = errors.New("changed since the revision that the change rests on")
 	ErrEmpty     = errors.New("a change without keys")
 	ErrRejected  = errors.New("rejected by the check")
-	ErrCompacted = errors.New("the revision is compacted")
+	ErrCompacted = errors.New("the revision has been compacted")
 	ErrFuture    = errors.New("the revision is ahead of what is agreed on")
 )
 
-// String is the kind's name.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	if name, ok := kindNames[k]; ok {
 		return name
@@ -55,10 +55,10 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// MarshalText writes the kind's name.
+// MarshalText encodes the kind as its name.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText reads a kind's name. An unknown one is kept as 0, which every check refuses by its key.
+// UnmarshalText decodes the name of a kind. An unknown name becomes 0, which Check refuses together with the key.
 func (k *Kind) UnmarshalText(text []byte) error {
 	*k = 0
 	for kind, name := range kindNames {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// MaxValue is the most bytes that a value of the kind may have; 0 for an unknown kind.
+// MaxValue returns the maximum size of a value of the kind, in bytes; 0 for an unknown kind.
 func (k Kind) MaxValue() int {
 	switch k {
 	case Route:
@@ -82,49 +82,49 @@
 	return 0
 }
 
-// Key names one record.
+// Key identifies a record.
 type Key struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// String is the key as operators write it.
+// String returns the key in the form that operators use, kind/name.
 func (k Key) String() string { return k.Kind.String() + "/" + k.Name }
 
-// Record is one record with the revision that last changed it.
+// Record is a record with the revision of its last change.
 type Record struct {
 	Key
 	Value    []byte `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// Put sets one record.
+// Put sets the value of one record.
 type Put struct {
 	Key
 	Value []byte `json:"value"`
 }
 
-// Change is what somebody wants changed, whole or not at all.
+// Change is a requested change of one or more records, applied atomically.
 type Change struct {
-	// Base is the revision that the change rests on: it is refused where one of its keys was changed since. 0: it rests on
-	// none.
+	// Base is the revision that the change is based on: the change is refused if one of its keys has changed since. 0 disables
+	// this check.
 	Base    uint64 `json:"base,omitempty"`
 	Puts    []Put  `json:"puts,omitempty"`
 	Deletes []Key  `json:"deletes,omitempty"`
 }
 
-// Commit is a change that was agreed on.
+// Commit is a change that has been agreed on.
 type Commit struct {
-	Revision uint64 `json:"revision"` // one more than that of the commit before
+	Revision uint64 `json:"revision"` // one more than that of the previous commit
 	Before   Digest `json:"before"`   // of all records before the commit
-	After    Digest `json:"after"`    // and after it
+	After    Digest `json:"after"`    // of all records after the commit
 	Puts     []Put  `json:"puts,omitempty"`
 	Deletes  []Key  `json:"deletes,omitempty"`
 }
 
-// Size is about what the commit takes in memory, in bytes.
+// Size returns the approximate memory use of the commit, in bytes.
 func (c Commit) Size() int {
-	const perKey, perCommit = 48, 96
+	const perKey, perCommit = 48, 96 // fixed overheads, in bytes
 	n := perCommit
 	for _, p := range c.Puts {
 		n += perKey + len(p.Name) + len(p.Value)
@@ -135,13 +135,13 @@
 	return n
 }
 
-// Refusal is the error of a change that was refused: nothing of it was carried out.
+// Refusal is the error of a refused change, no part of which was applied.
 type Refusal struct {
-	Key    Key // the first key at fault; the zero key: the change as a whole
+	Key    Key // the first invalid key; the zero Key if the reason concerns the whole change
 	Reason error
 }
 
-// Error names the key and the reason.
+// Error returns the key and the reason.
 func (r *Refusal) Error() string {
 	if r.Key == (Key{}) {
 		return "records: change refused: " + r.Reason.Error()
@@ -149,10 +149,10 @@
 	return fmt.Sprintf("records: change refused: %s: %v", r.Key, r.Reason)
 }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (r *Refusal) Unwrap() error { return r.Reason }
 
-// Check refuses a change whose form is wrong. What a value means is not looked at here.
+// Check refuses a malformed change. It does not interpret the values; CheckValue does.
 func (c Change) Check() error {
 	n := len(c.Puts) + len(c.Deletes)
 	switch {
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// Check tells whether a commit that came from elsewhere has the form of one.
+// Check reports whether a commit received from another process is well-formed.
 func (c Commit) Check() error { return Change{Puts: c.Puts, Deletes: c.Deletes}.Check() }
 
 func validName(name string) bool {
@@ -210,22 +210,22 @@
 	return true
 }
 
-// RouteValue is the value of a route, as JSON.
+// RouteValue is the value of a route, encoded as JSON.
 type RouteValue struct {
 	Service string   `json:"service"`
 	Class   string   `json:"class"`
-	Group   string   `json:"group"`             // of the inventory
+	Group   string   `json:"group"`             // a group of the inventory
 	Weight  float64  `json:"weight"`            // above 0
-	Regions []string `json:"regions,omitempty"` // where it holds; none: everywhere
+	Regions []string `json:"regions,omitempty"` // the regions in which the route applies; empty: all
 }
 
-// TenantValue is the value of a tenant, as JSON.
+// TenantValue is the value of a tenant, encoded as JSON.
 type TenantValue struct {
-	Share float64 `json:"share"` // of the whole, from 0 to 1
-	Limit float64 `json:"limit"` // requests a second, above 0
+	Share float64 `json:"share"` // fraction of the total, from 0 to 1
+	Limit float64 `json:"limit"` // requests per second, above 0
 }
 
-// CheckValue refuses a route or a tenant whose value makes no sense. Settings are checked by those who use them.
+// CheckValue refuses a route or a tenant with an invalid value. Settings are validated by the code that uses them.
 func CheckValue(p Put) error {
 	fail := func(format string, a ...any) error {
 		return &Refusal{p.Key, fmt.Errorf("%w: "+format, append([]any{ErrRejected}, a...)...)}
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -13,7 +13,7 @@
 
 func tenantPut(name, value string) Put { return Put{Key{Tenant, name}, []byte(value)} }
 
-// A change whose form is wrong is refused with its key and reason, and nothing of it is carried out.
+// An invalid or conflicting change must be refused with its key and reason, and none of its puts and deletes applied.
 func TestChangesAreRefusedWhole(t *testing.T) {
 	s := NewSet(DefaultLimits)
 	if _, err := s.Apply(Change{Puts: []Put{tenantPut("a", "1"), tenantPut("b", "1")}}); err != nil {
@@ -39,17 +39,17 @@
 		key    Key
 		reason error
 	}{
-		"empty":           {Change{}, Key{}, ErrEmpty},
-		"unknown kind":    {Change{Puts: []Put{good, {Key{9, "x"}, nil}}}, Key{9, "x"}, ErrKind},
-		"no name":         {Change{Puts: []Put{good, tenantPut("", "1")}}, Key{Tenant, ""}, ErrName},
-		"a space":         {Change{Puts: []Put{good, tenantPut("a b", "1")}}, Key{Tenant, "a b"}, ErrName},
-		"twice":           {Change{Puts: []Put{good}, Deletes: []Key{good.Key}}, good.Key, ErrTwice},
-		"a large value":   {Change{Puts: []Put{good, tenantPut("x", strings.Repeat("x", MaxTenant+1))}}, Key{Tenant, "x"}, ErrTooLarge},
-		"many keys":       {Change{Puts: many}, Key{}, ErrTooLarge},
-		"many bytes":      {heavy, Key{}, ErrTooLarge},
-		"stale":           {Change{Base: 1, Puts: []Put{good, tenantPut("a", "3")}}, Key{Tenant, "a"}, ErrStale},
-		"stale delete":    {Change{Base: 2, Deletes: []Key{good.Key, {Tenant, "b"}}}, Key{Tenant, "b"}, ErrStale},
-		"from the future": {Change{Base: 4, Puts: []Put{good}}, Key{}, ErrFuture},
+		"empty change":   {Change{}, Key{}, ErrEmpty},
+		"unknown kind":   {Change{Puts: []Put{good, {Key{9, "x"}, nil}}}, Key{9, "x"}, ErrKind},
+		"empty name":     {Change{Puts: []Put{good, tenantPut("", "1")}}, Key{Tenant, ""}, ErrName},
+		"space in name":  {Change{Puts: []Put{good, tenantPut("a b", "1")}}, Key{Tenant, "a b"}, ErrName},
+		"duplicate key":  {Change{Puts: []Put{good}, Deletes: []Key{good.Key}}, good.Key, ErrTwice},
+		"large value":    {Change{Puts: []Put{good, tenantPut("x", strings.Repeat("x", MaxTenant+1))}}, Key{Tenant, "x"}, ErrTooLarge},
+		"too many keys":  {Change{Puts: many}, Key{}, ErrTooLarge},
+		"too many bytes": {heavy, Key{}, ErrTooLarge},
+		"stale put":      {Change{Base: 1, Puts: []Put{good, tenantPut("a", "3")}}, Key{Tenant, "a"}, ErrStale},
+		"stale delete":   {Change{Base: 2, Deletes: []Key{good.Key, {Tenant, "b"}}}, Key{Tenant, "b"}, ErrStale},
+		"future base":    {Change{Base: 4, Puts: []Put{good}}, Key{}, ErrFuture},
 	} {
 		_, err := s.Apply(c.change)
 		var refusal *Refusal
@@ -57,15 +57,16 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if s.Revision() != 3 || s.Digest() != before {
-			t.Fatalf("%s: something was carried out", name)
+			t.Fatalf("%s: the records changed", name)
 		}
 	}
 	if _, err := s.Apply(Change{Base: 2, Puts: []Put{good, tenantPut("a", "3")}}); err != nil {
-		t.Errorf("a change on the latest of its keys: %v", err)
+		t.Errorf("change based on the latest revision of its keys: %v", err)
 	}
 }
 
-// Random changes on a table against a plain map; followers of the commits, snapshots and frozen sets have the same.
+// Applies random changes and compares the table with a plain map. Followers of the commits, snapshots and point-in-time copies
+// must hold the same records.
 func TestTableAgainstAMap(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -88,7 +89,7 @@
 				t.Fatal(err)
 			}
 			if s.Table().Len() != len(plain) {
-				t.Fatalf("seed %d: %d records of %d", seed, s.Table().Len(), len(plain))
+				t.Fatalf("seed %d: got %d records, want %d", seed, s.Table().Len(), len(plain))
 			}
 		}
 		sameRecords(t, s.Table(), plain)
@@ -106,24 +107,25 @@
 		}
 		sameRecords(t, table, plain)
 		thawed := thaw(t, s)
-		for _, base := range []uint64{s.Revision() - 40, s.Revision() - 1} { // what is stale is so on every copy
+		for _, base := range []uint64{s.Revision() - 40, s.Revision() - 1} { // every replica must refuse the same changes as stale
 			for range 200 {
 				c := randomChange(rng)
 				c.Base = base
 				_, a := thaw(t, s).Apply(c)
 				_, b := thaw(t, thawed).Apply(c)
 				if fmt.Sprint(a) != fmt.Sprint(b) {
-					t.Fatalf("seed %d: %v and %v", seed, a, b)
+					t.Fatalf("seed %d: results differ: %v and %v", seed, a, b)
 				}
 				break
 			}
 		}
 		if s.Floor() != s.Revision()-50 || thawed.Floor() != s.Floor() {
-			t.Errorf("seed %d: floors %d and %d at %d", seed, s.Floor(), thawed.Floor(), s.Revision())
+			t.Errorf("seed %d: oldest revisions %d and %d at revision %d", seed, s.Floor(), thawed.Floor(), s.Revision())
 		}
 	}
 }
 
+// thaw returns a copy of the set that was encoded as JSON and decoded again.
 func thaw(t *testing.T, s *Set) *Set {
 	t.Helper()
 	b, err := json.Marshal(s.Freeze())
@@ -161,15 +163,16 @@
 		found[r.Key] = string(r.Value)
 	}
 	if !maps.Equal(found, plain) {
-		t.Errorf("%d records, and %d are wanted", len(found), len(plain))
+		t.Errorf("the records differ: got %d, want %d", len(found), len(plain))
 	}
 	for k, v := range plain {
 		if got, _, ok := table.Get(k); !ok || string(got) != v {
-			t.Fatalf("%s is not found", k)
+			t.Fatalf("%s is missing or has another value", k)
 		}
 	}
 }
 
+// sumOf recomputes the digest of a table from its shards.
 func sumOf(t *Table) (d Digest) {
 	for i := range uint64(shards) {
 		d.merge(t.PartDigest(i))
@@ -177,7 +180,7 @@
 	return d
 }
 
-// A clone stays as it was while the table goes on, and can be written to by itself.
+// A clone shares entries with its table. Writes to either must not appear in the other.
 func TestClonesAreApart(t *testing.T) {
 	table := NewTable()
 	for i := range 3000 {
@@ -188,20 +191,20 @@
 		table.Put(Record{Key{Tenant, fmt.Sprint(i)}, []byte("after"), 2})
 	}
 	if clone.Digest() != digest || sumOf(clone) != digest {
-		t.Error("the clone changed")
+		t.Error("a write to the table changed the clone")
 	}
 	for i := range 10 {
 		clone.Put(Record{Key{Tenant, fmt.Sprint(i)}, []byte("elsewhere"), 3})
 	}
 	if v, _, _ := table.Get(Key{Tenant, "3"}); string(v) != "after" {
-		t.Errorf("the table has %q", v)
+		t.Errorf("a write to the clone changed the table: %q", v)
 	}
 	if sumOf(table) != table.Digest() || sumOf(clone) != clone.Digest() {
-		t.Error("a digest is not that of the records")
+		t.Error("the digest does not match the records")
 	}
 }
 
-// Space of records that were replaced is used again.
+// The memory of replaced records must be reclaimed; otherwise a table with frequent updates would grow without bound.
 func TestReplacedRecordsTakeNoRoom(t *testing.T) {
 	table := NewTable()
 	for round := range 200 {
@@ -210,11 +213,11 @@
 		}
 	}
 	if most := 16 * 6 * chunkBytes; table.Bytes() > most {
-		t.Errorf("%d bytes for %d of records, %d at most", table.Bytes(), 500*1000, most)
+		t.Errorf("table uses %d bytes for %d bytes of values, want at most %d", table.Bytes(), 500*1000, most)
 	}
 }
 
-// Followers refuse what is not the next commit of the same records.
+// Followers must refuse a missing, duplicate, reordered or divergent commit.
 func TestFollowersRefuseWhatDoesNotFollow(t *testing.T) {
 	s := NewSet(DefaultLimits)
 	var commits []Commit
@@ -228,26 +231,26 @@
 	other := commits[2]
 	other.Puts = []Put{tenantPut("2", "y")}
 	for name, order := range map[string][]Commit{
-		"one left out": {commits[0], commits[2]},
-		"one twice":    {commits[0], commits[0]},
+		"missing":      {commits[0], commits[2]},
+		"duplicate":    {commits[0], commits[0]},
 		"out of order": {commits[1]},
-		"another":      {commits[0], commits[1], other},
+		"divergent":    {commits[0], commits[1], other},
 	} {
 		f, m, failed := NewSet(Limits{}), Marker{}, false
 		for _, c := range order {
 			var e *OrderError
 			failed = errors.As(f.Follow(c), &e)
-			if marked := m.Follow(c) != nil; marked != failed && name != "another" {
-				t.Errorf("%s: a marker and a set differ", name)
+			if marked := m.Follow(c) != nil; marked != failed && name != "divergent" {
+				t.Errorf("%s: the marker and the set disagree", name)
 			}
 		}
 		if !failed {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: the commit was accepted", name)
 		}
 	}
 }
 
-// A snapshot that was spoilt anywhere is refused, and takes no more memory than its bounds.
+// A corrupt snapshot must be refused with ErrSpoilt: changed, missing or reordered chunks, or a header that does not match.
 func TestSpoiltSnapshotsAreRefused(t *testing.T) {
 	table := NewTable()
 	for i := range 9000 {
@@ -258,15 +261,15 @@
 		t.Fatal(err, whole.Pieces)
 	}
 	for name, change := range map[string]func(s *Snapshot){
-		"a byte":            func(s *Snapshot) { s.Content[1].Data[9] ^= 1 },
-		"a piece left out":  func(s *Snapshot) { s.Content = append(s.Content[:1], s.Content[2:]...) },
-		"a piece cut off":   func(s *Snapshot) { s.Content = s.Content[:len(s.Content)-1] },
-		"two exchanged":     func(s *Snapshot) { s.Content[0], s.Content[1] = s.Content[1], s.Content[0] },
-		"another digest":    func(s *Snapshot) { s.Digest.lo++ },
-		"fewer records":     func(s *Snapshot) { s.Records-- },
-		"more records":      func(s *Snapshot) { s.Records++ },
-		"no end of pieces":  func(s *Snapshot) { s.Pieces = maxPieces + 1 },
-		"pieces of nothing": func(s *Snapshot) { s.Records = 0 },
+		"corrupted byte":     func(s *Snapshot) { s.Content[1].Data[9] ^= 1 },
+		"missing chunk":      func(s *Snapshot) { s.Content = append(s.Content[:1], s.Content[2:]...) },
+		"missing last chunk": func(s *Snapshot) { s.Content = s.Content[:len(s.Content)-1] },
+		"reordered chunks":   func(s *Snapshot) { s.Content[0], s.Content[1] = s.Content[1], s.Content[0] },
+		"other digest":       func(s *Snapshot) { s.Digest.lo++ },
+		"fewer records":      func(s *Snapshot) { s.Records-- },
+		"more records":       func(s *Snapshot) { s.Records++ },
+		"too many chunks":    func(s *Snapshot) { s.Pieces = maxPieces + 1 },
+		"no records":         func(s *Snapshot) { s.Records = 0 },
 	} {
 		s := &Snapshot{Header: whole.Header}
 		for _, p := range whole.Content {
@@ -283,7 +286,7 @@
 	}
 }
 
-// FuzzPieces decodes what anybody may send as a piece.
+// FuzzPieces decodes arbitrary bytes from an untrusted peer as a snapshot chunk.
 func FuzzPieces(f *testing.F) {
 	table := NewTable()
 	for i := range 30 {
@@ -302,12 +305,12 @@
 		}
 		defer a.Close()
 		if a.Add(Piece{Checksum: Checksum(data), Data: data}) == nil && a.table.Digest() != sumOf(a.table) {
-			t.Error("a digest is not that of the records")
+			t.Error("the digest does not match the records")
 		}
 	})
 }
 
-// A packed commit is read as what it was, and no part of one is taken for a whole.
+// A packed commit must decode to the original, and a truncated or extended one must be rejected.
 func TestPackedCommits(t *testing.T) {
 	s := NewSet(DefaultLimits)
 	for _, c := range []Change{
@@ -326,20 +329,20 @@
 			t.Fatal(err)
 		}
 		if want, text := fmt.Sprintf("%+v", commit), fmt.Sprintf("%+v", got); text != want {
-			t.Errorf("%s was packed, %s is read", want, text)
+			t.Errorf("packed %s, decoded %s", want, text)
 		}
 		for n := range min(len(packed), 1000) {
 			if _, err := ParseCommit(packed[:n]); !errors.Is(err, ErrMalformed) {
-				t.Errorf("%d of %d bytes: %v", n, len(packed), err)
+				t.Errorf("truncated to %d of %d bytes: %v", n, len(packed), err)
 			}
 		}
 		if _, err := ParseCommit(append(packed, 0)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("a byte more: %v", err)
+			t.Errorf("with a trailing byte: %v", err)
 		}
 	}
 }
 
-// FuzzCommits decodes what anybody may send as a commit.
+// FuzzCommits decodes arbitrary bytes from an untrusted peer as a commit.
 func FuzzCommits(f *testing.F) {
 	s := NewSet(DefaultLimits)
 	c, err := s.Apply(Change{Puts: []Put{tenantPut("a", "1")}})
@@ -355,16 +358,16 @@
 			return
 		}
 		if again, err := ParseCommit(AppendCommit(nil, c)); err != nil || fmt.Sprint(again) != fmt.Sprint(c) {
-			t.Errorf("%+v is read as %+v once it is packed again: %v", c, again, err)
+			t.Errorf("%+v decodes as %+v after packing: %v", c, again, err)
 		}
 		set := NewSet(DefaultLimits)
 		if err := set.Follow(c); err == nil && (set.Revision() != 1 || set.Digest() != c.After || c.Check() != nil) {
-			t.Error("a commit was taken that does not hold")
+			t.Error("an invalid commit was accepted")
 		}
 	})
 }
 
-// sizedKind is a kind of records with the sizes at which it is measured, and what the records of docs/CAPACITY.md look like.
+// sizedKind is a kind of record with the table sizes to benchmark; put returns records like those described in docs/CAPACITY.md.
 type sizedKind struct {
 	kind  Kind
 	name  string
@@ -382,7 +385,7 @@
 	}},
 }
 
-// filled is a table with n records of the kind.
+// filled returns a table with n records of the kind.
 func (k sizedKind) filled(n int) *Table {
 	table := NewTable()
 	for i := range n {
@@ -392,7 +395,7 @@
 	return table
 }
 
-// BenchmarkTable measures what records take, and what a change of them costs.
+// BenchmarkTable measures the memory use of a table and the cost of replacing a record.
 func BenchmarkTable(b *testing.B) {
 	for _, k := range sizedKinds {
 		for _, n := range k.sizes {
@@ -411,7 +414,7 @@
 	}
 }
 
-// BenchmarkSnapshot measures a snapshot's making and taking.
+// BenchmarkSnapshot measures creating and assembling a snapshot.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, k := range sizedKinds {
 		for _, n := range k.sizes {
@@ -437,7 +440,7 @@
 	}
 }
 
-// BenchmarkCommit measures a commit's packing and reading, by the records that it puts.
+// BenchmarkCommit measures packing and parsing a commit, by its number of puts.
 func BenchmarkCommit(b *testing.B) {
 	for _, n := range []int{3, 10, 30, 100} {
 		var c Commit
--- a/internal/records/set.go
+++ b/internal/records/set.go
@@ -2,43 +2,44 @@
 
 import "fmt"
 
-// Limits bound the commits that a Set remembers. What is older is compacted: a watch from before it needs a snapshot.
+// Limits bound the history of commits that a Set retains. Older commits are compacted: a watcher at an older revision needs a
+// snapshot.
 type Limits struct {
-	Commits int // at most
-	Bytes   int // of them, at most, but for the latest
+	Commits int // maximum number of commits
+	Bytes   int // maximum total size of the commits, in bytes; the latest commit is retained whatever its size
 }
 
-// DefaultLimits hold the changes of some eight hours at 24,000 a day.
+// DefaultLimits retain about eight hours of changes at 24,000 changes a day.
 var DefaultLimits = Limits{Commits: 8192, Bytes: 16 << 20}
 
-// Set is the agreed state: records, revision and the latest commits. The same changes in the same order give the same Set on
-// every copy. It is not safe for concurrent use.
+// Set is the replicated state: the records, the revision and the latest commits. It is deterministic: the same changes in the
+// same order produce the same Set on every replica. It is not safe for concurrent use.
 type Set struct {
 	limits   Limits
 	table    *Table
 	revision uint64
 
-	history []Commit       // the latest last, without gaps up to revision
-	bytes   int            // of the history
-	deleted map[Key]uint64 // keys that a commit of the history deleted and none put again, with its revision
+	history []Commit       // oldest first, without gaps, up to revision
+	bytes   int            // size of the history, in bytes
+	deleted map[Key]uint64 // keys deleted by a commit in the history and not put since, with the revision of the deletion
 }
 
-// NewSet is the empty set at revision 0.
+// NewSet returns an empty set at revision 0.
 func NewSet(l Limits) *Set { return &Set{limits: l, table: NewTable(), deleted: map[Key]uint64{}} }
 
-// Revision counts the commits.
+// Revision returns the revision of the latest commit, which is the number of commits so far.
 func (s *Set) Revision() uint64 { return s.revision }
 
-// Digest sums all records.
+// Digest returns the digest of all records.
 func (s *Set) Digest() Digest { return s.table.Digest() }
 
-// Table is the records; it must not be changed, and not be kept but as a Clone.
+// Table returns the records. The caller must not change the table, and must use a Clone to retain it.
 func (s *Set) Table() *Table { return s.table }
 
-// Floor is the earliest revision from which Since can tell what came after.
+// Floor returns the oldest revision for which Since can list all later commits.
 func (s *Set) Floor() uint64 { return s.revision - uint64(len(s.history)) }
 
-// Apply carries a change out, whole or not at all; a *Refusal names the key and the reason.
+// Apply applies a change atomically. If the change is refused, the error is a *Refusal with the key and the reason.
 func (s *Set) Apply(c Change) (Commit, error) {
 	if err := c.Check(); err != nil {
 		return Commit{}, err
@@ -53,15 +54,15 @@
 	return commit, nil
 }
 
-// checkBase refuses a change one of whose keys was changed after the revision that it rests on.
+// checkBase refuses a change if one of its keys was changed after the base revision.
 func (s *Set) checkBase(c Change) error {
 	switch {
 	case c.Base == 0:
 		return nil
 	case c.Base > s.revision:
-		return &Refusal{Reason: fmt.Errorf("%w: it rests on %d, and %d is the latest", ErrFuture, c.Base, s.revision)}
+		return &Refusal{Reason: fmt.Errorf("%w: the base revision is %d, the latest is %d", ErrFuture, c.Base, s.revision)}
 	case c.Base < s.Floor():
-		return &Refusal{Reason: fmt.Errorf("%w: it rests on %d, and what changed before %d is not known", ErrCompacted, c.Base, s.Floor())}
+		return &Refusal{Reason: fmt.Errorf("%w: the base revision is %d, the oldest retained is %d", ErrCompacted, c.Base, s.Floor())}
 	}
 	check := func(k Key) error {
 		_, revision, _ := s.table.Get(k)
@@ -95,7 +96,7 @@
 	s.revision = c.Revision
 }
 
-// remember keeps a commit and compacts what is over the limits.
+// remember appends a commit to the history and drops the oldest commits that exceed the limits.
 func (s *Set) remember(c Commit) {
 	s.history = append(s.history, c)
 	s.bytes += c.Size()
@@ -114,32 +115,33 @@
 	s.history = s.history[drop:]
 }
 
-// Since lists the commits after a revision, in order. ErrCompacted: some of them are not held any more.
+// Since returns the commits after a revision, in order. It returns ErrCompacted if some of them are no longer retained.
 func (s *Set) Since(revision uint64) ([]Commit, error) {
 	switch {
 	case revision > s.revision:
-		return nil, fmt.Errorf("records: %w: %d, and %d is the latest", ErrFuture, revision, s.revision)
+		return nil, fmt.Errorf("records: %w: %d, the latest is %d", ErrFuture, revision, s.revision)
 	case revision < s.Floor():
-		return nil, fmt.Errorf("records: %w: %d, and %d is the earliest", ErrCompacted, revision, s.Floor())
+		return nil, fmt.Errorf("records: %w: %d, the oldest retained is %d", ErrCompacted, revision, s.Floor())
 	}
 	return s.history[revision-s.Floor():], nil
 }
 
-// OrderError tells that a commit is not the next one of what a follower holds.
+// OrderError is the error of a commit that does not follow the state to which it is applied.
 type OrderError struct {
-	Held, Came uint64 // revisions
-	Differ     bool   // the revisions follow, but the records are not the same
+	Held, Came uint64 // the revision of the state and that of the commit
+	Differ     bool   // the revisions are consecutive, but the digests of the records differ
 }
 
-// Error tells which.
+// Error describes the mismatch.
 func (e *OrderError) Error() string {
 	if e.Differ {
-		return fmt.Sprintf("records: commit %d rests on other records than are held", e.Came)
+		return fmt.Sprintf("records: commit %d does not match the digest of the records", e.Came)
 	}
-	return fmt.Sprintf("records: commit %d does not follow %d", e.Came, e.Held)
+	return fmt.Sprintf("records: commit %d does not follow revision %d", e.Came, e.Held)
 }
 
-// Follow carries a commit out that was agreed on elsewhere. It has to be the next one, of the same records.
+// Follow applies a commit that was agreed on elsewhere. It must have the next revision, and its digests must match the records
+// before and after it.
 func (s *Set) Follow(c Commit) error {
 	switch {
 	case c.Revision != s.revision+1:
@@ -158,14 +160,14 @@
 	return nil
 }
 
-// Marker follows commits without holding records: it sees from the digests alone that none is left out, doubled or of other
-// records. For followers of which many run in one process.
+// Marker follows commits without holding records: it detects missing, duplicate and divergent commits from the digests alone. It
+// serves processes that run many followers.
 type Marker struct {
 	Revision uint64
 	Digest   Digest
 }
 
-// Follow takes the next commit.
+// Follow checks that a commit is the next one and advances to it.
 func (m *Marker) Follow(c Commit) error {
 	switch {
 	case c.Revision != m.Revision+1:
@@ -177,7 +179,7 @@
 	return nil
 }
 
-// Adopt takes the records of a snapshot in place of all that is held; the history begins anew.
+// Adopt replaces all records with those of a snapshot and clears the history. The set takes ownership of the table.
 func (s *Set) Adopt(t *Table, revision uint64) {
 	s.table, s.revision = t, revision
 	s.history, s.bytes, s.deleted = nil, 0, map[Key]uint64{}
--- a/internal/records/snapshot.go
+++ b/internal/records/snapshot.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	pieceBytes    = 256 << 10                  // of packed records in one piece, but for the last record
-	maxPieceBytes = pieceBytes + 2*MaxSetting  // of a piece that is taken
-	maxPieces     = 1 << 16                    // of a snapshot that is taken
-	maxRecords    = 1 << 24                    // of a snapshot that is taken
-	maxCompressed = maxPieceBytes + pieceBytes // of a piece as it is sent
+	pieceBytes    = 256 << 10                  // bytes of packed records after which a new chunk begins
+	maxPieceBytes = pieceBytes + 2*MaxSetting  // maximum decompressed size of a received chunk, in bytes
+	maxPieces     = 1 << 16                    // maximum number of chunks in a received snapshot
+	maxRecords    = 1 << 24                    // maximum number of records in a received snapshot
+	maxCompressed = maxPieceBytes + pieceBytes // maximum compressed size of a received chunk, in bytes
 )
 
-// ErrSpoilt is the error of a snapshot that is not what its header says.
-var ErrSpoilt = errors.New("records: spoilt snapshot")
+// ErrSpoilt is the error of a snapshot that is damaged or does not match its header.
+var ErrSpoilt = errors.New("records: corrupt snapshot")
 
-// Header tells what a snapshot holds.
+// Header describes the content of a snapshot.
 type Header struct {
 	Revision uint64 `json:"revision"`
 	Digest   Digest `json:"digest"`
 	Records  int    `json:"records"`
 	Pieces   int    `json:"pieces"`
-	Bytes    int64  `json:"bytes"` // of all pieces, compressed
+	Bytes    int64  `json:"bytes"` // total compressed size of the chunks
 }
 
-// Piece is a part of a snapshot.
+// Piece is a chunk of a snapshot.
 type Piece struct {
-	Number   int    `json:"number"` // from 0
+	Number   int    `json:"number"` // starting at 0
 	Checksum uint64 `json:"checksum"`
 	Data     []byte `json:"data"` // packed records, compressed
 }
 
-// Snapshot is all records as of one revision, in compressed pieces.
+// Snapshot holds all records as of one revision, in compressed chunks.
 type Snapshot struct {
 	Header
 	Content []Piece
 }
 
-// NewSnapshot compresses a table that nobody changes meanwhile.
+// NewSnapshot compresses a table, which must not change until it returns.
 func NewSnapshot(t *Table, revision uint64) (*Snapshot, error) {
 	z, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(pieceBytes))
 	if err != nil {
@@ -59,7 +59,7 @@
 	return s, nil
 }
 
-// packs gathers packed records into pieces; a piece is valid until the next one.
+// packs iterates over the packed records, grouped into chunks; a chunk is valid until the next iteration.
 func packs(t *Table) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		var b []byte
@@ -80,7 +80,7 @@
 	}
 }
 
-// Assembler puts a snapshot together from pieces that come in order.
+// Assembler builds a table from the chunks of a snapshot, which must arrive in order.
 type Assembler struct {
 	header Header
 	next   int
@@ -89,10 +89,11 @@
 	z      *zstd.Decoder
 }
 
-// NewAssembler begins a snapshot. Without keep the records are checked and not held, for followers that hold digests alone.
+// NewAssembler returns an assembler for the snapshot with the given header. Without keep it verifies the records but does not
+// store them, for followers that hold only digests.
 func NewAssembler(h Header, keep bool) (*Assembler, error) {
 	if h.Pieces < 0 || h.Pieces > maxPieces || h.Records < 0 || h.Records > maxRecords || (h.Pieces == 0) != (h.Records == 0) {
-		return nil, fmt.Errorf("%w: %d records in %d pieces", ErrSpoilt, h.Records, h.Pieces)
+		return nil, fmt.Errorf("%w: header with %d records in %d chunks", ErrSpoilt, h.Records, h.Pieces)
 	}
 	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPieceBytes), zstd.WithDecoderLowmem(true))
 	if err != nil {
@@ -101,27 +102,27 @@
 	return &Assembler{header: h, table: NewTable(), keep: keep, z: z}, nil
 }
 
-// Close frees what the assembler holds besides the table.
+// Close releases the resources of the assembler, except for the table.
 func (a *Assembler) Close() { a.z.Close() }
 
-// Add takes the next piece.
+// Add verifies and adds the next chunk.
 func (a *Assembler) Add(p Piece) error {
 	switch {
 	case p.Number != a.next || p.Number >= a.header.Pieces:
-		return fmt.Errorf("%w: piece %d in place of %d of %d", ErrSpoilt, p.Number, a.next, a.header.Pieces)
+		return fmt.Errorf("%w: got chunk %d, expected chunk %d of %d", ErrSpoilt, p.Number, a.next, a.header.Pieces)
 	case len(p.Data) > maxCompressed:
-		return fmt.Errorf("%w: piece %d has %d bytes", ErrSpoilt, p.Number, len(p.Data))
+		return fmt.Errorf("%w: chunk %d is too large: %d bytes", ErrSpoilt, p.Number, len(p.Data))
 	case Checksum(p.Data) != p.Checksum:
-		return fmt.Errorf("%w: piece %d has another checksum", ErrSpoilt, p.Number)
+		return fmt.Errorf("%w: checksum mismatch in chunk %d", ErrSpoilt, p.Number)
 	}
 	packed, err := a.z.DecodeAll(p.Data, nil)
 	if err != nil {
-		return fmt.Errorf("%w: piece %d: %v", ErrSpoilt, p.Number, err)
+		return fmt.Errorf("%w: chunk %d: %v", ErrSpoilt, p.Number, err)
 	}
 	for len(packed) > 0 {
 		e, err := parseEntry(packed)
 		if err != nil {
-			return fmt.Errorf("%w: piece %d: %v", ErrSpoilt, p.Number, err)
+			return fmt.Errorf("%w: chunk %d: %v", ErrSpoilt, p.Number, err)
 		}
 		if err := a.take(e, packed[:e.size]); err != nil {
 			return err
@@ -145,20 +146,20 @@
 	return nil
 }
 
-// Finish gives the table once all pieces have come. Without keep it is empty but for its digest and number.
+// Finish verifies that the snapshot is complete and returns the table. Without keep, the table has only its digest and length.
 func (a *Assembler) Finish() (*Table, error) {
 	switch {
 	case a.next != a.header.Pieces:
-		return nil, fmt.Errorf("%w: %d of %d pieces", ErrSpoilt, a.next, a.header.Pieces)
+		return nil, fmt.Errorf("%w: incomplete: %d of %d chunks", ErrSpoilt, a.next, a.header.Pieces)
 	case a.table.Len() != a.header.Records:
-		return nil, fmt.Errorf("%w: %d of %d records", ErrSpoilt, a.table.Len(), a.header.Records)
+		return nil, fmt.Errorf("%w: incomplete: %d of %d records", ErrSpoilt, a.table.Len(), a.header.Records)
 	case a.table.Digest() != a.header.Digest:
-		return nil, fmt.Errorf("%w: another digest", ErrSpoilt)
+		return nil, fmt.Errorf("%w: digest mismatch", ErrSpoilt)
 	}
 	return a.table, nil
 }
 
-// Assemble makes a table of a whole snapshot.
+// Assemble returns the table of a complete snapshot.
 func (s *Snapshot) Assemble() (*Table, error) {
 	a, err := NewAssembler(s.Header, true)
 	if err != nil {
--- a/internal/records/table.go
+++ b/internal/records/table.go
@@ -9,45 +9,47 @@
 )
 
 const (
-	shards     = 16 // by hash; copies of the store compare one of them at a time
-	chunkBytes = 256 << 10
-	alignment  = 8 // positions in chunks are counted in so many bytes, so that 32 bits reach far
-	minSlots   = 16
+	shards     = 16        // number of shards; store replicas compare the digests of one shard at a time
+	chunkBytes = 256 << 10 // size of a page, in bytes
+	alignment  = 8         // bytes; positions count in this unit, so that 32 bits address 32 GiB per shard
+	minSlots   = 16        // minimum number of slots in an index
 )
 
-// ErrMalformed is the error of bytes that are no record.
+// ErrMalformed is the error of bytes that do not encode a record or a commit.
 var ErrMalformed = errors.New("records: malformed record")
 
-// Table holds records, packed: the entries stand one behind the other in chunks without pointers, found by an index of
-// hashes. A pointer-free form keeps the memory of half a million records near their bytes and the collector's work small.
-// It is not safe for concurrent use. Entries are never changed in place, so a Clone may be read while the table goes on.
+// Table holds packed records: the entries are stored one after another in pages without pointers and found through a hash index.
+// The pointer-free form keeps the memory use of half a million records close to their encoded size, and the work of the garbage
+// collector small. A table is not safe for concurrent use. Entries are never changed in place, so a Clone can be read while the
+// table changes.
 type Table struct {
 	shards [shards]shard
 	digest Digest
 	count  int
 }
 
-// shard is a part of a table, by hash.
+// shard is the part of a table that holds the keys of one hash class.
 type shard struct {
 	chunks []chunk
-	slots  []uint32 // positions of entries, by hash, with linear probing; 0: free
+	slots  []uint32 // hash index with linear probing: positions of entries; 0: free
 	count  int
-	live   int // bytes of entries that are in the index
-	used   int // bytes of all entries in the chunks
+	live   int // bytes of the entries in the index
+	used   int // bytes of all entries in the pages, including those replaced or deleted
 }
 
+// chunk is a block of memory that holds entries.
 type chunk []byte
 
-// NewTable is an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{} }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (t *Table) Len() int { return t.count }
 
-// Digest sums all records.
+// Digest returns the digest of all records.
 func (t *Table) Digest() Digest { return t.digest }
 
-// Bytes is what the records and their index take, in bytes.
+// Bytes returns the memory use of the records and their index, in bytes.
 func (t *Table) Bytes() (n int) {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -56,7 +58,7 @@
 	return n
 }
 
-// appendEntry packs a record: kind, name, revision, value.
+// appendEntry appends the packed form of a record: kind, name, revision, value.
 func appendEntry(b []byte, r Record) []byte {
 	b = append(b, byte(r.Kind))
 	b = binary.AppendUvarint(b, uint64(len(r.Name)))
@@ -66,7 +68,7 @@
 	return append(b, r.Value...)
 }
 
-// entrySize is the length of a packed record.
+// entrySize returns the size of a packed record, in bytes.
 func entrySize(r Record) int {
 	return 1 + uvarintSize(uint64(len(r.Name))) + len(r.Name) + uvarintSize(r.Revision) + uvarintSize(uint64(len(r.Value))) + len(r.Value)
 }
@@ -76,7 +78,7 @@
 	return binary.PutUvarint(b[:], v)
 }
 
-// parsed is an entry in place: its parts point into the bytes that it was read from.
+// parsed is a decoded entry whose name and value refer to the bytes from which it was decoded.
 type parsed struct {
 	kind     Kind
 	name     []byte
@@ -85,7 +87,7 @@
 	size     int
 }
 
-// parseEntry reads the entry at the beginning of b.
+// parseEntry decodes the entry at the start of b.
 func parseEntry(b []byte) (e parsed, err error) {
 	if len(b) == 0 {
 		return e, ErrMalformed
@@ -124,7 +126,7 @@
 	return s.chunks[at/chunkBytes][at%chunkBytes:]
 }
 
-// Get finds a record. The value must not be changed.
+// Get returns the value and the revision of a record. The caller must not change the value.
 func (t *Table) Get(k Key) (value []byte, revision uint64, ok bool) {
 	h := hashKey(k.Kind, k.Name)
 	s := &t.shards[h%shards]
@@ -135,7 +137,7 @@
 	return nil, 0, false
 }
 
-// find is the slot of a key, or the free one in which it would stand.
+// find returns the slot of a key, or the free slot in which the key would be inserted.
 func (s *shard) find(h uint64, k Key) (slot int, found bool) {
 	if len(s.slots) == 0 {
 		return 0, false
@@ -151,7 +153,7 @@
 	}
 }
 
-// Put sets a record.
+// Put inserts or replaces a record.
 func (t *Table) Put(r Record) {
 	h := hashKey(r.Kind, r.Name)
 	s := &t.shards[h%shards]
@@ -174,7 +176,7 @@
 	}
 }
 
-// drop takes an entry out of the counts and returns its bytes; its slot is the caller's to fill.
+// drop subtracts an entry from the counts and returns its bytes. The caller reuses or frees the slot.
 func (s *shard) drop(i int) []byte {
 	b := s.entry(s.slots[i])
 	e, _ := parseEntry(b)
@@ -183,19 +185,19 @@
 	return b[:e.size]
 }
 
-// write appends an entry to the chunks.
+// write appends an entry to the pages.
 func (s *shard) write(r Record) (position uint32, entry []byte) {
 	size := entrySize(r)
 	last := len(s.chunks) - 1
 	if last < 0 || len(s.chunks[last])+size > chunkBytes {
 		fresh := make(chunk, 0, chunkBytes)
 		if last < 0 {
-			fresh = fresh[:alignment] // position 0 stands for a free slot
+			fresh = fresh[:alignment] // position 0 marks a free slot
 		}
 		s.chunks = append(s.chunks, fresh)
 		last++
 	}
-	if cap(s.chunks[last]) < chunkBytes { // the rest of it is another table's
+	if cap(s.chunks[last]) < chunkBytes { // a clone: the remaining capacity belongs to the other table
 		s.chunks[last] = append(make(chunk, 0, chunkBytes), s.chunks[last]...)
 	}
 	begin := len(s.chunks[last])
@@ -207,7 +209,7 @@
 	return uint32((last*chunkBytes + begin) / alignment), entry
 }
 
-// Delete removes a record; false: it was not there.
+// Delete removes a record and reports whether it existed.
 func (t *Table) Delete(k Key) bool {
 	h := hashKey(k.Kind, k.Name)
 	s := &t.shards[h%shards]
@@ -221,7 +223,7 @@
 	return true
 }
 
-// closeGap frees a slot and moves back those behind it that would not be found past a free one.
+// closeGap frees a slot and shifts back the following entries that linear probing would no longer reach.
 func (s *shard) closeGap(gap int) {
 	mask := len(s.slots) - 1
 	s.slots[gap] = 0
@@ -235,12 +237,12 @@
 	}
 }
 
-// grow doubles the index.
+// grow doubles the size of the index.
 func (s *shard) grow() {
 	s.rebuild(max(2*len(s.slots), minSlots), func(position uint32) uint32 { return position })
 }
 
-// compact leaves out the entries that are no longer in the index.
+// compact copies the entries in the index to new pages and drops the rest.
 func (s *shard) compact() {
 	old := *s
 	s.chunks, s.used = nil, 0
@@ -251,7 +253,7 @@
 	})
 }
 
-// rebuild makes the index anew, with positions moved.
+// rebuild creates an index of the given size, with each position mapped by move.
 func (s *shard) rebuild(size int, move func(uint32) uint32) {
 	old := s.slots
 	s.slots = make([]uint32, size)
@@ -269,7 +271,7 @@
 	}
 }
 
-// All walks the records, in no order. The values must not be changed.
+// All iterates over the records in no particular order. The caller must not change the values.
 func (t *Table) All() iter.Seq[Record] {
 	return func(yield func(Record) bool) {
 		for i := range t.shards {
@@ -283,7 +285,7 @@
 	}
 }
 
-// entries walks the packed entries.
+// entries iterates over the packed entries.
 func (s *shard) entries() iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for _, position := range s.slots {
@@ -299,7 +301,7 @@
 	}
 }
 
-// PartDigest sums one of sixteen parts from the entries as they stand in memory.
+// PartDigest recomputes the digest of one of the 16 shards from the entries in memory, so that it detects memory corruption.
 func (t *Table) PartDigest(part uint64) (d Digest) {
 	for entry := range t.shards[part%shards].entries() {
 		d.add(entry)
@@ -307,14 +309,14 @@
 	return d
 }
 
-// Clone copies the index and shares the entries, which are never changed in place.
+// Clone returns a copy of the table. It copies the index and shares the entries, which are never changed in place.
 func (t *Table) Clone() *Table {
 	c := *t
 	for i := range c.shards {
 		s := &c.shards[i]
 		s.slots = append([]uint32(nil), s.slots...)
 		s.chunks = append([]chunk(nil), s.chunks...)
-		if last := len(s.chunks) - 1; last >= 0 { // a clone that is written to must not write into the shared chunk
+		if last := len(s.chunks) - 1; last >= 0 { // cap the capacity: a write to the clone must not reach the shared page
 			s.chunks[last] = s.chunks[last][:len(s.chunks[last]):len(s.chunks[last])]
 		}
 	}
