--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -275,8 +275,8 @@
 // key is the record's, or an error that names the kind that there is not.
 func (k fileKey) key() (records.Key, error) {
 	var kind records.Kind
-	if err := kind.UnmarshalText([]byte(k.Kind)); err != nil || kind.MaxValue() == 0 {
-		return records.Key{}, fmt.Errorf("%w %q; there are %s, %s and %s", records.ErrKind, k.Kind, records.Route, records.Tenant, records.Setting)
+	if err := kind.UnmarshalText([]byte(k.Kind)); err != nil || kind.MaxValueBytes() == 0 {
+		return records.Key{}, fmt.Errorf("%w %q; there are %s, %s and %s", records.ErrUnknownKind, k.Kind, records.Route, records.Tenant, records.Setting)
 	}
 	return records.Key{Kind: kind, Name: k.Name}, nil
 }
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -54,7 +54,7 @@
 }
 
 func tenant(i, version int) records.Put {
-	v, _ := json.Marshal(records.TenantValue{Share: 0.0000025, Limit: float64(version%500) + 0.5})
+	v, _ := json.Marshal(records.TenantValue{Share: 0.0000025, RequestsPerSecond: float64(version%500) + 0.5})
 	return records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i)}, Value: v}
 }
 
--- a/internal/net/configwatch/client.go
+++ b/internal/net/configwatch/client.go
@@ -264,8 +264,8 @@
 		return skipper.Skip(commit)
 	}
 	err := f.Follow(commit)
-	var order *records.OrderError
-	if errors.As(err, &order) && order.Differ {
+	var order *records.SequenceError
+	if errors.As(err, &order) && order.DigestMismatch {
 		f.Discard(err) // and the next watch begins with a snapshot
 	}
 	return err
@@ -285,20 +285,20 @@
 		return err
 	}
 	s.assembler, s.header = a, h
-	if h.Pieces == 0 {
+	if h.ChunkCount == 0 {
 		return s.adopt()
 	}
 	return nil
 }
 
-func (s *stream) addPiece(p records.Piece) error {
+func (s *stream) addPiece(p records.Chunk) error {
 	if s.assembler == nil {
 		return errPiece
 	}
 	if err := s.assembler.Add(p); err != nil {
 		return err
 	}
-	if p.Number+1 < s.header.Pieces {
+	if p.Index+1 < s.header.ChunkCount {
 		return nil
 	}
 	return s.adopt()
--- a/internal/net/configwatch/configwatch_test.go
+++ b/internal/net/configwatch/configwatch_test.go
@@ -514,7 +514,7 @@
 	f := openFeed(t, distribution.Limits{Commits: 1, Bytes: 1 << 20, Watchers: 8, Snapshots: 4}, func(o *configwatch.ServerOptions) { o.SnapshotBytes = bytesASecond })
 	random := rand.NewChaCha8([32]byte{1})
 	for i := range 40 { // what can't be compressed
-		value := make([]byte, records.MaxSetting)
+		value := make([]byte, records.MaxSettingBytes)
 		random.Read(value)
 		f.mu.Lock()
 		commit, err := f.set.Apply(records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Setting, Name: fmt.Sprint(i)}, Value: value}}})
@@ -531,7 +531,7 @@
 	for _, w := range all {
 		w.level(t, f)
 	}
-	least := time.Duration(float64(watchers*40*records.MaxSetting-burst) / bytesASecond * float64(time.Second))
+	least := time.Duration(float64(watchers*40*records.MaxSettingBytes-burst) / bytesASecond * float64(time.Second))
 	if took := time.Since(began); took < least {
 		t.Errorf("%d snapshots took %s, at least %s is wanted", watchers, took, least)
 	}
--- a/internal/net/configwatch/server.go
+++ b/internal/net/configwatch/server.go
@@ -326,8 +326,8 @@
 	if err := frame.Send(conn, toWatcher{Header: &snapshot.Header}, maxMessage); err != nil {
 		return 0, err
 	}
-	for i := range snapshot.Content {
-		p := &snapshot.Content[i]
+	for i := range snapshot.Chunks {
+		p := &snapshot.Chunks[i]
 		if err := s.pace.WaitN(ctx, min(len(p.Data), snapshotBurst)); err != nil {
 			return 0, err
 		}
--- a/internal/net/configwatch/wire.go
+++ b/internal/net/configwatch/wire.go
@@ -64,7 +64,7 @@
 type toWatcher struct {
 	Commit    *records.Commit `json:"-"`
 	Header    *records.Header `json:"header,omitempty"` // a snapshot begins
-	Piece     *records.Piece  `json:"piece,omitempty"`
+	Piece     *records.Chunk  `json:"piece,omitempty"`
 	Heartbeat *uint64         `json:"heartbeat,omitempty"` // the latest revision
 	Refused   *Refused        `json:"refused,omitempty"`
 }
--- a/internal/recordfile/file.go
+++ b/internal/recordfile/file.go
@@ -30,8 +30,8 @@
 	blockEntry = 'C'     // packed commit
 )
 
-// ErrSpoilt is the error of a file that is damaged or of another format.
-var ErrSpoilt = errors.New("recordfile: corrupt file")
+// ErrCorrupt is the error of a file that is damaged or of another format.
+var ErrCorrupt = errors.New("recordfile: corrupt file")
 
 // Content is the content of a file.
 type Content struct {
@@ -43,7 +43,7 @@
 	tail int64 // size of the complete commit blocks, in bytes
 }
 
-// Read reads a file. The error is os.ErrNotExist if there is no file, and ErrSpoilt if it cannot be used.
+// Read reads a file. The error is os.ErrNotExist if there is no file, and ErrCorrupt if it cannot be used.
 func Read(path string) (*Content, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -53,10 +53,10 @@
 	r := &countingReader{r: bufio.NewReaderSize(f, 1<<20)}
 	head := make([]byte, len(magic)+1)
 	if _, err := io.ReadFull(r, head); err != nil || string(head[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: %s is not a records file", ErrSpoilt, path)
+		return nil, fmt.Errorf("%w: %s is not a records file", ErrCorrupt, path)
 	}
 	if head[len(magic)] != format {
-		return nil, fmt.Errorf("%w: %s has format version %d, this build reads version %d", ErrSpoilt, path, head[len(magic)], format)
+		return nil, fmt.Errorf("%w: %s has format version %d, this build reads version %d", ErrCorrupt, path, head[len(magic)], format)
 	}
 	c, err := readSnapshot(r)
 	if err == nil {
@@ -90,14 +90,14 @@
 	}
 	size := binary.BigEndian.Uint32(head[1:])
 	if size > maxBlock {
-		return 0, nil, fmt.Errorf("%w: block of %d bytes is too large", ErrSpoilt, size)
+		return 0, nil, fmt.Errorf("%w: block of %d bytes is too large", ErrCorrupt, size)
 	}
 	data = make([]byte, size)
 	if _, err := io.ReadFull(r, data); err != nil {
 		return 0, nil, io.ErrUnexpectedEOF
 	}
 	if records.Checksum(data)^uint64(head[0]) != binary.BigEndian.Uint64(head[5:]) {
-		return 0, nil, fmt.Errorf("%w: block checksum mismatch", ErrSpoilt)
+		return 0, nil, fmt.Errorf("%w: block checksum mismatch", ErrCorrupt)
 	}
 	return head[0], data, nil
 }
@@ -115,7 +115,7 @@
 	for number := 0; ; {
 		kind, data, err := readBlock(r)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			err = fmt.Errorf("%w: snapshot truncated", ErrSpoilt)
+			err = fmt.Errorf("%w: snapshot truncated", ErrCorrupt)
 		}
 		if err != nil {
 			return nil, err
@@ -129,19 +129,19 @@
 				defer assembler.Close()
 			}
 		case kind == blockPiece && assembler != nil:
-			err = assembler.Add(records.Piece{Number: number, Checksum: records.Checksum(data), Data: data})
+			err = assembler.Add(records.Chunk{Index: number, Checksum: records.Checksum(data), Data: data})
 			number++
 		case kind == blockDone && assembler != nil:
 			table, err := assembler.Finish()
 			if err != nil {
-				return nil, fmt.Errorf("%w: %v", ErrSpoilt, err)
+				return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 			}
 			return &Content{Table: table, Revision: header.Revision}, nil
 		default:
 			err = errors.New("unexpected block type")
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%w: %v", ErrSpoilt, err)
+			return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 		}
 		commit, err := records.ParseCommit(data)
 		if kind != blockEntry || err != nil || commit.Revision != next {
-			return fmt.Errorf("%w: expected commit %d", ErrSpoilt, next)
+			return fmt.Errorf("%w: expected commit %d", ErrCorrupt, next)
 		}
 		c.Commits = append(c.Commits, commit)
 		c.tail += r.n - c.end
@@ -207,7 +207,7 @@
 	w.WriteString(magic)
 	w.WriteByte(format)
 	w.Write(appendBlock(nil, blockHead, header))
-	for _, p := range s.Content {
+	for _, p := range s.Chunks {
 		w.Write(appendBlock(nil, blockPiece, p.Data))
 	}
 	w.Write(appendBlock(nil, blockDone, nil))
@@ -237,8 +237,8 @@
 	return err
 }
 
-// Commits returns the size of the commit blocks, in bytes. The caller uses it to decide when to write a new, shorter file.
-func (f *File) Commits() int64 { return f.commits }
+// CommitBytes returns the size of the commit blocks, in bytes. The caller uses it to decide when to write a new, shorter file.
+func (f *File) CommitBytes() int64 { return f.commits }
 
 // Close closes the file, which stays on the disk.
 func (f *File) Close() error { return f.f.Close() }
--- a/internal/recordfile/file_test.go
+++ b/internal/recordfile/file_test.go
@@ -80,13 +80,13 @@
 func (w *written) holds(t *testing.T, c *Content, n int) {
 	t.Helper()
 	set := records.NewSet(records.DefaultLimits)
-	set.Adopt(c.Table, c.Revision)
+	set.ReplaceTable(c.Table, c.Revision)
 	if len(c.Commits) != n {
 		t.Errorf("got %d commits, want %d", len(c.Commits), n)
 		return
 	}
 	for _, commit := range c.Commits {
-		if err := set.Follow(commit); err != nil {
+		if err := set.ApplyCommit(commit); err != nil {
 			t.Error(err)
 		}
 	}
@@ -109,7 +109,7 @@
 		}
 		c, err := Read(w.path)
 		if int64(size) < w.ends[0] {
-			if !errors.Is(err, ErrSpoilt) {
+			if !errors.Is(err, ErrCorrupt) {
 				t.Errorf("truncated to %d bytes, snapshot of %d bytes: %v", size, w.ends[0], err)
 			}
 			continue
@@ -140,7 +140,7 @@
 			t.Fatal(err)
 		}
 		c, err := Read(w.path)
-		if errors.Is(err, ErrSpoilt) {
+		if errors.Is(err, ErrCorrupt) {
 			continue
 		}
 		if err != nil || int64(at) < w.ends[0] {
@@ -173,8 +173,8 @@
 	if info, err := os.Stat(w.path); err != nil || info.Size() != w.ends[2] {
 		t.Errorf("the truncated block was not removed: %v, %v", info, err)
 	}
-	if want := w.ends[2] - w.ends[0]; f.Commits() != want {
-		t.Errorf("got %d bytes of commits, want %d", f.Commits(), want)
+	if want := w.ends[2] - w.ends[0]; f.CommitBytes() != want {
+		t.Errorf("got %d bytes of commits, want %d", f.CommitBytes(), want)
 	}
 	if err := f.Append(w.commits[2]); err != nil {
 		t.Fatal(err)
@@ -202,7 +202,7 @@
 		if err := os.WriteFile(w.path, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Read(w.path); !errors.Is(err, ErrSpoilt) {
+		if _, err := Read(w.path); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/records/frozen.go
+++ b/internal/records/frozen.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Frozen is a point-in-time copy of a Set, for the snapshots of the store's log. Taking it is cheap; the records are compressed
+// SetSnapshot is a point-in-time copy of a Set, for the snapshots of the store's log. Taking it is cheap; the records are compressed
 // later in MarshalJSON, while the Set keeps changing.
-type Frozen struct {
+type SetSnapshot struct {
 	table    *Table
 	revision uint64
 	history  []Commit
@@ -16,19 +16,19 @@
 // frozenJSON is the JSON encoding of a Frozen.
 type frozenJSON struct {
 	Header  Header   `json:"header"`
-	Pieces  []Piece  `json:"pieces"`
+	Pieces  []Chunk  `json:"pieces"`
 	History []Commit `json:"history,omitempty"`
 }
 
-// Freeze returns a point-in-time copy of the set.
-func (s *Set) Freeze() *Frozen {
-	return &Frozen{table: s.table.Clone(), revision: s.revision, history: slices.Clone(s.history)}
+// Snapshot returns a point-in-time copy of the set.
+func (s *Set) Snapshot() *SetSnapshot {
+	return &SetSnapshot{table: s.table.Clone(), revision: s.revision, history: slices.Clone(s.history)}
 }
 
-// Thaw returns a new set with the records, the revision and the history of the copy.
-func (f *Frozen) Thaw(l Limits) *Set {
+// Restore returns a new set with the records, the revision and the history of the copy.
+func (f *SetSnapshot) Restore(l Limits) *Set {
 	s := NewSet(l)
-	s.Adopt(f.table, f.revision)
+	s.ReplaceTable(f.table, f.revision)
 	for _, c := range f.history {
 		for _, k := range c.Deletes {
 			s.deleted[k] = c.Revision
@@ -42,25 +42,25 @@
 }
 
 // MarshalJSON encodes the records as compressed chunks.
-func (f *Frozen) MarshalJSON() ([]byte, error) {
+func (f *SetSnapshot) MarshalJSON() ([]byte, error) {
 	s, err := NewSnapshot(f.table, f.revision)
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(frozenJSON{s.Header, s.Content, f.history})
+	return json.Marshal(frozenJSON{s.Header, s.Chunks, f.history})
 }
 
 // UnmarshalJSON decodes the records and checks them against the header.
-func (f *Frozen) UnmarshalJSON(text []byte) error {
+func (f *SetSnapshot) UnmarshalJSON(text []byte) error {
 	var j frozenJSON
 	if err := json.Unmarshal(text, &j); err != nil {
 		return err
 	}
-	s := Snapshot{Header: j.Header, Content: j.Pieces}
+	s := Snapshot{Header: j.Header, Chunks: j.Pieces}
 	table, err := s.Assemble()
 	if err != nil {
 		return err
 	}
-	*f = Frozen{table: table, revision: j.Header.Revision, history: j.History}
+	*f = SetSnapshot{table: table, revision: j.Header.Revision, history: j.History}
 	return nil
 }
--- a/internal/records/pack.go
+++ b/internal/records/pack.go
@@ -42,7 +42,7 @@
 	puts := p.count(MaxChangeKeys)
 	for range puts {
 		k := p.key()
-		c.Puts = append(c.Puts, Put{k, []byte(p.text(k.Kind.MaxValue()))})
+		c.Puts = append(c.Puts, Put{k, []byte(p.text(k.Kind.MaxValueBytes()))})
 	}
 	deletes := p.count(MaxChangeKeys - puts)
 	for range deletes {
@@ -103,5 +103,5 @@
 	if kind == nil {
 		return Key{}
 	}
-	return Key{Kind(kind[0]), p.text(MaxName)}
+	return Key{Kind(kind[0]), p.text(MaxNameBytes)}
 }
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -31,7 +31,7 @@
 	}
 	heavy := Change{}
 	for i := range 3 {
-		heavy.Puts = append(heavy.Puts, Put{Key{Setting, fmt.Sprint(i)}, make([]byte, MaxSetting)})
+		heavy.Puts = append(heavy.Puts, Put{Key{Setting, fmt.Sprint(i)}, make([]byte, MaxSettingBytes)})
 	}
 	good := tenantPut("good", "1")
 	for name, c := range map[string]struct {
@@ -39,17 +39,17 @@
 		key    Key
 		reason error
 	}{
-		"empty change":   {Change{}, Key{}, ErrEmpty},
-		"unknown kind":   {Change{Puts: []Put{good, {Key{9, "x"}, nil}}}, Key{9, "x"}, ErrKind},
-		"empty name":     {Change{Puts: []Put{good, tenantPut("", "1")}}, Key{Tenant, ""}, ErrName},
-		"space in name":  {Change{Puts: []Put{good, tenantPut("a b", "1")}}, Key{Tenant, "a b"}, ErrName},
-		"duplicate key":  {Change{Puts: []Put{good}, Deletes: []Key{good.Key}}, good.Key, ErrTwice},
-		"large value":    {Change{Puts: []Put{good, tenantPut("x", strings.Repeat("x", MaxTenant+1))}}, Key{Tenant, "x"}, ErrTooLarge},
+		"empty change":   {Change{}, Key{}, ErrEmptyChange},
+		"unknown kind":   {Change{Puts: []Put{good, {Key{9, "x"}, nil}}}, Key{9, "x"}, ErrUnknownKind},
+		"empty name":     {Change{Puts: []Put{good, tenantPut("", "1")}}, Key{Tenant, ""}, ErrInvalidName},
+		"space in name":  {Change{Puts: []Put{good, tenantPut("a b", "1")}}, Key{Tenant, "a b"}, ErrInvalidName},
+		"duplicate key":  {Change{Puts: []Put{good}, Deletes: []Key{good.Key}}, good.Key, ErrDuplicateKey},
+		"large value":    {Change{Puts: []Put{good, tenantPut("x", strings.Repeat("x", MaxTenantBytes+1))}}, Key{Tenant, "x"}, ErrTooLarge},
 		"too many keys":  {Change{Puts: many}, Key{}, ErrTooLarge},
 		"too many bytes": {heavy, Key{}, ErrTooLarge},
-		"stale put":      {Change{Base: 1, Puts: []Put{good, tenantPut("a", "3")}}, Key{Tenant, "a"}, ErrStale},
-		"stale delete":   {Change{Base: 2, Deletes: []Key{good.Key, {Tenant, "b"}}}, Key{Tenant, "b"}, ErrStale},
-		"future base":    {Change{Base: 4, Puts: []Put{good}}, Key{}, ErrFuture},
+		"stale put":      {Change{Base: 1, Puts: []Put{good, tenantPut("a", "3")}}, Key{Tenant, "a"}, ErrConflict},
+		"stale delete":   {Change{Base: 2, Deletes: []Key{good.Key, {Tenant, "b"}}}, Key{Tenant, "b"}, ErrConflict},
+		"future base":    {Change{Base: 4, Puts: []Put{good}}, Key{}, ErrFutureRevision},
 	} {
 		_, err := s.Apply(c.change)
 		var refusal *Refusal
@@ -70,8 +70,8 @@
 func TestTableAgainstAMap(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		s, follower := NewSet(Limits{Commits: 50, Bytes: 1 << 20}), NewSet(Limits{})
-		marker := Marker{}
+		s, follower := NewSet(Limits{MaxCommits: 50, MaxBytes: 1 << 20}), NewSet(Limits{})
+		marker := DigestFollower{}
 		plain := map[Key]string{}
 		for range 1500 {
 			c := randomChange(rng)
@@ -85,7 +85,7 @@
 			for _, k := range c.Deletes {
 				delete(plain, k)
 			}
-			if err := errors.Join(follower.Follow(commit), marker.Follow(commit)); err != nil {
+			if err := errors.Join(follower.ApplyCommit(commit), marker.ApplyCommit(commit)); err != nil {
 				t.Fatal(err)
 			}
 			if s.Table().Len() != len(plain) {
@@ -119,8 +119,8 @@
 				break
 			}
 		}
-		if s.Floor() != s.Revision()-50 || thawed.Floor() != s.Floor() {
-			t.Errorf("seed %d: oldest revisions %d and %d at revision %d", seed, s.Floor(), thawed.Floor(), s.Revision())
+		if s.OldestRevision() != s.Revision()-50 || thawed.OldestRevision() != s.OldestRevision() {
+			t.Errorf("seed %d: oldest revisions %d and %d at revision %d", seed, s.OldestRevision(), thawed.OldestRevision(), s.Revision())
 		}
 	}
 }
@@ -128,15 +128,15 @@
 // thaw returns a copy of the set that was encoded as JSON and decoded again.
 func thaw(t *testing.T, s *Set) *Set {
 	t.Helper()
-	b, err := json.Marshal(s.Freeze())
+	b, err := json.Marshal(s.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var f Frozen
+	var f SetSnapshot
 	if err := json.Unmarshal(b, &f); err != nil {
 		t.Fatal(err)
 	}
-	return f.Thaw(s.limits)
+	return f.Restore(s.limits)
 }
 
 func randomChange(rng *rand.Rand) (c Change) {
@@ -175,7 +175,7 @@
 // sumOf recomputes the digest of a table from its shards.
 func sumOf(t *Table) (d Digest) {
 	for i := range uint64(shards) {
-		d.merge(t.PartDigest(i))
+		d.merge(t.ShardDigest(i))
 	}
 	return d
 }
@@ -212,8 +212,8 @@
 			table.Put(Record{Key{Route, fmt.Sprint(i)}, make([]byte, 1000), uint64(round)})
 		}
 	}
-	if most := 16 * 6 * chunkBytes; table.Bytes() > most {
-		t.Errorf("table uses %d bytes for %d bytes of values, want at most %d", table.Bytes(), 500*1000, most)
+	if most := 16 * 6 * chunkBytes; table.MemoryBytes() > most {
+		t.Errorf("table uses %d bytes for %d bytes of values, want at most %d", table.MemoryBytes(), 500*1000, most)
 	}
 }
 
@@ -236,11 +236,11 @@
 		"out of order": {commits[1]},
 		"divergent":    {commits[0], commits[1], other},
 	} {
-		f, m, failed := NewSet(Limits{}), Marker{}, false
+		f, m, failed := NewSet(Limits{}), DigestFollower{}, false
 		for _, c := range order {
-			var e *OrderError
-			failed = errors.As(f.Follow(c), &e)
-			if marked := m.Follow(c) != nil; marked != failed && name != "divergent" {
+			var e *SequenceError
+			failed = errors.As(f.ApplyCommit(c), &e)
+			if marked := m.ApplyCommit(c) != nil; marked != failed && name != "divergent" {
 				t.Errorf("%s: the marker and the set disagree", name)
 			}
 		}
@@ -250,34 +250,34 @@
 	}
 }
 
-// A corrupt snapshot must be refused with ErrSpoilt: changed, missing or reordered chunks, or a header that does not match.
+// A corrupt snapshot must be refused with ErrCorrupt: changed, missing or reordered chunks, or a header that does not match.
 func TestSpoiltSnapshotsAreRefused(t *testing.T) {
 	table := NewTable()
 	for i := range 9000 {
 		table.Put(Record{Key{Route, fmt.Sprint(i)}, []byte(strings.Repeat(fmt.Sprint(i), 20)), uint64(i)})
 	}
 	whole, err := NewSnapshot(table, 7)
-	if err != nil || whole.Pieces < 3 {
-		t.Fatal(err, whole.Pieces)
+	if err != nil || whole.ChunkCount < 3 {
+		t.Fatal(err, whole.ChunkCount)
 	}
 	for name, change := range map[string]func(s *Snapshot){
-		"corrupted byte":     func(s *Snapshot) { s.Content[1].Data[9] ^= 1 },
-		"missing chunk":      func(s *Snapshot) { s.Content = append(s.Content[:1], s.Content[2:]...) },
-		"missing last chunk": func(s *Snapshot) { s.Content = s.Content[:len(s.Content)-1] },
-		"reordered chunks":   func(s *Snapshot) { s.Content[0], s.Content[1] = s.Content[1], s.Content[0] },
+		"corrupted byte":     func(s *Snapshot) { s.Chunks[1].Data[9] ^= 1 },
+		"missing chunk":      func(s *Snapshot) { s.Chunks = append(s.Chunks[:1], s.Chunks[2:]...) },
+		"missing last chunk": func(s *Snapshot) { s.Chunks = s.Chunks[:len(s.Chunks)-1] },
+		"reordered chunks":   func(s *Snapshot) { s.Chunks[0], s.Chunks[1] = s.Chunks[1], s.Chunks[0] },
 		"other digest":       func(s *Snapshot) { s.Digest.lo++ },
-		"fewer records":      func(s *Snapshot) { s.Records-- },
-		"more records":       func(s *Snapshot) { s.Records++ },
-		"too many chunks":    func(s *Snapshot) { s.Pieces = maxPieces + 1 },
-		"no records":         func(s *Snapshot) { s.Records = 0 },
+		"fewer records":      func(s *Snapshot) { s.RecordCount-- },
+		"more records":       func(s *Snapshot) { s.RecordCount++ },
+		"too many chunks":    func(s *Snapshot) { s.ChunkCount = maxPieces + 1 },
+		"no records":         func(s *Snapshot) { s.RecordCount = 0 },
 	} {
 		s := &Snapshot{Header: whole.Header}
-		for _, p := range whole.Content {
+		for _, p := range whole.Chunks {
 			p.Data = append([]byte(nil), p.Data...)
-			s.Content = append(s.Content, p)
+			s.Chunks = append(s.Chunks, p)
 		}
 		change(s)
-		if _, err := s.Assemble(); !errors.Is(err, ErrSpoilt) {
+		if _, err := s.Assemble(); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -296,15 +296,15 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(s.Content[0].Data)
+	f.Add(s.Chunks[0].Data)
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		a, err := NewAssembler(Header{Records: 100, Pieces: 1}, true)
+		a, err := NewAssembler(Header{RecordCount: 100, ChunkCount: 1}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer a.Close()
-		if a.Add(Piece{Checksum: Checksum(data), Data: data}) == nil && a.table.Digest() != sumOf(a.table) {
+		if a.Add(Chunk{Checksum: Checksum(data), Data: data}) == nil && a.table.Digest() != sumOf(a.table) {
 			t.Error("the digest does not match the records")
 		}
 	})
@@ -315,9 +315,9 @@
 	s := NewSet(DefaultLimits)
 	for _, c := range []Change{
 		{Puts: []Put{tenantPut("a", "1")}},
-		{Puts: []Put{tenantPut("a", "2"), {Key{Setting, "b"}, bytes.Repeat([]byte{0}, MaxSetting)}, {Key{Route, strings.Repeat("c", MaxName)}, nil}}},
+		{Puts: []Put{tenantPut("a", "2"), {Key{Setting, "b"}, bytes.Repeat([]byte{0}, MaxSettingBytes)}, {Key{Route, strings.Repeat("c", MaxNameBytes)}, nil}}},
 		{Deletes: []Key{{Tenant, "a"}, {Setting, "b"}}},
-		{Puts: []Put{tenantPut("a", "3")}, Deletes: []Key{{Route, strings.Repeat("c", MaxName)}}},
+		{Puts: []Put{tenantPut("a", "3")}, Deletes: []Key{{Route, strings.Repeat("c", MaxNameBytes)}}},
 	} {
 		commit, err := s.Apply(c)
 		if err != nil {
@@ -361,7 +361,7 @@
 			t.Errorf("%+v decodes as %+v after packing: %v", c, again, err)
 		}
 		set := NewSet(DefaultLimits)
-		if err := set.Follow(c); err == nil && (set.Revision() != 1 || set.Digest() != c.After || c.Check() != nil) {
+		if err := set.ApplyCommit(c); err == nil && (set.Revision() != 1 || set.Digest() != c.After || c.Check() != nil) {
 			t.Error("an invalid commit was accepted")
 		}
 	})
@@ -401,7 +401,7 @@
 		for _, n := range k.sizes {
 			b.Run(fmt.Sprintf("%s=%d", k.name, n), func(b *testing.B) {
 				table := k.filled(n)
-				bytes := table.Bytes()
+				bytes := table.MemoryBytes()
 				i := 0
 				for b.Loop() {
 					i++
@@ -427,7 +427,7 @@
 						b.Fatal(err)
 					}
 				}
-				b.ReportMetric(float64(s.Bytes), "bytes")
+				b.ReportMetric(float64(s.CompressedBytes), "bytes")
 			})
 			b.Run(fmt.Sprintf("take/%s=%d", k.name, n), func(b *testing.B) {
 				for b.Loop() {
--- a/internal/records/set.go
+++ b/internal/records/set.go
@@ -5,12 +5,12 @@
 // Limits bound the history of commits that a Set retains. Older commits are compacted: a watcher at an older revision needs a
 // snapshot.
 type Limits struct {
-	Commits int // maximum number of commits
-	Bytes   int // maximum total size of the commits, in bytes; the latest commit is retained whatever its size
+	MaxCommits int // maximum number of commits
+	MaxBytes   int // maximum total size of the commits, in bytes; the latest commit is retained whatever its size
 }
 
 // DefaultLimits retain about eight hours of changes at 24,000 changes a day.
-var DefaultLimits = Limits{Commits: 8192, Bytes: 16 << 20}
+var DefaultLimits = Limits{MaxCommits: 8192, MaxBytes: 16 << 20}
 
 // Set is the replicated state: the records, the revision and the latest commits. It is deterministic: the same changes in the
 // same order produce the same Set on every replica. It is not safe for concurrent use.
@@ -36,8 +36,8 @@
 // Table returns the records. The caller must not change the table, and must use a Clone to retain it.
 func (s *Set) Table() *Table { return s.table }
 
-// Floor returns the oldest revision for which Since can list all later commits.
-func (s *Set) Floor() uint64 { return s.revision - uint64(len(s.history)) }
+// OldestRevision returns the oldest revision for which Since can list all later commits.
+func (s *Set) OldestRevision() uint64 { return s.revision - uint64(len(s.history)) }
 
 // Apply applies a change atomically. If the change is refused, the error is a *Refusal with the key and the reason.
 func (s *Set) Apply(c Change) (Commit, error) {
@@ -60,14 +60,14 @@
 	case c.Base == 0:
 		return nil
 	case c.Base > s.revision:
-		return &Refusal{Reason: fmt.Errorf("%w: the base revision is %d, the latest is %d", ErrFuture, c.Base, s.revision)}
-	case c.Base < s.Floor():
-		return &Refusal{Reason: fmt.Errorf("%w: the base revision is %d, the oldest retained is %d", ErrCompacted, c.Base, s.Floor())}
+		return &Refusal{Reason: fmt.Errorf("%w: the base revision is %d, the latest is %d", ErrFutureRevision, c.Base, s.revision)}
+	case c.Base < s.OldestRevision():
+		return &Refusal{Reason: fmt.Errorf("%w: the base revision is %d, the oldest retained is %d", ErrCompacted, c.Base, s.OldestRevision())}
 	}
 	check := func(k Key) error {
 		_, revision, _ := s.table.Get(k)
 		if revision = max(revision, s.deleted[k]); revision > c.Base {
-			return &Refusal{k, fmt.Errorf("%w: in %d, and it rests on %d", ErrStale, revision, c.Base)}
+			return &Refusal{k, fmt.Errorf("%w: in %d, and it rests on %d", ErrConflict, revision, c.Base)}
 		}
 		return nil
 	}
@@ -101,7 +101,7 @@
 	s.history = append(s.history, c)
 	s.bytes += c.Size()
 	drop := 0
-	for len(s.history)-drop > s.limits.Commits || s.bytes > s.limits.Bytes && len(s.history)-drop > 1 {
+	for len(s.history)-drop > s.limits.MaxCommits || s.bytes > s.limits.MaxBytes && len(s.history)-drop > 1 {
 		old := s.history[drop]
 		s.bytes -= old.Size()
 		for _, k := range old.Deletes {
@@ -115,72 +115,72 @@
 	s.history = s.history[drop:]
 }
 
-// Since returns the commits after a revision, in order. It returns ErrCompacted if some of them are no longer retained.
-func (s *Set) Since(revision uint64) ([]Commit, error) {
+// CommitsSince returns the commits after a revision, in order. It returns ErrCompacted if some of them are no longer retained.
+func (s *Set) CommitsSince(revision uint64) ([]Commit, error) {
 	switch {
 	case revision > s.revision:
-		return nil, fmt.Errorf("records: %w: %d, the latest is %d", ErrFuture, revision, s.revision)
-	case revision < s.Floor():
-		return nil, fmt.Errorf("records: %w: %d, the oldest retained is %d", ErrCompacted, revision, s.Floor())
+		return nil, fmt.Errorf("records: %w: %d, the latest is %d", ErrFutureRevision, revision, s.revision)
+	case revision < s.OldestRevision():
+		return nil, fmt.Errorf("records: %w: %d, the oldest retained is %d", ErrCompacted, revision, s.OldestRevision())
 	}
-	return s.history[revision-s.Floor():], nil
+	return s.history[revision-s.OldestRevision():], nil
 }
 
-// OrderError is the error of a commit that does not follow the state to which it is applied.
-type OrderError struct {
-	Held, Came uint64 // the revision of the state and that of the commit
-	Differ     bool   // the revisions are consecutive, but the digests of the records differ
+// SequenceError is the error of a commit that does not follow the state to which it is applied.
+type SequenceError struct {
+	LocalRevision, CommitRevision uint64 // the revision of the state and that of the commit
+	DigestMismatch                bool   // the revisions are consecutive, but the digests of the records differ
 }
 
 // Error describes the mismatch.
-func (e *OrderError) Error() string {
-	if e.Differ {
-		return fmt.Sprintf("records: commit %d does not match the digest of the records", e.Came)
+func (e *SequenceError) Error() string {
+	if e.DigestMismatch {
+		return fmt.Sprintf("records: commit %d does not match the digest of the records", e.CommitRevision)
 	}
-	return fmt.Sprintf("records: commit %d does not follow revision %d", e.Came, e.Held)
+	return fmt.Sprintf("records: commit %d does not follow revision %d", e.CommitRevision, e.LocalRevision)
 }
 
-// Follow applies a commit that was agreed on elsewhere. It must have the next revision, and its digests must match the records
+// ApplyCommit applies a commit that was agreed on elsewhere. It must have the next revision, and its digests must match the records
 // before and after it.
-func (s *Set) Follow(c Commit) error {
+func (s *Set) ApplyCommit(c Commit) error {
 	switch {
 	case c.Revision != s.revision+1:
-		return &OrderError{Held: s.revision, Came: c.Revision}
+		return &SequenceError{LocalRevision: s.revision, CommitRevision: c.Revision}
 	case c.Before != s.table.Digest():
-		return &OrderError{Held: s.revision, Came: c.Revision, Differ: true}
+		return &SequenceError{LocalRevision: s.revision, CommitRevision: c.Revision, DigestMismatch: true}
 	}
 	if err := c.Check(); err != nil {
 		return err
 	}
 	s.carryOut(c)
 	if s.table.Digest() != c.After {
-		return &OrderError{Held: s.revision, Came: c.Revision, Differ: true}
+		return &SequenceError{LocalRevision: s.revision, CommitRevision: c.Revision, DigestMismatch: true}
 	}
 	s.remember(c)
 	return nil
 }
 
-// Marker follows commits without holding records: it detects missing, duplicate and divergent commits from the digests alone. It
+// DigestFollower follows commits without holding records: it detects missing, duplicate and divergent commits from the digests alone. It
 // serves processes that run many followers.
-type Marker struct {
+type DigestFollower struct {
 	Revision uint64
 	Digest   Digest
 }
 
-// Follow checks that a commit is the next one and advances to it.
-func (m *Marker) Follow(c Commit) error {
+// ApplyCommit checks that a commit is the next one and advances to it.
+func (m *DigestFollower) ApplyCommit(c Commit) error {
 	switch {
 	case c.Revision != m.Revision+1:
-		return &OrderError{Held: m.Revision, Came: c.Revision}
+		return &SequenceError{LocalRevision: m.Revision, CommitRevision: c.Revision}
 	case c.Before != m.Digest:
-		return &OrderError{Held: m.Revision, Came: c.Revision, Differ: true}
+		return &SequenceError{LocalRevision: m.Revision, CommitRevision: c.Revision, DigestMismatch: true}
 	}
 	m.Revision, m.Digest = c.Revision, c.After
 	return nil
 }
 
-// Adopt replaces all records with those of a snapshot and clears the history. The set takes ownership of the table.
-func (s *Set) Adopt(t *Table, revision uint64) {
+// ReplaceTable replaces all records with those of a snapshot and clears the history. The set takes ownership of the table.
+func (s *Set) ReplaceTable(t *Table, revision uint64) {
 	s.table, s.revision = t, revision
 	s.history, s.bytes, s.deleted = nil, 0, map[Key]uint64{}
 }
--- a/internal/records/snapshot.go
+++ b/internal/records/snapshot.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	pieceBytes    = 256 << 10                  // bytes of packed records after which a new chunk begins
-	maxPieceBytes = pieceBytes + 2*MaxSetting  // maximum decompressed size of a received chunk, in bytes
-	maxPieces     = 1 << 16                    // maximum number of chunks in a received snapshot
-	maxRecords    = 1 << 24                    // maximum number of records in a received snapshot
-	maxCompressed = maxPieceBytes + pieceBytes // maximum compressed size of a received chunk, in bytes
+	pieceBytes    = 256 << 10                      // bytes of packed records after which a new chunk begins
+	maxPieceBytes = pieceBytes + 2*MaxSettingBytes // maximum decompressed size of a received chunk, in bytes
+	maxPieces     = 1 << 16                        // maximum number of chunks in a received snapshot
+	maxRecords    = 1 << 24                        // maximum number of records in a received snapshot
+	maxCompressed = maxPieceBytes + pieceBytes     // maximum compressed size of a received chunk, in bytes
 )
 
-// ErrSpoilt is the error of a snapshot that is damaged or does not match its header.
-var ErrSpoilt = errors.New("records: corrupt snapshot")
+// ErrCorrupt is the error of a snapshot that is damaged or does not match its header.
+var ErrCorrupt = errors.New("records: corrupt snapshot")
 
 // Header describes the content of a snapshot.
 type Header struct {
-	Revision uint64 `json:"revision"`
-	Digest   Digest `json:"digest"`
-	Records  int    `json:"records"`
-	Pieces   int    `json:"pieces"`
-	Bytes    int64  `json:"bytes"` // total compressed size of the chunks
+	Revision        uint64 `json:"revision"`
+	Digest          Digest `json:"digest"`
+	RecordCount     int    `json:"records"`
+	ChunkCount      int    `json:"pieces"`
+	CompressedBytes int64  `json:"bytes"` // total compressed size of the chunks
 }
 
-// Piece is a chunk of a snapshot.
-type Piece struct {
-	Number   int    `json:"number"` // starting at 0
+// Chunk is a chunk of a snapshot.
+type Chunk struct {
+	Index    int    `json:"number"` // starting at 0
 	Checksum uint64 `json:"checksum"`
 	Data     []byte `json:"data"` // packed records, compressed
 }
@@ -39,7 +39,7 @@
 // Snapshot holds all records as of one revision, in compressed chunks.
 type Snapshot struct {
 	Header
-	Content []Piece
+	Chunks []Chunk
 }
 
 // NewSnapshot compresses a table, which must not change until it returns.
@@ -49,13 +49,13 @@
 		return nil, err
 	}
 	defer z.Close()
-	s := &Snapshot{Header: Header{Revision: revision, Digest: t.Digest(), Records: t.Len()}}
+	s := &Snapshot{Header: Header{Revision: revision, Digest: t.Digest(), RecordCount: t.Len()}}
 	for packed := range packs(t) {
 		data := bytes.Clone(z.EncodeAll(packed, nil))
-		s.Content = append(s.Content, Piece{Number: len(s.Content), Checksum: Checksum(data), Data: data})
-		s.Bytes += int64(len(data))
+		s.Chunks = append(s.Chunks, Chunk{Index: len(s.Chunks), Checksum: Checksum(data), Data: data})
+		s.CompressedBytes += int64(len(data))
 	}
-	s.Pieces = len(s.Content)
+	s.ChunkCount = len(s.Chunks)
 	return s, nil
 }
 
@@ -92,8 +92,8 @@
 // NewAssembler returns an assembler for the snapshot with the given header. Without keep it verifies the records but does not
 // store them, for followers that hold only digests.
 func NewAssembler(h Header, keep bool) (*Assembler, error) {
-	if h.Pieces < 0 || h.Pieces > maxPieces || h.Records < 0 || h.Records > maxRecords || (h.Pieces == 0) != (h.Records == 0) {
-		return nil, fmt.Errorf("%w: header with %d records in %d chunks", ErrSpoilt, h.Records, h.Pieces)
+	if h.ChunkCount < 0 || h.ChunkCount > maxPieces || h.RecordCount < 0 || h.RecordCount > maxRecords || (h.ChunkCount == 0) != (h.RecordCount == 0) {
+		return nil, fmt.Errorf("%w: header with %d records in %d chunks", ErrCorrupt, h.RecordCount, h.ChunkCount)
 	}
 	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPieceBytes), zstd.WithDecoderLowmem(true))
 	if err != nil {
@@ -106,23 +106,23 @@
 func (a *Assembler) Close() { a.z.Close() }
 
 // Add verifies and adds the next chunk.
-func (a *Assembler) Add(p Piece) error {
+func (a *Assembler) Add(p Chunk) error {
 	switch {
-	case p.Number != a.next || p.Number >= a.header.Pieces:
-		return fmt.Errorf("%w: got chunk %d, expected chunk %d of %d", ErrSpoilt, p.Number, a.next, a.header.Pieces)
+	case p.Index != a.next || p.Index >= a.header.ChunkCount:
+		return fmt.Errorf("%w: got chunk %d, expected chunk %d of %d", ErrCorrupt, p.Index, a.next, a.header.ChunkCount)
 	case len(p.Data) > maxCompressed:
-		return fmt.Errorf("%w: chunk %d is too large: %d bytes", ErrSpoilt, p.Number, len(p.Data))
+		return fmt.Errorf("%w: chunk %d is too large: %d bytes", ErrCorrupt, p.Index, len(p.Data))
 	case Checksum(p.Data) != p.Checksum:
-		return fmt.Errorf("%w: checksum mismatch in chunk %d", ErrSpoilt, p.Number)
+		return fmt.Errorf("%w: checksum mismatch in chunk %d", ErrCorrupt, p.Index)
 	}
 	packed, err := a.z.DecodeAll(p.Data, nil)
 	if err != nil {
-		return fmt.Errorf("%w: chunk %d: %v", ErrSpoilt, p.Number, err)
+		return fmt.Errorf("%w: chunk %d: %v", ErrCorrupt, p.Index, err)
 	}
 	for len(packed) > 0 {
 		e, err := parseEntry(packed)
 		if err != nil {
-			return fmt.Errorf("%w: chunk %d: %v", ErrSpoilt, p.Number, err)
+			return fmt.Errorf("%w: chunk %d: %v", ErrCorrupt, p.Index, err)
 		}
 		if err := a.take(e, packed[:e.size]); err != nil {
 			return err
@@ -139,8 +139,8 @@
 		a.table.digest.add(packed)
 		return nil
 	}
-	if a.table.Len() >= a.header.Records {
-		return fmt.Errorf("%w: more than %d records", ErrSpoilt, a.header.Records)
+	if a.table.Len() >= a.header.RecordCount {
+		return fmt.Errorf("%w: more than %d records", ErrCorrupt, a.header.RecordCount)
 	}
 	a.table.Put(Record{Key{e.kind, string(e.name)}, e.value, e.revision})
 	return nil
@@ -149,12 +149,12 @@
 // Finish verifies that the snapshot is complete and returns the table. Without keep, the table has only its digest and length.
 func (a *Assembler) Finish() (*Table, error) {
 	switch {
-	case a.next != a.header.Pieces:
-		return nil, fmt.Errorf("%w: incomplete: %d of %d chunks", ErrSpoilt, a.next, a.header.Pieces)
-	case a.table.Len() != a.header.Records:
-		return nil, fmt.Errorf("%w: incomplete: %d of %d records", ErrSpoilt, a.table.Len(), a.header.Records)
+	case a.next != a.header.ChunkCount:
+		return nil, fmt.Errorf("%w: incomplete: %d of %d chunks", ErrCorrupt, a.next, a.header.ChunkCount)
+	case a.table.Len() != a.header.RecordCount:
+		return nil, fmt.Errorf("%w: incomplete: %d of %d records", ErrCorrupt, a.table.Len(), a.header.RecordCount)
 	case a.table.Digest() != a.header.Digest:
-		return nil, fmt.Errorf("%w: digest mismatch", ErrSpoilt)
+		return nil, fmt.Errorf("%w: digest mismatch", ErrCorrupt)
 	}
 	return a.table, nil
 }
@@ -166,7 +166,7 @@
 		return nil, err
 	}
 	defer a.Close()
-	for _, p := range s.Content {
+	for _, p := range s.Chunks {
 		if err := a.Add(p); err != nil {
 			return nil, err
 		}
--- a/internal/records/table.go
+++ b/internal/records/table.go
@@ -49,8 +49,8 @@
 // Digest returns the digest of all records.
 func (t *Table) Digest() Digest { return t.digest }
 
-// Bytes returns the memory use of the records and their index, in bytes.
-func (t *Table) Bytes() (n int) {
+// MemoryBytes returns the memory use of the records and their index, in bytes.
+func (t *Table) MemoryBytes() (n int) {
 	for i := range t.shards {
 		s := &t.shards[i]
 		n += len(s.slots)*4 + len(s.chunks)*chunkBytes
@@ -103,7 +103,7 @@
 		at += width + int(n)
 		return b[at-int(n) : at]
 	}
-	if e.name = field(MaxName); err != nil || e.kind.MaxValue() == 0 {
+	if e.name = field(MaxNameBytes); err != nil || e.kind.MaxValueBytes() == 0 {
 		return e, ErrMalformed
 	}
 	revision, width := binary.Uvarint(b[at:])
@@ -112,7 +112,7 @@
 	}
 	e.revision = revision
 	at += width
-	if e.value = field(uint64(e.kind.MaxValue())); err != nil {
+	if e.value = field(uint64(e.kind.MaxValueBytes())); err != nil {
 		return e, ErrMalformed
 	}
 	e.size = at
@@ -301,9 +301,9 @@
 	}
 }
 
-// PartDigest recomputes the digest of one of the 16 shards from the entries in memory, so that it detects memory corruption.
-func (t *Table) PartDigest(part uint64) (d Digest) {
-	for entry := range t.shards[part%shards].entries() {
+// ShardDigest recomputes the digest of one of the 16 shards from the entries in memory, so that it detects memory corruption.
+func (t *Table) ShardDigest(shard uint64) (d Digest) {
+	for entry := range t.shards[shard%shards].entries() {
 		d.add(entry)
 	}
 	return d
--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -43,7 +43,7 @@
 	addAll(part, "mark", s.Marks, add)
 	addAll(part, "stale", s.Stale, add)
 	if s.Records.Revision() > 0 {
-		sum += s.Records.Table().PartDigest(part).Sum64()
+		sum += s.Records.Table().ShardDigest(part).Sum64()
 	}
 	if part == 0 {
 		if r := s.Records.Revision(); r > 0 {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -249,21 +249,21 @@
 
 // Kept is the state's form in a snapshot. Values and Order are all that earlier versions wrote.
 type Kept struct {
-	Values  map[string][]byte `json:"values"`
-	Order   []string          `json:"order,omitempty"`
-	Duties  *duty.Table       `json:"duties,omitempty"`
-	Shares  *allot.Ledger     `json:"shares,omitempty"`
-	Effects *settle.Ledger    `json:"effects,omitempty"`
-	Config  *publish.History  `json:"config,omitempty"`
-	Records *records.Frozen   `json:"records,omitempty"`
-	Marks   map[string]uint64 `json:"marks,omitempty"`
-	Stale   map[string]uint64 `json:"stale,omitempty"`
+	Values  map[string][]byte    `json:"values"`
+	Order   []string             `json:"order,omitempty"`
+	Duties  *duty.Table          `json:"duties,omitempty"`
+	Shares  *allot.Ledger        `json:"shares,omitempty"`
+	Effects *settle.Ledger       `json:"effects,omitempty"`
+	Config  *publish.History     `json:"config,omitempty"`
+	Records *records.SetSnapshot `json:"records,omitempty"`
+	Marks   map[string]uint64    `json:"marks,omitempty"`
+	Stale   map[string]uint64    `json:"stale,omitempty"`
 }
 
 // Keep copies the state, so that it can be written while commands go on.
 func (s *State) Keep() *Kept {
 	return &Kept{Values: maps.Clone(s.Values), Duties: s.Duties.Clone(), Shares: s.Shares.Clone(), Effects: s.Effects.Clone(),
-		Config: s.Config.Clone(), Records: s.Records.Freeze(), Marks: maps.Clone(s.Marks), Stale: maps.Clone(s.Stale)}
+		Config: s.Config.Clone(), Records: s.Records.Snapshot(), Marks: maps.Clone(s.Marks), Stale: maps.Clone(s.Stale)}
 }
 
 // Read takes the state of a snapshot, in today's form or an earlier one.
@@ -294,7 +294,7 @@
 		}
 	}
 	if k.Records != nil {
-		s.Records = k.Records.Thaw(records.DefaultLimits)
+		s.Records = k.Records.Restore(records.DefaultLimits)
 	}
 	if k.Effects != nil {
 		s.Effects = k.Effects
