--- a/internal/recordfile/file.go
+++ b/internal/recordfile/file.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	magic      = "puffinsaddle records\n"
-	format     = 1       // version of the file format
-	headBytes  = 13      // size of a block's header in bytes: type, length, checksum
-	maxBlock   = 1 << 20 // maximum size of a block's data, in bytes
-	suffix     = ".new"  // of a file that is being written
-	blockHead  = 'H'     // header of the snapshot, as JSON
-	blockPiece = 'P'     // compressed chunk of the snapshot
-	blockDone  = 'D'     // end of the snapshot
-	blockEntry = 'C'     // packed commit
+	magic               = "puffinsaddle records\n"
+	formatVersion       = 1       // version of the file format
+	blockHeaderBytes    = 13      // size of a block's header in bytes: type, length, checksum
+	maxBlockBytes       = 1 << 20 // maximum size of a block's data, in bytes
+	tempSuffix          = ".new"  // suffix of a file while it is being written
+	blockSnapshotHeader = 'H'     // header of the snapshot, as JSON
+	blockChunk          = 'P'     // compressed chunk of the snapshot
+	blockSnapshotEnd    = 'D'     // end of the snapshot
+	blockCommit         = 'C'     // packed commit
 )
 
 // ErrCorrupt is the error of a file that is damaged or of another format.
@@ -39,8 +39,8 @@
 	Revision uint64 // of the snapshot
 	Commits  []records.Commit
 
-	end  int64 // offset of the end of the last complete block
-	tail int64 // size of the complete commit blocks, in bytes
+	validEnd    int64 // offset of the end of the last complete block
+	commitBytes int64 // size of the complete commit blocks, in bytes
 }
 
 // Read reads a file. The error is os.ErrNotExist if there is no file, and ErrCorrupt if it cannot be used.
@@ -51,16 +51,16 @@
 	}
 	defer f.Close()
 	r := &countingReader{r: bufio.NewReaderSize(f, 1<<20)}
-	head := make([]byte, len(magic)+1)
-	if _, err := io.ReadFull(r, head); err != nil || string(head[:len(magic)]) != magic {
+	prefix := make([]byte, len(magic)+1)
+	if _, err := io.ReadFull(r, prefix); err != nil || string(prefix[:len(magic)]) != magic {
 		return nil, fmt.Errorf("%w: %s is not a records file", ErrCorrupt, path)
 	}
-	if head[len(magic)] != format {
-		return nil, fmt.Errorf("%w: %s has format version %d, this build reads version %d", ErrCorrupt, path, head[len(magic)], format)
+	if prefix[len(magic)] != formatVersion {
+		return nil, fmt.Errorf("%w: %s has format version %d, this build reads version %d", ErrCorrupt, path, prefix[len(magic)], formatVersion)
 	}
 	c, err := readSnapshot(r)
 	if err == nil {
-		c.end = r.n
+		c.validEnd = r.bytesRead
 		err = c.readCommits(r)
 	}
 	if err != nil {
@@ -71,49 +71,49 @@
 
 // countingReader counts the bytes read.
 type countingReader struct {
-	r io.Reader
-	n int64
+	r         io.Reader
+	bytesRead int64
 }
 
 // Read implements io.Reader.
 func (c *countingReader) Read(b []byte) (int, error) {
 	n, err := c.r.Read(b)
-	c.n += int64(n)
+	c.bytesRead += int64(n)
 	return n, err
 }
 
 // readBlock reads one block. It returns io.EOF at the end of the file, and io.ErrUnexpectedEOF for a truncated block.
-func readBlock(r io.Reader) (kind byte, data []byte, err error) {
-	var head [headBytes]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+func readBlock(r io.Reader) (blockType byte, data []byte, err error) {
+	var header [blockHeaderBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, err
 	}
-	size := binary.BigEndian.Uint32(head[1:])
-	if size > maxBlock {
+	size := binary.BigEndian.Uint32(header[1:])
+	if size > maxBlockBytes {
 		return 0, nil, fmt.Errorf("%w: block of %d bytes is too large", ErrCorrupt, size)
 	}
 	data = make([]byte, size)
 	if _, err := io.ReadFull(r, data); err != nil {
 		return 0, nil, io.ErrUnexpectedEOF
 	}
-	if records.Checksum(data)^uint64(head[0]) != binary.BigEndian.Uint64(head[5:]) {
+	if records.Checksum(data)^uint64(header[0]) != binary.BigEndian.Uint64(header[5:]) {
 		return 0, nil, fmt.Errorf("%w: block checksum mismatch", ErrCorrupt)
 	}
-	return head[0], data, nil
+	return header[0], data, nil
 }
 
-func appendBlock(b []byte, kind byte, data []byte) []byte {
-	b = append(b, kind)
+func appendBlock(b []byte, blockType byte, data []byte) []byte {
+	b = append(b, blockType)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(data)))
-	b = binary.BigEndian.AppendUint64(b, records.Checksum(data)^uint64(kind))
+	b = binary.BigEndian.AppendUint64(b, records.Checksum(data)^uint64(blockType))
 	return append(b, data...)
 }
 
 func readSnapshot(r io.Reader) (*Content, error) {
 	var assembler *records.Assembler
 	var header records.Header
-	for number := 0; ; {
-		kind, data, err := readBlock(r)
+	for chunkIndex := 0; ; {
+		blockType, data, err := readBlock(r)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			err = fmt.Errorf("%w: snapshot truncated", ErrCorrupt)
 		}
@@ -121,17 +121,17 @@
 			return nil, err
 		}
 		switch {
-		case kind == blockHead && assembler == nil:
+		case blockType == blockSnapshotHeader && assembler == nil:
 			if err = json.Unmarshal(data, &header); err == nil {
 				assembler, err = records.NewAssembler(header, true)
 			}
 			if err == nil {
 				defer assembler.Close()
 			}
-		case kind == blockPiece && assembler != nil:
-			err = assembler.Add(records.Chunk{Index: number, Checksum: records.Checksum(data), Data: data})
-			number++
-		case kind == blockDone && assembler != nil:
+		case blockType == blockChunk && assembler != nil:
+			err = assembler.Add(records.Chunk{Index: chunkIndex, Checksum: records.Checksum(data), Data: data})
+			chunkIndex++
+		case blockType == blockSnapshotEnd && assembler != nil:
 			table, err := assembler.Finish()
 			if err != nil {
 				return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
@@ -148,9 +148,9 @@
 
 // readCommits reads the commits after the snapshot. A truncated block at the end is left by a crash during an append, and ignored.
 func (c *Content) readCommits(r *countingReader) error {
-	next := c.Revision + 1
+	nextRevision := c.Revision + 1
 	for {
-		kind, data, err := readBlock(r)
+		blockType, data, err := readBlock(r)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
@@ -158,29 +158,29 @@
 			return err
 		}
 		commit, err := records.ParseCommit(data)
-		if kind != blockEntry || err != nil || commit.Revision != next {
-			return fmt.Errorf("%w: expected commit %d", ErrCorrupt, next)
+		if blockType != blockCommit || err != nil || commit.Revision != nextRevision {
+			return fmt.Errorf("%w: expected commit %d", ErrCorrupt, nextRevision)
 		}
 		c.Commits = append(c.Commits, commit)
-		c.tail += r.n - c.end
-		c.end = r.n
-		next++
+		c.commitBytes += r.bytesRead - c.validEnd
+		c.validEnd = r.bytesRead
+		nextRevision++
 	}
 }
 
 // File is an open file to which commits are appended.
 type File struct {
-	path    string
-	f       *os.File
-	commits int64 // size of the commit blocks, in bytes
+	path        string
+	f           *os.File
+	commitBytes int64 // size of the commit blocks, in bytes
 }
 
-// Write writes a new file with a snapshot and atomically replaces any file at the path.
+// Write writes a snapshot to a new file, syncs it, and atomically replaces any file at the path.
 func Write(path string, s *records.Snapshot) (*File, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, err
 	}
-	f, err := os.Create(path + suffix)
+	f, err := os.Create(path + tempSuffix)
 	if err != nil {
 		return nil, err
 	}
@@ -189,7 +189,7 @@
 		err = f.Sync()
 	}
 	if err == nil {
-		err = os.Rename(path+suffix, path)
+		err = os.Rename(path+tempSuffix, path)
 	}
 	if err != nil {
 		f.Close()
@@ -205,12 +205,12 @@
 		return err
 	}
 	w.WriteString(magic)
-	w.WriteByte(format)
-	w.Write(appendBlock(nil, blockHead, header))
+	w.WriteByte(formatVersion)
+	w.Write(appendBlock(nil, blockSnapshotHeader, header))
 	for _, p := range s.Chunks {
-		w.Write(appendBlock(nil, blockPiece, p.Data))
+		w.Write(appendBlock(nil, blockChunk, p.Data))
 	}
-	w.Write(appendBlock(nil, blockDone, nil))
+	w.Write(appendBlock(nil, blockSnapshotEnd, nil))
 	return w.Flush()
 }
 
@@ -220,25 +220,25 @@
 	if err != nil {
 		return nil, err
 	}
-	if err = f.Truncate(c.end); err == nil {
-		_, err = f.Seek(c.end, io.SeekStart)
+	if err = f.Truncate(c.validEnd); err == nil {
+		_, err = f.Seek(c.validEnd, io.SeekStart)
 	}
 	if err != nil {
 		f.Close()
 		return nil, err
 	}
-	return &File{path: path, f: f, commits: c.tail}, nil
+	return &File{path: path, f: f, commitBytes: c.commitBytes}, nil
 }
 
 // Append appends the next commit.
 func (f *File) Append(c records.Commit) error {
-	n, err := f.f.Write(appendBlock(nil, blockEntry, records.AppendCommit(nil, c)))
-	f.commits += int64(n)
+	n, err := f.f.Write(appendBlock(nil, blockCommit, records.AppendCommit(nil, c)))
+	f.commitBytes += int64(n)
 	return err
 }
 
 // CommitBytes returns the size of the commit blocks, in bytes. The caller uses it to decide when to write a new, shorter file.
-func (f *File) CommitBytes() int64 { return f.commits }
+func (f *File) CommitBytes() int64 { return f.commitBytes }
 
 // Close closes the file, which stays on the disk.
 func (f *File) Close() error { return f.f.Close() }
--- a/internal/records/digest.go
+++ b/internal/records/digest.go
@@ -7,8 +7,8 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Digest is the sum of the 128-bit hashes of records. The sum does not depend on the order of the records, and updating it
-// costs as much as the change alone. It detects faults; it does not resist an adversary who constructs records to match.
+// Digest is the sum of the 128-bit hashes of records. The sum does not depend on the order of the records, and the cost of
+// updating it depends only on the size of the change. It detects faults; it does not resist an adversary who constructs records to match.
 type Digest struct{ hi, lo uint64 }
 
 // add and remove add one packed record to the sum and subtract it.
--- a/internal/records/frozen.go
+++ b/internal/records/frozen.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// SetSnapshot is a point-in-time copy of a Set, for the snapshots of the store's log. Taking it is cheap; the records are compressed
-// later in MarshalJSON, while the Set keeps changing.
+// SetSnapshot is a point-in-time copy of a Set, for the snapshots of the store's log. Taking it is cheap; the records are
+// compressed later in MarshalJSON, while the Set keeps changing.
 type SetSnapshot struct {
 	table    *Table
 	revision uint64
 	history  []Commit
 }
 
-// frozenJSON is the JSON encoding of a Frozen.
-type frozenJSON struct {
+// setSnapshotJSON is the JSON encoding of a SetSnapshot.
+type setSnapshotJSON struct {
 	Header  Header   `json:"header"`
-	Pieces  []Chunk  `json:"pieces"`
+	Chunks  []Chunk  `json:"pieces"`
 	History []Commit `json:"history,omitempty"`
 }
 
@@ -31,12 +31,12 @@
 	s.ReplaceTable(f.table, f.revision)
 	for _, c := range f.history {
 		for _, k := range c.Deletes {
-			s.deleted[k] = c.Revision
+			s.deletedAt[k] = c.Revision
 		}
 		for _, p := range c.Puts {
-			delete(s.deleted, p.Key)
+			delete(s.deletedAt, p.Key)
 		}
-		s.remember(c)
+		s.appendHistory(c)
 	}
 	return s
 }
@@ -47,16 +47,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(frozenJSON{s.Header, s.Chunks, f.history})
+	return json.Marshal(setSnapshotJSON{s.Header, s.Chunks, f.history})
 }
 
 // UnmarshalJSON decodes the records and checks them against the header.
 func (f *SetSnapshot) UnmarshalJSON(text []byte) error {
-	var j frozenJSON
+	var j setSnapshotJSON
 	if err := json.Unmarshal(text, &j); err != nil {
 		return err
 	}
-	s := Snapshot{Header: j.Header, Chunks: j.Pieces}
+	s := Snapshot{Header: j.Header, Chunks: j.Chunks}
 	table, err := s.Assemble()
 	if err != nil {
 		return err
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -14,7 +14,7 @@
 func tenantPut(name, value string) Put { return Put{Key{Tenant, name}, []byte(value)} }
 
 // An invalid or conflicting change must be refused with its key and reason, and none of its puts and deletes applied.
-func TestChangesAreRefusedWhole(t *testing.T) {
+func TestInvalidChangeRefusedAtomically(t *testing.T) {
 	s := NewSet(DefaultLimits)
 	if _, err := s.Apply(Change{Puts: []Put{tenantPut("a", "1"), tenantPut("b", "1")}}); err != nil {
 		t.Fatal(err)
@@ -25,31 +25,31 @@
 	if _, err := s.Apply(Change{Deletes: []Key{{Tenant, "b"}}}); err != nil {
 		t.Fatal(err)
 	}
-	before, many := s.Digest(), []Put{}
+	before, tooManyPuts := s.Digest(), []Put{}
 	for i := range MaxChangeKeys + 1 {
-		many = append(many, tenantPut(fmt.Sprint(i), ""))
+		tooManyPuts = append(tooManyPuts, tenantPut(fmt.Sprint(i), ""))
 	}
-	heavy := Change{}
+	oversized := Change{}
 	for i := range 3 {
-		heavy.Puts = append(heavy.Puts, Put{Key{Setting, fmt.Sprint(i)}, make([]byte, MaxSettingBytes)})
+		oversized.Puts = append(oversized.Puts, Put{Key{Setting, fmt.Sprint(i)}, make([]byte, MaxSettingBytes)})
 	}
-	good := tenantPut("good", "1")
+	validPut := tenantPut("good", "1")
 	for name, c := range map[string]struct {
 		change Change
 		key    Key
 		reason error
 	}{
 		"empty change":   {Change{}, Key{}, ErrEmptyChange},
-		"unknown kind":   {Change{Puts: []Put{good, {Key{9, "x"}, nil}}}, Key{9, "x"}, ErrUnknownKind},
-		"empty name":     {Change{Puts: []Put{good, tenantPut("", "1")}}, Key{Tenant, ""}, ErrInvalidName},
-		"space in name":  {Change{Puts: []Put{good, tenantPut("a b", "1")}}, Key{Tenant, "a b"}, ErrInvalidName},
-		"duplicate key":  {Change{Puts: []Put{good}, Deletes: []Key{good.Key}}, good.Key, ErrDuplicateKey},
-		"large value":    {Change{Puts: []Put{good, tenantPut("x", strings.Repeat("x", MaxTenantBytes+1))}}, Key{Tenant, "x"}, ErrTooLarge},
-		"too many keys":  {Change{Puts: many}, Key{}, ErrTooLarge},
-		"too many bytes": {heavy, Key{}, ErrTooLarge},
-		"stale put":      {Change{Base: 1, Puts: []Put{good, tenantPut("a", "3")}}, Key{Tenant, "a"}, ErrConflict},
-		"stale delete":   {Change{Base: 2, Deletes: []Key{good.Key, {Tenant, "b"}}}, Key{Tenant, "b"}, ErrConflict},
-		"future base":    {Change{Base: 4, Puts: []Put{good}}, Key{}, ErrFutureRevision},
+		"unknown kind":   {Change{Puts: []Put{validPut, {Key{9, "x"}, nil}}}, Key{9, "x"}, ErrUnknownKind},
+		"empty name":     {Change{Puts: []Put{validPut, tenantPut("", "1")}}, Key{Tenant, ""}, ErrInvalidName},
+		"space in name":  {Change{Puts: []Put{validPut, tenantPut("a b", "1")}}, Key{Tenant, "a b"}, ErrInvalidName},
+		"duplicate key":  {Change{Puts: []Put{validPut}, Deletes: []Key{validPut.Key}}, validPut.Key, ErrDuplicateKey},
+		"large value":    {Change{Puts: []Put{validPut, tenantPut("x", strings.Repeat("x", MaxTenantBytes+1))}}, Key{Tenant, "x"}, ErrTooLarge},
+		"too many keys":  {Change{Puts: tooManyPuts}, Key{}, ErrTooLarge},
+		"too many bytes": {oversized, Key{}, ErrTooLarge},
+		"stale put":      {Change{Base: 1, Puts: []Put{validPut, tenantPut("a", "3")}}, Key{Tenant, "a"}, ErrConflict},
+		"stale delete":   {Change{Base: 2, Deletes: []Key{validPut.Key, {Tenant, "b"}}}, Key{Tenant, "b"}, ErrConflict},
+		"future base":    {Change{Base: 4, Puts: []Put{validPut}}, Key{}, ErrFutureRevision},
 	} {
 		_, err := s.Apply(c.change)
 		var refusal *Refusal
@@ -60,19 +60,19 @@
 			t.Fatalf("%s: the records changed", name)
 		}
 	}
-	if _, err := s.Apply(Change{Base: 2, Puts: []Put{good, tenantPut("a", "3")}}); err != nil {
+	if _, err := s.Apply(Change{Base: 2, Puts: []Put{validPut, tenantPut("a", "3")}}); err != nil {
 		t.Errorf("change based on the latest revision of its keys: %v", err)
 	}
 }
 
 // Applies random changes and compares the table with a plain map. Followers of the commits, snapshots and point-in-time copies
 // must hold the same records.
-func TestTableAgainstAMap(t *testing.T) {
+func TestTableMatchesMap(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		s, follower := NewSet(Limits{MaxCommits: 50, MaxBytes: 1 << 20}), NewSet(Limits{})
-		marker := DigestFollower{}
-		plain := map[Key]string{}
+		digestFollower := DigestFollower{}
+		want := map[Key]string{}
 		for range 1500 {
 			c := randomChange(rng)
 			commit, err := s.Apply(c)
@@ -80,21 +80,21 @@
 				t.Fatal(err)
 			}
 			for _, p := range c.Puts {
-				plain[p.Key] = string(p.Value)
+				want[p.Key] = string(p.Value)
 			}
 			for _, k := range c.Deletes {
-				delete(plain, k)
+				delete(want, k)
 			}
-			if err := errors.Join(follower.ApplyCommit(commit), marker.ApplyCommit(commit)); err != nil {
+			if err := errors.Join(follower.ApplyCommit(commit), digestFollower.ApplyCommit(commit)); err != nil {
 				t.Fatal(err)
 			}
-			if s.Table().Len() != len(plain) {
-				t.Fatalf("seed %d: got %d records, want %d", seed, s.Table().Len(), len(plain))
+			if s.Table().Len() != len(want) {
+				t.Fatalf("seed %d: got %d records, want %d", seed, s.Table().Len(), len(want))
 			}
 		}
-		sameRecords(t, s.Table(), plain)
-		sameRecords(t, follower.Table(), plain)
-		if marker.Digest != s.Digest() || follower.Digest() != s.Digest() || s.Digest() != sumOf(s.Table()) {
+		wantRecords(t, s.Table(), want)
+		wantRecords(t, follower.Table(), want)
+		if digestFollower.Digest != s.Digest() || follower.Digest() != s.Digest() || s.Digest() != recomputedDigest(s.Table()) {
 			t.Errorf("seed %d: digests differ", seed)
 		}
 		snapshot, err := NewSnapshot(s.Table(), s.Revision())
@@ -105,28 +105,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sameRecords(t, table, plain)
-		thawed := thaw(t, s)
+		wantRecords(t, table, want)
+		restored := jsonRoundTrip(t, s)
 		for _, base := range []uint64{s.Revision() - 40, s.Revision() - 1} { // every replica must refuse the same changes as stale
 			for range 200 {
 				c := randomChange(rng)
 				c.Base = base
-				_, a := thaw(t, s).Apply(c)
-				_, b := thaw(t, thawed).Apply(c)
+				_, a := jsonRoundTrip(t, s).Apply(c)
+				_, b := jsonRoundTrip(t, restored).Apply(c)
 				if fmt.Sprint(a) != fmt.Sprint(b) {
 					t.Fatalf("seed %d: results differ: %v and %v", seed, a, b)
 				}
 				break
 			}
 		}
-		if s.OldestRevision() != s.Revision()-50 || thawed.OldestRevision() != s.OldestRevision() {
-			t.Errorf("seed %d: oldest revisions %d and %d at revision %d", seed, s.OldestRevision(), thawed.OldestRevision(), s.Revision())
+		if s.OldestRevision() != s.Revision()-50 || restored.OldestRevision() != s.OldestRevision() {
+			t.Errorf("seed %d: oldest revisions %d and %d at revision %d", seed, s.OldestRevision(), restored.OldestRevision(), s.Revision())
 		}
 	}
 }
 
-// thaw returns a copy of the set that was encoded as JSON and decoded again.
-func thaw(t *testing.T, s *Set) *Set {
+// jsonRoundTrip returns a copy of the set that was encoded as JSON and decoded again.
+func jsonRoundTrip(t *testing.T, s *Set) *Set {
 	t.Helper()
 	b, err := json.Marshal(s.Snapshot())
 	if err != nil {
@@ -156,32 +156,32 @@
 	return c
 }
 
-func sameRecords(t *testing.T, table *Table, plain map[Key]string) {
+func wantRecords(t *testing.T, table *Table, want map[Key]string) {
 	t.Helper()
-	found := map[Key]string{}
+	got := map[Key]string{}
 	for r := range table.All() {
-		found[r.Key] = string(r.Value)
+		got[r.Key] = string(r.Value)
 	}
-	if !maps.Equal(found, plain) {
-		t.Errorf("the records differ: got %d, want %d", len(found), len(plain))
+	if !maps.Equal(got, want) {
+		t.Errorf("the records differ: got %d, want %d", len(got), len(want))
 	}
-	for k, v := range plain {
+	for k, v := range want {
 		if got, _, ok := table.Get(k); !ok || string(got) != v {
 			t.Fatalf("%s is missing or has another value", k)
 		}
 	}
 }
 
-// sumOf recomputes the digest of a table from its shards.
-func sumOf(t *Table) (d Digest) {
-	for i := range uint64(shards) {
+// recomputedDigest recomputes the digest of a table from its shards.
+func recomputedDigest(t *Table) (d Digest) {
+	for i := range uint64(shardCount) {
 		d.merge(t.ShardDigest(i))
 	}
 	return d
 }
 
 // A clone shares entries with its table. Writes to either must not appear in the other.
-func TestClonesAreApart(t *testing.T) {
+func TestCloneIsIndependent(t *testing.T) {
 	table := NewTable()
 	for i := range 3000 {
 		table.Put(Record{Key{Tenant, fmt.Sprint(i)}, []byte("before"), 1})
@@ -190,7 +190,7 @@
 	for i := range 3000 {
 		table.Put(Record{Key{Tenant, fmt.Sprint(i)}, []byte("after"), 2})
 	}
-	if clone.Digest() != digest || sumOf(clone) != digest {
+	if clone.Digest() != digest || recomputedDigest(clone) != digest {
 		t.Error("a write to the table changed the clone")
 	}
 	for i := range 10 {
@@ -199,26 +199,26 @@
 	if v, _, _ := table.Get(Key{Tenant, "3"}); string(v) != "after" {
 		t.Errorf("a write to the clone changed the table: %q", v)
 	}
-	if sumOf(table) != table.Digest() || sumOf(clone) != clone.Digest() {
+	if recomputedDigest(table) != table.Digest() || recomputedDigest(clone) != clone.Digest() {
 		t.Error("the digest does not match the records")
 	}
 }
 
 // The memory of replaced records must be reclaimed; otherwise a table with frequent updates would grow without bound.
-func TestReplacedRecordsTakeNoRoom(t *testing.T) {
+func TestReplacedRecordMemoryReclaimed(t *testing.T) {
 	table := NewTable()
 	for round := range 200 {
 		for i := range 500 {
 			table.Put(Record{Key{Route, fmt.Sprint(i)}, make([]byte, 1000), uint64(round)})
 		}
 	}
-	if most := 16 * 6 * chunkBytes; table.MemoryBytes() > most {
-		t.Errorf("table uses %d bytes for %d bytes of values, want at most %d", table.MemoryBytes(), 500*1000, most)
+	if maxBytes := 16 * 6 * pageBytes; table.MemoryBytes() > maxBytes {
+		t.Errorf("table uses %d bytes for %d bytes of values, want at most %d", table.MemoryBytes(), 500*1000, maxBytes)
 	}
 }
 
 // Followers must refuse a missing, duplicate, reordered or divergent commit.
-func TestFollowersRefuseWhatDoesNotFollow(t *testing.T) {
+func TestFollowersRefuseOutOfSequenceCommits(t *testing.T) {
 	s := NewSet(DefaultLimits)
 	var commits []Commit
 	for i := range 5 {
@@ -228,20 +228,20 @@
 		}
 		commits = append(commits, c)
 	}
-	other := commits[2]
-	other.Puts = []Put{tenantPut("2", "y")}
-	for name, order := range map[string][]Commit{
+	divergent := commits[2]
+	divergent.Puts = []Put{tenantPut("2", "y")}
+	for name, sequence := range map[string][]Commit{
 		"missing":      {commits[0], commits[2]},
 		"duplicate":    {commits[0], commits[0]},
 		"out of order": {commits[1]},
-		"divergent":    {commits[0], commits[1], other},
+		"divergent":    {commits[0], commits[1], divergent},
 	} {
 		f, m, failed := NewSet(Limits{}), DigestFollower{}, false
-		for _, c := range order {
+		for _, c := range sequence {
 			var e *SequenceError
 			failed = errors.As(f.ApplyCommit(c), &e)
-			if marked := m.ApplyCommit(c) != nil; marked != failed && name != "divergent" {
-				t.Errorf("%s: the marker and the set disagree", name)
+			if digestFailed := m.ApplyCommit(c) != nil; digestFailed != failed && name != "divergent" {
+				t.Errorf("%s: the digest follower and the set disagree", name)
 			}
 		}
 		if !failed {
@@ -250,17 +250,18 @@
 	}
 }
 
-// A corrupt snapshot must be refused with ErrCorrupt: changed, missing or reordered chunks, or a header that does not match.
-func TestSpoiltSnapshotsAreRefused(t *testing.T) {
+// A corrupt snapshot must be refused with ErrCorrupt: changed, missing or reordered chunks, or a header that does not
+// match or exceeds the bounds.
+func TestCorruptSnapshotsRefused(t *testing.T) {
 	table := NewTable()
 	for i := range 9000 {
 		table.Put(Record{Key{Route, fmt.Sprint(i)}, []byte(strings.Repeat(fmt.Sprint(i), 20)), uint64(i)})
 	}
-	whole, err := NewSnapshot(table, 7)
-	if err != nil || whole.ChunkCount < 3 {
-		t.Fatal(err, whole.ChunkCount)
+	original, err := NewSnapshot(table, 7)
+	if err != nil || original.ChunkCount < 3 {
+		t.Fatal(err, original.ChunkCount)
 	}
-	for name, change := range map[string]func(s *Snapshot){
+	for name, corrupt := range map[string]func(s *Snapshot){
 		"corrupted byte":     func(s *Snapshot) { s.Chunks[1].Data[9] ^= 1 },
 		"missing chunk":      func(s *Snapshot) { s.Chunks = append(s.Chunks[:1], s.Chunks[2:]...) },
 		"missing last chunk": func(s *Snapshot) { s.Chunks = s.Chunks[:len(s.Chunks)-1] },
@@ -268,26 +269,26 @@
 		"other digest":       func(s *Snapshot) { s.Digest.lo++ },
 		"fewer records":      func(s *Snapshot) { s.RecordCount-- },
 		"more records":       func(s *Snapshot) { s.RecordCount++ },
-		"too many chunks":    func(s *Snapshot) { s.ChunkCount = maxPieces + 1 },
+		"too many chunks":    func(s *Snapshot) { s.ChunkCount = maxChunks + 1 },
 		"no records":         func(s *Snapshot) { s.RecordCount = 0 },
 	} {
-		s := &Snapshot{Header: whole.Header}
-		for _, p := range whole.Chunks {
+		s := &Snapshot{Header: original.Header}
+		for _, p := range original.Chunks {
 			p.Data = append([]byte(nil), p.Data...)
 			s.Chunks = append(s.Chunks, p)
 		}
-		change(s)
+		corrupt(s)
 		if _, err := s.Assemble(); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := whole.Assemble(); err != nil {
+	if _, err := original.Assemble(); err != nil {
 		t.Error(err)
 	}
 }
 
-// FuzzPieces decodes arbitrary bytes from an untrusted peer as a snapshot chunk.
-func FuzzPieces(f *testing.F) {
+// FuzzChunks decodes arbitrary bytes from an untrusted peer as a snapshot chunk.
+func FuzzChunks(f *testing.F) {
 	table := NewTable()
 	for i := range 30 {
 		table.Put(Record{Key{Kind(1 + i%3), fmt.Sprint(i)}, []byte("value"), uint64(i)})
@@ -304,14 +305,14 @@
 			t.Fatal(err)
 		}
 		defer a.Close()
-		if a.Add(Chunk{Checksum: Checksum(data), Data: data}) == nil && a.table.Digest() != sumOf(a.table) {
+		if a.Add(Chunk{Checksum: Checksum(data), Data: data}) == nil && a.table.Digest() != recomputedDigest(a.table) {
 			t.Error("the digest does not match the records")
 		}
 	})
 }
 
 // A packed commit must decode to the original, and a truncated or extended one must be rejected.
-func TestPackedCommits(t *testing.T) {
+func TestPackedCommitRoundTrip(t *testing.T) {
 	s := NewSet(DefaultLimits)
 	for _, c := range []Change{
 		{Puts: []Put{tenantPut("a", "1")}},
@@ -342,8 +343,8 @@
 	}
 }
 
-// FuzzCommits decodes arbitrary bytes from an untrusted peer as a commit.
-func FuzzCommits(f *testing.F) {
+// FuzzParseCommit decodes arbitrary bytes from an untrusted peer as a commit.
+func FuzzParseCommit(f *testing.F) {
 	s := NewSet(DefaultLimits)
 	c, err := s.Apply(Change{Puts: []Put{tenantPut("a", "1")}})
 	if err != nil {
@@ -357,8 +358,8 @@
 		if err != nil {
 			return
 		}
-		if again, err := ParseCommit(AppendCommit(nil, c)); err != nil || fmt.Sprint(again) != fmt.Sprint(c) {
-			t.Errorf("%+v decodes as %+v after packing: %v", c, again, err)
+		if decoded, err := ParseCommit(AppendCommit(nil, c)); err != nil || fmt.Sprint(decoded) != fmt.Sprint(c) {
+			t.Errorf("%+v decodes as %+v after packing: %v", c, decoded, err)
 		}
 		set := NewSet(DefaultLimits)
 		if err := set.ApplyCommit(c); err == nil && (set.Revision() != 1 || set.Digest() != c.After || c.Check() != nil) {
@@ -367,15 +368,16 @@
 	})
 }
 
-// sizedKind is a kind of record with the table sizes to benchmark; put returns records like those described in docs/CAPACITY.md.
-type sizedKind struct {
+// benchmarkKind is a kind of record with the table sizes to benchmark; put returns records of the form described in
+// docs/CAPACITY.md.
+type benchmarkKind struct {
 	kind  Kind
 	name  string
 	sizes []int
 	put   func(i, version int) Put
 }
 
-var sizedKinds = []sizedKind{
+var benchmarkKinds = []benchmarkKind{
 	{Tenant, "tenants", []int{50000, 100000, 200000, 400000}, func(i, version int) Put {
 		return tenantPut(fmt.Sprintf("tenant-%06d", i), fmt.Sprintf(`{"share":0.0000025,"limit":%d.5}`, version%500))
 	}},
@@ -385,8 +387,8 @@
 	}},
 }
 
-// filled returns a table with n records of the kind.
-func (k sizedKind) filled(n int) *Table {
+// newTable returns a table with n records of the kind.
+func (k benchmarkKind) newTable(n int) *Table {
 	table := NewTable()
 	for i := range n {
 		p := k.put(i, i)
@@ -397,18 +399,18 @@
 
 // BenchmarkTable measures the memory use of a table and the cost of replacing a record.
 func BenchmarkTable(b *testing.B) {
-	for _, k := range sizedKinds {
+	for _, k := range benchmarkKinds {
 		for _, n := range k.sizes {
 			b.Run(fmt.Sprintf("%s=%d", k.name, n), func(b *testing.B) {
-				table := k.filled(n)
-				bytes := table.MemoryBytes()
+				table := k.newTable(n)
+				memoryBytes := table.MemoryBytes()
 				i := 0
 				for b.Loop() {
 					i++
 					p := k.put(i*7919%n, i)
 					table.Put(Record{p.Key, p.Value, uint64(i)})
 				}
-				b.ReportMetric(float64(bytes), "bytes")
+				b.ReportMetric(float64(memoryBytes), "bytes")
 			})
 		}
 	}
@@ -416,9 +418,9 @@
 
 // BenchmarkSnapshot measures creating and assembling a snapshot.
 func BenchmarkSnapshot(b *testing.B) {
-	for _, k := range sizedKinds {
+	for _, k := range benchmarkKinds {
 		for _, n := range k.sizes {
-			table := k.filled(n)
+			table := k.newTable(n)
 			var s *Snapshot
 			b.Run(fmt.Sprintf("make/%s=%d", k.name, n), func(b *testing.B) {
 				for b.Loop() {
@@ -446,7 +448,7 @@
 		var c Commit
 		c.Revision = 123456
 		for i := range n {
-			c.Puts = append(c.Puts, sizedKinds[i%2].put(i, i))
+			c.Puts = append(c.Puts, benchmarkKinds[i%2].put(i, i))
 		}
 		b.Run(fmt.Sprintf("puts=%d", n), func(b *testing.B) {
 			var packed []byte
--- a/internal/records/set.go
+++ b/internal/records/set.go
@@ -5,8 +5,8 @@
 // Limits bound the history of commits that a Set retains. Older commits are compacted: a watcher at an older revision needs a
 // snapshot.
 type Limits struct {
-	MaxCommits int // maximum number of commits
-	MaxBytes   int // maximum total size of the commits, in bytes; the latest commit is retained whatever its size
+	MaxCommits int // commits retained
+	MaxBytes   int // total size of the retained commits; the latest one is retained whatever its size
 }
 
 // DefaultLimits retain about eight hours of changes at 24,000 changes a day.
@@ -19,13 +19,13 @@
 	table    *Table
 	revision uint64
 
-	history []Commit       // oldest first, without gaps, up to revision
-	bytes   int            // size of the history, in bytes
-	deleted map[Key]uint64 // keys deleted by a commit in the history and not put since, with the revision of the deletion
+	history      []Commit       // oldest first, without gaps, up to revision
+	historyBytes int            // size of the history, in bytes
+	deletedAt    map[Key]uint64 // keys deleted by a commit in the history and not put since, with the revision of the deletion
 }
 
 // NewSet returns an empty set at revision 0.
-func NewSet(l Limits) *Set { return &Set{limits: l, table: NewTable(), deleted: map[Key]uint64{}} }
+func NewSet(l Limits) *Set { return &Set{limits: l, table: NewTable(), deletedAt: map[Key]uint64{}} }
 
 // Revision returns the revision of the latest commit, which is the number of commits so far.
 func (s *Set) Revision() uint64 { return s.revision }
@@ -36,7 +36,7 @@
 // Table returns the records. The caller must not change the table, and must use a Clone to retain it.
 func (s *Set) Table() *Table { return s.table }
 
-// OldestRevision returns the oldest revision for which Since can list all later commits.
+// OldestRevision returns the oldest revision for which CommitsSince can list all later commits.
 func (s *Set) OldestRevision() uint64 { return s.revision - uint64(len(s.history)) }
 
 // Apply applies a change atomically. If the change is refused, the error is a *Refusal with the key and the reason.
@@ -48,9 +48,9 @@
 		return Commit{}, err
 	}
 	commit := Commit{Revision: s.revision + 1, Before: s.table.Digest(), Puts: c.Puts, Deletes: c.Deletes}
-	s.carryOut(commit)
+	s.applyToTable(commit)
 	commit.After = s.table.Digest()
-	s.remember(commit)
+	s.appendHistory(commit)
 	return commit, nil
 }
 
@@ -64,55 +64,55 @@
 	case c.Base < s.OldestRevision():
 		return &Refusal{Reason: fmt.Errorf("%w: the base revision is %d, the oldest retained is %d", ErrCompacted, c.Base, s.OldestRevision())}
 	}
-	check := func(k Key) error {
+	checkKey := func(k Key) error {
 		_, revision, _ := s.table.Get(k)
-		if revision = max(revision, s.deleted[k]); revision > c.Base {
+		if revision = max(revision, s.deletedAt[k]); revision > c.Base {
 			return &Refusal{k, fmt.Errorf("%w: in %d, and it rests on %d", ErrConflict, revision, c.Base)}
 		}
 		return nil
 	}
 	for _, p := range c.Puts {
-		if err := check(p.Key); err != nil {
+		if err := checkKey(p.Key); err != nil {
 			return err
 		}
 	}
 	for _, k := range c.Deletes {
-		if err := check(k); err != nil {
+		if err := checkKey(k); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Set) carryOut(c Commit) {
+func (s *Set) applyToTable(c Commit) {
 	for _, p := range c.Puts {
 		s.table.Put(Record{p.Key, p.Value, c.Revision})
-		delete(s.deleted, p.Key)
+		delete(s.deletedAt, p.Key)
 	}
 	for _, k := range c.Deletes {
 		s.table.Delete(k)
-		s.deleted[k] = c.Revision
+		s.deletedAt[k] = c.Revision
 	}
 	s.revision = c.Revision
 }
 
-// remember appends a commit to the history and drops the oldest commits that exceed the limits.
-func (s *Set) remember(c Commit) {
+// appendHistory appends a commit to the history and drops the oldest commits that exceed the limits.
+func (s *Set) appendHistory(c Commit) {
 	s.history = append(s.history, c)
-	s.bytes += c.Size()
-	drop := 0
-	for len(s.history)-drop > s.limits.MaxCommits || s.bytes > s.limits.MaxBytes && len(s.history)-drop > 1 {
-		old := s.history[drop]
-		s.bytes -= old.Size()
-		for _, k := range old.Deletes {
-			if s.deleted[k] == old.Revision {
-				delete(s.deleted, k)
+	s.historyBytes += c.Size()
+	dropped := 0
+	for len(s.history)-dropped > s.limits.MaxCommits || s.historyBytes > s.limits.MaxBytes && len(s.history)-dropped > 1 {
+		oldest := s.history[dropped]
+		s.historyBytes -= oldest.Size()
+		for _, k := range oldest.Deletes {
+			if s.deletedAt[k] == oldest.Revision {
+				delete(s.deletedAt, k)
 			}
 		}
-		s.history[drop] = Commit{}
-		drop++
+		s.history[dropped] = Commit{}
+		dropped++
 	}
-	s.history = s.history[drop:]
+	s.history = s.history[dropped:]
 }
 
 // CommitsSince returns the commits after a revision, in order. It returns ErrCompacted if some of them are no longer retained.
@@ -140,8 +140,8 @@
 	return fmt.Sprintf("records: commit %d does not follow revision %d", e.CommitRevision, e.LocalRevision)
 }
 
-// ApplyCommit applies a commit that was agreed on elsewhere. It must have the next revision, and its digests must match the records
-// before and after it.
+// ApplyCommit applies a commit that was agreed on elsewhere. It must have the next revision, and its digests must match the
+// records before and after it.
 func (s *Set) ApplyCommit(c Commit) error {
 	switch {
 	case c.Revision != s.revision+1:
@@ -152,16 +152,16 @@
 	if err := c.Check(); err != nil {
 		return err
 	}
-	s.carryOut(c)
+	s.applyToTable(c)
 	if s.table.Digest() != c.After {
 		return &SequenceError{LocalRevision: s.revision, CommitRevision: c.Revision, DigestMismatch: true}
 	}
-	s.remember(c)
+	s.appendHistory(c)
 	return nil
 }
 
-// DigestFollower follows commits without holding records: it detects missing, duplicate and divergent commits from the digests alone. It
-// serves processes that run many followers.
+// DigestFollower follows commits without holding records: it detects missing, duplicate and divergent commits from the digests
+// alone. It serves processes that run many followers.
 type DigestFollower struct {
 	Revision uint64
 	Digest   Digest
@@ -182,5 +182,5 @@
 // ReplaceTable replaces all records with those of a snapshot and clears the history. The set takes ownership of the table.
 func (s *Set) ReplaceTable(t *Table, revision uint64) {
 	s.table, s.revision = t, revision
-	s.history, s.bytes, s.deleted = nil, 0, map[Key]uint64{}
+	s.history, s.historyBytes, s.deletedAt = nil, 0, map[Key]uint64{}
 }
--- a/internal/records/snapshot.go
+++ b/internal/records/snapshot.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	pieceBytes    = 256 << 10                      // bytes of packed records after which a new chunk begins
-	maxPieceBytes = pieceBytes + 2*MaxSettingBytes // maximum decompressed size of a received chunk, in bytes
-	maxPieces     = 1 << 16                        // maximum number of chunks in a received snapshot
-	maxRecords    = 1 << 24                        // maximum number of records in a received snapshot
-	maxCompressed = maxPieceBytes + pieceBytes     // maximum compressed size of a received chunk, in bytes
+	targetChunkBytes        = 256 << 10                            // bytes of packed records after which a new chunk begins
+	maxChunkBytes           = targetChunkBytes + 2*MaxSettingBytes // maximum decompressed size of a received chunk, in bytes
+	maxChunks               = 1 << 16                              // maximum number of chunks in a received snapshot
+	maxSnapshotRecords      = 1 << 24                              // maximum number of records in a received snapshot
+	maxCompressedChunkBytes = maxChunkBytes + targetChunkBytes     // maximum compressed size of a received chunk, in bytes
 )
 
 // ErrCorrupt is the error of a snapshot that is damaged or does not match its header.
@@ -29,7 +29,7 @@
 	CompressedBytes int64  `json:"bytes"` // total compressed size of the chunks
 }
 
-// Chunk is a chunk of a snapshot.
+// Chunk is a part of a snapshot, compressed and checksummed on its own.
 type Chunk struct {
 	Index    int    `json:"number"` // starting at 0
 	Checksum uint64 `json:"checksum"`
@@ -44,14 +44,14 @@
 
 // NewSnapshot compresses a table, which must not change until it returns.
 func NewSnapshot(t *Table, revision uint64) (*Snapshot, error) {
-	z, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(pieceBytes))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(targetChunkBytes))
 	if err != nil {
 		return nil, err
 	}
-	defer z.Close()
+	defer encoder.Close()
 	s := &Snapshot{Header: Header{Revision: revision, Digest: t.Digest(), RecordCount: t.Len()}}
-	for packed := range packs(t) {
-		data := bytes.Clone(z.EncodeAll(packed, nil))
+	for packed := range packedChunks(t) {
+		data := bytes.Clone(encoder.EncodeAll(packed, nil))
 		s.Chunks = append(s.Chunks, Chunk{Index: len(s.Chunks), Checksum: Checksum(data), Data: data})
 		s.CompressedBytes += int64(len(data))
 	}
@@ -59,13 +59,13 @@
 	return s, nil
 }
 
-// packs iterates over the packed records, grouped into chunks; a chunk is valid until the next iteration.
-func packs(t *Table) iter.Seq[[]byte] {
+// packedChunks iterates over the packed records, grouped into chunks; a chunk is valid until the next iteration.
+func packedChunks(t *Table) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		var b []byte
 		for i := range t.shards {
 			for entry := range t.shards[i].entries() {
-				if b = append(b, entry...); len(b) < pieceBytes {
+				if b = append(b, entry...); len(b) < targetChunkBytes {
 					continue
 				}
 				if !yield(b) {
@@ -82,40 +82,40 @@
 
 // Assembler builds a table from the chunks of a snapshot, which must arrive in order.
 type Assembler struct {
-	header Header
-	next   int
-	table  *Table
-	keep   bool
-	z      *zstd.Decoder
+	header      Header
+	nextIndex   int
+	table       *Table
+	keepRecords bool
+	decoder     *zstd.Decoder
 }
 
-// NewAssembler returns an assembler for the snapshot with the given header. Without keep it verifies the records but does not
-// store them, for followers that hold only digests.
-func NewAssembler(h Header, keep bool) (*Assembler, error) {
-	if h.ChunkCount < 0 || h.ChunkCount > maxPieces || h.RecordCount < 0 || h.RecordCount > maxRecords || (h.ChunkCount == 0) != (h.RecordCount == 0) {
+// NewAssembler returns an assembler for the snapshot with the given header. Without keepRecords it verifies the records but
+// does not store them, for followers that hold only digests.
+func NewAssembler(h Header, keepRecords bool) (*Assembler, error) {
+	if h.ChunkCount < 0 || h.ChunkCount > maxChunks || h.RecordCount < 0 || h.RecordCount > maxSnapshotRecords || (h.ChunkCount == 0) != (h.RecordCount == 0) {
 		return nil, fmt.Errorf("%w: header with %d records in %d chunks", ErrCorrupt, h.RecordCount, h.ChunkCount)
 	}
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPieceBytes), zstd.WithDecoderLowmem(true))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxChunkBytes), zstd.WithDecoderLowmem(true))
 	if err != nil {
 		return nil, err
 	}
-	return &Assembler{header: h, table: NewTable(), keep: keep, z: z}, nil
+	return &Assembler{header: h, table: NewTable(), keepRecords: keepRecords, decoder: decoder}, nil
 }
 
 // Close releases the resources of the assembler, except for the table.
-func (a *Assembler) Close() { a.z.Close() }
+func (a *Assembler) Close() { a.decoder.Close() }
 
 // Add verifies and adds the next chunk.
 func (a *Assembler) Add(p Chunk) error {
 	switch {
-	case p.Index != a.next || p.Index >= a.header.ChunkCount:
-		return fmt.Errorf("%w: got chunk %d, expected chunk %d of %d", ErrCorrupt, p.Index, a.next, a.header.ChunkCount)
-	case len(p.Data) > maxCompressed:
+	case p.Index != a.nextIndex || p.Index >= a.header.ChunkCount:
+		return fmt.Errorf("%w: got chunk %d, expected chunk %d of %d", ErrCorrupt, p.Index, a.nextIndex, a.header.ChunkCount)
+	case len(p.Data) > maxCompressedChunkBytes:
 		return fmt.Errorf("%w: chunk %d is too large: %d bytes", ErrCorrupt, p.Index, len(p.Data))
 	case Checksum(p.Data) != p.Checksum:
 		return fmt.Errorf("%w: checksum mismatch in chunk %d", ErrCorrupt, p.Index)
 	}
-	packed, err := a.z.DecodeAll(p.Data, nil)
+	packed, err := a.decoder.DecodeAll(p.Data, nil)
 	if err != nil {
 		return fmt.Errorf("%w: chunk %d: %v", ErrCorrupt, p.Index, err)
 	}
@@ -124,17 +124,17 @@
 		if err != nil {
 			return fmt.Errorf("%w: chunk %d: %v", ErrCorrupt, p.Index, err)
 		}
-		if err := a.take(e, packed[:e.size]); err != nil {
+		if err := a.addEntry(e, packed[:e.size]); err != nil {
 			return err
 		}
 		packed = packed[e.size:]
 	}
-	a.next++
+	a.nextIndex++
 	return nil
 }
 
-func (a *Assembler) take(e parsed, packed []byte) error {
-	if !a.keep {
+func (a *Assembler) addEntry(e parsedEntry, packed []byte) error {
+	if !a.keepRecords {
 		a.table.count++
 		a.table.digest.add(packed)
 		return nil
@@ -146,13 +146,14 @@
 	return nil
 }
 
-// Finish verifies that the snapshot is complete and returns the table. Without keep, the table has only its digest and length.
+// Finish verifies that the snapshot is complete and returns the table. Without keepRecords, the table has only its
+// digest and length.
 func (a *Assembler) Finish() (*Table, error) {
 	switch {
-	case a.next != a.header.ChunkCount:
-		return nil, fmt.Errorf("%w: incomplete: %d of %d chunks", ErrCorrupt, a.next, a.header.ChunkCount)
+	case a.nextIndex != a.header.ChunkCount:
+		return nil, fmt.Errorf("%w: got %d of %d chunks", ErrCorrupt, a.nextIndex, a.header.ChunkCount)
 	case a.table.Len() != a.header.RecordCount:
-		return nil, fmt.Errorf("%w: incomplete: %d of %d records", ErrCorrupt, a.table.Len(), a.header.RecordCount)
+		return nil, fmt.Errorf("%w: got %d of %d records", ErrCorrupt, a.table.Len(), a.header.RecordCount)
 	case a.table.Digest() != a.header.Digest:
 		return nil, fmt.Errorf("%w: digest mismatch", ErrCorrupt)
 	}
--- a/internal/records/table.go
+++ b/internal/records/table.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	shards     = 16        // number of shards; store replicas compare the digests of one shard at a time
-	chunkBytes = 256 << 10 // size of a page, in bytes
-	alignment  = 8         // bytes; positions count in this unit, so that 32 bits address 32 GiB per shard
-	minSlots   = 16        // minimum number of slots in an index
+	shardCount     = 16        // number of shards; store replicas compare the digests of one shard at a time
+	pageBytes      = 256 << 10 // size of a page, in bytes
+	entryAlignment = 8         // bytes; positions count in this unit, so that 32 bits address 32 GiB per shard
+	minSlots       = 16        // minimum number of slots in an index
 )
 
 // ErrMalformed is the error of bytes that do not encode a record or a commit.
@@ -23,22 +23,22 @@
 // collector small. A table is not safe for concurrent use. Entries are never changed in place, so a Clone can be read while the
 // table changes.
 type Table struct {
-	shards [shards]shard
+	shards [shardCount]shard
 	digest Digest
 	count  int
 }
 
 // shard is the part of a table that holds the keys of one hash class.
 type shard struct {
-	chunks []chunk
-	slots  []uint32 // hash index with linear probing: positions of entries; 0: free
-	count  int
-	live   int // bytes of the entries in the index
-	used   int // bytes of all entries in the pages, including those replaced or deleted
+	pages      []page
+	slots      []uint32 // hash index with linear probing: positions of entries; 0: free
+	entryCount int
+	liveBytes  int // bytes of the entries in the index
+	usedBytes  int // bytes of all entries in the pages, including those replaced or deleted
 }
 
-// chunk is a block of memory that holds entries.
-type chunk []byte
+// page is a block of memory that holds entries.
+type page []byte
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{} }
@@ -53,7 +53,7 @@
 func (t *Table) MemoryBytes() (n int) {
 	for i := range t.shards {
 		s := &t.shards[i]
-		n += len(s.slots)*4 + len(s.chunks)*chunkBytes
+		n += len(s.slots)*4 + len(s.pages)*pageBytes
 	}
 	return n
 }
@@ -78,8 +78,8 @@
 	return binary.PutUvarint(b[:], v)
 }
 
-// parsed is a decoded entry whose name and value refer to the bytes from which it was decoded.
-type parsed struct {
+// parsedEntry is a decoded entry whose name and value refer to the bytes from which it was decoded.
+type parsedEntry struct {
 	kind     Kind
 	name     []byte
 	revision uint64
@@ -88,50 +88,50 @@
 }
 
 // parseEntry decodes the entry at the start of b.
-func parseEntry(b []byte) (e parsed, err error) {
+func parseEntry(b []byte) (e parsedEntry, err error) {
 	if len(b) == 0 {
 		return e, ErrMalformed
 	}
 	e.kind = Kind(b[0])
-	at := 1
-	field := func(most uint64) []byte {
-		n, width := binary.Uvarint(b[at:])
-		if width <= 0 || n > most || n > uint64(len(b)-at-width) {
+	offset := 1
+	field := func(maxBytes uint64) []byte {
+		n, width := binary.Uvarint(b[offset:])
+		if width <= 0 || n > maxBytes || n > uint64(len(b)-offset-width) {
 			err = ErrMalformed
 			return nil
 		}
-		at += width + int(n)
-		return b[at-int(n) : at]
+		offset += width + int(n)
+		return b[offset-int(n) : offset]
 	}
 	if e.name = field(MaxNameBytes); err != nil || e.kind.MaxValueBytes() == 0 {
 		return e, ErrMalformed
 	}
-	revision, width := binary.Uvarint(b[at:])
+	revision, width := binary.Uvarint(b[offset:])
 	if width <= 0 {
 		return e, ErrMalformed
 	}
 	e.revision = revision
-	at += width
+	offset += width
 	if e.value = field(uint64(e.kind.MaxValueBytes())); err != nil {
 		return e, ErrMalformed
 	}
-	e.size = at
+	e.size = offset
 	return e, nil
 }
 
 func hashKey(kind Kind, name string) uint64 { return xxh3.HashStringSeed(name, uint64(kind)) }
 
-func (s *shard) entry(position uint32) []byte {
-	at := int(position) * alignment
-	return s.chunks[at/chunkBytes][at%chunkBytes:]
+func (s *shard) entryAt(position uint32) []byte {
+	offset := int(position) * entryAlignment
+	return s.pages[offset/pageBytes][offset%pageBytes:]
 }
 
 // Get returns the value and the revision of a record. The caller must not change the value.
 func (t *Table) Get(k Key) (value []byte, revision uint64, ok bool) {
 	h := hashKey(k.Kind, k.Name)
-	s := &t.shards[h%shards]
+	s := &t.shards[h%shardCount]
 	if i, found := s.find(h, k); found {
-		e, _ := parseEntry(s.entry(s.slots[i]))
+		e, _ := parseEntry(s.entryAt(s.slots[i]))
 		return e.value, e.revision, true
 	}
 	return nil, 0, false
@@ -143,11 +143,11 @@
 		return 0, false
 	}
 	mask := len(s.slots) - 1
-	for i := int(h/shards) & mask; ; i = (i + 1) & mask {
+	for i := int(h/shardCount) & mask; ; i = (i + 1) & mask {
 		if s.slots[i] == 0 {
 			return i, false
 		}
-		if e, _ := parseEntry(s.entry(s.slots[i])); e.kind == k.Kind && string(e.name) == k.Name {
+		if e, _ := parseEntry(s.entryAt(s.slots[i])); e.kind == k.Kind && string(e.name) == k.Name {
 			return i, true
 		}
 	}
@@ -156,80 +156,80 @@
 // Put inserts or replaces a record.
 func (t *Table) Put(r Record) {
 	h := hashKey(r.Kind, r.Name)
-	s := &t.shards[h%shards]
-	if s.count*3 >= len(s.slots)*2 {
+	s := &t.shards[h%shardCount]
+	if s.entryCount*3 >= len(s.slots)*2 {
 		s.grow()
 	}
 	i, found := s.find(h, r.Key)
 	if found {
-		t.digest.remove(s.drop(i))
+		t.digest.remove(s.uncountEntry(i))
 		t.count--
 	}
-	position, entry := s.write(r)
+	position, entry := s.appendRecord(r)
 	s.slots[i] = position
-	s.count++
-	s.live += len(entry)
+	s.entryCount++
+	s.liveBytes += len(entry)
 	t.count++
 	t.digest.add(entry)
-	if s.used > 2*s.live+chunkBytes {
+	if s.usedBytes > 2*s.liveBytes+pageBytes {
 		s.compact()
 	}
 }
 
-// drop subtracts an entry from the counts and returns its bytes. The caller reuses or frees the slot.
-func (s *shard) drop(i int) []byte {
-	b := s.entry(s.slots[i])
+// uncountEntry subtracts an entry from the counts and returns its bytes. The caller reuses or frees the slot.
+func (s *shard) uncountEntry(i int) []byte {
+	b := s.entryAt(s.slots[i])
 	e, _ := parseEntry(b)
-	s.count--
-	s.live -= e.size
+	s.entryCount--
+	s.liveBytes -= e.size
 	return b[:e.size]
 }
 
-// write appends an entry to the pages.
-func (s *shard) write(r Record) (position uint32, entry []byte) {
+// appendRecord appends an entry to the pages.
+func (s *shard) appendRecord(r Record) (position uint32, entry []byte) {
 	size := entrySize(r)
-	last := len(s.chunks) - 1
-	if last < 0 || len(s.chunks[last])+size > chunkBytes {
-		fresh := make(chunk, 0, chunkBytes)
+	last := len(s.pages) - 1
+	if last < 0 || len(s.pages[last])+size > pageBytes {
+		newPage := make(page, 0, pageBytes)
 		if last < 0 {
-			fresh = fresh[:alignment] // position 0 marks a free slot
+			newPage = newPage[:entryAlignment] // position 0 marks a free slot
 		}
-		s.chunks = append(s.chunks, fresh)
+		s.pages = append(s.pages, newPage)
 		last++
 	}
-	if cap(s.chunks[last]) < chunkBytes { // a clone: the remaining capacity belongs to the other table
-		s.chunks[last] = append(make(chunk, 0, chunkBytes), s.chunks[last]...)
+	if cap(s.pages[last]) < pageBytes { // a clone: the remaining capacity belongs to the other table
+		s.pages[last] = append(make(page, 0, pageBytes), s.pages[last]...)
 	}
-	begin := len(s.chunks[last])
-	c := appendEntry(s.chunks[last], r)
-	entry = c[begin:]
-	padded := min((len(c)+alignment-1)/alignment*alignment, chunkBytes)
-	s.chunks[last] = c[:padded]
-	s.used += size
-	return uint32((last*chunkBytes + begin) / alignment), entry
+	start := len(s.pages[last])
+	pageData := appendEntry(s.pages[last], r)
+	entry = pageData[start:]
+	padded := min((len(pageData)+entryAlignment-1)/entryAlignment*entryAlignment, pageBytes)
+	s.pages[last] = pageData[:padded]
+	s.usedBytes += size
+	return uint32((last*pageBytes + start) / entryAlignment), entry
 }
 
 // Delete removes a record and reports whether it existed.
 func (t *Table) Delete(k Key) bool {
 	h := hashKey(k.Kind, k.Name)
-	s := &t.shards[h%shards]
+	s := &t.shards[h%shardCount]
 	i, found := s.find(h, k)
 	if !found {
 		return false
 	}
-	t.digest.remove(s.drop(i))
+	t.digest.remove(s.uncountEntry(i))
 	t.count--
-	s.closeGap(i)
+	s.freeSlot(i)
 	return true
 }
 
-// closeGap frees a slot and shifts back the following entries that linear probing would no longer reach.
-func (s *shard) closeGap(gap int) {
+// freeSlot frees a slot and shifts back the following entries that linear probing would no longer reach.
+func (s *shard) freeSlot(gap int) {
 	mask := len(s.slots) - 1
 	s.slots[gap] = 0
 	for i := (gap + 1) & mask; s.slots[i] != 0; i = (i + 1) & mask {
-		e, _ := parseEntry(s.entry(s.slots[i]))
-		home := int(hashKey(e.kind, string(e.name))/shards) & mask
+		e, _ := parseEntry(s.entryAt(s.slots[i]))
+		home := int(hashKey(e.kind, string(e.name))/shardCount) & mask
 		if (i-home)&mask >= (i-gap)&mask {
 			s.slots[gap], s.slots[i] = s.slots[i], 0
 			gap = i
@@ -245,27 +245,27 @@
 // compact copies the entries in the index to new pages and drops the rest.
 func (s *shard) compact() {
 	old := *s
-	s.chunks, s.used = nil, 0
+	s.pages, s.usedBytes = nil, 0
 	s.rebuild(len(old.slots), func(position uint32) uint32 {
-		e, _ := parseEntry(old.entry(position))
-		moved, _ := s.write(Record{Key{e.kind, string(e.name)}, e.value, e.revision})
-		return moved
+		e, _ := parseEntry(old.entryAt(position))
+		newPosition, _ := s.appendRecord(Record{Key{e.kind, string(e.name)}, e.value, e.revision})
+		return newPosition
 	})
 }
 
-// rebuild creates an index of the given size, with each position mapped by move.
-func (s *shard) rebuild(size int, move func(uint32) uint32) {
+// rebuild creates an index of the given size, with each position mapped by relocate.
+func (s *shard) rebuild(slotCount int, relocate func(uint32) uint32) {
 	old := s.slots
-	s.slots = make([]uint32, size)
+	s.slots = make([]uint32, slotCount)
 	for _, position := range old {
 		if position == 0 {
 			continue
 		}
-		position = move(position)
-		e, _ := parseEntry(s.entry(position))
-		i := int(hashKey(e.kind, string(e.name))/shards) & (size - 1)
+		position = relocate(position)
+		e, _ := parseEntry(s.entryAt(position))
+		i := int(hashKey(e.kind, string(e.name))/shardCount) & (slotCount - 1)
 		for s.slots[i] != 0 {
-			i = (i + 1) & (size - 1)
+			i = (i + 1) & (slotCount - 1)
 		}
 		s.slots[i] = position
 	}
@@ -292,7 +292,7 @@
 			if position == 0 {
 				continue
 			}
-			b := s.entry(position)
+			b := s.entryAt(position)
 			e, _ := parseEntry(b)
 			if !yield(b[:e.size]) {
 				return
@@ -302,8 +302,8 @@
 }
 
 // ShardDigest recomputes the digest of one of the 16 shards from the entries in memory, so that it detects memory corruption.
-func (t *Table) ShardDigest(shard uint64) (d Digest) {
-	for entry := range t.shards[shard%shards].entries() {
+func (t *Table) ShardDigest(index uint64) (d Digest) {
+	for entry := range t.shards[index%shardCount].entries() {
 		d.add(entry)
 	}
 	return d
@@ -315,9 +315,9 @@
 	for i := range c.shards {
 		s := &c.shards[i]
 		s.slots = append([]uint32(nil), s.slots...)
-		s.chunks = append([]chunk(nil), s.chunks...)
-		if last := len(s.chunks) - 1; last >= 0 { // cap the capacity: a write to the clone must not reach the shared page
-			s.chunks[last] = s.chunks[last][:len(s.chunks[last]):len(s.chunks[last])]
+		s.pages = append([]page(nil), s.pages...)
+		if last := len(s.pages) - 1; last >= 0 { // cap the capacity: a write to the clone must not reach the shared page
+			s.pages[last] = s.pages[last][:len(s.pages[last]):len(s.pages[last])]
 		}
 	}
 	return &c
