--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	p := &hollowProcess{steady: clock.Steady()}
+	p := &hollowProcess{steady: clock.Monotonic()}
 	if err := json.Unmarshal(b, &p.c); err != nil {
 		return fmt.Errorf("%s: %w", h.Config, err)
 	}
@@ -280,7 +280,7 @@
 	if err != nil {
 		return
 	}
-	c.Do(ctx, state.Command{Op: state.AcknowledgeVersion, Who: me, Said: &publish.Acknowledgement{No: v.No}})
+	c.Do(ctx, state.Command{Op: state.OpAcknowledgeVersion, Process: me, Acknowledgement: &publish.Acknowledgement{No: v.No}})
 }
 
 // end ends this life.
--- a/internal/net/configwatch/configwatch_test.go
+++ b/internal/net/configwatch/configwatch_test.go
@@ -45,7 +45,7 @@
 func openFeed(t *testing.T, limits distribution.Limits, change ...func(*configwatch.ServerOptions)) *feed {
 	t.Helper()
 	f := &feed{t: t, set: records.NewSet(records.DefaultLimits)}
-	o := configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Steady(), Log: zerolog.Nop()}
+	o := configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Monotonic(), Log: zerolog.Nop()}
 	for _, c := range change {
 		c(&o)
 	}
@@ -110,7 +110,7 @@
 	t.Helper()
 	w := &watching{commits: make(chan uint64, 100000), done: make(chan struct{})}
 	w.Replica = replica.Open(replica.Options{Name: "server", Path: path, Log: zerolog.Nop(), Committed: func(c records.Commit) { w.commits <- c.Revision }})
-	o := configwatch.ClientOptions{Name: "server", Follower: w.Replica, Steady: clock.Steady(), Log: zerolog.Nop(),
+	o := configwatch.ClientOptions{Name: "server", Follower: w.Replica, Steady: clock.Monotonic(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector(relays, distribution.Place{Zone: "z"}, 1)}
 	for _, c := range change {
 		c(&o)
@@ -445,7 +445,7 @@
 		}
 		return nil
 	}})
-	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: "picky", Follower: w.Replica, Steady: clock.Steady(), Log: zerolog.Nop(),
+	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: "picky", Follower: w.Replica, Steady: clock.Monotonic(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector(to(f), distribution.Place{}, 1)})
 	go w.client.Run(t.Context())
 	f.commit("good")
@@ -470,7 +470,7 @@
 		b.Run(fmt.Sprintf("watchers=%d", n), func(b *testing.B) {
 			f := &feed{t: b, set: records.NewSet(records.DefaultLimits)}
 			limits := distribution.DefaultLimits
-			f.server = configwatch.NewServer(configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Steady(), Log: zerolog.Nop()})
+			f.server = configwatch.NewServer(configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Monotonic(), Log: zerolog.Nop()})
 			var got sync.WaitGroup
 			for i := range n {
 				here, there := net.Pipe()
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -85,7 +85,7 @@
 	next    int     // of the copies' order, where there is no hint
 	no      uint64
 	waits   map[uint64]chan toServer
-	mine    allot.Mine
+	mine    allot.LocalShare
 	used    uint64 // version of the share that is in use
 	version uint64 // published, heard of
 	ended   []string
@@ -99,7 +99,7 @@
 // NewClient makes a client; Run has to be called for it to seek the copies.
 func NewClient(o Options) *Client {
 	m := duty.NewMachine(o.Rules, o.Me, o.Seed)
-	m.Plant = o.Plant
+	m.InjectedBug = o.Plant
 	if o.Dial == nil {
 		d := net.Dialer{Timeout: dialFor}
 		o.Dial = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
@@ -117,7 +117,7 @@
 	c.mu.Lock()
 	c.step()
 	c.mu.Unlock()
-	retry := backoff.New(firstRetry*c.o.Rules.Renew, maxRetry*c.o.Rules.Renew, rand.New(rand.NewPCG(c.o.Seed, 2)))
+	retry := backoff.New(firstRetry*c.o.Rules.RenewIntervalMS, maxRetry*c.o.Rules.RenewIntervalMS, rand.New(rand.NewPCG(c.o.Seed, 2)))
 	for ctx.Err() == nil {
 		var err error
 		if at := c.seek(); at != "" {
@@ -171,7 +171,7 @@
 			return
 		case <-c.on.Ready:
 		}
-		batch = c.on.Take(batch)
+		batch = c.on.TakeAll(batch)
 		for _, e := range batch {
 			if c.o.On != nil {
 				c.o.On(e)
@@ -200,7 +200,7 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	conn.SetWriteDeadline(time.Now().Add(frame.Whole))
+	conn.SetWriteDeadline(time.Now().Add(frame.MessageTimeout))
 	if _, err := conn.Write([]byte{store.ForSessions}); err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 	defer close(l.done)
 	c.mu.Lock()
 	c.line, c.conn, c.since, c.led = l, conn, c.o.Steady.Now(), false
-	c.m.Hurry()
+	c.m.ExpediteHeartbeat()
 	c.step()
 	c.mu.Unlock()
 	defer func() {
@@ -244,7 +244,7 @@
 		return fmt.Errorf("session: %q leads", *m.Else)
 	}
 	if m.RetryMs > 0 {
-		return &fullError{min(m.RetryMs, fullMost*c.o.Rules.Renew)}
+		return &fullError{min(m.RetryMs, fullMost*c.o.Rules.RenewIntervalMS)}
 	}
 	if m.Reply != nil {
 		now := c.o.Steady.Now()
@@ -253,11 +253,11 @@
 			c.led = true
 			c.on.Put(Linked{})
 		}
-		current := m.Reply.Index >= c.m.Seen()
+		current := m.Reply.LogIndex >= c.m.SeenIndex()
 		c.do(c.m.HandleReply(now, *m.Reply))
 		if current {
-			if _, here := c.m.May(now, duty.PresenceOf(c.o.Me)); here && m.Share != nil && m.Share.Version > c.mine.Version {
-				c.mine.Take(*m.Share)
+			if _, here := c.m.ActiveGrant(now, duty.PresenceName(c.o.Me)); here && m.Share != nil && m.Share.Version > c.mine.Version {
+				c.mine.Apply(*m.Share)
 				c.on.Put(Allotted{c.mine.Amount, c.mine.Version})
 			}
 			if m.Version > c.version {
@@ -281,13 +281,13 @@
 func (c *Client) step() {
 	now := c.o.Steady.Now()
 	c.do(c.m.Tick(now))
-	if c.conn != nil && now > c.since+answerFor*c.o.Rules.Renew {
+	if c.conn != nil && now > c.since+answerFor*c.o.Rules.RenewIntervalMS {
 		c.conn.Close() // guards against a copy that stands still, or can't be heard: another may lead by now
 	}
 	if c.timer != nil {
 		c.timer.Stop()
 	}
-	c.timer = c.o.Steady.After(max(c.m.Next()-now, 1), func() {
+	c.timer = c.o.Steady.After(max(c.m.NextTick()-now, 1), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.step()
@@ -297,7 +297,7 @@
 func (c *Client) do(actions []duty.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case duty.Send:
+		case duty.SendHeartbeat:
 			if c.line != nil {
 				need := int64(0)
 				if c.o.Need != nil {
@@ -305,9 +305,9 @@
 				}
 				c.line.send(toCopy{Heartbeat: &a.Heartbeat, Ack: c.used, Need: need})
 			}
-		case duty.Ended:
-			if a.Name == duty.PresenceOf(c.o.Me) {
-				c.mine, c.used = allot.Mine{}, 0
+		case duty.LeaseEnded:
+			if a.Name == duty.PresenceName(c.o.Me) {
+				c.mine, c.used = allot.LocalShare{}, 0
 			}
 			c.on.Put(a)
 		default:
@@ -322,7 +322,7 @@
 	defer c.mu.Unlock()
 	if version == c.mine.Version {
 		c.used = version
-		c.m.Hurry()
+		c.m.ExpediteHeartbeat()
 		c.step()
 	}
 }
@@ -331,18 +331,18 @@
 func (c *Client) May(name string) (duty.Ref, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.m.May(c.o.Steady.Now(), name)
+	return c.m.ActiveGrant(c.o.Steady.Now(), name)
 }
 
 // Holding is the end of a holding on the steady clock, yields included.
 func (c *Client) Holding(name string) (duty.Ref, float64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.m.Until(name)
+	return c.m.LeaseEnd(name)
 }
 
 // Presence is this process's own lease, and until when it is in force.
-func (c *Client) Presence() (duty.Ref, float64, bool) { return c.Holding(duty.PresenceOf(c.o.Me)) }
+func (c *Client) Presence() (duty.Ref, float64, bool) { return c.Holding(duty.PresenceName(c.o.Me)) }
 
 // Fenced counts commands that were refused for their epoch.
 func (c *Client) Fenced() uint64 { return c.fence.Load() }
@@ -351,7 +351,7 @@
 func (c *Client) Quiet(r duty.Ref) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.do(c.m.Quiet(c.o.Steady.Now(), r))
+	c.do(c.m.Quiesced(c.o.Steady.Now(), r))
 	c.step()
 }
 
@@ -359,7 +359,7 @@
 func (c *Client) Switch(mode duty.Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.do(c.m.Switch(c.o.Steady.Now(), mode))
+	c.do(c.m.SetMode(c.o.Steady.Now(), mode))
 	c.step()
 }
 
@@ -367,7 +367,7 @@
 func (c *Client) Leave() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.do(c.m.Leave(c.o.Steady.Now()))
+	c.do(c.m.ReleaseAll(c.o.Steady.Now()))
 }
 
 // ask sends a message that wants an answer, and waits for it. ErrNotSent: it was not carried out.
@@ -429,7 +429,7 @@
 
 // Act does something under a duty. The epoch goes with it, and is checked in the step in which the act takes effect.
 func (c *Client) Act(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
-	return c.Do(ctx, state.Command{Op: state.Act, Fence: &under, Do: do})
+	return c.Do(ctx, state.Command{Op: state.OpFenced, Fence: &under, Batch: do})
 }
 
 // Read asks a question; the answer holds as of some time after it was asked.
@@ -441,14 +441,14 @@
 	return json.Unmarshal(got.Body, into)
 }
 
-// Begin records an effect with the copies before its run, under this process's presence. It is a core.Ledger.
+// Begin records an effect with the copies before its run, under this process's presence. It is a core.EffectLog.
 func (c *Client) Begin(id string) (bool, error) {
-	here, ok := c.May(duty.PresenceOf(c.o.Me))
+	here, ok := c.May(duty.PresenceName(c.o.Me))
 	if !ok {
 		return false, fmt.Errorf("%w: no presence is in force", ErrNotSent)
 	}
-	r, err := c.Do(context.Background(), state.Command{Op: state.Begin, Key: id, Who: c.o.Me, Epoch: here.Epoch, Keep: true})
-	return err == nil && r.Fresh, err
+	r, err := c.Do(context.Background(), state.Command{Op: state.OpBeginEffect, Key: id, Process: c.o.Me, Epoch: here.Epoch, NoEviction: true})
+	return err == nil && r.WasAbsent, err
 }
 
 // Ended tells how an effect ended. It waits for nothing: what gets lost is settled as unknown once this process is gone.
@@ -477,14 +477,14 @@
 func (c *Client) end() {
 	c.mu.Lock()
 	ok, failed := c.ended[:min(len(c.ended), mostEnded)], c.failed[:min(len(c.failed), mostEnded)]
-	cmd := state.Command{Op: state.End, Who: c.o.Me, IDs: slices.Clone(ok), Failed: slices.Clone(failed)}
+	cmd := state.Command{Op: state.OpEndEffects, Process: c.o.Me, EffectIDs: slices.Clone(ok), FailedIDs: slices.Clone(failed)}
 	c.mu.Unlock()
 	_, err := c.Do(context.Background(), cmd)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ending = false
 	if err == nil {
-		c.ended, c.failed = c.ended[len(cmd.IDs):], c.failed[len(cmd.Failed):]
+		c.ended, c.failed = c.ended[len(cmd.EffectIDs):], c.failed[len(cmd.FailedIDs):]
 	}
 	if len(c.ended)+len(c.failed) > 0 {
 		c.endSoon()
@@ -508,7 +508,7 @@
 func (c *Client) Share() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, here := c.m.May(c.o.Steady.Now(), duty.PresenceOf(c.o.Me)); !here {
+	if _, here := c.m.ActiveGrant(c.o.Steady.Now(), duty.PresenceName(c.o.Me)); !here {
 		return 0
 	}
 	return c.mine.Amount
--- a/internal/net/session/server.go
+++ b/internal/net/session/server.go
@@ -162,7 +162,7 @@
 	c := &caller{line: newLine(conn), slot: make(chan struct{}, mostDoing)}
 	defer close(c.line.done)
 	defer d.inbox.Put(left{c})
-	r := newReader(conn, clock.Duration(silentFor*d.g.Renew))
+	r := newReader(conn, clock.Duration(silentFor*d.g.RenewIntervalMS))
 	for {
 		var m toCopy
 		err := r.Next(&m)
@@ -187,13 +187,13 @@
 		return
 	}
 	defer d.turnedAway.Add(-1)
-	late := time.AfterFunc(frame.Whole, func() { conn.Close() })
+	late := time.AfterFunc(frame.MessageTimeout, func() { conn.Close() })
 	defer late.Stop()
 	var first toCopy
-	if newReader(conn, frame.Whole).Next(&first) != nil {
+	if newReader(conn, frame.MessageTimeout).Next(&first) != nil {
 		return
 	}
-	frame.Send(conn, toServer{RetryMs: fullRetry * d.g.Renew * (0.5 + rand.Float64())}, mostMessage)
+	frame.Send(conn, toServer{RetryMs: fullRetry * d.g.RenewIntervalMS * (0.5 + rand.Float64())}, mostMessage)
 }
 
 // take sorts one message; an error ends the session.
@@ -203,8 +203,8 @@
 		if err := c.is(m.Heartbeat.From); err != nil {
 			return err
 		}
-		if len(m.Heartbeat.Stands)+len(m.Heartbeat.Renews)+len(m.Heartbeat.Gives) > 4*(len(d.g.Duties)+1) {
-			return fmt.Errorf("session: a heartbeat with %d names", len(m.Heartbeat.Stands)+len(m.Heartbeat.Renews)+len(m.Heartbeat.Gives))
+		if len(m.Heartbeat.Candidacies)+len(m.Heartbeat.Renewals)+len(m.Heartbeat.Releases) > 4*(len(d.g.Duties)+1) {
+			return fmt.Errorf("session: a heartbeat with %d names", len(m.Heartbeat.Candidacies)+len(m.Heartbeat.Renewals)+len(m.Heartbeat.Releases))
 		}
 		d.inbox.Put(heard{c, m})
 	case m.Do != nil:
@@ -239,13 +239,13 @@
 // never for the grantor.
 func (c *caller) may(cmd state.Command) error {
 	switch cmd.Op {
-	case state.Act, state.Ask, state.Freeze, state.Thaw, state.Change:
+	case state.OpFenced, state.OpRequestYield, state.OpFreezeDuty, state.OpUnfreezeDuty, state.OpChangeRecords:
 		return nil
-	case state.Begin, state.End, state.AcknowledgeVersion:
-		if who := c.who.Load(); who != nil && *who == cmd.Who {
+	case state.OpBeginEffect, state.OpEndEffects, state.OpAcknowledgeVersion:
+		if who := c.who.Load(); who != nil && *who == cmd.Process {
 			return nil
 		}
-		return fmt.Errorf("session: %s for %q, who is not in this session", cmd.Op, cmd.Who)
+		return fmt.Errorf("session: %s for %q, who is not in this session", cmd.Op, cmd.Process)
 	}
 	return fmt.Errorf("session: %q is not taken from a session", cmd.Op)
 }
@@ -271,7 +271,7 @@
 }
 
 func (d *Server) checkChange(cmd state.Command) error {
-	if cmd.Op != state.Change || cmd.Change == nil || d.CheckChange == nil {
+	if cmd.Op != state.OpChangeRecords || cmd.Change == nil || d.CheckChange == nil {
 		return nil
 	}
 	if err := cmd.Change.Check(); err != nil {
@@ -308,7 +308,7 @@
 type tick struct{}
 
 func (d *Server) step() {
-	d.batch = d.inbox.Take(d.batch)
+	d.batch = d.inbox.TakeAll(d.batch)
 	look := false
 	for i, e := range d.batch {
 		switch e := e.(type) {
@@ -319,11 +319,13 @@
 				e.m.Ack = old.Ack
 			}
 			if old := d.heartbeats[e.from]; old != nil {
-				e.m.Heartbeat.Gives = append(e.m.Heartbeat.Gives, old.Heartbeat.Gives...) // the later heartbeat speaks for both
+				e.m.Heartbeat.Releases = append(e.m.Heartbeat.Releases, old.Heartbeat.Releases...) // the later heartbeat speaks for both
 			}
 			d.heartbeats[e.from] = &e.m
-			if d.g.Plant == duty.PlantUnproven && d.believes {
-				d.copy.View(func(st *state.State, index uint64) { d.answer(e.from, e.m.Heartbeat.From, e.m.Heartbeat.No, index, st) })
+			if d.g.InjectedBug == duty.BugUnproven && d.believes {
+				d.copy.View(func(st *state.State, index uint64) {
+					d.answer(e.from, e.m.Heartbeat.From, e.m.Heartbeat.Seq, index, st)
+				})
 			}
 			d.add(&d.count.Heartbeats)
 		case question:
@@ -377,11 +379,11 @@
 	d.copy.View(func(st *state.State, _ uint64) {
 		for c, m := range d.heartbeats {
 			b := *m.Heartbeat
-			d.callers[b.From], d.latest[b.From] = c, max(d.latest[b.From], b.No)
+			d.callers[b.From], d.latest[b.From] = c, max(d.latest[b.From], b.Seq)
 			d.needs[b.From] = m.Need
-			f.orders = append(f.orders, d.g.Take(now, b, st.Duties)...)
-			if s := st.Shares.Shares[b.From]; s != nil && s.Cap > s.Want && s.Version == m.Ack {
-				acks = append(acks, state.Command{Op: state.Ack, Who: b.From, Epoch: m.Ack})
+			f.orders = append(f.orders, d.g.HandleHeartbeat(now, b, st.Duties)...)
+			if s := st.Allocations.Shares[b.From]; s != nil && s.Cap > s.Target && s.Version == m.Ack {
+				acks = append(acks, state.Command{Op: state.OpAcknowledgeAllocation, Process: b.From, Epoch: m.Ack})
 			}
 		}
 		f.orders = append(f.orders, d.g.Tick(now, st.Duties)...)
@@ -402,7 +404,7 @@
 	d.proposing = true
 	d.add(&d.count.Entries)
 	if len(f.orders) > 0 {
-		wait := d.copy.Propose(state.Command{Op: state.Orders, Orders: f.orders})
+		wait := d.copy.Propose(state.Command{Op: state.OpLeaseOrders, Orders: f.orders})
 		go func() {
 			f.result, f.err = wait()
 			d.inbox.Put(f)
@@ -423,7 +425,7 @@
 		if term, leads := d.copy.Office(); leads && term == f.term {
 			d.office, d.believes = f.term, true
 			d.leads.Store(f.term)
-			d.g.Lead(f.term, now)
+			d.g.StartTerm(f.term, now)
 			clear(d.latest)
 			if d.Led != nil {
 				d.Led(f.term)
@@ -440,8 +442,8 @@
 	d.copy.View(func(st *state.State, index uint64) {
 		granted := map[string]bool{}
 		for i, o := range f.orders {
-			d.g.Done(now, o, st.Duties)
-			ok := i < len(f.result.Part) && f.result.Part[i] == ""
+			d.g.HandleOrderResult(now, o, st.Duties)
+			ok := i < len(f.result.Refusals) && f.result.Refusals[i] == ""
 			if ok {
 				d.log.Info().Str("order", o.Kind).Str("duty", o.Name).Str("holder", o.Holder).Uint64("epoch", epochNow(st, o)).Msg("duty")
 			}
@@ -451,7 +453,7 @@
 		}
 		for c, m := range f.heartbeats {
 			delete(granted, m.Heartbeat.From)
-			d.answer(c, m.Heartbeat.From, m.Heartbeat.No, index, st)
+			d.answer(c, m.Heartbeat.From, m.Heartbeat.Seq, index, st)
 		}
 		for who := range granted { // its last heartbeat stood for it, and the grant was written after that came
 			if c := d.callers[who]; c != nil && d.latest[who] > 0 {
@@ -472,9 +474,9 @@
 }
 
 func (d *Server) answer(c *caller, who string, no, index uint64, st *state.State) {
-	told := d.g.Answer(who, no, index, st.Duties)
+	told := d.g.Reply(who, no, index, st.Duties)
 	m := toServer{Reply: &told, Version: st.Config.Latest().No}
-	if s := st.Shares.Shares[who]; s != nil {
+	if s := st.Allocations.Shares[who]; s != nil {
 		v := *s
 		m.Share = &v
 	}
@@ -486,15 +488,15 @@
 	var v any
 	switch q.what {
 	case ReadFleet:
-		f := Fleet{Pool: st.Shares.Pool}
-		for _, who := range st.Shares.Whos() {
-			f.Of = append(f.Of, allot.Need{Who: who, Need: d.needs[who], Share: *st.Shares.Shares[who]})
+		f := Fleet{Pool: st.Allocations.Pool}
+		for _, who := range st.Allocations.Processes() {
+			f.Of = append(f.Of, allot.ProcessNeed{Who: who, Need: d.needs[who], Share: *st.Allocations.Shares[who]})
 		}
 		v = f
 	case ReadEffects:
-		v = Effects{Seq: st.Effects.Seq, Kept: len(st.Effects.Effects), Orphans: st.Effects.Orphans(st.Live, mostFor)}
+		v = Effects{Seq: st.Effects.Seq, Kept: len(st.Effects.Effects), Orphans: st.Effects.Orphans(st.PresenceInForce, mostFor)}
 	case ReadDuties:
-		o := Duties{Table: st.Duties.Clone(), Marks: st.Marks, Stale: st.Stale, Words: map[string]string{}, Term: term, Lead: d.copy.Leader()}
+		o := Duties{Table: st.Duties.Clone(), Marks: st.Counters, Stale: st.StaleRefusals, Words: map[string]string{}, Term: term, Lead: d.copy.Leader()}
 		for who, w := range st.Config.Acknowledgements {
 			o.Words[who] = fmt.Sprintf("%d taken", w.No)
 			if w.Reason != "" {
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -23,8 +23,8 @@
 
 const patience = 60 * time.Second
 
-var rules = duty.Rules{Bounds: duty.Bounds{Rate: 0.1, Margin: 50}, Renew: 300, Cool: 1000, ColdWait: 1000, Presence: 2000,
-	Duties: []duty.Terms{{Name: "allotter", TTL: 2000}}}
+var rules = duty.Rules{ClockBounds: duty.ClockBounds{MaxDrift: 0.1, MarginMS: 50}, RenewIntervalMS: 300, CooldownMS: 1000, ColdWaitMS: 1000, PresenceTTLMS: 2000,
+	Duties: []duty.DutyRule{{Name: "allotter", TTLMS: 2000}}}
 
 // oneCopy is a copy whose log is agreed on at once, unless the test says that it does not lead.
 type oneCopy struct {
@@ -141,21 +141,21 @@
 
 func leads(st *state.State) *oneCopy { return &oneCopy{st: st, term: 1, leads: true} }
 
-func gains(g duty.Gained) bool { return g.Name == "allotter" }
+func gains(g duty.LeaseGained) bool { return g.Name == "allotter" }
 
 // A server is sent on to the copy that leads, gains what it stands for, acts under it, and is refused under any other
 // epoch.
 func TestHolderActsAndForgedEpochsAreRefused(t *testing.T) {
-	steady := clock.Steady()
+	steady := clock.Monotonic()
 	lead := open(t, leads(state.New()), steady)
 	follow := open(t, &oneCopy{st: state.New(), term: 1, other: "lead"}, steady)
 	c, events := join(t, "a#1", map[string]string{"lead": lead.at, "follow": follow.at}, steady)
 	g := want(t, events, gains)
-	if r, err := c.Act(t.Context(), g.Ref, state.Command{Op: state.Mark}); err != nil || r.N != 1 {
+	if r, err := c.Act(t.Context(), g.Ref, state.Command{Op: state.OpIncrementCounter}); err != nil || r.Value != 1 {
 		t.Errorf("%+v %v", r, err)
 	}
 	forged := duty.Ref{Name: g.Name, Epoch: g.Epoch + 1}
-	if _, err := c.Act(t.Context(), forged, state.Command{Op: state.Mark}); !errors.Is(err, ErrStale) || c.Fenced() != 1 {
+	if _, err := c.Act(t.Context(), forged, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStale) || c.Fenced() != 1 {
 		t.Errorf("a forged epoch: %v, %d counted", err, c.Fenced())
 	}
 	if fresh, err := c.Begin("0a"); !fresh || err != nil {
@@ -171,12 +171,12 @@
 	if err := c.Read(t.Context(), "nonsense", &d); err == nil {
 		t.Error("an unknown question has an answer")
 	}
-	if _, err := c.Do(t.Context(), state.Command{Op: state.Ask, Key: "allotter"}); err != nil {
+	if _, err := c.Do(t.Context(), state.Command{Op: state.OpRequestYield, Key: "allotter"}); err != nil {
 		t.Fatal(err)
 	}
-	y := want(t, events, func(duty.Yields) bool { return true })
+	y := want(t, events, func(duty.YieldRequested) bool { return true })
 	c.Quiet(y.Ref)
-	want(t, events, func(e duty.Ended) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
+	want(t, events, func(e duty.LeaseEnded) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
 	for late := time.Now().Add(patience); ; {
 		if err := c.Read(t.Context(), ReadDuties, &d); err != nil {
 			t.Fatal(err)
@@ -188,14 +188,14 @@
 			t.Fatal("what was handed on is not given back")
 		}
 	}
-	if _, err := c.Act(t.Context(), y.Ref, state.Command{Op: state.Mark}); !errors.Is(err, ErrStale) {
+	if _, err := c.Act(t.Context(), y.Ref, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStale) {
 		t.Errorf("an act after the duty was handed on: %v", err)
 	}
 }
 
 // What no client of ours would send ends its own connection and changes nothing.
 func TestMalformedMessagesEndTheirConnection(t *testing.T) {
-	lead := open(t, leads(state.New()), clock.Steady())
+	lead := open(t, leads(state.New()), clock.Monotonic())
 	message := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
@@ -242,7 +242,7 @@
 
 // Sessions past the bound are turned away, and their room is free again when one ends.
 func TestSessionsAreBounded(t *testing.T) {
-	lead := open(t, leads(state.New()), clock.Steady())
+	lead := open(t, leads(state.New()), clock.Monotonic())
 	var conns []net.Conn
 	ask := func() error { // opens a session and has one question answered
 		conn, err := net.Dial("tcp", lead.at)
@@ -273,7 +273,7 @@
 	var full *fullError
 	if err := ask(); !errors.As(err, &full) {
 		t.Errorf("one more than the bound is not told when to come back: %v", err)
-	} else if least, most := fullRetry*rules.Renew*0.5, fullRetry*rules.Renew*1.5; full.retryMs < least || full.retryMs > most {
+	} else if least, most := fullRetry*rules.RenewIntervalMS*0.5, fullRetry*rules.RenewIntervalMS*1.5; full.retryMs < least || full.retryMs > most {
 		t.Errorf("it may come back in %v ms; from %v to %v are wanted", full.retryMs, least, most)
 	}
 	if f := lead.server.Figures(); f.Open != 16 || f.Cut != 1 {
@@ -290,12 +290,12 @@
 // Servers that come at once, while the copy is busy with its term's first entry, are all granted their presence, in entries that
 // are each bounded.
 func TestServersThatComeAtOnceAreTakenInSteps(t *testing.T) {
-	const fleet = 2*duty.MaxOrders + 100
+	const fleet = 2*duty.MaxOrdersPerTick + 100
 	copy := leads(state.New())
 	copy.begin = make(chan struct{})
 	patient := rules
-	patient.Renew = clock.Millis(patience) // no session is cut off for its silence while the others come
-	lead := openFor(t, copy, clock.Steady(), patient, fleet)
+	patient.RenewIntervalMS = clock.Millis(patience) // no session is cut off for its silence while the others come
+	lead := openFor(t, copy, clock.Monotonic(), patient, fleet)
 	for i := range fleet {
 		conn, err := net.Dial("tcp", lead.at)
 		if err != nil {
@@ -303,7 +303,7 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		who := fmt.Sprintf("os-%d#1", i)
-		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, No: 1, Stands: []string{duty.PresenceOf(who)}}}))...))
+		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, Seq: 1, Candidacies: []string{duty.PresenceName(who)}}}))...))
 		go io.Copy(io.Discard, conn)
 	}
 	until := func(what string, holds func() bool) {
@@ -317,12 +317,12 @@
 	close(copy.begin)
 	present := 0
 	until("all are present", func() bool {
-		copy.View(func(st *state.State, _ uint64) { present = max(present, st.Duties.Present()) })
+		copy.View(func(st *state.State, _ uint64) { present = max(present, st.Duties.CountPresent()) })
 		return present == fleet
 	})
 	copy.mu.Lock()
 	defer copy.mu.Unlock()
-	if copy.largest > duty.MaxOrders {
+	if copy.largest > duty.MaxOrdersPerTick {
 		t.Errorf("an entry with %d orders", copy.largest)
 	}
 }
@@ -330,8 +330,8 @@
 // A server that a full copy sends away comes back no sooner than it was told, and is served once there is room.
 func TestServerComesBackWhenItWasTold(t *testing.T) {
 	t.Parallel()
-	steady, slow := clock.Steady(), rules
-	slow.Renew = 1000 // so that no session is given up as silent on a busy machine
+	steady, slow := clock.Monotonic(), rules
+	slow.RenewIntervalMS = 1000 // so that no session is given up as silent on a busy machine
 	lead := openFor(t, leads(state.New()), steady, slow, 16)
 	var conns []net.Conn
 	for range 16 {
@@ -380,7 +380,7 @@
 	}
 	mu.Lock()
 	for i := 1; i < len(tries); i++ {
-		if gap := tries[i] - tries[i-1]; gap < fullRetry*slow.Renew*0.5 {
+		if gap := tries[i] - tries[i-1]; gap < fullRetry*slow.RenewIntervalMS*0.5 {
 			t.Errorf("tried again after %v ms", gap)
 		}
 	}
@@ -403,7 +403,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { ln.Close() })
-			steady := clock.Steady()
+			steady := clock.Monotonic()
 			tries := make(chan float64, 1000)
 			go func() {
 				for {
@@ -417,13 +417,13 @@
 				}
 			}()
 			quick := rules
-			quick.Renew = 200
+			quick.RenewIntervalMS = 200
 			c := NewClient(Options{Me: "a#1", Copies: map[string]string{"a": ln.Addr().String()}, Rules: quick, Seed: 1, Steady: steady, Log: zerolog.Nop()})
 			go c.Run(t.Context())
 			first := <-tries
 			select {
 			case second := <-tries:
-				if gap := second - first; gap < fullMost*quick.Renew {
+				if gap := second - first; gap < fullMost*quick.RenewIntervalMS {
 					t.Errorf("tried again after %v ms", gap)
 				}
 			case <-time.After(patience):
@@ -442,7 +442,7 @@
 
 // The copy that leads falls silent and another takes office with the same log: the holder finds it and keeps its duty.
 func TestHolderKeepsItsDutyOverAChangeOfLeader(t *testing.T) {
-	steady := clock.Steady()
+	steady := clock.Monotonic()
 	st := state.New()
 	first := leads(st)
 	one := open(t, first, steady)
@@ -458,7 +458,7 @@
 	second.leads, second.term, second.index = true, 2, index
 	second.mu.Unlock()
 	want(t, events, func(Linked) bool { return true })
-	want(t, events, func(h duty.Held) bool { return h.Name == "allotter" })
+	want(t, events, func(h duty.LeaseRenewed) bool { return h.Name == "allotter" })
 	if r, ok := c.May("allotter"); !ok || r != g.Ref {
 		t.Errorf("held under %+v, %v; gained under %+v", r, ok, g.Ref)
 	}
@@ -484,17 +484,17 @@
 	r := rules
 	r.Duties = nil
 	for i := range dutyCount {
-		r.Duties = append(r.Duties, duty.Terms{Name: fmt.Sprintf("duty-%d", i), TTL: 2000})
+		r.Duties = append(r.Duties, duty.DutyRule{Name: fmt.Sprintf("duty-%d", i), TTLMS: 2000})
 	}
 	st, now, index := state.New(), 1000.0, uint64(0)
 	g := &duty.Grantor{Rules: r, Seed: 1}
-	g.Lead(1, now)
+	g.StartTerm(1, now)
 	var fleet []*duty.Machine
 	byName := map[string]*duty.Machine{}
 	for i := range servers {
 		m := duty.NewMachine(r, fmt.Sprintf("os-%d#%016x", i, i), uint64(i))
 		fleet = append(fleet, m)
-		byName[m.Me] = m
+		byName[m.ProcessID] = m
 	}
 	var entries, in, out, heartbeats int
 	var ours, theirs time.Duration
@@ -504,7 +504,7 @@
 			var came [][]byte
 			for _, m := range fleet {
 				for _, a := range m.Tick(now) {
-					if s, ok := a.(duty.Send); ok {
+					if s, ok := a.(duty.SendHeartbeat); ok {
 						came = append(came, must(framed(toCopy{Heartbeat: &s.Heartbeat})))
 					}
 				}
@@ -520,20 +520,20 @@
 				}
 				in += len(f)
 				from = append(from, *m.Heartbeat)
-				orders = append(orders, g.Take(now, *m.Heartbeat, st.Duties)...)
+				orders = append(orders, g.HandleHeartbeat(now, *m.Heartbeat, st.Duties)...)
 			}
 			orders = append(orders, g.Tick(now, st.Duties)...)
 			if len(orders)+len(came) > 0 {
 				entries++
 				index++
 			}
-			st.Apply(state.Command{Op: state.Orders, Orders: orders}, 1)
+			st.Apply(state.Command{Op: state.OpLeaseOrders, Orders: orders}, 1)
 			for _, o := range orders {
-				g.Done(now, o, st.Duties)
+				g.HandleOrderResult(now, o, st.Duties)
 			}
 			var told [][]byte
 			for _, f := range from {
-				a := g.Answer(f.From, f.No, index, st.Duties)
+				a := g.Reply(f.From, f.Seq, index, st.Duties)
 				told = append(told, must(framed(toServer{Reply: &a})))
 				out += len(told[len(told)-1])
 			}
@@ -576,13 +576,13 @@
 			for b.Loop() {
 				st, now := state.New(), 1000.0
 				g := &duty.Grantor{Rules: r, Seed: 1}
-				g.Lead(1, now)
+				g.StartTerm(1, now)
 				var came [][]byte
 				for i := range servers {
 					who := fmt.Sprintf("os-%d#%016x", i, i)
-					came = append(came, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, No: 1, Stands: []string{duty.PresenceOf(who)}}})))
+					came = append(came, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, Seq: 1, Candidacies: []string{duty.PresenceName(who)}}})))
 				}
-				for entries = 0; st.Duties.Present() < servers; entries++ {
+				for entries = 0; st.Duties.CountPresent() < servers; entries++ {
 					begun := time.Now()
 					var orders []duty.Order
 					for _, f := range came {
@@ -590,11 +590,11 @@
 						if err := json.Unmarshal(f[4:], &m); err != nil {
 							b.Fatal(err)
 						}
-						orders = append(orders, g.Take(now, *m.Heartbeat, st.Duties)...)
+						orders = append(orders, g.HandleHeartbeat(now, *m.Heartbeat, st.Duties)...)
 					}
 					came = nil
 					orders = append(orders, g.Tick(now, st.Duties)...)
-					text, err := json.Marshal(state.Command{Op: state.Orders, Orders: orders})
+					text, err := json.Marshal(state.Command{Op: state.OpLeaseOrders, Orders: orders})
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -604,7 +604,7 @@
 					}
 					st.Apply(c, 1)
 					for _, o := range orders {
-						g.Done(now, o, st.Duties)
+						g.HandleOrderResult(now, o, st.Duties)
 					}
 					longest = max(longest, time.Since(begun))
 					now += batchEvery
--- a/internal/net/session/wire.go
+++ b/internal/net/session/wire.go
@@ -71,8 +71,8 @@
 
 // Fleet is the answer to ReadFleet.
 type Fleet struct {
-	Pool int64        `json:"pool"`
-	Of   []allot.Need `json:"of"`
+	Pool int64               `json:"pool"`
+	Of   []allot.ProcessNeed `json:"of"`
 }
 
 // Effects is the answer to ReadEffects.
@@ -112,7 +112,7 @@
 		for {
 			select {
 			case b := <-l.out:
-				conn.SetWriteDeadline(time.Now().Add(frame.Whole))
+				conn.SetWriteDeadline(time.Now().Add(frame.MessageTimeout))
 				if _, err := conn.Write(b); err != nil {
 					return
 				}
