--- a/internal/net/configwatch/client.go
+++ b/internal/net/configwatch/client.go
@@ -17,49 +17,50 @@
 	"puffinsaddle/internal/records"
 )
 
-// Follower is the process for which a client watches. Its methods are called one at a time, but for Report.
+// Follower is the configuration replica that a client keeps up to date. Its methods are called one at a time, except Report.
 type Follower interface {
-	// Position is how far it is.
+	// Position returns the latest position that the replica has applied.
 	Position() distribution.Position
-	// Follow takes the next commit; it returns once the commit is in force.
+	// Follow applies the next commit. It returns once the commit is in force.
 	Follow(records.Commit) error
-	// Adopt takes the records of a snapshot in place of all that it has.
+	// Adopt replaces all records by those of a snapshot.
 	Adopt(records.Header, *records.Table) error
-	// Discard throws away what it has, since that was never agreed on.
+	// Discard drops all records, because they differ from the committed ones.
 	Discard(reason error)
-	// KeepsRecords tells whether it holds records, or digests alone.
+	// KeepsRecords reports whether the replica stores the records, or only their digests.
 	KeepsRecords() bool
-	// Report tells how far it is.
+	// Report returns the progress of the replica.
 	Report() distribution.Report
 }
 
-// ClientOptions set up a client.
+// ClientOptions configure a Client.
 type ClientOptions struct {
 	Name     string
-	Relay    bool   // the follower serves others
-	Region   string // of a relay
-	Preamble []byte // what a connection begins with: the copies of the store take others at the same address
+	Relay    bool   // the process is a relay, which serves others
+	Region   string // region of a relay
+	Preamble []byte // first bytes of a connection: store replicas accept other protocols at the same address
 	Selector *distribution.Selector
 	Follower Follower
-	Dial     func(ctx context.Context, address string) (net.Conn, error) // nil: over TCP
-	// On is called when a connection begins to be served, and with an error when it ends; nil: nobody asks.
+	Dial     func(ctx context.Context, address string) (net.Conn, error) // nil: dial over TCP
+	// On is called with a nil error when a feed begins to serve a connection, and with an error when that connection ends. It
+	// may be nil.
 	On     func(address string, err error)
 	Steady *clock.Clock
 	Log    zerolog.Logger
-	Plant  string // a planted bug, for the laboratory; "": none
+	Plant  string // injected bug, for the lab; "": none
 }
 
-// ClientFigures are counts of a client from its start.
+// ClientFigures are the metrics of a Client since its start.
 type ClientFigures struct {
 	Received  uint64 `json:"received"` // bytes
 	Sent      uint64 `json:"sent"`     // bytes
 	Connected uint64 `json:"connected"`
-	Snapshots uint64 `json:"snapshots"` // taken whole
-	Latest    uint64 `json:"latest"`    // revision, as far as the relay knows
-	Watching  string `json:"watching"`  // the relay's address; "": none serves
+	Snapshots uint64 `json:"snapshots"` // received completely
+	Latest    uint64 `json:"latest"`    // latest revision reported by the relay
+	Watching  string `json:"watching"`  // address of the serving relay; "": none
 }
 
-// Client watches for one process.
+// Client watches a feed on behalf of one process.
 type Client struct {
 	o ClientOptions
 
@@ -68,12 +69,12 @@
 
 	mu       sync.Mutex
 	watching string
-	last     string // the relay that served last
+	last     string // address of the relay that served last
 }
 
 const dialTimeout = time.Second
 
-// NewClient makes a client; Run has to be called for it to watch.
+// NewClient returns a client. It watches once Run is called.
 func NewClient(o ClientOptions) *Client {
 	if o.Dial == nil {
 		d := net.Dialer{Timeout: dialTimeout}
@@ -82,14 +83,14 @@
 	return &Client{o: o}
 }
 
-// Figures reads the counts.
+// Figures returns the current metrics.
 func (c *Client) Figures() ClientFigures {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return ClientFigures{c.bytes.In.Load(), c.bytes.Out.Load(), c.connected.Load(), c.snapshots.Load(), c.latest.Load(), c.watching}
 }
 
-// Run watches until the context ends.
+// Run watches, reconnecting to one relay after another, until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		relay, wait, ok := c.o.Selector.Next(c.o.Steady.Now())
@@ -116,7 +117,7 @@
 	}
 }
 
-// watch serves one connection to its end.
+// watch connects to a relay and processes its messages until the connection ends.
 func (c *Client) watch(ctx context.Context, relay distribution.Relay) error {
 	raw, err := c.o.Dial(ctx, relay.Address)
 	if err != nil {
@@ -158,18 +159,19 @@
 	}
 }
 
-// stream is one connection.
+// stream is the state of one connection.
 type stream struct {
 	client    *Client
 	relay     distribution.Relay
 	conn      net.Conn
-	assembler *records.Assembler // of the snapshot that is coming; nil: none
+	assembler *records.Assembler // of the snapshot being received; nil: none
 	header    records.Header
 	served    bool
-	lose      bool // the planted bug: the next commit is counted and not carried out
+	lose      bool // injected bug: the next commit is counted but not applied
 	over      chan struct{}
 }
 
+// read processes messages until the connection fails or violates the protocol.
 func (s *stream) read() error {
 	defer func() {
 		if s.assembler != nil {
@@ -198,7 +200,7 @@
 	}
 }
 
-// begin takes note that the relay serves.
+// begin records that the relay serves this client, and starts the periodic reports.
 func (s *stream) begin() {
 	c := s.client
 	s.served = true
@@ -218,7 +220,7 @@
 	go s.report()
 }
 
-// report tells now and then how far the follower is.
+// report sends the progress of the replica at each heartbeat interval.
 func (s *stream) report() {
 	for {
 		due := make(chan struct{})
@@ -237,6 +239,7 @@
 	}
 }
 
+// take handles one message.
 func (s *stream) take(m toWatcher) error {
 	c := s.client
 	switch {
@@ -266,7 +269,7 @@
 	err := f.Follow(commit)
 	var order *records.OrderError
 	if errors.As(err, &order) && order.Differ {
-		f.Discard(err) // and the next watch begins with a snapshot
+		f.Discard(err) // the next watch then begins with a snapshot
 	}
 	return err
 }
@@ -277,7 +280,7 @@
 		return errPiece
 	}
 	if h.Revision < f.Position().Revision {
-		// A feed that is behind its watcher sends it away, so this one knows the watcher's revision, and with other records.
+		// A feed refuses a watcher that is ahead of it, so this feed knows the watcher's revision, with different records.
 		f.Discard(errOther)
 	}
 	a, err := records.NewAssembler(h, f.KeepsRecords())
--- a/internal/net/configwatch/configwatch_test.go
+++ b/internal/net/configwatch/configwatch_test.go
@@ -25,9 +25,9 @@
 	"puffinsaddle/internal/replica"
 )
 
-const patience = 30 * time.Second // a test that hangs fails by then; none is timed
+const patience = 30 * time.Second // a hanging test fails after it; no test measures time against it
 
-// feed is a server with the records that it serves.
+// feed is a server and the records that it serves.
 type feed struct {
 	t      testing.TB
 	mu     sync.Mutex
@@ -72,7 +72,7 @@
 
 func (f *feed) at() string { return f.ln.Addr().String() }
 
-// commit has some records changed.
+// commit changes some records and publishes the commit.
 func (f *feed) commit(names ...string) records.Commit {
 	f.t.Helper()
 	f.mu.Lock()
@@ -97,7 +97,7 @@
 	return f.set.Digest()
 }
 
-// watching is a replica with its client.
+// watching is a configuration replica and its client.
 type watching struct {
 	*replica.Replica
 	client  *configwatch.Client
@@ -130,6 +130,7 @@
 	return w
 }
 
+// to returns relay entries for the feeds.
 func to(feeds ...*feed) (relays []distribution.Relay) {
 	for _, f := range feeds {
 		relays = append(relays, distribution.Relay{Name: f.at(), Address: f.at(), Zone: "z"})
@@ -141,26 +142,27 @@
 	t.Helper()
 	for late := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(late) {
-			t.Fatalf("not within %s: %s", patience, what)
+			t.Fatalf("condition not met within %s: %s", patience, what)
 		}
 	}
 }
 
+// level waits until the watcher has the records of the feed.
 func (w *watching) level(t *testing.T, f *feed) {
 	t.Helper()
-	until(t, "the watcher has what the feed has", func() bool {
+	until(t, "the watcher has the records of the feed", func() bool {
 		p := w.Position()
 		return p.Revision == f.server.At().Revision && p.Digest == f.digest()
 	})
 }
 
-// tookSnapshot waits until it is counted: that is later than the records are there.
+// tookSnapshot waits until the client has counted one snapshot, which happens after the records are in place.
 func (w *watching) tookSnapshot(t *testing.T) {
 	t.Helper()
 	until(t, "one snapshot is counted", func() bool { return w.client.Figures().Snapshots == 1 })
 }
 
-// A watcher sees each commit once and in order, also over a feed that ends: it goes on with another from its own revision.
+// A watcher receives each commit once and in order, also when its feed ends: it continues at another feed from its own revision.
 func TestWatchGoesOnAtAnotherFeed(t *testing.T) {
 	a, b := openFeed(t, distribution.DefaultLimits), openFeed(t, distribution.DefaultLimits)
 	both := func(names ...string) {
@@ -185,15 +187,16 @@
 	w.level(t, second)
 	for want := uint64(1); want <= 101; want++ {
 		if got := <-w.commits; got != want {
-			t.Fatalf("commit %d came where %d was due", got, want)
+			t.Fatalf("got commit %d, want %d", got, want)
 		}
 	}
 	if n := w.client.Figures().Snapshots; n != 0 {
-		t.Errorf("%d snapshots were sent", n)
+		t.Errorf("%d snapshots were sent, want 0", n)
 	}
 }
 
-// A restarted server asks for what it missed alone; a spoilt copy is thrown away and fetched anew.
+// A restarted server receives only the commits that it missed. A corrupt records file is discarded and replaced by a snapshot; a
+// truncated one does not keep the server from catching up.
 func TestRestartAsksForWhatItMissed(t *testing.T) {
 	f := openFeed(t, distribution.Limits{Commits: 30, Bytes: 1 << 20, Watchers: 10, Snapshots: 2})
 	for i := range 100 {
@@ -212,7 +215,7 @@
 	w = watch(t, path, to(f))
 	w.level(t, f)
 	if n := w.client.Figures(); n.Snapshots != 0 || len(w.commits) != 20 {
-		t.Errorf("%d snapshots and %d commits for a server that missed 20", n.Snapshots, len(w.commits))
+		t.Errorf("%d snapshots and %d commits for a server that missed 20 commits", n.Snapshots, len(w.commits))
 	}
 	w.stop()
 	b, err := os.ReadFile(path)
@@ -230,7 +233,7 @@
 	if b, err = os.ReadFile(path); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, b[:len(b)-3], 0o600); err != nil { // what a crash leaves
+	if err := os.WriteFile(path, b[:len(b)-3], 0o600); err != nil { // as a crash during a write would
 		t.Fatal(err)
 	}
 	f.commit("later")
@@ -238,7 +241,7 @@
 	w.level(t, f)
 }
 
-// A watcher that holds what was never agreed on throws it away.
+// A watcher whose records differ from the committed ones at the same revision discards them and takes a snapshot.
 func TestOtherRecordsAreThrownAway(t *testing.T) {
 	a, b := openFeed(t, distribution.DefaultLimits), openFeed(t, distribution.DefaultLimits)
 	for range 5 {
@@ -254,7 +257,7 @@
 	w.tookSnapshot(t)
 }
 
-// The same where the feed's snapshot is older than the revision that the watcher claims: it must not be left without any.
+// The same if the feed's snapshot is older than the watcher's revision: the watcher must not end up without records.
 func TestOtherRecordsAreThrownAwayForAnOlderSnapshot(t *testing.T) {
 	limits := distribution.Limits{Commits: 10, Bytes: 1 << 20, Watchers: 10, Snapshots: 2}
 	a, b := openFeed(t, distribution.DefaultLimits), openFeed(t, limits)
@@ -264,7 +267,7 @@
 	for range 20 {
 		b.commit("of-b")
 	}
-	watch(t, "", to(b)).level(t, b) // makes the snapshot, as of 20
+	watch(t, "", to(b)).level(t, b) // builds the snapshot at revision 20
 	for range 5 {
 		b.commit("of-b")
 	}
@@ -277,7 +280,7 @@
 	w.tookSnapshot(t)
 }
 
-// One that is full names another and a time; the watcher goes there.
+// A feed at its watcher limit refuses a watcher and names another address, where the watcher continues.
 func TestRefusedWatchersGoElsewhere(t *testing.T) {
 	other := openFeed(t, distribution.DefaultLimits)
 	full := openFeed(t, distribution.Limits{Commits: 10, Bytes: 1 << 20, Watchers: 0, Snapshots: 1}, func(o *configwatch.ServerOptions) { o.Elsewhere = []string{other.at()} })
@@ -286,11 +289,11 @@
 	w := watch(t, "", relays)
 	w.level(t, other)
 	if full.server.Figures().Refused == 0 {
-		t.Error("the full one was not asked")
+		t.Error("the feed at its limit refused no watcher")
 	}
 }
 
-// A watcher that reads nothing is cut off, and what the feed holds for it stays within its limits.
+// A watcher that does not read is disconnected, and the bytes that the feed retains for it stay within the limit.
 func TestSlowWatcherIsCutOff(t *testing.T) {
 	limits := distribution.Limits{Commits: 50, Bytes: 1 << 20, Watchers: 10, Snapshots: 2}
 	f := openFeed(t, limits)
@@ -301,19 +304,19 @@
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	conn.Write(message(t, `{"watch":{"name":"slow","at":{"revision":0,"digest":"00000000000000000000000000000000"}}}`))
-	until(t, "it is served", func() bool { return f.server.Figures().Watchers == 1 })
+	until(t, "the slow watcher is served", func() bool { return f.server.Figures().Watchers == 1 })
 	w := watch(t, "", to(f))
 	large := strings.Repeat("n", 128)
-	until(t, "it is cut off", func() bool {
+	until(t, "the slow watcher is disconnected", func() bool {
 		f.commit(large, large[:100], large[:99], large[:98])
 		if held := f.server.Figures().Held; held > limits.Bytes {
-			t.Fatalf("%d bytes are held, %d at most", held, limits.Bytes)
+			t.Fatalf("%d bytes retained, limit %d", held, limits.Bytes)
 		}
-		w.level(t, f) // the others are served all the while
+		w.level(t, f) // the other watcher is still served
 		return f.server.Figures().Watchers == 1
 	})
 	if f.server.Figures().Cut == 0 {
-		t.Error("it is not counted")
+		t.Error("the disconnected watcher was not counted")
 	}
 }
 
@@ -322,7 +325,7 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 }
 
-// What no watcher of ours would send ends its own connection and touches nothing.
+// A watcher that violates the protocol loses its connection; other watchers are unaffected.
 func TestMalformedWatchesEndTheirConnection(t *testing.T) {
 	f := openFeed(t, distribution.DefaultLimits)
 	f.commit("x")
@@ -331,18 +334,18 @@
 	const good = `{"watch":{"name":"x","at":{"revision":1,"digest":"%s"}}}`
 	hello := string(message(t, fmt.Sprintf(good, f.digest())))
 	for name, text := range map[string]string{
-		"no JSON":            string(message(t, "{")),
-		"no part":            string(message(t, "{}")),
-		"a report first":     string(message(t, `{"report":{"servers":1}}`)),
-		"no name":            string(message(t, `{"watch":{"at":{}}}`)),
-		"a bad digest":       string(message(t, `{"watch":{"name":"x","at":{"revision":1,"digest":"zz"}}}`)),
-		"a length of zero":   "\x00\x00\x00\x00",
-		"a huge length":      "\xff\xff\xff\xff",
-		"two watches":        hello + hello,
-		"a huge report":      hello + "\x00\x10\x00\x00",
-		"noise":              hello + strings.Repeat("\xfe", 4000),
-		"half a message":     hello[:9],
-		"a negative revison": string(message(t, `{"watch":{"name":"x","at":{"revision":-1}}}`)),
+		"invalid JSON":        string(message(t, "{")),
+		"empty message":       string(message(t, "{}")),
+		"report before watch": string(message(t, `{"report":{"servers":1}}`)),
+		"missing name":        string(message(t, `{"watch":{"at":{}}}`)),
+		"invalid digest":      string(message(t, `{"watch":{"name":"x","at":{"revision":1,"digest":"zz"}}}`)),
+		"length of zero":      "\x00\x00\x00\x00",
+		"excessive length":    "\xff\xff\xff\xff",
+		"second watch":        hello + hello,
+		"oversized report":    hello + "\x00\x10\x00\x00",
+		"noise":               hello + strings.Repeat("\xfe", 4000),
+		"truncated message":   hello[:9],
+		"negative revision":   string(message(t, `{"watch":{"name":"x","at":{"revision":-1}}}`)),
 	} {
 		conn, err := net.Dial("tcp", f.at())
 		if err != nil {
@@ -350,20 +353,20 @@
 		}
 		conn.SetDeadline(time.Now().Add(patience))
 		conn.Write([]byte(text))
-		if name == "half a message" {
+		if name == "truncated message" {
 			conn.(*net.TCPConn).CloseWrite()
 		}
 		if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s: the connection stands", name)
+			t.Errorf("%s: the connection was not closed", name)
 		}
 		conn.Close()
 	}
-	until(t, "one watcher is left", func() bool { return f.server.Figures().Watchers == 1 })
+	until(t, "only the valid watcher remains", func() bool { return f.server.Figures().Watchers == 1 })
 	f.commit("y")
 	w.level(t, f)
 }
 
-// scripted answers each connection with bytes of the test's own.
+// scripted accepts connections and sends the given bytes on each; n is the number of the connection.
 func scripted(t *testing.T, bytes func(n int) []byte) (address string, ended *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -388,7 +391,7 @@
 	return ln.Addr().String(), ended
 }
 
-// A feed that sends what none of ours would is left, and what the watcher has stays as it is.
+// A watcher closes its connection to a feed that violates the protocol and keeps its records unchanged.
 func TestMalformedFeedsAreLeft(t *testing.T) {
 	set := records.NewSet(records.DefaultLimits)
 	var commits []string
@@ -403,45 +406,45 @@
 		}
 		commits = append(commits, string(b))
 	}
-	const head = 4 // bytes of a message's length
+	const head = 4 // bytes of the length prefix of a message
 	first := commits[0][head:]
 	header := string(message(t, `{"header":{"revision":9,"digest":"00000000000000000000000000000000","records":5,"pieces":1}}`))
 	for name, text := range map[string]string{
-		"no JSON":           string(message(t, "[1")),
-		"no part":           string(message(t, "{}")),
-		"a huge length":     "\x7f\xff\xff\xff",
-		"a gap":             commits[0] + commits[2],
-		"a commit twice":    commits[0] + commits[0],
-		"a piece alone":     string(message(t, `{"piece":{"number":0,"data":"AA=="}}`)),
-		"a spoilt piece":    header + string(message(t, `{"piece":{"number":0,"data":"AAAA"}}`)),
-		"a commit cut":      string(message(t, first[:len(first)-1])),
-		"a commit and more": string(message(t, first+"\x00")),
-		"another encoding":  string(message(t, "\x02"+first[1:])),
-		"a commit in JSON":  string(message(t, `{"commit":{"revision":1}}`)),
-		"no commit":         string(message(t, first[:1])),
-		"two headers":       header + header,
-		"a commit inside":   header + commits[0],
-		"no end of records": string(message(t, `{"header":{"revision":9,"records":999999999999,"pieces":1}}`)),
-		"nothing promised":  string(message(t, `{"header":{"revision":9,"records":0,"pieces":1}}`)),
+		"invalid JSON":         string(message(t, "[1")),
+		"empty message":        string(message(t, "{}")),
+		"excessive length":     "\x7f\xff\xff\xff",
+		"missing commit":       commits[0] + commits[2],
+		"repeated commit":      commits[0] + commits[0],
+		"chunk before header":  string(message(t, `{"piece":{"number":0,"data":"AA=="}}`)),
+		"corrupt chunk":        header + string(message(t, `{"piece":{"number":0,"data":"AAAA"}}`)),
+		"truncated commit":     string(message(t, first[:len(first)-1])),
+		"trailing bytes":       string(message(t, first+"\x00")),
+		"unknown encoding":     string(message(t, "\x02"+first[1:])),
+		"commit as JSON":       string(message(t, `{"commit":{"revision":1}}`)),
+		"missing commit body":  string(message(t, first[:1])),
+		"second header":        header + header,
+		"commit in a snapshot": header + commits[0],
+		"excessive records":    string(message(t, `{"header":{"revision":9,"records":999999999999,"pieces":1}}`)),
+		"no records promised":  string(message(t, `{"header":{"revision":9,"records":0,"pieces":1}}`)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			at, ended := scripted(t, func(int) []byte { return []byte(text) })
 			w := watch(t, "", []distribution.Relay{{Name: "bad", Address: at, Zone: "z"}})
-			until(t, "it is left", func() bool { return ended.Load() > 0 })
+			until(t, "the connection is closed", func() bool { return ended.Load() > 0 })
 			if p := w.Position(); p.Revision > 1 || w.Records() > 1 {
-				t.Errorf("it took %+v", p)
+				t.Errorf("the watcher advanced to %+v", p)
 			}
 		})
 	}
 }
 
-// What the watchers report comes to one report, with the reasons by name.
+// The feed sums the reports of its watchers, with the reasons of rejected records.
 func TestReportsTellWhatWasTurnedDown(t *testing.T) {
 	f := openFeed(t, distribution.DefaultLimits)
 	w := &watching{}
 	w.Replica = replica.Open(replica.Options{Name: "picky", Log: zerolog.Nop(), Check: func(p records.Put) error {
 		if p.Name == "bad" {
-			return errors.New("not to my liking")
+			return errors.New("value rejected")
 		}
 		return nil
 	}})
@@ -450,10 +453,10 @@
 	go w.client.Run(t.Context())
 	f.commit("good")
 	f.commit("bad")
-	until(t, "the reason is heard", func() bool {
+	until(t, "the rejection is reported", func() bool {
 		r := f.server.Report()
 		return r.Servers == 1 && r.Lowest == 2 && r.Rejecting == 1 && len(r.Rejections) == 1 && r.Rejections[0].Key == "setting/bad" &&
-			r.Rejections[0].Reason == "not to my liking" && r.Rejections[0].Revision == 2
+			r.Rejections[0].Reason == "value rejected" && r.Rejections[0].Revision == 2
 	})
 	f.mu.Lock()
 	commit, err := f.set.Apply(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "bad"}}})
@@ -461,10 +464,10 @@
 	if err = errors.Join(err, f.server.Publish(commit)); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "it is heard that nothing is turned down", func() bool { r := f.server.Report(); return r.Lowest == 3 && r.Rejecting == 0 })
+	until(t, "no rejection is reported any more", func() bool { r := f.server.Report(); return r.Lowest == 3 && r.Rejecting == 0 })
 }
 
-// BenchmarkFanOut measures what a commit costs a feed, by the number of its watchers.
+// BenchmarkFanOut measures the cost of a commit at a feed for several numbers of watchers.
 func BenchmarkFanOut(b *testing.B) {
 	for _, n := range []int{25, 50, 100, 200} {
 		b.Run(fmt.Sprintf("watchers=%d", n), func(b *testing.B) {
@@ -488,7 +491,7 @@
 						if _, err := io.ReadFull(here, body); err != nil {
 							return
 						}
-						if body[0] != '{' { // a commit: the other messages are JSON
+						if body[0] != '{' { // a commit; the other messages are JSON
 							got.Done()
 						}
 					}
@@ -508,12 +511,12 @@
 	}
 }
 
-// Snapshots together go no faster than they may, however many watchers ask for one.
+// All snapshots together stay within the configured rate, regardless of the number of watchers.
 func TestSnapshotsAreThrottled(t *testing.T) {
 	const bytesASecond, burst, watchers = 4 << 20, 1 << 20, 3
 	f := openFeed(t, distribution.Limits{Commits: 1, Bytes: 1 << 20, Watchers: 8, Snapshots: 4}, func(o *configwatch.ServerOptions) { o.SnapshotBytes = bytesASecond })
 	random := rand.NewChaCha8([32]byte{1})
-	for i := range 40 { // what can't be compressed
+	for i := range 40 { // values that cannot be compressed
 		value := make([]byte, records.MaxSetting)
 		random.Read(value)
 		f.mu.Lock()
@@ -533,9 +536,9 @@
 	}
 	least := time.Duration(float64(watchers*40*records.MaxSetting-burst) / bytesASecond * float64(time.Second))
 	if took := time.Since(began); took < least {
-		t.Errorf("%d snapshots took %s, at least %s is wanted", watchers, took, least)
+		t.Errorf("%d snapshots took %s, want at least %s", watchers, took, least)
 	}
 	if n := f.server.Figures().Snapshots; n < watchers {
-		t.Errorf("%d snapshots were sent", n)
+		t.Errorf("%d snapshots were sent, want at least %d", n, watchers)
 	}
 }
--- a/internal/net/configwatch/server.go
+++ b/internal/net/configwatch/server.go
@@ -18,38 +18,39 @@
 	"puffinsaddle/internal/records"
 )
 
-// Source has the records as of now, for snapshots.
+// Source provides the current records, for snapshots.
 type Source interface {
-	// Table is a copy of the records that nobody changes, and its revision.
+	// Table returns an immutable copy of the records, and its revision.
 	Table() (*records.Table, uint64)
 }
 
-// ServerOptions set up a Server.
+// ServerOptions configure a Server.
 type ServerOptions struct {
 	Limits        distribution.Limits
 	Source        Source
-	SnapshotBytes float64 // a second, for all snapshots together
-	// Serves tells whether a watcher is served at all, and else why not and who may serve it; nil: all are.
+	SnapshotBytes float64 // bytes per second for all snapshots together
+	// Serves returns nil if a watcher is to be served, otherwise the reason and the addresses that may serve it. If Serves is nil,
+	// all watchers are served.
 	Serves func(Watch) *Refused
-	// Elsewhere lists the addresses of others that a watcher that is refused may try.
+	// Elsewhere lists the addresses that a refused watcher may try.
 	Elsewhere []string
 	Steady    *clock.Clock
 	Log       zerolog.Logger
 	Seed      uint64
-	Plant     string // a planted bug, for the laboratory; "": none
+	Plant     string // injected bug, for the lab; "": none
 }
 
-// Figures are counts of a server from its start.
+// Figures are the metrics of a Server since its start.
 type Figures struct {
 	Watchers  int    `json:"watchers"`
 	Revision  uint64 `json:"revision"`
-	Floor     uint64 `json:"floor"`     // the earliest revision that is served without a snapshot
-	Held      int    `json:"held"`      // bytes of commits held for watchers
+	Floor     uint64 `json:"floor"`     // oldest revision that is served without a snapshot
+	Held      int    `json:"held"`      // bytes of commits retained for watchers
 	Sent      uint64 `json:"sent"`      // bytes
 	Received  uint64 `json:"received"`  // bytes
-	Snapshots uint64 `json:"snapshots"` // sent whole
+	Snapshots uint64 `json:"snapshots"` // sent completely
 	Refused   uint64 `json:"refused"`
-	Cut       uint64 `json:"cut"` // watchers that were ended for what they sent, or did not read
+	Cut       uint64 `json:"cut"` // watchers disconnected for an invalid message or for not reading
 }
 
 // Server serves watchers from a feed.
@@ -64,19 +65,19 @@
 	mu       sync.Mutex
 	feed     *distribution.Feed
 	progress *distribution.Progress
-	regions  *distribution.Regions // of relays that watch here
+	regions  *distribution.Regions // of the relays that watch here
 	ages     distribution.Ages
 	changed  chan struct{}     // closed at each change of the feed
-	conns    map[net.Conn]bool // of watchers that are served
+	conns    map[net.Conn]bool // connections of served watchers
 	cached   *records.Snapshot // nil: none
 }
 
 const (
-	defaultSnapshotBytes = 32 << 20
-	snapshotBurst        = 1 << 20
+	defaultSnapshotBytes = 32 << 20 // per second
+	snapshotBurst        = 1 << 20  // bytes
 )
 
-// NewServer makes a server whose feed is empty; Reset sets where it begins.
+// NewServer returns a server with an empty feed. Reset sets its first position.
 func NewServer(o ServerOptions) *Server {
 	if o.SnapshotBytes <= 0 {
 		o.SnapshotBytes = defaultSnapshotBytes
@@ -85,7 +86,7 @@
 		progress: distribution.NewProgress(), regions: distribution.NewRegions(), changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 }
 
-// Publish serves the next commit.
+// Publish appends the next commit to the feed.
 func (s *Server) Publish(c records.Commit) error {
 	b, err := Encode(c)
 	if err != nil {
@@ -101,13 +102,13 @@
 	return nil
 }
 
-// Reset begins anew at a position. Watchers that are behind it are cut off, and begin again from their revision.
+// Reset restarts the feed at a position. Watchers behind it are disconnected and reconnect from their own revision.
 func (s *Server) Reset(p distribution.Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feed.Reset(p)
 	s.ages = distribution.Ages{}
-	s.ages.Add(p.Revision, s.o.Steady.Now()) // whoever is behind it has been so for that long at least
+	s.ages.Add(p.Revision, s.o.Steady.Now()) // lower bound of the lag of watchers behind it
 	s.cached = nil
 	s.wake()
 }
@@ -117,21 +118,21 @@
 	s.changed = make(chan struct{})
 }
 
-// At is the latest position that is served.
+// At returns the latest position of the feed.
 func (s *Server) At() distribution.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.feed.At()
 }
 
-// Report sums what the watchers reported.
+// Report returns the sum of the reports of the watchers.
 func (s *Server) Report() distribution.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.progress.Sum(s.feed.At().Revision)
 }
 
-// Status tells how far the regions of the relays are that watch here, or did.
+// Status returns the progress of the regions whose relays watch here or did before.
 func (s *Server) Status() distribution.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +140,7 @@
 	return distribution.Status{Revision: latest, Regions: s.regions.Status(s.o.Steady.Now(), latest, &s.ages)}
 }
 
-// Figures reads the counts.
+// Figures returns the current metrics.
 func (s *Server) Figures() Figures {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,7 +148,7 @@
 		s.snapshots.Load(), s.refused.Load(), s.cut.Load()}
 }
 
-// Serve serves one watcher to its end.
+// Serve serves one watcher until its connection ends.
 func (s *Server) Serve(conn net.Conn) {
 	defer conn.Close()
 	counted := meter.New(conn, &s.bytes)
@@ -167,7 +168,7 @@
 	}
 	if err != nil {
 		s.cut.Add(1)
-		s.o.Log.Debug().Err(err).Msg("watch ended before it began")
+		s.o.Log.Debug().Err(err).Msg("invalid first message of a watcher")
 		return
 	}
 	w := *first.Watch
@@ -189,7 +190,7 @@
 	defer stop()
 	if err := s.write(ctx, counted, w, admission); err != nil && ctx.Err() == nil {
 		s.cut.Add(1)
-		s.o.Log.Info().Err(err).Str("watcher", w.Name).Msg("watcher cut off")
+		s.o.Log.Info().Err(err).Str("watcher", w.Name).Msg("watcher disconnected")
 	}
 }
 
@@ -214,7 +215,7 @@
 	s.conns[conn] = true
 }
 
-// DropAll ends all watchers, as where a copy no longer leads.
+// DropAll disconnects all watchers, for example when a store replica loses leadership.
 func (s *Server) DropAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,7 +233,7 @@
 	s.regions.Left(name)
 }
 
-// read takes the watcher's reports until its connection ends. A connection that is ended for what it sent is counted.
+// read receives the watcher's reports until the connection ends. It counts a watcher that violates the protocol.
 func (s *Server) read(r *frame.Reader, w Watch) {
 	for {
 		var m toFeed
@@ -241,7 +242,7 @@
 		}
 		if m.Report == nil {
 			s.cut.Add(1)
-			s.o.Log.Warn().Err(errAgain).Str("watcher", w.Name).Msg("watcher cut off")
+			s.o.Log.Warn().Err(errAgain).Str("watcher", w.Name).Msg("watcher disconnected")
 			return
 		}
 		s.heard(w, *m.Report)
@@ -257,7 +258,7 @@
 	}
 }
 
-// write sends what the watcher lacks, and a heartbeat where there is nothing.
+// write sends the commits that the watcher lacks, after a snapshot if needed, and heartbeats when there are none.
 func (s *Server) write(ctx context.Context, conn net.Conn, w Watch, a distribution.Admission) error {
 	revision := w.At.Revision
 	if a.Verdict == distribution.Snapshot {
@@ -287,7 +288,7 @@
 	}
 }
 
-// wait waits for a change, with heartbeats.
+// wait waits for a change of the feed, for at most the heartbeat interval, after which it sends a heartbeat.
 func (s *Server) wait(ctx context.Context, conn net.Conn, latest uint64, changed <-chan struct{}) error {
 	due := make(chan struct{})
 	t := s.o.Steady.After(heartbeatMs, func() { close(due) })
@@ -312,7 +313,7 @@
 	return err
 }
 
-// sendSnapshot sends a snapshot, no faster than all snapshots together may go, and tells its revision.
+// sendSnapshot sends a snapshot within the rate limit shared by all snapshots, and returns its revision.
 func (s *Server) sendSnapshot(ctx context.Context, conn net.Conn) (uint64, error) {
 	defer func() {
 		s.mu.Lock()
@@ -339,7 +340,7 @@
 	return snapshot.Revision, nil
 }
 
-// snapshot is the one that all watchers share, made anew where the feed no longer has what comes after it.
+// snapshot returns the snapshot that all watchers share. It builds a new one if the feed no longer retains the commits after it.
 func (s *Server) snapshot() (*records.Snapshot, error) {
 	s.build.Lock()
 	defer s.build.Unlock()
@@ -351,7 +352,7 @@
 	}
 	table, revision := s.o.Source.Table()
 	if s.o.Plant == distribution.PlantSnapshotRevision {
-		revision++ // of the next change, which the table does not have
+		revision++ // injected bug: the revision of the next change, which the table lacks
 	}
 	fresh, err := records.NewSnapshot(table, revision)
 	if err != nil {
@@ -363,7 +364,7 @@
 	return fresh, nil
 }
 
-// IsRefusal tells a watcher that was sent away from one whose connection failed.
+// IsRefusal reports whether an error is the refusal of a watcher rather than a failed connection, and returns the refusal.
 func IsRefusal(err error) (*Refused, bool) {
 	var r *Refused
 	return r, errors.As(err, &r)
--- a/internal/net/configwatch/wire.go
+++ b/internal/net/configwatch/wire.go
@@ -1,5 +1,6 @@
-// Package configwatch carries configuration over sockets: a Server serves watchers from a feed, at the copies of the store and
-// at relays; a Client watches for one process. What is decided is in package distribution, what is held in package records.
+// Package configwatch distributes configuration over sockets. A Server at a store replica or a relay serves watchers from a feed
+// of commits; a Client watches on behalf of one process. Package distribution contains the decisions (admission, choice of a
+// relay), package records the data.
 package configwatch
 
 import (
@@ -13,79 +14,79 @@
 )
 
 const (
-	maxMessage    = 640 << 10 // bytes of a message to a watcher; a piece of a snapshot is the largest
-	maxReport     = 32 << 10  // bytes of a message to a feed
-	maxWatchName  = 128
-	helloTimeout  = 2 * time.Second // in which a watcher says what it wants
-	writeTimeout  = 2 * time.Second // in which a watcher takes one batch; past that it reads too slowly
-	heartbeatMs   = 1000.0          // between two messages of a feed, and two reports of a watcher, at most
-	silentTimeout = 3 * time.Second // after which a feed is taken for gone
-	batchBytes    = 64 << 10        // of commits written at once
-	sendBuffer    = 128 << 10       // of the system, for one watcher
-	reportTimeout = 10 * time.Second
+	maxMessage    = 640 << 10        // bytes per message to a watcher; a chunk of a snapshot is the largest message
+	maxReport     = 32 << 10         // bytes per message to a feed
+	maxWatchName  = 128              // bytes
+	helloTimeout  = 2 * time.Second  // for the first message of a watcher
+	writeTimeout  = 2 * time.Second  // for one batch; a watcher that takes longer reads too slowly and is disconnected
+	heartbeatMs   = 1000.0           // longest interval between messages of a feed, and between reports of a watcher
+	silentTimeout = 3 * time.Second  // a feed that is silent for longer counts as gone
+	batchBytes    = 64 << 10         // bytes of commits per write
+	sendBuffer    = 128 << 10        // bytes of socket send buffer per watcher, which bounds unsent output
+	reportTimeout = 10 * time.Second // a watcher that sends no report for longer is disconnected
 )
 
-// Watch is the first message of a watcher.
+// Watch is the first message of a watcher: its name and the position from which it continues.
 type Watch struct {
 	Name   string                `json:"name"`
 	At     distribution.Position `json:"at"`
-	Relay  bool                  `json:"relay,omitempty"`  // it serves others
-	Region string                `json:"region,omitempty"` // of a relay
+	Relay  bool                  `json:"relay,omitempty"`  // the watcher is a relay, which serves others
+	Region string                `json:"region,omitempty"` // region of a relay
 }
 
 func (w Watch) check() error {
 	if w.Name == "" || len(w.Name) > maxWatchName {
-		return fmt.Errorf("configwatch: a watch needs a name of 1 to %d characters", maxWatchName)
+		return fmt.Errorf("configwatch: invalid watch: name must have 1 to %d characters", maxWatchName)
 	}
 	if len(w.Region) > maxWatchName {
-		return fmt.Errorf("configwatch: a region of more than %d characters", maxWatchName)
+		return fmt.Errorf("configwatch: invalid watch: region has more than %d characters", maxWatchName)
 	}
 	return nil
 }
 
-// Refused sends a watcher away.
+// Refused is the refusal of a watcher, with other addresses that it may try.
 type Refused struct {
-	RetryMs   float64  `json:"retry_ms"` // it may come back then
+	RetryMs   float64  `json:"retry_ms"` // time after which the watcher may reconnect
 	Elsewhere []string `json:"elsewhere,omitempty"`
 	Reason    string   `json:"reason"`
 }
 
-// Error tells the reason.
+// Error returns the reason for the refusal.
 func (r *Refused) Error() string { return "configwatch: refused: " + r.Reason }
 
-// toFeed is a message of a watcher. One of its parts is set.
+// toFeed is a message from a watcher to a feed. Exactly one field is set.
 type toFeed struct {
 	Watch  *Watch               `json:"watch,omitempty"`
 	Report *distribution.Report `json:"report,omitempty"`
 }
 
-// toWatcher is a message of a feed. One of its parts is set. A commit is packed behind packedCommit, since commits are most of
-// what is sent; the others are JSON, which begins with another byte.
+// toWatcher is a message from a feed to a watcher. Exactly one field is set. A commit is encoded in binary form after the byte
+// packedCommit, since commits make up most of the traffic; the other messages are JSON, which begins with another byte.
 type toWatcher struct {
 	Commit    *records.Commit `json:"-"`
-	Header    *records.Header `json:"header,omitempty"` // a snapshot begins
+	Header    *records.Header `json:"header,omitempty"` // start of a snapshot
 	Piece     *records.Piece  `json:"piece,omitempty"`
-	Heartbeat *uint64         `json:"heartbeat,omitempty"` // the latest revision
+	Heartbeat *uint64         `json:"heartbeat,omitempty"` // latest revision of the feed
 	Refused   *Refused        `json:"refused,omitempty"`
 }
 
-// Errors of a connection.
+// Protocol errors of a connection.
 var (
-	errNoPart = errors.New("configwatch: a message without a part")
-	errPiece  = errors.New("configwatch: a piece without a snapshot")
-	errAgain  = errors.New("configwatch: a second watch on one connection")
-	errNotYet = errors.New("configwatch: a report before a watch")
-	errOther  = errors.New("configwatch: other records are held at this revision than were agreed on")
+	errNoPart = errors.New("configwatch: empty message")
+	errPiece  = errors.New("configwatch: snapshot messages out of order")
+	errAgain  = errors.New("configwatch: second watch on one connection")
+	errNotYet = errors.New("configwatch: first message is not a watch")
+	errOther  = errors.New("configwatch: local records differ from the committed records at this revision")
 )
 
-const packedCommit = 1 // the first byte of a message that is a commit
+const packedCommit = 1 // first byte of a message that contains a commit
 
-// Encode is a commit in the form in which it is sent.
+// Encode returns the wire encoding of a commit.
 func Encode(c records.Commit) ([]byte, error) {
 	return frame.AppendBytes(nil, records.AppendCommit([]byte{packedCommit}, c), maxMessage)
 }
 
-// decode reads the content of a message of a feed.
+// decode parses the content of a message from a feed.
 func decode(content []byte) (m toWatcher, err error) {
 	if content[0] != packedCommit {
 		return m, frame.Decode(content, &m)
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -28,75 +28,77 @@
 
 const (
 	dialFor    = time.Second
-	firstRetry = 0.2  // renewals within which another copy is tried after the first failure,
-	maxRetry   = 2.0  // and after the last; so a server finds the copy that leads before its presence ends
-	fullMost   = 20.0 // after which a copy that says that it is full is tried again, whatever it says
-	answerFor  = 3.0  // renewals without an answer after which another copy is tried
-	endedEvery = 50.0 // ms; ends of effects that come within it go as one command
-	mostEnded  = 256  // of them in one
-	mostEnds   = 1 << 14
-	commandFor = 3000.0 // ms that a command waits for its answer
+	firstRetry = 0.2     // renewal intervals; bound of the first backoff
+	maxRetry   = 2.0     // renewal intervals; bound of the last backoff: a server finds the leader before its presence expires
+	fullMost   = 20.0    // renewal intervals; longest retry delay accepted from a replica at its session limit
+	answerFor  = 3.0     // renewal intervals without a heartbeat reply after which the client tries another replica
+	endedEvery = 50.0    // ms; outcomes of effects that arrive within it are sent as one command
+	mostEnded  = 256     // succeeded effects, and failed effects, in one command
+	mostEnds   = 1 << 14 // outcomes waiting to be sent; further ones are dropped
+	commandFor = 3000.0  // ms; timeout of a command or query
 )
 
-// Options set up a client.
+// Options configure a Client.
 type Options struct {
-	Me     string            // name and incarnation
-	Copies map[string]string // address of each copy, by its id
+	Me     string            // name and incarnation of this process
+	Copies map[string]string // address of each store replica, by replica ID
 	Rules  duty.Rules
 	Seed   uint64
 	Steady *clock.Clock
 	Log    zerolog.Logger
-	Plant  string // a planted bug, for the laboratory; "": none
+	Plant  string // injected bug, for the lab; "": none
 
-	// Dial opens connections; nil: over TCP.
+	// Dial opens connections. If nil, the client dials over TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
-	// On is called for each event, in order, on a goroutine of its own: an action of duty.Machine, Allotted or Published.
+	// On is called for each event, in order, on a dedicated goroutine. An event is an action of duty.Machine, or one of
+	// Allotted, Published and Linked. If nil, events are discarded.
 	On func(any)
-	// Need tells what the server could use beyond its part for being alone, in thousandths of a call in hand; nil: nothing.
+	// Need returns the downstream capacity that the server could use beyond its standalone share, in thousandths of a call in
+	// flight. If nil, the server reports a demand of 0.
 	Need func() int64
 }
 
 type (
-	// Allotted tells of another share; it is in force until the presence ends. Used has to be called once no more than that
-	// is used.
+	// Allotted is the event of a changed capacity share, in thousandths of a call in flight. It is in force until the presence
+	// lease ends. Client.Used must be called once the server uses no more than this amount.
 	Allotted struct {
 		Amount  int64
 		Version uint64
 	}
-	// Published tells that a version is out that was not heard of before.
+	// Published is the event of a published version that is newer than any seen before.
 	Published struct{ No uint64 }
-	// Linked tells of the first answer of a session: the copy leads.
+	// Linked is the event of the first heartbeat reply of a session, which shows that the replica is the leader.
 	Linked struct{}
 )
 
-// Client holds an order server's session with whichever copy leads.
+// Client maintains an order server's session with the current leader of the store.
 type Client struct {
 	o     Options
 	on    *mailbox.Box[any]
-	fence atomic.Uint64 // commands refused for their epoch
+	fence atomic.Uint64 // commands refused for a stale epoch
 
 	mu      sync.Mutex
 	m       *duty.Machine
 	line    *line
 	conn    net.Conn
-	since   float64 // when the connection was made, or brought the last answer
-	hint    string  // id of the copy that is said to lead
-	next    int     // of the copies' order, where there is no hint
+	since   float64 // steady clock, ms: time of the last heartbeat reply, or of the connect
+	hint    string  // ID of the reported leader; "": unknown
+	next    int     // counter into order, used without a hint
 	no      uint64
 	waits   map[uint64]chan toServer
 	mine    allot.Mine
-	used    uint64 // version of the share that is in use
-	version uint64 // published, heard of
+	used    uint64 // version of the share in use
+	version uint64 // latest published version seen
 	ended   []string
 	failed  []string
 	ending  bool
 	timer   *clock.Timer
-	led     bool // the present session has brought an answer
+	led     bool // the current session has received a heartbeat reply
 	order   []string
 }
 
-// NewClient makes a client; Run has to be called for it to seek the copies.
+// NewClient returns a client. It connects once Run is called.
 func NewClient(o Options) *Client {
 	m := duty.NewMachine(o.Rules, o.Me, o.Seed)
 	m.Plant = o.Plant
@@ -111,7 +113,7 @@
 	return c
 }
 
-// Run holds a session until the context ends.
+// Run maintains a session, reconnecting with backoff, until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	go c.events(ctx)
 	c.mu.Lock()
@@ -122,7 +124,7 @@
 		var err error
 		if at := c.seek(); at != "" {
 			err = c.try(ctx, at)
-			c.o.Log.Debug().Err(err).Str("at", at).Msg("session over")
+			c.o.Log.Debug().Err(err).Str("at", at).Msg("session ended; reconnecting")
 		}
 		if c.wasServed() {
 			retry.Reset()
@@ -135,7 +137,7 @@
 	}
 }
 
-// try opens a session with a copy and holds it to its end.
+// try connects to a replica and serves the session until it ends.
 func (c *Client) try(ctx context.Context, at string) error {
 	conn, err := c.o.Dial(ctx, at)
 	if err != nil {
@@ -144,7 +146,7 @@
 	return c.hold(ctx, conn)
 }
 
-// wasServed tells whether the last session had an answer, and forgets it.
+// wasServed reports whether the last session received a heartbeat reply, and clears that state.
 func (c *Client) wasServed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,12 +182,12 @@
 	}
 }
 
-// seek is the address of the copy to try next.
+// seek returns the address of the replica to try next; "": none is configured.
 func (c *Client) seek() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at := c.o.Copies[c.hint]; at != "" {
-		c.hint = "" // once: it may know no better than we do
+		c.hint = "" // used once: the hint may be outdated
 		return at
 	}
 	if len(c.order) == 0 {
@@ -195,7 +197,7 @@
 	return c.o.Copies[c.order[c.next%len(c.order)]]
 }
 
-// hold serves one connection to its end.
+// hold serves one connection until it ends.
 func (c *Client) hold(ctx context.Context, conn net.Conn) error {
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
@@ -215,7 +217,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.line, c.conn = nil, nil
-		for no, w := range c.waits { // what was asked on it gets no answer any more
+		for no, w := range c.waits { // commands and queries sent on this connection get no reply
 			delete(c.waits, no)
 			close(w)
 		}
@@ -241,7 +243,7 @@
 			delete(c.waits, m.No)
 			w <- m
 		}
-		return fmt.Errorf("session: %q leads", *m.Else)
+		return fmt.Errorf("session: not the leader; the leader is %q", *m.Else)
 	}
 	if m.RetryMs > 0 {
 		return &fullError{min(m.RetryMs, fullMost*c.o.Rules.Renew)}
@@ -271,18 +273,18 @@
 	if w := c.waits[m.No]; w != nil {
 		delete(c.waits, m.No)
 		w <- m
-	} else if m.Error != "" && m.No == 0 { // else it answers what nobody waits for any more
+	} else if m.Error != "" && m.No == 0 { // other replies belong to requests that timed out
 		return fmt.Errorf("session: %s", m.Error)
 	}
 	return nil
 }
 
-// step lets the machine look at the time, and comes back when it has to again. The lock is held.
+// step advances the duty machine to the current time and schedules the next step. The caller holds the lock.
 func (c *Client) step() {
 	now := c.o.Steady.Now()
 	c.do(c.m.Tick(now))
 	if c.conn != nil && now > c.since+answerFor*c.o.Rules.Renew {
-		c.conn.Close() // guards against a copy that stands still, or can't be heard: another may lead by now
+		c.conn.Close() // the replica is stalled or unreachable; another may be the leader by now
 	}
 	if c.timer != nil {
 		c.timer.Stop()
@@ -316,7 +318,7 @@
 	}
 }
 
-// Used tells that no more than the share of a version is used.
+// Used acknowledges a share version: the server uses no more than the share of that version.
 func (c *Client) Used(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -327,27 +329,28 @@
 	}
 }
 
-// May tells whether an act under a duty may begin now, and under which epoch. It is to be asked before each.
+// May reports whether an action under a duty may begin now, and under which grant. It must be called before each action.
 func (c *Client) May(name string) (duty.Ref, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.m.May(c.o.Steady.Now(), name)
 }
 
-// Holding is the end of a holding on the steady clock, yields included.
+// Holding returns the grant of a held duty and the end of its lease on the steady clock in ms, also while the duty is being
+// yielded.
 func (c *Client) Holding(name string) (duty.Ref, float64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.m.Until(name)
 }
 
-// Presence is this process's own lease, and until when it is in force.
+// Presence returns the grant of this process's presence and the end of its lease on the steady clock in ms.
 func (c *Client) Presence() (duty.Ref, float64, bool) { return c.Holding(duty.PresenceOf(c.o.Me)) }
 
-// Fenced counts commands that were refused for their epoch.
+// Fenced returns the number of commands refused for a stale epoch.
 func (c *Client) Fenced() uint64 { return c.fence.Load() }
 
-// Quiet tells that no act is under way under a grant that yields.
+// Quiet reports that no action is in progress under a grant that is being yielded.
 func (c *Client) Quiet(r duty.Ref) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -355,7 +358,7 @@
 	c.step()
 }
 
-// Switch puts the server into a mode.
+// Switch sets the mode of the server.
 func (c *Client) Switch(mode duty.Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -363,14 +366,14 @@
 	c.step()
 }
 
-// Leave gives back all that is held, at the end of the process.
+// Leave releases all held duties, when the process ends.
 func (c *Client) Leave() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.do(c.m.Leave(c.o.Steady.Now()))
 }
 
-// ask sends a message that wants an answer, and waits for it. ErrNotSent: it was not carried out.
+// ask sends a command or query and waits for its reply. ErrNotSent means that it was not executed.
 func (c *Client) ask(ctx context.Context, m toCopy) (toServer, error) {
 	c.mu.Lock()
 	l := c.line
@@ -408,7 +411,8 @@
 	return toServer{}, ErrUnconfirmed
 }
 
-// Do has a command carried out. It is sent once: whoever gets ErrUnconfirmed has to look what came of it.
+// Do sends a command and returns its result. The command is sent once: after ErrUnconfirmed the caller has to find out whether
+// it was executed.
 func (c *Client) Do(ctx context.Context, cmd state.Command) (state.Result, error) {
 	got, err := c.ask(ctx, toCopy{Do: &cmd})
 	if err != nil {
@@ -427,12 +431,13 @@
 	return *got.Result, nil
 }
 
-// Act does something under a duty. The epoch goes with it, and is checked in the step in which the act takes effect.
+// Act executes commands under a duty. The store checks the fencing token (epoch) in the same log entry that applies the
+// commands.
 func (c *Client) Act(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
 	return c.Do(ctx, state.Command{Op: state.Act, Fence: &under, Do: do})
 }
 
-// Read asks a question; the answer holds as of some time after it was asked.
+// Read runs a query and decodes its result. The result reflects the state at some time after the call began.
 func (c *Client) Read(ctx context.Context, what string, into any) error {
 	got, err := c.ask(ctx, toCopy{Read: what})
 	if err != nil {
@@ -441,17 +446,19 @@
 	return json.Unmarshal(got.Body, into)
 }
 
-// Begin records an effect with the copies before its run, under this process's presence. It is a core.Ledger.
+// Begin records an effect in the replicated store before its attempt, under this process's presence. Begin and Ended make the
+// client a core.Ledger.
 func (c *Client) Begin(id string) (bool, error) {
 	here, ok := c.May(duty.PresenceOf(c.o.Me))
 	if !ok {
-		return false, fmt.Errorf("%w: no presence is in force", ErrNotSent)
+		return false, fmt.Errorf("%w: no presence lease in force", ErrNotSent)
 	}
 	r, err := c.Do(context.Background(), state.Command{Op: state.Begin, Key: id, Who: c.o.Me, Epoch: here.Epoch, Keep: true})
 	return err == nil && r.Fresh, err
 }
 
-// Ended tells how an effect ended. It waits for nothing: what gets lost is settled as unknown once this process is gone.
+// Ended records the outcome of an effect. It does not block: an outcome that is lost is resolved as unknown once this process is
+// gone.
 func (c *Client) Ended(id string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -466,6 +473,7 @@
 	c.endSoon()
 }
 
+// endSoon schedules a report of the collected outcomes. The caller holds the lock.
 func (c *Client) endSoon() {
 	if !c.ending {
 		c.ending = true
@@ -473,7 +481,7 @@
 	}
 }
 
-// end sends the ends on; what is not confirmed is sent again, since to book an end twice changes nothing.
+// end sends the collected outcomes. Unconfirmed outcomes are sent again, since recording an outcome is idempotent.
 func (c *Client) end() {
 	c.mu.Lock()
 	ok, failed := c.ended[:min(len(c.ended), mostEnded)], c.failed[:min(len(c.failed), mostEnded)]
@@ -491,20 +499,20 @@
 	}
 }
 
-// Version asks for the latest published version.
+// Version returns the latest published version.
 func (c *Client) Version(ctx context.Context) (v publish.Version, err error) {
 	err = c.Read(ctx, ReadVersion, &v)
 	return v, err
 }
 
-// Linked tells whether a session stands at a copy that leads.
+// Linked reports whether a session with the leader is established.
 func (c *Client) Linked() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.line != nil && c.led
 }
 
-// Share is what this process may use beyond its part for being alone, now.
+// Share returns the capacity that this process may use now beyond its standalone share, in thousandths of a call in flight.
 func (c *Client) Share() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/net/session/server.go
+++ b/internal/net/session/server.go
@@ -28,16 +28,16 @@
 )
 
 const (
-	batchEvery = 20.0 // ms; heartbeats that come within it are proven by one entry of the log
-	mostDoing  = 64   // commands of one session under way; more wait in its socket
-	silentFor  = 10   // a session that says nothing for so many renewals is cut off
-	mostFor    = 256  // orphans told at once
+	batchEvery = 20.0 // ms; heartbeats that arrive within it are confirmed by one log entry
+	mostDoing  = 64   // commands of one session in flight; further ones wait in its socket
+	silentFor  = 10   // renewal intervals; a session that is silent for longer is closed
+	mostFor    = 256  // orphaned effects in one reply
 
-	fullRetry     = 4.0 // renewals after which a full copy may be asked again, a half less or more
-	maxTurnedAway = 256 // servers that are told so at once; others hear nothing
+	fullRetry     = 4.0 // renewal intervals; retry delay sent by a replica at its session limit, with jitter of ±50 %
+	maxTurnedAway = 256 // refusals being sent at once; beyond that, connections are closed without a reply
 )
 
-// Copy is the copy of the store at which a server of sessions stands.
+// Copy is the store replica in whose process a Server runs.
 type Copy interface {
 	Office() (term uint64, leads bool)
 	Leader() string
@@ -46,12 +46,12 @@
 	View(look func(st *state.State, index uint64))
 }
 
-// Server serves sessions at a copy. One goroutine, Run, owns the grantor; it waits for no socket and no disk.
+// Server serves sessions at a store replica. The goroutine of Run owns the grantor and never blocks on a socket or the disk.
 type Server struct {
-	Led func(term uint64) // called when this copy begins to grant in a term; nil: nobody asks
-	// ConfigStatus answers ReadConfig; nil: this copy serves no relays.
+	Led func(term uint64) // called when this replica starts to grant duties in a term; nil: ignored
+	// ConfigStatus supplies the result of ReadConfig; nil: this replica serves no relays.
 	ConfigStatus func() distribution.Status
-	// CheckChange refuses a change of records whose values make no sense, before it is written to the log; nil: none is.
+	// CheckChange rejects a change of records with invalid values before it is written to the log; nil: all are accepted.
 	CheckChange func(c records.Change) error
 
 	copy  Copy
@@ -62,22 +62,22 @@
 	inbox *mailbox.Box[any]
 	open  atomic.Int64
 
-	turnedAway atomic.Int64 // servers that are being told that there is no room
+	turnedAway atomic.Int64 // refusals in progress because of the session limit
 
 	leads atomic.Uint64
 	count counts
 	bytes meter.Count
 
-	// The owner's.
+	// Owned by the goroutine of Run.
 	batch      []any
-	heartbeats map[*caller]*toCopy // to be taken
+	heartbeats map[*caller]*toCopy // not yet processed
 	asks       []question
-	office     uint64 // the term in which the state is known to be whole; 0: none
+	office     uint64 // term for which the local state is known to be complete; 0: none
 	proposing  bool
-	believes   bool               // the copy led at a look some time ago; the planted bug goes by that alone
-	looks      int                // that found it not leading
-	callers    map[string]*caller // by process: who said the latest heartbeat
-	latest     map[string]uint64  // number of the latest heartbeat that was taken, by process
+	believes   bool               // the replica was the leader at an earlier check; used only by the injected bug
+	looks      int                // checks that found the replica not leading
+	callers    map[string]*caller // by process: the session of its latest heartbeat
+	latest     map[string]uint64  // by process: number of the latest processed heartbeat
 	needs      map[string]int64
 	armed      bool
 }
@@ -87,14 +87,14 @@
 	Heartbeats, Entries, Answers, Cut uint64
 }
 
-// ServerFigures are counts from the start of the process.
+// ServerFigures are the metrics of a Server since the start of the process.
 type ServerFigures struct {
-	Heartbeats uint64 `json:"heartbeats"` // taken
-	Entries    uint64 `json:"entries"`    // entries of the log written for heartbeats and questions
+	Heartbeats uint64 `json:"heartbeats"` // processed
+	Entries    uint64 `json:"entries"`    // log entries written for heartbeats and queries
 	Answers    uint64 `json:"answers"`
-	Cut        uint64 `json:"cut"` // sessions ended for what they sent, or did not
+	Cut        uint64 `json:"cut"` // sessions refused, or closed for an invalid message or for silence
 	Open       int64  `json:"open"`
-	Term       uint64 `json:"term"` // in which this copy leads; 0: it does not
+	Term       uint64 `json:"term"` // term in which this replica is the leader; 0: it is not
 
 	Sent     uint64 `json:"sent"`     // bytes
 	Received uint64 `json:"received"` // bytes
@@ -103,7 +103,7 @@
 // caller is one session.
 type caller struct {
 	line *line
-	who  atomic.Pointer[string] // whose it is; set by its first heartbeat
+	who  atomic.Pointer[string] // process that owns the session; set by its first heartbeat
 	slot chan struct{}
 }
 
@@ -128,13 +128,13 @@
 	}
 )
 
-// NewServer makes a server for so many sessions at once; Run has to be called for it to answer.
+// NewServer returns a server for at most the given number of concurrent sessions. It answers once Run is called.
 func NewServer(c Copy, g *duty.Grantor, most int, steady *clock.Clock, log zerolog.Logger) *Server {
 	return &Server{copy: c, clk: steady, log: log, g: g, most: most, inbox: mailbox.New[any](), heartbeats: map[*caller]*toCopy{},
 		callers: map[string]*caller{}, latest: map[string]uint64{}, needs: map[string]int64{}}
 }
 
-// Figures reads the counts.
+// Figures returns the current metrics.
 func (d *Server) Figures() ServerFigures {
 	d.count.mu.Lock()
 	defer d.count.mu.Unlock()
@@ -148,7 +148,7 @@
 	d.count.mu.Unlock()
 }
 
-// Serve serves one session to its end.
+// Serve serves one session until it ends.
 func (d *Server) Serve(conn net.Conn) {
 	defer conn.Close()
 	conn = meter.New(conn, &d.bytes)
@@ -179,8 +179,8 @@
 	}
 }
 
-// refuse tells a server for which there is no room when to come back. Its first message is read before: a close over what is
-// unread would reset the connection, and the answer with it.
+// refuse sends a client the time after which it may reconnect, because the session limit is reached. It reads the client's first
+// message before: closing a socket with unread data would reset the connection and discard the reply.
 func (d *Server) refuse(conn net.Conn) {
 	if d.turnedAway.Add(1) > maxTurnedAway {
 		d.turnedAway.Add(-1)
@@ -196,7 +196,7 @@
 	frame.Send(conn, toServer{RetryMs: fullRetry * d.g.Renew * (0.5 + rand.Float64())}, mostMessage)
 }
 
-// take sorts one message; an error ends the session.
+// take dispatches one message. An error ends the session.
 func (d *Server) take(c *caller, m toCopy) error {
 	switch {
 	case m.Heartbeat != nil:
@@ -204,7 +204,7 @@
 			return err
 		}
 		if len(m.Heartbeat.Stands)+len(m.Heartbeat.Renews)+len(m.Heartbeat.Gives) > 4*(len(d.g.Duties)+1) {
-			return fmt.Errorf("session: a heartbeat with %d names", len(m.Heartbeat.Stands)+len(m.Heartbeat.Renews)+len(m.Heartbeat.Gives))
+			return fmt.Errorf("session: heartbeat has too many duty names: %d", len(m.Heartbeat.Stands)+len(m.Heartbeat.Renews)+len(m.Heartbeat.Gives))
 		}
 		d.inbox.Put(heard{c, m})
 	case m.Do != nil:
@@ -219,24 +219,24 @@
 	case m.Read != "":
 		d.inbox.Put(question{c, m.No, m.Read})
 	default:
-		return fmt.Errorf("session: a message without a part")
+		return fmt.Errorf("session: empty message")
 	}
 	return nil
 }
 
-// is binds a session to one process.
+// is binds the session to one process. It fails if the session is bound to another process.
 func (c *caller) is(who string) error {
 	if who == "" || len(who) > 128 {
-		return fmt.Errorf("session: a heartbeat of nobody")
+		return fmt.Errorf("session: heartbeat without a valid process name")
 	}
 	if c.who.CompareAndSwap(nil, &who); *c.who.Load() != who {
-		return fmt.Errorf("session: %q speaks in the session of %q", who, *c.who.Load())
+		return fmt.Errorf("session: heartbeat of %q in the session of %q", who, *c.who.Load())
 	}
 	return nil
 }
 
-// may tells whether a session may have a command carried out: what comes from outside speaks for itself alone, and
-// never for the grantor.
+// may checks whether a session is authorized to run a command. A session acts only for its own process, and never for the
+// grantor.
 func (c *caller) may(cmd state.Command) error {
 	switch cmd.Op {
 	case state.Act, state.Ask, state.Freeze, state.Thaw, state.Change:
@@ -245,9 +245,9 @@
 		if who := c.who.Load(); who != nil && *who == cmd.Who {
 			return nil
 		}
-		return fmt.Errorf("session: %s for %q, who is not in this session", cmd.Op, cmd.Who)
+		return fmt.Errorf("session: %s for %q, which does not own this session", cmd.Op, cmd.Who)
 	}
-	return fmt.Errorf("session: %q is not taken from a session", cmd.Op)
+	return fmt.Errorf("session: command %q is not allowed in a session", cmd.Op)
 }
 
 func (d *Server) do(c *caller, no uint64, cmd state.Command) {
@@ -280,12 +280,13 @@
 	return d.CheckChange(*cmd.Change)
 }
 
+// elsewhere sends a client to the leader.
 func (d *Server) elsewhere(c *caller, no uint64) {
 	id := d.copy.Leader()
 	c.line.send(toServer{No: no, Else: &id})
 }
 
-// Run answers until the context ends.
+// Run processes heartbeats and queries until the context ends.
 func (d *Server) Run(ctx context.Context) {
 	for {
 		d.arm()
@@ -298,6 +299,7 @@
 	}
 }
 
+// arm schedules the next tick unless one is pending.
 func (d *Server) arm() {
 	if !d.armed {
 		d.armed = true
@@ -307,6 +309,7 @@
 
 type tick struct{}
 
+// step processes the events in the inbox and, once per tick, proposes a log entry for the heartbeats and queries received.
 func (d *Server) step() {
 	d.batch = d.inbox.Take(d.batch)
 	look := false
@@ -319,7 +322,7 @@
 				e.m.Ack = old.Ack
 			}
 			if old := d.heartbeats[e.from]; old != nil {
-				e.m.Heartbeat.Gives = append(e.m.Heartbeat.Gives, old.Heartbeat.Gives...) // the later heartbeat speaks for both
+				e.m.Heartbeat.Gives = append(e.m.Heartbeat.Gives, old.Heartbeat.Gives...) // the later heartbeat replaces the earlier one and keeps its releases
 			}
 			d.heartbeats[e.from] = &e.m
 			if d.g.Plant == duty.PlantUnproven && d.believes {
@@ -342,14 +345,14 @@
 		d.batch[i] = nil
 	}
 	if !look || d.proposing {
-		return // once a tick, so that heartbeats share an entry
+		return // once per tick, so that heartbeats share a log entry
 	}
 	term, leads := d.copy.Office()
 	switch {
 	case !leads:
 		d.office = 0
 		d.leads.Store(0)
-		if d.looks++; d.looks%10 == 0 { // the planted bug looks that seldom
+		if d.looks++; d.looks%10 == 0 { // the injected bug notices the loss of leadership late
 			d.believes = false
 		}
 		for c := range d.heartbeats {
@@ -361,17 +364,17 @@
 		clear(d.heartbeats)
 		d.asks = nil
 	case term != d.office:
-		// What earlier leaders agreed on may not have reached this copy yet. Until it has, nobody is heard: a grant that
-		// is not seen would count as not renewed.
+		// Entries committed under earlier leaders may not be applied on this replica yet. No heartbeat is processed until they
+		// are: a grant that is not visible yet would count as not renewed.
 		d.propose(proposal{term: term})
 	default:
 		d.work(term)
 	}
 }
 
-// work takes the heartbeats and writes what they and the time call for.
+// work processes the heartbeats and proposes the orders that result from them and from the passage of time.
 func (d *Server) work(term uint64) {
-	now := d.clk.Now() // after the heartbeats came: a holder counts from when it sent one
+	now := d.clk.Now() // read after the heartbeats arrived: a holder counts its lease from when it sent its heartbeat
 	f := proposal{term: term, heartbeats: d.heartbeats, asks: d.asks}
 	var acks []state.Command
 	d.copy.View(func(st *state.State, _ uint64) {
@@ -387,7 +390,7 @@
 		f.orders = append(f.orders, d.g.Tick(now, st.Duties)...)
 	})
 	for _, a := range acks {
-		d.copy.Propose(a) // nobody waits for it: the next heartbeat says it again
+		d.copy.Propose(a) // the result is not needed: the next heartbeat repeats the acknowledgement
 	}
 	if len(f.heartbeats)+len(f.asks)+len(f.orders) == 0 {
 		return
@@ -396,8 +399,8 @@
 	d.propose(f)
 }
 
-// propose writes an entry of the log and comes back with what it came to. One is under way at a time: what comes meanwhile
-// shares the next.
+// propose appends a log entry and puts its result into the inbox. Only one entry is in flight at a time: heartbeats and queries
+// that arrive meanwhile share the next one.
 func (d *Server) propose(f proposal) {
 	d.proposing = true
 	d.add(&d.count.Entries)
@@ -416,6 +419,7 @@
 	}()
 }
 
+// confirm handles the result of a proposal: it starts the grantor in a new term, or replies to heartbeats and queries.
 func (d *Server) confirm(f proposal) {
 	d.proposing = false
 	now := d.clk.Now()
@@ -428,13 +432,13 @@
 			if d.Led != nil {
 				d.Led(f.term)
 			}
-			d.log.Info().Uint64("term", f.term).Msg("grants duties")
+			d.log.Info().Uint64("term", f.term).Msg("granting duties")
 		}
 		return
 	}
 	if f.err != nil {
-		d.office = 0 // whatever was agreed on after all is seen once the next entry is
-		d.log.Warn().Err(f.err).Msg("not confirmed")
+		d.office = 0 // the entry may still be committed; the next confirmed entry makes that visible
+		d.log.Warn().Err(f.err).Msg("log entry not confirmed")
 		return
 	}
 	d.copy.View(func(st *state.State, index uint64) {
@@ -453,7 +457,7 @@
 			delete(granted, m.Heartbeat.From)
 			d.answer(c, m.Heartbeat.From, m.Heartbeat.No, index, st)
 		}
-		for who := range granted { // its last heartbeat stood for it, and the grant was written after that came
+		for who := range granted { // the process was a candidate in an earlier heartbeat, whose reply came before this grant
 			if c := d.callers[who]; c != nil && d.latest[who] > 0 {
 				d.answer(c, who, d.latest[who], index, st)
 			}
@@ -464,6 +468,7 @@
 	})
 }
 
+// epochNow returns the epoch of the lease after an order, or that of the order if there is no lease.
 func epochNow(st *state.State, o duty.Order) uint64 {
 	if l := st.Duties.Leases[o.Name]; l != nil {
 		return l.Epoch
@@ -471,6 +476,7 @@
 	return o.Epoch
 }
 
+// answer replies to a heartbeat.
 func (d *Server) answer(c *caller, who string, no, index uint64, st *state.State) {
 	told := d.g.Answer(who, no, index, st.Duties)
 	m := toServer{Reply: &told, Version: st.Config.Latest().No}
@@ -482,6 +488,7 @@
 	c.line.send(m)
 }
 
+// reply answers a query from the given state.
 func (d *Server) reply(q question, st *state.State, term uint64) {
 	var v any
 	switch q.what {
@@ -511,7 +518,7 @@
 		}
 		v = s
 	default:
-		q.from.line.send(toServer{No: q.no, Error: fmt.Sprintf("session: unknown question %q", q.what)})
+		q.from.line.send(toServer{No: q.no, Error: fmt.Sprintf("session: unknown query %q", q.what)})
 		return
 	}
 	b, err := json.Marshal(v)
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -21,12 +21,12 @@
 	"puffinsaddle/internal/store"
 )
 
-const patience = 60 * time.Second
+const patience = 60 * time.Second // a hanging test fails after it
 
 var rules = duty.Rules{Bounds: duty.Bounds{Rate: 0.1, Margin: 50}, Renew: 300, Cool: 1000, ColdWait: 1000, Presence: 2000,
 	Duties: []duty.Terms{{Name: "allotter", TTL: 2000}}}
 
-// oneCopy is a copy whose log is agreed on at once, unless the test says that it does not lead.
+// oneCopy is a fake store replica that commits each entry at once and is the leader unless a test sets otherwise.
 type oneCopy struct {
 	mu    sync.Mutex
 	st    *state.State
@@ -35,8 +35,8 @@
 	other string
 	index uint64
 
-	begin   chan struct{} // no entry is agreed on before it is closed; nil: each is at once
-	largest int           // orders of one entry
+	begin   chan struct{} // Prove is not confirmed before it is closed; nil: confirmed at once
+	largest int           // most orders in one entry
 }
 
 func (c *oneCopy) Office() (uint64, bool) {
@@ -74,7 +74,7 @@
 	look(c.st, c.index)
 }
 
-// place is a server on a port.
+// place is a server listening on a port.
 type place struct {
 	copy   *oneCopy
 	server *Server
@@ -86,7 +86,7 @@
 	return openFor(t, c, steady, rules, 16)
 }
 
-// openFor opens a server for so many sessions.
+// openFor starts a server with the given session limit.
 func openFor(t *testing.T, c *oneCopy, steady *clock.Clock, r duty.Rules, sessions int) *place {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -115,6 +115,7 @@
 	return p
 }
 
+// join starts a client and returns the channel of its events.
 func join(t *testing.T, me string, copies map[string]string, steady *clock.Clock) (*Client, chan any) {
 	events := make(chan any, 1000)
 	c := NewClient(Options{Me: me, Copies: copies, Rules: rules, Seed: 1, Steady: steady, Log: zerolog.Nop(), On: func(e any) { events <- e }})
@@ -122,7 +123,7 @@
 	return c, events
 }
 
-// want waits for an event of a kind.
+// want waits for an event of type T that satisfies the predicate.
 func want[T any](t *testing.T, events chan any, is func(T) bool) T {
 	t.Helper()
 	late := time.After(patience)
@@ -134,7 +135,7 @@
 			}
 		case <-late:
 			var v T
-			t.Fatalf("no %T came", v)
+			t.Fatalf("no matching %T event within %s", v, patience)
 		}
 	}
 }
@@ -143,8 +144,8 @@
 
 func gains(g duty.Gained) bool { return g.Name == "allotter" }
 
-// A server is sent on to the copy that leads, gains what it stands for, acts under it, and is refused under any other
-// epoch.
+// An order server is redirected to the leader, is granted the duty for which it is a candidate, executes commands under it, and
+// is refused under any other epoch.
 func TestHolderActsAndForgedEpochsAreRefused(t *testing.T) {
 	steady := clock.Steady()
 	lead := open(t, leads(state.New()), steady)
@@ -156,20 +157,20 @@
 	}
 	forged := duty.Ref{Name: g.Name, Epoch: g.Epoch + 1}
 	if _, err := c.Act(t.Context(), forged, state.Command{Op: state.Mark}); !errors.Is(err, ErrStale) || c.Fenced() != 1 {
-		t.Errorf("a forged epoch: %v, %d counted", err, c.Fenced())
+		t.Errorf("forged epoch: error %v, %d fenced commands counted", err, c.Fenced())
 	}
 	if fresh, err := c.Begin("0a"); !fresh || err != nil {
 		t.Errorf("%v %v", fresh, err)
 	}
 	if fresh, err := c.Begin("0a"); fresh || err != nil {
-		t.Errorf("begun twice: %v %v", fresh, err)
+		t.Errorf("second begin of the same effect: fresh %v, error %v", fresh, err)
 	}
 	var d Duties
 	if err := c.Read(t.Context(), ReadDuties, &d); err != nil || d.Marks["allotter"] != 1 || d.Stale["allotter"] != 1 {
 		t.Errorf("%+v %v", d, err)
 	}
 	if err := c.Read(t.Context(), "nonsense", &d); err == nil {
-		t.Error("an unknown question has an answer")
+		t.Error("an unknown query was answered")
 	}
 	if _, err := c.Do(t.Context(), state.Command{Op: state.Ask, Key: "allotter"}); err != nil {
 		t.Fatal(err)
@@ -185,32 +186,32 @@
 			break
 		}
 		if time.Now().After(late) {
-			t.Fatal("what was handed on is not given back")
+			t.Fatal("the yielded duty was not released")
 		}
 	}
 	if _, err := c.Act(t.Context(), y.Ref, state.Command{Op: state.Mark}); !errors.Is(err, ErrStale) {
-		t.Errorf("an act after the duty was handed on: %v", err)
+		t.Errorf("command under a yielded duty: %v", err)
 	}
 }
 
-// What no client of ours would send ends its own connection and changes nothing.
+// A message that violates the protocol ends its own connection and changes no state.
 func TestMalformedMessagesEndTheirConnection(t *testing.T) {
 	lead := open(t, leads(state.New()), clock.Steady())
 	message := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
 	for name, b := range map[string][]byte{
-		"no JSON":                    message("{"),
-		"no part":                    message("{}"),
-		"nobody's beat":              message(`{"beat":{"no":1}}`),
-		"a length of nothing":        {0, 0, 0, 0},
-		"a huge length":              {0xff, 0xff, 0xff, 0xff},
-		"the grantor's orders":       message(`{"no":1,"do":{"op":"orders","orders":[{"k":"grant","n":"allotter","h":"x","term":1}]}}`),
-		"a value of the store":       message(`{"no":1,"do":{"op":"set","key":"k"}}`),
-		"an effect of somebody else": message(`{"no":1,"do":{"op":"begin","key":"0a","who":"a#1","epoch":1}}`),
-		"two names in one session":   append(message(`{"beat":{"from":"x#1","no":1}}`), message(`{"beat":{"from":"y#1","no":1}}`)...),
-		"names without end":          message(fmt.Sprintf(`{"beat":{"from":"x#1","no":1,"stands":[%s"x"]}}`, string(repeat(`"x",`, 100)))),
-		"an end in the middle":       message(`{"beat":{"from":"x#1"}}`)[:9],
+		"no JSON":                  message("{"),
+		"empty message":            message("{}"),
+		"heartbeat without a name": message(`{"beat":{"no":1}}`),
+		"length of zero":           {0, 0, 0, 0},
+		"length beyond the limit":  {0xff, 0xff, 0xff, 0xff},
+		"orders, which are reserved for the grantor": message(`{"no":1,"do":{"op":"orders","orders":[{"k":"grant","n":"allotter","h":"x","term":1}]}}`),
+		"a command that sessions may not run":        message(`{"no":1,"do":{"op":"set","key":"k"}}`),
+		"effect of another process":                  message(`{"no":1,"do":{"op":"begin","key":"0a","who":"a#1","epoch":1}}`),
+		"two names in one session":                   append(message(`{"beat":{"from":"x#1","no":1}}`), message(`{"beat":{"from":"y#1","no":1}}`)...),
+		"too many duty names":                        message(fmt.Sprintf(`{"beat":{"from":"x#1","no":1,"stands":[%s"x"]}}`, string(repeat(`"x",`, 100)))),
+		"truncated message":                          message(`{"beat":{"from":"x#1"}}`)[:9],
 	} {
 		conn, err := net.Dial("tcp", lead.at)
 		if err != nil {
@@ -218,17 +219,17 @@
 		}
 		conn.SetDeadline(time.Now().Add(patience))
 		conn.Write(append([]byte{store.ForSessions}, b...))
-		if name == "an end in the middle" {
+		if name == "truncated message" {
 			conn.(*net.TCPConn).CloseWrite()
 		}
 		if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s: the connection stands", name)
+			t.Errorf("%s: the connection was not closed", name)
 		}
 		conn.Close()
 	}
 	lead.copy.View(func(st *state.State, _ uint64) {
 		if len(st.Duties.Leases)+len(st.Values)+len(st.Effects.Effects) > 0 {
-			t.Errorf("something was changed: %+v %+v %+v", st.Duties.Leases, st.Values, st.Effects.Effects)
+			t.Errorf("state was changed: %+v %+v %+v", st.Duties.Leases, st.Values, st.Effects.Effects)
 		}
 	})
 }
@@ -240,11 +241,11 @@
 	return b
 }
 
-// Sessions past the bound are turned away, and their room is free again when one ends.
+// Sessions beyond the limit are refused with a retry delay, and a new one is served once another has ended.
 func TestSessionsAreBounded(t *testing.T) {
 	lead := open(t, leads(state.New()), clock.Steady())
 	var conns []net.Conn
-	ask := func() error { // opens a session and has one question answered
+	ask := func() error { // opens a session and runs one query
 		conn, err := net.Dial("tcp", lead.at)
 		if err != nil {
 			t.Fatal(err)
@@ -272,9 +273,9 @@
 	}
 	var full *fullError
 	if err := ask(); !errors.As(err, &full) {
-		t.Errorf("one more than the bound is not told when to come back: %v", err)
+		t.Errorf("session beyond the limit did not get a retry delay: %v", err)
 	} else if least, most := fullRetry*rules.Renew*0.5, fullRetry*rules.Renew*1.5; full.retryMs < least || full.retryMs > most {
-		t.Errorf("it may come back in %v ms; from %v to %v are wanted", full.retryMs, least, most)
+		t.Errorf("retry delay %v ms, want %v to %v", full.retryMs, least, most)
 	}
 	if f := lead.server.Figures(); f.Open != 16 || f.Cut != 1 {
 		t.Errorf("%+v", f)
@@ -282,19 +283,19 @@
 	conns[0].Close()
 	for late := time.Now().Add(patience); ask() != nil; {
 		if time.Now().After(late) {
-			t.Fatal("no room after one has ended")
+			t.Fatal("no session accepted after another has ended")
 		}
 	}
 }
 
-// Servers that come at once, while the copy is busy with its term's first entry, are all granted their presence, in entries that
-// are each bounded.
+// Servers that connect at the same moment, while the leader waits for the first entry of its term, are all granted their
+// presence, and each log entry carries a bounded number of orders.
 func TestServersThatComeAtOnceAreTakenInSteps(t *testing.T) {
 	const fleet = 2*duty.MaxOrders + 100
 	copy := leads(state.New())
 	copy.begin = make(chan struct{})
 	patient := rules
-	patient.Renew = clock.Millis(patience) // no session is cut off for its silence while the others come
+	patient.Renew = clock.Millis(patience) // no session is closed for silence while the others connect
 	lead := openFor(t, copy, clock.Steady(), patient, fleet)
 	for i := range fleet {
 		conn, err := net.Dial("tcp", lead.at)
@@ -313,7 +314,7 @@
 			}
 		}
 	}
-	until("all heartbeats are in", func() bool { return lead.server.Figures().Heartbeats == fleet })
+	until("all heartbeats have arrived", func() bool { return lead.server.Figures().Heartbeats == fleet })
 	close(copy.begin)
 	present := 0
 	until("all are present", func() bool {
@@ -323,15 +324,16 @@
 	copy.mu.Lock()
 	defer copy.mu.Unlock()
 	if copy.largest > duty.MaxOrders {
-		t.Errorf("an entry with %d orders", copy.largest)
+		t.Errorf("an entry has %d orders, at most %d allowed", copy.largest, duty.MaxOrders)
 	}
 }
 
-// A server that a full copy sends away comes back no sooner than it was told, and is served once there is room.
+// A server refused by a replica at its session limit reconnects no sooner than the retry delay, and is served once another
+// session has ended.
 func TestServerComesBackWhenItWasTold(t *testing.T) {
 	t.Parallel()
 	steady, slow := clock.Steady(), rules
-	slow.Renew = 1000 // so that no session is given up as silent on a busy machine
+	slow.Renew = 1000 // long enough that no session is closed as silent on a busy machine
 	lead := openFor(t, leads(state.New()), steady, slow, 16)
 	var conns []net.Conn
 	for range 16 {
@@ -341,7 +343,7 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		conn.Write([]byte{store.ForSessions})
-		go func() { // a session that says nothing is cut off
+		go func() { // a silent session would be closed
 			for conn.SetWriteDeadline(time.Now().Add(patience)) == nil {
 				if _, err := conn.Write(must(framed(toCopy{Read: ReadFleet, No: 1}))); err != nil {
 					return
@@ -354,7 +356,7 @@
 	}
 	for late := time.Now().Add(patience); lead.server.Figures().Open < 16; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
-			t.Fatal("the sessions do not open")
+			t.Fatal("not all sessions were opened")
 		}
 	}
 	var mu sync.Mutex
@@ -375,25 +377,26 @@
 			break
 		}
 		if time.Now().After(late) {
-			t.Fatalf("%d tries", n)
+			t.Fatalf("%d connection attempts, want at least 3", n)
 		}
 	}
 	mu.Lock()
 	for i := 1; i < len(tries); i++ {
 		if gap := tries[i] - tries[i-1]; gap < fullRetry*slow.Renew*0.5 {
-			t.Errorf("tried again after %v ms", gap)
+			t.Errorf("reconnected after %v ms, want at least %v", gap, fullRetry*slow.Renew*0.5)
 		}
 	}
 	mu.Unlock()
 	conns[0].Close()
 	for late := time.Now().Add(patience); !c.Linked(); time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
-			t.Fatal("not served once there is room")
+			t.Fatal("no session after another has ended")
 		}
 	}
 }
 
-// A copy that sends a server away for days, or for longer than a clock can wait, is tried again after some renewals, no sooner.
+// A retry delay of days, or longer than a timer can represent, is bounded to a number of renewal intervals; the client does not
+// reconnect sooner.
 func TestRetryOfAFullCopyIsBounded(t *testing.T) {
 	for _, retryMs := range []float64{1e9, 1e300} {
 		t.Run(fmt.Sprint(retryMs), func(t *testing.T) {
@@ -424,10 +427,10 @@
 			select {
 			case second := <-tries:
 				if gap := second - first; gap < fullMost*quick.Renew {
-					t.Errorf("tried again after %v ms", gap)
+					t.Errorf("reconnected after %v ms, want at least %v", gap, fullMost*quick.Renew)
 				}
 			case <-time.After(patience):
-				t.Fatal("not tried again")
+				t.Fatal("the client did not reconnect")
 			}
 		})
 	}
@@ -440,7 +443,7 @@
 	return b
 }
 
-// The copy that leads falls silent and another takes office with the same log: the holder finds it and keeps its duty.
+// When the leader loses leadership and another replica becomes leader with the same log, the holder finds it and keeps its duty.
 func TestHolderKeepsItsDutyOverAChangeOfLeader(t *testing.T) {
 	steady := clock.Steady()
 	st := state.New()
@@ -460,26 +463,26 @@
 	want(t, events, func(Linked) bool { return true })
 	want(t, events, func(h duty.Held) bool { return h.Name == "allotter" })
 	if r, ok := c.May("allotter"); !ok || r != g.Ref {
-		t.Errorf("held under %+v, %v; gained under %+v", r, ok, g.Ref)
+		t.Errorf("active grant %+v, %v; granted %+v", r, ok, g.Ref)
 	}
 }
 
-// BenchmarkFleet measures on a set clock what servers and duties cost a copy and an order server, by the messages that
-// they exchange; the log's disk and the sockets are not in it.
+// BenchmarkFleet measures, on a simulated clock, the processing cost of servers and duties at the leader and at an order server.
+// The disk of the log and the sockets are excluded.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct{ servers, duties int }{{12, 5}, {100, 20}, {300, 20}, {1000, 20}, {2000, 20}, {4300, 20}} {
 		b.Run(fmt.Sprintf("servers=%d/duties=%d", size.servers, size.duties), func(b *testing.B) { measureFleet(b, size.servers, size.duties) })
 	}
 }
 
-// BenchmarkDuties measures the same by the number of duties, for which all servers stand.
+// BenchmarkDuties measures the same for several numbers of duties, with every server a candidate for all of them.
 func BenchmarkDuties(b *testing.B) {
 	for _, n := range []int{5, 10, 20, 40, 80} {
 		b.Run(fmt.Sprintf("duties=%d", n), func(b *testing.B) { measureFleet(b, 1000, n) })
 	}
 }
 
-// measureFleet plays seconds of a fleet all of whose servers stand for all duties.
+// measureFleet simulates seconds of a fleet in which every server is a candidate for every duty.
 func measureFleet(b *testing.B, servers, dutyCount int) {
 	r := rules
 	r.Duties = nil
@@ -565,8 +568,8 @@
 	b.ReportMetric(float64(theirs.Microseconds())/n/float64(servers), "server-µs/s")
 }
 
-// BenchmarkArrivals measures at the copy that leads, on a set clock, what it takes until all servers of a fleet that comes at one
-// moment are present, as after a change of leader that took too long; the log's disk and the sockets are not in it.
+// BenchmarkArrivals measures, on a simulated clock, the leader's work until all servers of a fleet that connects at one moment are
+// present, as after a leader change that outlasted their presence. The disk of the log and the sockets are excluded.
 func BenchmarkArrivals(b *testing.B) {
 	for _, servers := range []int{300, 1000, 2000, 4300} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/internal/net/session/wire.go
+++ b/internal/net/session/wire.go
@@ -1,5 +1,6 @@
-// Package session is the way between order servers and the copies of the store: one connection a server for all of its
-// duties, its share, its acts and its effects. A Server serves sessions at a copy, a Client holds one.
+// Package session connects order servers to the store replicas. Each order server uses one connection for its duties, its
+// capacity share, its fenced commands and its effects. A Server runs at a store replica and serves many sessions; a Client runs
+// in an order server and maintains one session.
 package session
 
 import (
@@ -16,89 +17,91 @@
 )
 
 const (
-	mostMessage = 512 << 10 // bytes of one message; a published version is the largest
-	mostUnsent  = 256       // messages that wait for a peer that does not read; past this it is cut off
+	mostMessage = 512 << 10 // bytes per message; a published version is the largest message
+	mostUnsent  = 256       // messages queued for a peer that does not read; a peer that exceeds this is disconnected
 )
 
-// Errors of sessions.
+// Errors of session commands.
 var (
-	ErrUnconfirmed = errors.New("session: not confirmed: it may have been carried out, or may still be")
-	ErrNotSent     = errors.New("session: no copy that leads is reached: nothing was carried out")
-	ErrStale       = errors.New("session: refused for its epoch")
+	ErrUnconfirmed = errors.New("session: unconfirmed: the command may have been executed or may still be")
+	ErrNotSent     = errors.New("session: no leader reached: the command was not executed")
+	ErrStale       = errors.New("session: command refused: stale epoch")
 )
 
-// toCopy is a message of an order server. One of its parts is set. Its names in JSON are those of earlier builds, whose servers
-// and copies are understood.
+// toCopy is a message from an order server to a store replica. Exactly one of Heartbeat, Do and Read is set. The JSON names are
+// those of earlier builds, with whose servers and replicas this build interoperates.
 type toCopy struct {
 	Heartbeat *duty.Heartbeat `json:"beat,omitempty"`
-	Ack       uint64          `json:"ack,omitempty"`  // with a heartbeat: the version of the share that is in use
-	Need      int64           `json:"need,omitempty"` // with a heartbeat: what it could use beyond its part for being alone
-	No        uint64          `json:"no,omitempty"`   // of a command or a question
+	Ack       uint64          `json:"ack,omitempty"`  // with a heartbeat: version of the capacity share in use
+	Need      int64           `json:"need,omitempty"` // with a heartbeat: capacity it could use beyond its standalone share
+	No        uint64          `json:"no,omitempty"`   // identifies a command or query
 	Do        *state.Command  `json:"do,omitempty"`
 	Read      string          `json:"read,omitempty"`
 }
 
-// toServer is a message of a copy. One of its parts is set.
+// toServer is a message from a store replica to an order server. It is a heartbeat reply, the reply to a command or a query, a
+// redirect to the leader, or a refusal of the session.
 type toServer struct {
 	Reply   *duty.HeartbeatReply `json:"told,omitempty"`
 	Share   *allot.Share         `json:"share,omitempty"`   // with a reply
-	Version uint64               `json:"version,omitempty"` // with a reply: the latest published
-	Refused uint64               `json:"refused,omitempty"` // with a reply: acts of this server's duties refused for their epoch
+	Version uint64               `json:"version,omitempty"` // with a reply: latest published version
+	Refused uint64               `json:"refused,omitempty"` // with a reply: commands of this server refused for a stale epoch
 	No      uint64               `json:"no,omitempty"`
 	Result  *state.Result        `json:"result,omitempty"`
-	Body    json.RawMessage      `json:"body,omitempty"` // the answer to a question
+	Body    json.RawMessage      `json:"body,omitempty"` // the result of a query
 	Error   string               `json:"error,omitempty"`
-	Else    *string              `json:"else,omitempty"`     // the id of the copy that leads, as far as this one knows
-	RetryMs float64              `json:"retry_ms,omitempty"` // the copy is full: it may be asked again then
+	Else    *string              `json:"else,omitempty"`     // ID of the leader as known to this replica; "" if unknown
+	RetryMs float64              `json:"retry_ms,omitempty"` // the replica is full: time after which the client may reconnect
 }
 
-// fullError tells that a copy serves as many sessions as it may.
+// fullError reports that a store replica is at its session limit.
 type fullError struct{ retryMs float64 }
 
-// Error tells when to come back.
+// Error returns a message with the time after which the client may reconnect.
 func (e *fullError) Error() string {
-	return fmt.Sprintf("session: the copy is full; it may be asked again in %.0f ms", e.retryMs)
+	return fmt.Sprintf("session: the store replica is at its session limit; retry in %.0f ms", e.retryMs)
 }
 
-// Questions.
+// Queries that Client.Read accepts.
 const (
 	ReadFleet   = "fleet"
 	ReadEffects = "effects"
 	ReadDuties  = "duties"
 	ReadVersion = "version"
-	ReadConfig  = "config" // answered with a distribution.Status
+	ReadConfig  = "config" // returns a distribution.Status
 )
 
-// Fleet is the answer to ReadFleet.
+// Fleet is the result of ReadFleet: the capacity pool, and the demand and share of each server.
 type Fleet struct {
 	Pool int64        `json:"pool"`
 	Of   []allot.Need `json:"of"`
 }
 
-// Effects is the answer to ReadEffects.
+// Effects is the result of ReadEffects: the state of the effect log.
 type Effects struct {
 	Seq     uint64   `json:"seq"`
 	Kept    int      `json:"kept"`
 	Orphans []string `json:"orphans"`
 }
 
-// Duties is the answer to ReadDuties.
+// Duties is the result of ReadDuties: the leases, and what each process reported about published versions.
 type Duties struct {
 	Table *duty.Table       `json:"table"`
 	Marks map[string]uint64 `json:"marks"`
-	Stale map[string]uint64 `json:"stale"` // acts refused for their epoch
-	Words map[string]string `json:"words"` // what each process made of the latest version it looked at
+	Stale map[string]uint64 `json:"stale"` // commands refused for a stale epoch, by duty
+	Words map[string]string `json:"words"` // by process: whether it accepted the latest version that it checked
 	Term  uint64            `json:"term"`
 	Lead  string            `json:"lead"`
 }
 
+// framed encodes a message with its length prefix.
 func framed(v any) ([]byte, error) { return frame.Append(nil, v, mostMessage) }
 
 func newReader(conn net.Conn, idle time.Duration) *frame.Reader {
 	return frame.NewReader(conn, idle, mostMessage)
 }
 
-// line writes messages to one peer, and never makes a sender wait.
+// line writes messages to one peer from a bounded queue. Sending never blocks.
 type line struct {
 	conn net.Conn
 	out  chan []byte
@@ -124,7 +127,7 @@
 	return l
 }
 
-// send queues a message; a peer that does not read is cut off.
+// send queues a message. It closes the connection if the queue is full, which means that the peer does not read.
 func (l *line) send(v any) {
 	b, err := framed(v)
 	if err != nil {
