--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -74,9 +74,9 @@
 	Share    float64                `json:"share"`   // calls in hand that may be below beyond the part for being alone
 	Used     float64                `json:"used"`    // calls in hand below of late
 	Version  uint64                 `json:"version"` // published, in force
-	Sessions *session.ServerFigures `json:"sessions,omitempty"`
+	Sessions *session.ServerMetrics `json:"sessions,omitempty"`
 
-	Origin *configwatch.Figures `json:"origin,omitempty"` // of a copy: the relays that watch it
+	Origin *configwatch.Metrics `json:"origin,omitempty"` // of a copy: the relays that watch it
 	Relays *distribution.Report `json:"relays,omitempty"` // of the copy that leads: what the relays reported
 }
 
@@ -101,8 +101,8 @@
 	}
 	plant := cfg.Operator.Lab.Plant
 	h.keeper = &work.Keeper{Steady: h.steady, Log: log, Trace: h.trace, Check: h.check}
-	h.client = session.NewClient(session.Options{Me: h.me, Copies: d.Copies, Rules: d.Rules(), Seed: cfg.Seed ^ uint64(b[0])<<8 ^ uint64(b[1]),
-		Steady: h.steady, Log: log, Plant: plant, On: h.keeper.On, Need: h.need})
+	h.client = session.NewClient(session.Options{ProcessID: h.me, ReplicaAddresses: d.Copies, Rules: d.Rules(), Seed: cfg.Seed ^ uint64(b[0])<<8 ^ uint64(b[1]),
+		Steady: h.steady, Log: log, InjectedBug: plant, OnEvent: h.keeper.On, Need: h.need})
 	k := h.keeper
 	k.Works = map[string]work.Work{}
 	for _, t := range d.List {
@@ -130,7 +130,7 @@
 	g := &duty.Grantor{Rules: d.Rules(), Seed: 1, Most: d.Allot.Servers, Plant: h.cfg.Operator.Lab.Plant}
 	h.sessions = session.NewServer(copy, g, d.Sessions, h.steady, h.log)
 	h.sessions.CheckChange = func(c records.Change) error { return checkChange(copy, c) }
-	h.sessions.Led = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
+	h.sessions.OnTermStart = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
 	copy.ServeSessions(h.sessions.Serve)
 	h.origin = relay.NewOrigin(copy, h.steady, h.log, h.cfg.Operator.Lab.Plant)
 	h.origin.Agreed = func(c records.Commit) {
@@ -159,7 +159,7 @@
 			farm.Move(servers)
 		}
 	}
-	h.client.Switch(duty.Failing) // until the executor is up
+	h.client.SetMode(duty.Failing) // until the executor is up
 	h.keeper.Start(ctx, h.me, h.client)
 	h.look()
 }
@@ -189,7 +189,7 @@
 		mode = duty.Cold
 	}
 	h.mu.Unlock()
-	h.client.Switch(mode)
+	h.client.SetMode(mode)
 	if mode != duty.Draining {
 		h.steady.After(modeEvery, h.look)
 	}
@@ -224,7 +224,7 @@
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
-	h.client.Switch(duty.Draining)
+	h.client.SetMode(duty.Draining)
 }
 
 // leave gives back what is left, the presence included, at the end.
@@ -232,7 +232,7 @@
 	if h == nil {
 		return
 	}
-	h.client.Leave()
+	h.client.ReleaseAll()
 	sent := make(chan struct{})
 	h.steady.After(leaveFor, func() { close(sent) })
 	<-sent
@@ -285,11 +285,11 @@
 	if h == nil {
 		return nil
 	}
-	f := &holding{Me: h.me, Linked: h.client.Linked(), Held: map[string]uint64{}, Fenced: h.client.Fenced(),
+	f := &holding{Me: h.me, Linked: h.client.Connected(), Held: map[string]uint64{}, Fenced: h.client.FencedCommands(),
 		Share: float64(h.client.Share()) / allot.Unit, Version: h.keeper.InForce()}
 	_, _, f.Present = h.client.Presence()
 	for _, t := range h.cfg.Operator.Duties.List {
-		if r, ok := h.client.May(t.Name); ok {
+		if r, ok := h.client.ActiveGrant(t.Name); ok {
 			f.Held[t.Name] = r.Epoch
 		}
 	}
@@ -297,7 +297,7 @@
 		f.Used = c.Below()
 	}
 	if h.sessions != nil {
-		v := h.sessions.Figures()
+		v := h.sessions.Metrics()
 		f.Sessions = &v
 	}
 	if h.origin != nil {
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -97,7 +97,7 @@
 
 // watchFigures is what operators see of it.
 type watchFigures struct {
-	configwatch.ClientFigures
+	configwatch.ClientMetrics
 	Revision uint64              `json:"revision"`
 	Digest   string              `json:"digest"`
 	Records  int                 `json:"records"`
@@ -119,7 +119,7 @@
 		Adopted:  func(p distribution.Position) { traceInstalled(t, p) },
 		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
 	traceInstalled(t, w.replica.Position())
-	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Steady(), Log: log, Plant: plant, Follower: w.replica,
+	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Steady(), Log: log, InjectedBug: plant, Replica: w.replica,
 		Selector: distribution.NewSelector(d.Relays, distribution.Place{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
 	return w, nil
 }
@@ -164,7 +164,7 @@
 		return nil
 	}
 	p := w.replica.Position()
-	return &watchFigures{w.client.Figures(), p.Revision, p.Digest.String(), w.replica.Records(), w.replica.Report()}
+	return &watchFigures{w.client.Metrics(), p.Revision, p.Digest.String(), w.replica.Records(), w.replica.Report()}
 }
 
 // tracer is the trace of the process; nil: it is off.
@@ -346,7 +346,7 @@
 	return c.talk(func(ctx context.Context, client *session.Client, _ config.Duties) error {
 		var s distribution.Status
 		if err := client.Read(ctx, session.ReadConfig, &s); err != nil {
-			return session.ErrNotSent // to ask again changes nothing
+			return session.ErrNotExecuted // to ask again changes nothing
 		}
 		if c.JSON {
 			return json.NewEncoder(out).Encode(s)
--- a/internal/duties/keeper.go
+++ b/internal/duties/keeper.go
@@ -92,7 +92,7 @@
 		if l, ok := k.loops[e.Name]; ok && l.ref == e.Ref {
 			l.once.Do(func() { close(l.halt) }) // its end calls Quiet
 		} else {
-			k.client.Quiet(e.Ref)
+			k.client.Quiesced(e.Ref)
 		}
 	case duty.Ended:
 		k.Trace.Add(trace.Event{What: trace.Ended, Duty: e.Name, Epoch: e.Epoch, Cause: e.Cause}, 0)
@@ -111,18 +111,18 @@
 		}
 	case duty.Behind:
 		k.Log.Error().Uint64("index", e.Index).Uint64("seen", e.Seen).Msg("a copy knows less than was told before; it is not believed")
-	case session.Allotted:
+	case session.ShareChanged:
 		if k.Below == nil {
-			k.client.Used(e.Version)
+			k.client.AcknowledgeShare(e.Version)
 			return
 		}
 		k.Below(e.Amount, func() {
 			if _, until, here := k.client.Presence(); here {
 				k.Trace.Add(trace.Event{What: trace.Share, Amount: e.Amount}, until)
 			}
-			k.client.Used(e.Version)
+			k.client.AcknowledgeShare(e.Version)
 		})
-	case session.Published, session.Linked:
+	case session.VersionPublished, session.SessionEstablished:
 		go k.take() // after a cut too: a word may not have been heard
 	}
 }
@@ -144,17 +144,17 @@
 	l := loop{ref, stop, make(chan struct{}), &sync.Once{}}
 	k.loops[ref.Name] = l
 	go func() {
-		defer k.client.Quiet(ref)
+		defer k.client.Quiesced(ref)
 		defer stop()
 		do := w.New()
 		for {
 			// Asked before each: this process may have stood still, or have been cut off.
-			if now, may := k.client.May(ref.Name); !may || now != ref {
+			if now, may := k.client.ActiveGrant(ref.Name); !may || now != ref {
 				return
 			}
 			err := do(ctx, ref)
 			switch {
-			case errors.Is(err, session.ErrStale):
+			case errors.Is(err, session.ErrStaleEpoch):
 				k.Log.Warn().Str("duty", ref.Name).Uint64("epoch", ref.Epoch).Err(err).Msg("fenced")
 			case err != nil && ctx.Err() == nil:
 				k.Log.Warn().Str("duty", ref.Name).Err(err).Msg("duty's work failed")
@@ -181,12 +181,12 @@
 	sent := began
 	sent.What = trace.Sent // before it goes: this process may be killed with the answer on its way
 	k.Trace.Add(sent, 0)
-	r, err := k.client.Act(ctx, under, do...)
+	r, err := k.client.DoFenced(ctx, under, do...)
 	began.N = r.N
 	switch {
-	case errors.Is(err, session.ErrStale):
+	case errors.Is(err, session.ErrStaleEpoch):
 		began.What = trace.Refused
-	case errors.Is(err, session.ErrNotSent):
+	case errors.Is(err, session.ErrNotExecuted):
 		return r, err
 	case err != nil && r.Error == "":
 		began.What = trace.Unknown
@@ -210,7 +210,7 @@
 func (k *Keeper) take() {
 	k.taking.Lock()
 	defer k.taking.Unlock()
-	v, err := k.client.Version(k.ctx)
+	v, err := k.client.LatestVersion(k.ctx)
 	if err != nil || k.Check == nil {
 		return // the next version, or session, brings another look
 	}
--- a/internal/duties/works.go
+++ b/internal/duties/works.go
@@ -30,15 +30,15 @@
 func (k *Keeper) Allots(every float64, room allot.Room, plant string) Work {
 	return Work{every, func() func(context.Context, duty.Ref) error {
 		return func(ctx context.Context, under duty.Ref) error {
-			var f session.Fleet
-			if err := k.client.Read(ctx, session.ReadFleet, &f); err != nil {
+			var f session.CapacityStatus
+			if err := k.client.Read(ctx, session.ReadCapacity, &f); err != nil {
 				return err
 			}
 			var steps []state.Command
 			if f.Pool != room.Pool() {
 				steps = append(steps, state.Command{Op: state.Pool, Amount: room.Pool()})
 			}
-			for _, c := range allot.Plan(room.Pool(), f.Of, plant == duty.PlantEarlyGrowth) {
+			for _, c := range allot.Plan(room.Pool(), f.Servers, plant == duty.PlantEarlyGrowth) {
 				steps = append(steps, state.Command{Op: state.Share, Who: c.Who, Amount: c.Amount})
 			}
 			if len(steps) == 0 {
@@ -68,7 +68,7 @@
 				return fmt.Errorf("nothing published: %w", err)
 			}
 			said = ""
-			v, err := k.client.Version(ctx)
+			v, err := k.client.LatestVersion(ctx)
 			if err != nil || v.No > 0 && publish.Digest(v.Files) == publish.Digest(files) {
 				return err
 			}
@@ -115,7 +115,7 @@
 	return Work{every, func() func(context.Context, duty.Ref) error {
 		var ages settle.Ages
 		return func(ctx context.Context, under duty.Ref) error {
-			var e session.Effects
+			var e session.EffectStatus
 			if err := k.client.Read(ctx, session.ReadEffects, &e); err != nil {
 				return err
 			}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -216,7 +216,7 @@
 	if !spoilt {
 		s.p.journal.add(trace.Event{Who: s.name, What: trace.Installed, N: s.marker.Revision, Text: s.marker.Digest.String()})
 	}
-	c := configwatch.NewClient(configwatch.ClientOptions{Name: s.name, Follower: s, Dial: s.dial, Steady: s.p.steady, Log: zerolog.Nop(), Plant: s.p.c.Plant,
+	c := configwatch.NewClient(configwatch.ClientOptions{Name: s.name, Replica: s, Dial: s.dial, Steady: s.p.steady, Log: zerolog.Nop(), InjectedBug: s.p.c.Plant,
 		Selector: distribution.NewSelector(s.p.c.Relays, distribution.Place{Zone: s.p.c.Zone, Region: s.p.c.Region}, s.seed+uint64(s.life))})
 	s.done.Add(1)
 	go func() {
@@ -252,20 +252,20 @@
 	var c *session.Client
 	ready := make(chan struct{})
 	me := fmt.Sprintf("%s#%016x", s.name, s.seed+uint64(s.life))
-	c = session.NewClient(session.Options{Me: me, Copies: s.p.c.Copies, Rules: rules,
-		Seed: s.seed + uint64(s.life), Steady: s.p.steady, Log: zerolog.Nop(), Dial: s.p.part.dial, On: func(e any) {
+	c = session.NewClient(session.Options{ProcessID: me, ReplicaAddresses: s.p.c.Copies, Rules: rules,
+		Seed: s.seed + uint64(s.life), Steady: s.p.steady, Log: zerolog.Nop(), Dial: s.p.part.dial, OnEvent: func(e any) {
 			<-ready
 			switch e := e.(type) {
-			case session.Allotted:
-				c.Used(e.Version)
-			case session.Published:
+			case session.ShareChanged:
+				c.AcknowledgeShare(e.Version)
+			case session.VersionPublished:
 				if s.p.c.Today {
 					go readVersion(ctx, c, me)
 				}
 			}
 		}})
 	close(ready)
-	c.Switch(duty.Warm)
+	c.SetMode(duty.Warm)
 	s.session = c
 	s.done.Add(1)
 	go func() {
@@ -276,7 +276,7 @@
 
 // readVersion does what an order server does with a version that is published whole: it reads it and says so.
 func readVersion(ctx context.Context, c *session.Client, me string) {
-	v, err := c.Version(ctx)
+	v, err := c.LatestVersion(ctx)
 	if err != nil {
 		return
 	}
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -42,7 +42,7 @@
 func newWriter(ctx context.Context, f *fleet) *writer {
 	w := &writer{root: ctx, routes: f.Routes, tenant: f.Tenants, rng: rand.New(rand.NewPCG(f.Seed, 21))}
 	rules := terms(renewMs, 0)
-	w.client = session.NewClient(session.Options{Me: "operator#scale", Copies: f.stores, Rules: rules, Seed: f.Seed, Steady: clock.Steady(), Log: zerolog.Nop()})
+	w.client = session.NewClient(session.Options{ProcessID: "operator#scale", ReplicaAddresses: f.stores, Rules: rules, Seed: f.Seed, Steady: clock.Steady(), Log: zerolog.Nop()})
 	go w.client.Run(ctx)
 	return w
 }
@@ -116,7 +116,7 @@
 			w.mu.Unlock()
 			return nil
 		}
-		if !errors.Is(err, session.ErrNotSent) && !errors.Is(err, session.ErrUnconfirmed) {
+		if !errors.Is(err, session.ErrNotExecuted) && !errors.Is(err, session.ErrUnconfirmed) {
 			return err
 		}
 		time.Sleep(retryPause)
--- a/internal/net/configwatch/client.go
+++ b/internal/net/configwatch/client.go
@@ -36,28 +36,28 @@
 // ClientOptions configure a Client.
 type ClientOptions struct {
 	Name     string
-	Relay    bool   // the process is a relay, which serves others
+	IsRelay  bool   // the process is a relay, which serves others
 	Region   string // region of a relay
 	Preamble []byte // first bytes of a connection: store replicas accept other protocols at the same address
 	Selector *distribution.Selector
-	Follower Follower
+	Replica  Follower
 	Dial     func(ctx context.Context, address string) (net.Conn, error) // nil: dial over TCP
-	// On is called with a nil error when a feed begins to serve a connection, and with an error when that connection ends. It
+	// OnConnectionChange is called with a nil error when a feed begins to serve a connection, and with an error when that connection ends. It
 	// may be nil.
-	On     func(address string, err error)
-	Steady *clock.Clock
-	Log    zerolog.Logger
-	Plant  string // injected bug, for the lab; "": none
+	OnConnectionChange func(address string, err error)
+	Steady             *clock.Clock
+	Log                zerolog.Logger
+	InjectedBug        string // injected bug, for the lab; "": none
 }
 
-// ClientFigures are the metrics of a Client since its start.
-type ClientFigures struct {
-	Received  uint64 `json:"received"` // bytes
-	Sent      uint64 `json:"sent"`     // bytes
-	Connected uint64 `json:"connected"`
-	Snapshots uint64 `json:"snapshots"` // received completely
-	Latest    uint64 `json:"latest"`    // latest revision reported by the relay
-	Watching  string `json:"watching"`  // address of the serving relay; "": none
+// ClientMetrics are the metrics of a Client since its start.
+type ClientMetrics struct {
+	ReceivedBytes  uint64 `json:"received"` // bytes
+	SentBytes      uint64 `json:"sent"`     // bytes
+	Connections    uint64 `json:"connected"`
+	Snapshots      uint64 `json:"snapshots"` // received completely
+	LatestRevision uint64 `json:"latest"`    // latest revision reported by the relay
+	RelayAddress   string `json:"watching"`  // address of the serving relay; "": none
 }
 
 // Client watches a feed on behalf of one process.
@@ -83,11 +83,11 @@
 	return &Client{o: o}
 }
 
-// Figures returns the current metrics.
-func (c *Client) Figures() ClientFigures {
+// Metrics returns the current metrics.
+func (c *Client) Metrics() ClientMetrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return ClientFigures{c.bytes.In.Load(), c.bytes.Out.Load(), c.connected.Load(), c.snapshots.Load(), c.latest.Load(), c.watching}
+	return ClientMetrics{c.bytes.In.Load(), c.bytes.Out.Load(), c.connected.Load(), c.snapshots.Load(), c.latest.Load(), c.watching}
 }
 
 // Run watches, reconnecting to one relay after another, until the context ends.
@@ -97,7 +97,7 @@
 		if ok {
 			err := c.watch(ctx, relay)
 			if r, refused := IsRefusal(err); refused {
-				wait = c.o.Selector.Refused(c.o.Steady.Now(), r.RetryMs, r.Elsewhere)
+				wait = c.o.Selector.Refused(c.o.Steady.Now(), r.RetryMS, r.AlternateAddresses)
 			} else {
 				wait = c.o.Selector.Failed()
 			}
@@ -133,18 +133,18 @@
 			return err
 		}
 	}
-	w := Watch{Name: c.o.Name, At: c.o.Follower.Position(), Relay: c.o.Relay, Region: c.o.Region}
+	w := Watch{Name: c.o.Name, Position: c.o.Replica.Position(), IsRelay: c.o.IsRelay, Region: c.o.Region}
 	if err := frame.Send(conn, toFeed{Watch: &w}, maxReport); err != nil {
 		return err
 	}
 	s := &stream{client: c, relay: relay, conn: conn, over: make(chan struct{})}
-	s.lose = c.o.Plant == distribution.PlantLostChange && c.last != "" && c.last != relay.Address
+	s.lose = c.o.InjectedBug == distribution.PlantLostChange && c.last != "" && c.last != relay.Address
 	defer close(s.over)
 	err = s.read()
 	if s.served {
 		c.setWatching("")
-		if c.o.On != nil {
-			c.o.On(relay.Address, err)
+		if c.o.OnConnectionChange != nil {
+			c.o.OnConnectionChange(relay.Address, err)
 		}
 	}
 	return err
@@ -207,8 +207,8 @@
 	c.connected.Add(1)
 	keepFor := c.o.Selector.Served()
 	c.setWatching(s.relay.Address)
-	if c.o.On != nil {
-		c.o.On(s.relay.Address, nil)
+	if c.o.OnConnectionChange != nil {
+		c.o.OnConnectionChange(s.relay.Address, nil)
 	}
 	if keepFor > 0 {
 		t := c.o.Steady.After(keepFor, func() { s.conn.Close() })
@@ -231,7 +231,7 @@
 			return
 		case <-due:
 		}
-		r := s.client.o.Follower.Report()
+		r := s.client.o.Replica.Report()
 		if err := frame.Send(s.conn, toFeed{Report: &r}, maxReport); err != nil {
 			s.conn.Close()
 			return
@@ -257,7 +257,7 @@
 }
 
 func (s *stream) follow(commit records.Commit) error {
-	f := s.client.o.Follower
+	f := s.client.o.Replica
 	s.client.latest.Store(max(s.client.latest.Load(), commit.Revision))
 	if s.assembler != nil {
 		return errPiece
@@ -275,7 +275,7 @@
 }
 
 func (s *stream) beginSnapshot(h records.Header) error {
-	f := s.client.o.Follower
+	f := s.client.o.Replica
 	if s.assembler != nil {
 		return errPiece
 	}
@@ -314,7 +314,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.client.o.Follower.Adopt(s.header, table); err != nil {
+	if err := s.client.o.Replica.Adopt(s.header, table); err != nil {
 		return err
 	}
 	s.client.snapshots.Add(1)
--- a/internal/net/configwatch/configwatch_test.go
+++ b/internal/net/configwatch/configwatch_test.go
@@ -56,7 +56,7 @@
 	}
 	t.Cleanup(func() {
 		f.ln.Close()
-		f.server.DropAll()
+		f.server.DisconnectAll()
 	})
 	go func() {
 		for {
@@ -110,7 +110,7 @@
 	t.Helper()
 	w := &watching{commits: make(chan uint64, 100000), done: make(chan struct{})}
 	w.Replica = replica.Open(replica.Options{Name: "server", Path: path, Log: zerolog.Nop(), Committed: func(c records.Commit) { w.commits <- c.Revision }})
-	o := configwatch.ClientOptions{Name: "server", Follower: w.Replica, Steady: clock.Steady(), Log: zerolog.Nop(),
+	o := configwatch.ClientOptions{Name: "server", Replica: w.Replica, Steady: clock.Steady(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector(relays, distribution.Place{Zone: "z"}, 1)}
 	for _, c := range change {
 		c(&o)
@@ -152,14 +152,14 @@
 	t.Helper()
 	until(t, "the watcher has the records of the feed", func() bool {
 		p := w.Position()
-		return p.Revision == f.server.At().Revision && p.Digest == f.digest()
+		return p.Revision == f.server.Position().Revision && p.Digest == f.digest()
 	})
 }
 
 // tookSnapshot waits until the client has counted one snapshot, which happens after the records are in place.
 func (w *watching) tookSnapshot(t *testing.T) {
 	t.Helper()
-	until(t, "one snapshot is counted", func() bool { return w.client.Figures().Snapshots == 1 })
+	until(t, "one snapshot is counted", func() bool { return w.client.Metrics().Snapshots == 1 })
 }
 
 // A watcher receives each commit once and in order, also when its feed ends: it continues at another feed from its own revision.
@@ -176,11 +176,11 @@
 	}
 	w.level(t, b)
 	first, second := a, b
-	if w.client.Figures().Watching == b.at() {
+	if w.client.Metrics().RelayAddress == b.at() {
 		first, second = b, a
 	}
 	first.ln.Close()
-	first.server.DropAll()
+	first.server.DisconnectAll()
 	for i := range 50 {
 		both(fmt.Sprint("n", i%5))
 	}
@@ -190,7 +190,7 @@
 			t.Fatalf("got commit %d, want %d", got, want)
 		}
 	}
-	if n := w.client.Figures().Snapshots; n != 0 {
+	if n := w.client.Metrics().Snapshots; n != 0 {
 		t.Errorf("%d snapshots were sent, want 0", n)
 	}
 }
@@ -214,7 +214,7 @@
 	}
 	w = watch(t, path, to(f))
 	w.level(t, f)
-	if n := w.client.Figures(); n.Snapshots != 0 || len(w.commits) != 20 {
+	if n := w.client.Metrics(); n.Snapshots != 0 || len(w.commits) != 20 {
 		t.Errorf("%d snapshots and %d commits for a server that missed 20 commits", n.Snapshots, len(w.commits))
 	}
 	w.stop()
@@ -283,12 +283,12 @@
 // A feed at its watcher limit refuses a watcher and names another address, where the watcher continues.
 func TestRefusedWatchersGoElsewhere(t *testing.T) {
 	other := openFeed(t, distribution.DefaultLimits)
-	full := openFeed(t, distribution.Limits{Commits: 10, Bytes: 1 << 20, Watchers: 0, Snapshots: 1}, func(o *configwatch.ServerOptions) { o.Elsewhere = []string{other.at()} })
+	full := openFeed(t, distribution.Limits{Commits: 10, Bytes: 1 << 20, Watchers: 0, Snapshots: 1}, func(o *configwatch.ServerOptions) { o.AlternateAddresses = []string{other.at()} })
 	other.commit("x")
 	relays := []distribution.Relay{{Name: "full", Address: full.at(), Zone: "z"}, {Name: "other", Address: other.at(), Zone: "y"}}
 	w := watch(t, "", relays)
 	w.level(t, other)
-	if full.server.Figures().Refused == 0 {
+	if full.server.Metrics().Refused == 0 {
 		t.Error("the feed at its limit refused no watcher")
 	}
 }
@@ -304,18 +304,18 @@
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	conn.Write(message(t, `{"watch":{"name":"slow","at":{"revision":0,"digest":"00000000000000000000000000000000"}}}`))
-	until(t, "the slow watcher is served", func() bool { return f.server.Figures().Watchers == 1 })
+	until(t, "the slow watcher is served", func() bool { return f.server.Metrics().Watchers == 1 })
 	w := watch(t, "", to(f))
 	large := strings.Repeat("n", 128)
 	until(t, "the slow watcher is disconnected", func() bool {
 		f.commit(large, large[:100], large[:99], large[:98])
-		if held := f.server.Figures().Held; held > limits.Bytes {
+		if held := f.server.Metrics().RetainedBytes; held > limits.Bytes {
 			t.Fatalf("%d bytes retained, limit %d", held, limits.Bytes)
 		}
 		w.level(t, f) // the other watcher is still served
-		return f.server.Figures().Watchers == 1
+		return f.server.Metrics().Watchers == 1
 	})
-	if f.server.Figures().Cut == 0 {
+	if f.server.Metrics().Disconnected == 0 {
 		t.Error("the disconnected watcher was not counted")
 	}
 }
@@ -361,7 +361,7 @@
 		}
 		conn.Close()
 	}
-	until(t, "only the valid watcher remains", func() bool { return f.server.Figures().Watchers == 1 })
+	until(t, "only the valid watcher remains", func() bool { return f.server.Metrics().Watchers == 1 })
 	f.commit("y")
 	w.level(t, f)
 }
@@ -448,7 +448,7 @@
 		}
 		return nil
 	}})
-	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: "picky", Follower: w.Replica, Steady: clock.Steady(), Log: zerolog.Nop(),
+	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: "picky", Replica: w.Replica, Steady: clock.Steady(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector(to(f), distribution.Place{}, 1)})
 	go w.client.Run(t.Context())
 	f.commit("good")
@@ -497,7 +497,7 @@
 					}
 				}()
 			}
-			for f.server.Figures().Watchers < n {
+			for f.server.Metrics().Watchers < n {
 				time.Sleep(time.Millisecond)
 			}
 			i := 0
@@ -514,7 +514,7 @@
 // All snapshots together stay within the configured rate, regardless of the number of watchers.
 func TestSnapshotsAreThrottled(t *testing.T) {
 	const bytesASecond, burst, watchers = 4 << 20, 1 << 20, 3
-	f := openFeed(t, distribution.Limits{Commits: 1, Bytes: 1 << 20, Watchers: 8, Snapshots: 4}, func(o *configwatch.ServerOptions) { o.SnapshotBytes = bytesASecond })
+	f := openFeed(t, distribution.Limits{Commits: 1, Bytes: 1 << 20, Watchers: 8, Snapshots: 4}, func(o *configwatch.ServerOptions) { o.SnapshotBytesPerSecond = bytesASecond })
 	random := rand.NewChaCha8([32]byte{1})
 	for i := range 40 { // values that cannot be compressed
 		value := make([]byte, records.MaxSetting)
@@ -538,7 +538,7 @@
 	if took := time.Since(began); took < least {
 		t.Errorf("%d snapshots took %s, want at least %s", watchers, took, least)
 	}
-	if n := f.server.Figures().Snapshots; n < watchers {
+	if n := f.server.Metrics().Snapshots; n < watchers {
 		t.Errorf("%d snapshots were sent, want at least %d", n, watchers)
 	}
 }
--- a/internal/net/configwatch/server.go
+++ b/internal/net/configwatch/server.go
@@ -26,31 +26,31 @@
 
 // ServerOptions configure a Server.
 type ServerOptions struct {
-	Limits        distribution.Limits
-	Source        Source
-	SnapshotBytes float64 // bytes per second for all snapshots together
-	// Serves returns nil if a watcher is to be served, otherwise the reason and the addresses that may serve it. If Serves is nil,
+	Limits                 distribution.Limits
+	Source                 Source
+	SnapshotBytesPerSecond float64 // bytes per second for all snapshots together
+	// CheckWatch returns nil if a watcher is to be served, otherwise the reason and the addresses that may serve it. If Serves is nil,
 	// all watchers are served.
-	Serves func(Watch) *Refused
-	// Elsewhere lists the addresses that a refused watcher may try.
-	Elsewhere []string
-	Steady    *clock.Clock
-	Log       zerolog.Logger
-	Seed      uint64
-	Plant     string // injected bug, for the lab; "": none
+	CheckWatch func(Watch) *Refusal
+	// AlternateAddresses lists the addresses that a refused watcher may try.
+	AlternateAddresses []string
+	Steady             *clock.Clock
+	Log                zerolog.Logger
+	Seed               uint64
+	InjectedBug        string // injected bug, for the lab; "": none
 }
 
-// Figures are the metrics of a Server since its start.
-type Figures struct {
-	Watchers  int    `json:"watchers"`
-	Revision  uint64 `json:"revision"`
-	Floor     uint64 `json:"floor"`     // oldest revision that is served without a snapshot
-	Held      int    `json:"held"`      // bytes of commits retained for watchers
-	Sent      uint64 `json:"sent"`      // bytes
-	Received  uint64 `json:"received"`  // bytes
-	Snapshots uint64 `json:"snapshots"` // sent completely
-	Refused   uint64 `json:"refused"`
-	Cut       uint64 `json:"cut"` // watchers disconnected for an invalid message or for not reading
+// Metrics are the metrics of a Server since its start.
+type Metrics struct {
+	Watchers       int    `json:"watchers"`
+	Revision       uint64 `json:"revision"`
+	OldestRevision uint64 `json:"floor"`     // oldest revision that is served without a snapshot
+	RetainedBytes  int    `json:"held"`      // bytes of commits retained for watchers
+	SentBytes      uint64 `json:"sent"`      // bytes
+	ReceivedBytes  uint64 `json:"received"`  // bytes
+	Snapshots      uint64 `json:"snapshots"` // sent completely
+	Refused        uint64 `json:"refused"`
+	Disconnected   uint64 `json:"cut"` // watchers disconnected for an invalid message or for not reading
 }
 
 // Server serves watchers from a feed.
@@ -79,10 +79,10 @@
 
 // NewServer returns a server with an empty feed. Reset sets its first position.
 func NewServer(o ServerOptions) *Server {
-	if o.SnapshotBytes <= 0 {
-		o.SnapshotBytes = defaultSnapshotBytes
+	if o.SnapshotBytesPerSecond <= 0 {
+		o.SnapshotBytesPerSecond = defaultSnapshotBytes
 	}
-	return &Server{o: o, pace: rate.NewLimiter(rate.Limit(o.SnapshotBytes), snapshotBurst), feed: distribution.NewFeed(o.Limits, o.Seed),
+	return &Server{o: o, pace: rate.NewLimiter(rate.Limit(o.SnapshotBytesPerSecond), snapshotBurst), feed: distribution.NewFeed(o.Limits, o.Seed),
 		progress: distribution.NewProgress(), regions: distribution.NewRegions(), changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 }
 
@@ -118,8 +118,8 @@
 	s.changed = make(chan struct{})
 }
 
-// At returns the latest position of the feed.
-func (s *Server) At() distribution.Position {
+// Position returns the latest position of the feed.
+func (s *Server) Position() distribution.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.feed.At()
@@ -140,11 +140,11 @@
 	return distribution.Status{Revision: latest, Regions: s.regions.Status(s.o.Steady.Now(), latest, &s.ages)}
 }
 
-// Figures returns the current metrics.
-func (s *Server) Figures() Figures {
+// Metrics returns the current metrics.
+func (s *Server) Metrics() Metrics {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Figures{s.feed.Watchers(), s.feed.At().Revision, s.feed.Floor(), s.feed.Held(), s.bytes.Out.Load(), s.bytes.In.Load(),
+	return Metrics{s.feed.Watchers(), s.feed.At().Revision, s.feed.Floor(), s.feed.Held(), s.bytes.Out.Load(), s.bytes.In.Load(),
 		s.snapshots.Load(), s.refused.Load(), s.cut.Load()}
 }
 
@@ -194,17 +194,17 @@
 	}
 }
 
-func (s *Server) admit(w Watch) (distribution.Admission, *Refused) {
-	if s.o.Serves != nil {
-		if r := s.o.Serves(w); r != nil {
+func (s *Server) admit(w Watch) (distribution.Admission, *Refusal) {
+	if s.o.CheckWatch != nil {
+		if r := s.o.CheckWatch(w); r != nil {
 			return distribution.Admission{}, r
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.feed.Admit(w.At)
+	a := s.feed.Admit(w.Position)
 	if a.Verdict == distribution.Refuse {
-		return a, &Refused{a.RetryMs, s.o.Elsewhere, a.Reason}
+		return a, &Refusal{a.RetryMs, s.o.AlternateAddresses, a.Reason}
 	}
 	return a, nil
 }
@@ -215,8 +215,8 @@
 	s.conns[conn] = true
 }
 
-// DropAll disconnects all watchers, for example when a store replica loses leadership.
-func (s *Server) DropAll() {
+// DisconnectAll disconnects all watchers, for example when a store replica loses leadership.
+func (s *Server) DisconnectAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.conns {
@@ -253,14 +253,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.progress.Put(w.Name, r)
-	if w.Relay {
+	if w.IsRelay {
 		s.regions.Put(s.o.Steady.Now(), w.Name, w.Region, r)
 	}
 }
 
 // write sends the commits that the watcher lacks, after a snapshot if needed, and heartbeats when there are none.
 func (s *Server) write(ctx context.Context, conn net.Conn, w Watch, a distribution.Admission) error {
-	revision := w.At.Revision
+	revision := w.Position.Revision
 	if a.Verdict == distribution.Snapshot {
 		var err error
 		if revision, err = s.sendSnapshot(ctx, conn); err != nil {
@@ -351,7 +351,7 @@
 		return cached, nil
 	}
 	table, revision := s.o.Source.Table()
-	if s.o.Plant == distribution.PlantSnapshotRevision {
+	if s.o.InjectedBug == distribution.PlantSnapshotRevision {
 		revision++ // injected bug: the revision of the next change, which the table lacks
 	}
 	fresh, err := records.NewSnapshot(table, revision)
@@ -365,7 +365,7 @@
 }
 
 // IsRefusal reports whether an error is the refusal of a watcher rather than a failed connection, and returns the refusal.
-func IsRefusal(err error) (*Refused, bool) {
-	var r *Refused
+func IsRefusal(err error) (*Refusal, bool) {
+	var r *Refusal
 	return r, errors.As(err, &r)
 }
--- a/internal/net/configwatch/wire.go
+++ b/internal/net/configwatch/wire.go
@@ -28,10 +28,10 @@
 
 // Watch is the first message of a watcher: its name and the position from which it continues.
 type Watch struct {
-	Name   string                `json:"name"`
-	At     distribution.Position `json:"at"`
-	Relay  bool                  `json:"relay,omitempty"`  // the watcher is a relay, which serves others
-	Region string                `json:"region,omitempty"` // region of a relay
+	Name     string                `json:"name"`
+	Position distribution.Position `json:"at"`
+	IsRelay  bool                  `json:"relay,omitempty"`  // the watcher is a relay, which serves others
+	Region   string                `json:"region,omitempty"` // region of a relay
 }
 
 func (w Watch) check() error {
@@ -44,15 +44,15 @@
 	return nil
 }
 
-// Refused is the refusal of a watcher, with other addresses that it may try.
-type Refused struct {
-	RetryMs   float64  `json:"retry_ms"` // time after which the watcher may reconnect
-	Elsewhere []string `json:"elsewhere,omitempty"`
-	Reason    string   `json:"reason"`
+// Refusal is the refusal of a watcher, with other addresses that it may try.
+type Refusal struct {
+	RetryMS            float64  `json:"retry_ms"` // time after which the watcher may reconnect
+	AlternateAddresses []string `json:"elsewhere,omitempty"`
+	Reason             string   `json:"reason"`
 }
 
 // Error returns the reason for the refusal.
-func (r *Refused) Error() string { return "configwatch: refused: " + r.Reason }
+func (r *Refusal) Error() string { return "configwatch: refused: " + r.Reason }
 
 // toFeed is a message from a watcher to a feed. Exactly one field is set.
 type toFeed struct {
@@ -67,7 +67,7 @@
 	Header    *records.Header `json:"header,omitempty"` // start of a snapshot
 	Piece     *records.Piece  `json:"piece,omitempty"`
 	Heartbeat *uint64         `json:"heartbeat,omitempty"` // latest revision of the feed
-	Refused   *Refused        `json:"refused,omitempty"`
+	Refused   *Refusal        `json:"refused,omitempty"`
 }
 
 // Protocol errors of a connection.
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -40,36 +40,36 @@
 
 // Options configure a Client.
 type Options struct {
-	Me     string            // name and incarnation of this process
-	Copies map[string]string // address of each store replica, by replica ID
-	Rules  duty.Rules
-	Seed   uint64
-	Steady *clock.Clock
-	Log    zerolog.Logger
-	Plant  string // injected bug, for the lab; "": none
+	ProcessID        string            // name and incarnation of this process
+	ReplicaAddresses map[string]string // address of each store replica, by replica ID
+	Rules            duty.Rules
+	Seed             uint64
+	Steady           *clock.Clock
+	Log              zerolog.Logger
+	InjectedBug      string // injected bug, for the lab; "": none
 
 	// Dial opens connections. If nil, the client dials over TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
-	// On is called for each event, in order, on a dedicated goroutine. An event is an action of duty.Machine, or one of
+	// OnEvent is called for each event, in order, on a dedicated goroutine. An event is an action of duty.Machine, or one of
 	// Allotted, Published and Linked. If nil, events are discarded.
-	On func(any)
+	OnEvent func(any)
 	// Need returns the downstream capacity that the server could use beyond its standalone share, in thousandths of a call in
 	// flight. If nil, the server reports a demand of 0.
 	Need func() int64
 }
 
 type (
-	// Allotted is the event of a changed capacity share, in thousandths of a call in flight. It is in force until the presence
-	// lease ends. Client.Used must be called once the server uses no more than this amount.
-	Allotted struct {
+	// ShareChanged is the event of a changed capacity share, in thousandths of a call in flight. It is in force until the presence
+	// lease ends. Client.AcknowledgeShare must be called once the server uses no more than this amount.
+	ShareChanged struct {
 		Amount  int64
 		Version uint64
 	}
-	// Published is the event of a published version that is newer than any seen before.
-	Published struct{ No uint64 }
-	// Linked is the event of the first heartbeat reply of a session, which shows that the replica is the leader.
-	Linked struct{}
+	// VersionPublished is the event of a published version that is newer than any seen before.
+	VersionPublished struct{ Version uint64 }
+	// SessionEstablished is the event of the first heartbeat reply of a session, which shows that the replica is the leader.
+	SessionEstablished struct{}
 )
 
 // Client maintains an order server's session with the current leader of the store.
@@ -100,13 +100,13 @@
 
 // NewClient returns a client. It connects once Run is called.
 func NewClient(o Options) *Client {
-	m := duty.NewMachine(o.Rules, o.Me, o.Seed)
-	m.Plant = o.Plant
+	m := duty.NewMachine(o.Rules, o.ProcessID, o.Seed)
+	m.Plant = o.InjectedBug
 	if o.Dial == nil {
 		d := net.Dialer{Timeout: dialFor}
 		o.Dial = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 	}
-	c := &Client{o: o, on: mailbox.New[any](), m: m, waits: map[uint64]chan toServer{}, order: slices.Sorted(maps.Keys(o.Copies))}
+	c := &Client{o: o, on: mailbox.New[any](), m: m, waits: map[uint64]chan toServer{}, order: slices.Sorted(maps.Keys(o.ReplicaAddresses))}
 	if n := len(c.order); n > 0 {
 		c.next = int(o.Seed % uint64(n))
 	}
@@ -175,8 +175,8 @@
 		}
 		batch = c.on.Take(batch)
 		for _, e := range batch {
-			if c.o.On != nil {
-				c.o.On(e)
+			if c.o.OnEvent != nil {
+				c.o.OnEvent(e)
 			}
 		}
 	}
@@ -186,7 +186,7 @@
 func (c *Client) seek() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at := c.o.Copies[c.hint]; at != "" {
+	if at := c.o.ReplicaAddresses[c.hint]; at != "" {
 		c.hint = "" // used once: the hint may be outdated
 		return at
 	}
@@ -194,7 +194,7 @@
 		return ""
 	}
 	c.next++
-	return c.o.Copies[c.order[c.next%len(c.order)]]
+	return c.o.ReplicaAddresses[c.order[c.next%len(c.order)]]
 }
 
 // hold serves one connection until it ends.
@@ -253,18 +253,18 @@
 		c.since = now
 		if !c.led {
 			c.led = true
-			c.on.Put(Linked{})
+			c.on.Put(SessionEstablished{})
 		}
 		current := m.Reply.Index >= c.m.Seen()
 		c.do(c.m.HandleReply(now, *m.Reply))
 		if current {
-			if _, here := c.m.May(now, duty.PresenceOf(c.o.Me)); here && m.Share != nil && m.Share.Version > c.mine.Version {
+			if _, here := c.m.May(now, duty.PresenceOf(c.o.ProcessID)); here && m.Share != nil && m.Share.Version > c.mine.Version {
 				c.mine.Take(*m.Share)
-				c.on.Put(Allotted{c.mine.Amount, c.mine.Version})
+				c.on.Put(ShareChanged{c.mine.Amount, c.mine.Version})
 			}
 			if m.Version > c.version {
 				c.version = m.Version
-				c.on.Put(Published{m.Version})
+				c.on.Put(VersionPublished{m.Version})
 			}
 		}
 		c.step()
@@ -308,7 +308,7 @@
 				c.line.send(toCopy{Heartbeat: &a.Heartbeat, Ack: c.used, Need: need})
 			}
 		case duty.Ended:
-			if a.Name == duty.PresenceOf(c.o.Me) {
+			if a.Name == duty.PresenceOf(c.o.ProcessID) {
 				c.mine, c.used = allot.Mine{}, 0
 			}
 			c.on.Put(a)
@@ -318,8 +318,8 @@
 	}
 }
 
-// Used acknowledges a share version: the server uses no more than the share of that version.
-func (c *Client) Used(version uint64) {
+// AcknowledgeShare acknowledges a share version: the server uses no more than the share of that version.
+func (c *Client) AcknowledgeShare(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if version == c.mine.Version {
@@ -329,57 +329,59 @@
 	}
 }
 
-// May reports whether an action under a duty may begin now, and under which grant. It must be called before each action.
-func (c *Client) May(name string) (duty.Ref, bool) {
+// ActiveGrant reports whether an action under a duty may begin now, and under which grant. It must be called before each action.
+func (c *Client) ActiveGrant(name string) (duty.Ref, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.m.May(c.o.Steady.Now(), name)
 }
 
-// Holding returns the grant of a held duty and the end of its lease on the steady clock in ms, also while the duty is being
+// LeaseEnd returns the grant of a held duty and the end of its lease on the steady clock in ms, also while the duty is being
 // yielded.
-func (c *Client) Holding(name string) (duty.Ref, float64, bool) {
+func (c *Client) LeaseEnd(name string) (duty.Ref, float64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.m.Until(name)
 }
 
 // Presence returns the grant of this process's presence and the end of its lease on the steady clock in ms.
-func (c *Client) Presence() (duty.Ref, float64, bool) { return c.Holding(duty.PresenceOf(c.o.Me)) }
+func (c *Client) Presence() (duty.Ref, float64, bool) {
+	return c.LeaseEnd(duty.PresenceOf(c.o.ProcessID))
+}
 
-// Fenced returns the number of commands refused for a stale epoch.
-func (c *Client) Fenced() uint64 { return c.fence.Load() }
+// FencedCommands returns the number of commands refused for a stale epoch.
+func (c *Client) FencedCommands() uint64 { return c.fence.Load() }
 
-// Quiet reports that no action is in progress under a grant that is being yielded.
-func (c *Client) Quiet(r duty.Ref) {
+// Quiesced reports that no action is in progress under a grant that is being yielded.
+func (c *Client) Quiesced(r duty.Ref) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.do(c.m.Quiet(c.o.Steady.Now(), r))
 	c.step()
 }
 
-// Switch sets the mode of the server.
-func (c *Client) Switch(mode duty.Mode) {
+// SetMode sets the mode of the server.
+func (c *Client) SetMode(mode duty.Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.do(c.m.Switch(c.o.Steady.Now(), mode))
 	c.step()
 }
 
-// Leave releases all held duties, when the process ends.
-func (c *Client) Leave() {
+// ReleaseAll releases all held duties, when the process ends.
+func (c *Client) ReleaseAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.do(c.m.Leave(c.o.Steady.Now()))
 }
 
-// ask sends a command or query and waits for its reply. ErrNotSent means that it was not executed.
+// ask sends a command or query and waits for its reply. ErrNotExecuted means that it was not executed.
 func (c *Client) ask(ctx context.Context, m toCopy) (toServer, error) {
 	c.mu.Lock()
 	l := c.line
 	if l == nil {
 		c.mu.Unlock()
-		return toServer{}, ErrNotSent
+		return toServer{}, ErrNotExecuted
 	}
 	c.no++
 	m.No = c.no
@@ -396,7 +398,7 @@
 			return got, ErrUnconfirmed
 		}
 		if got.Else != nil {
-			return got, ErrNotSent
+			return got, ErrNotExecuted
 		}
 		if got.Error != "" {
 			return got, fmt.Errorf("%w: %s", ErrUnconfirmed, got.Error)
@@ -423,7 +425,7 @@
 	}
 	if got.Result.Stale {
 		c.fence.Add(1)
-		return *got.Result, fmt.Errorf("%w: %s", ErrStale, got.Result.Error)
+		return *got.Result, fmt.Errorf("%w: %s", ErrStaleEpoch, got.Result.Error)
 	}
 	if got.Result.Error != "" {
 		return *got.Result, fmt.Errorf("session: refused: %s", got.Result.Error)
@@ -431,9 +433,9 @@
 	return *got.Result, nil
 }
 
-// Act executes commands under a duty. The store checks the fencing token (epoch) in the same log entry that applies the
+// DoFenced executes commands under a duty. The store checks the fencing token (epoch) in the same log entry that applies the
 // commands.
-func (c *Client) Act(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
+func (c *Client) DoFenced(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
 	return c.Do(ctx, state.Command{Op: state.Act, Fence: &under, Do: do})
 }
 
@@ -449,11 +451,11 @@
 // Begin records an effect in the replicated store before its attempt, under this process's presence. Begin and Ended make the
 // client a core.Ledger.
 func (c *Client) Begin(id string) (bool, error) {
-	here, ok := c.May(duty.PresenceOf(c.o.Me))
+	here, ok := c.ActiveGrant(duty.PresenceOf(c.o.ProcessID))
 	if !ok {
-		return false, fmt.Errorf("%w: no presence lease in force", ErrNotSent)
+		return false, fmt.Errorf("%w: no presence lease in force", ErrNotExecuted)
 	}
-	r, err := c.Do(context.Background(), state.Command{Op: state.Begin, Key: id, Who: c.o.Me, Epoch: here.Epoch, Keep: true})
+	r, err := c.Do(context.Background(), state.Command{Op: state.Begin, Key: id, Who: c.o.ProcessID, Epoch: here.Epoch, Keep: true})
 	return err == nil && r.Fresh, err
 }
 
@@ -485,7 +487,7 @@
 func (c *Client) end() {
 	c.mu.Lock()
 	ok, failed := c.ended[:min(len(c.ended), mostEnded)], c.failed[:min(len(c.failed), mostEnded)]
-	cmd := state.Command{Op: state.End, Who: c.o.Me, IDs: slices.Clone(ok), Failed: slices.Clone(failed)}
+	cmd := state.Command{Op: state.End, Who: c.o.ProcessID, IDs: slices.Clone(ok), Failed: slices.Clone(failed)}
 	c.mu.Unlock()
 	_, err := c.Do(context.Background(), cmd)
 	c.mu.Lock()
@@ -499,14 +501,14 @@
 	}
 }
 
-// Version returns the latest published version.
-func (c *Client) Version(ctx context.Context) (v publish.Version, err error) {
+// LatestVersion returns the latest published version.
+func (c *Client) LatestVersion(ctx context.Context) (v publish.Version, err error) {
 	err = c.Read(ctx, ReadVersion, &v)
 	return v, err
 }
 
-// Linked reports whether a session with the leader is established.
-func (c *Client) Linked() bool {
+// Connected reports whether a session with the leader is established.
+func (c *Client) Connected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.line != nil && c.led
@@ -516,7 +518,7 @@
 func (c *Client) Share() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, here := c.m.May(c.o.Steady.Now(), duty.PresenceOf(c.o.Me)); !here {
+	if _, here := c.m.May(c.o.Steady.Now(), duty.PresenceOf(c.o.ProcessID)); !here {
 		return 0
 	}
 	return c.mine.Amount
--- a/internal/net/session/server.go
+++ b/internal/net/session/server.go
@@ -48,7 +48,7 @@
 
 // Server serves sessions at a store replica. The goroutine of Run owns the grantor and never blocks on a socket or the disk.
 type Server struct {
-	Led func(term uint64) // called when this replica starts to grant duties in a term; nil: ignored
+	OnTermStart func(term uint64) // called when this replica starts to grant duties in a term; nil: ignored
 	// ConfigStatus supplies the result of ReadConfig; nil: this replica serves no relays.
 	ConfigStatus func() distribution.Status
 	// CheckChange rejects a change of records with invalid values before it is written to the log; nil: all are accepted.
@@ -87,17 +87,17 @@
 	Heartbeats, Entries, Answers, Cut uint64
 }
 
-// ServerFigures are the metrics of a Server since the start of the process.
-type ServerFigures struct {
-	Heartbeats uint64 `json:"heartbeats"` // processed
-	Entries    uint64 `json:"entries"`    // log entries written for heartbeats and queries
-	Answers    uint64 `json:"answers"`
-	Cut        uint64 `json:"cut"` // sessions refused, or closed for an invalid message or for silence
-	Open       int64  `json:"open"`
-	Term       uint64 `json:"term"` // term in which this replica is the leader; 0: it is not
-
-	Sent     uint64 `json:"sent"`     // bytes
-	Received uint64 `json:"received"` // bytes
+// ServerMetrics are the metrics of a Server since the start of the process.
+type ServerMetrics struct {
+	Heartbeats   uint64 `json:"heartbeats"` // processed
+	LogEntries   uint64 `json:"entries"`    // log entries written for heartbeats and queries
+	Replies      uint64 `json:"answers"`
+	Terminated   uint64 `json:"cut"` // sessions refused, or closed for an invalid message or for silence
+	OpenSessions int64  `json:"open"`
+	Term         uint64 `json:"term"` // term in which this replica is the leader; 0: it is not
+
+	SentBytes     uint64 `json:"sent"`     // bytes
+	ReceivedBytes uint64 `json:"received"` // bytes
 }
 
 // caller is one session.
@@ -134,11 +134,11 @@
 		callers: map[string]*caller{}, latest: map[string]uint64{}, needs: map[string]int64{}}
 }
 
-// Figures returns the current metrics.
-func (d *Server) Figures() ServerFigures {
+// Metrics returns the current metrics.
+func (d *Server) Metrics() ServerMetrics {
 	d.count.mu.Lock()
 	defer d.count.mu.Unlock()
-	return ServerFigures{d.count.Heartbeats, d.count.Entries, d.count.Answers, d.count.Cut, d.open.Load(), d.leads.Load(),
+	return ServerMetrics{d.count.Heartbeats, d.count.Entries, d.count.Answers, d.count.Cut, d.open.Load(), d.leads.Load(),
 		d.bytes.Out.Load(), d.bytes.In.Load()}
 }
 
@@ -429,8 +429,8 @@
 			d.leads.Store(f.term)
 			d.g.Lead(f.term, now)
 			clear(d.latest)
-			if d.Led != nil {
-				d.Led(f.term)
+			if d.OnTermStart != nil {
+				d.OnTermStart(f.term)
 			}
 			d.log.Info().Uint64("term", f.term).Msg("granting duties")
 		}
@@ -492,20 +492,20 @@
 func (d *Server) reply(q question, st *state.State, term uint64) {
 	var v any
 	switch q.what {
-	case ReadFleet:
-		f := Fleet{Pool: st.Shares.Pool}
+	case ReadCapacity:
+		f := CapacityStatus{Pool: st.Shares.Pool}
 		for _, who := range st.Shares.Whos() {
-			f.Of = append(f.Of, allot.Need{Who: who, Need: d.needs[who], Share: *st.Shares.Shares[who]})
+			f.Servers = append(f.Servers, allot.Need{Who: who, Need: d.needs[who], Share: *st.Shares.Shares[who]})
 		}
 		v = f
 	case ReadEffects:
-		v = Effects{Seq: st.Effects.Seq, Kept: len(st.Effects.Effects), Orphans: st.Effects.Orphans(st.Live, mostFor)}
+		v = EffectStatus{Seq: st.Effects.Seq, Retained: len(st.Effects.Effects), Orphans: st.Effects.Orphans(st.Live, mostFor)}
 	case ReadDuties:
-		o := Duties{Table: st.Duties.Clone(), Marks: st.Marks, Stale: st.Stale, Words: map[string]string{}, Term: term, Lead: d.copy.Leader()}
+		o := DutyStatus{Table: st.Duties.Clone(), Marks: st.Marks, StaleCommands: st.Stale, Acknowledgements: map[string]string{}, Term: term, Leader: d.copy.Leader()}
 		for who, w := range st.Config.Acknowledgements {
-			o.Words[who] = fmt.Sprintf("%d taken", w.No)
+			o.Acknowledgements[who] = fmt.Sprintf("%d taken", w.No)
 			if w.Reason != "" {
-				o.Words[who] = fmt.Sprintf("%d turned down: %s", w.No, w.Reason)
+				o.Acknowledgements[who] = fmt.Sprintf("%d turned down: %s", w.No, w.Reason)
 			}
 		}
 		v = o
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -118,7 +118,7 @@
 // join starts a client and returns the channel of its events.
 func join(t *testing.T, me string, copies map[string]string, steady *clock.Clock) (*Client, chan any) {
 	events := make(chan any, 1000)
-	c := NewClient(Options{Me: me, Copies: copies, Rules: rules, Seed: 1, Steady: steady, Log: zerolog.Nop(), On: func(e any) { events <- e }})
+	c := NewClient(Options{ProcessID: me, ReplicaAddresses: copies, Rules: rules, Seed: 1, Steady: steady, Log: zerolog.Nop(), OnEvent: func(e any) { events <- e }})
 	go c.Run(t.Context())
 	return c, events
 }
@@ -152,12 +152,12 @@
 	follow := open(t, &oneCopy{st: state.New(), term: 1, other: "lead"}, steady)
 	c, events := join(t, "a#1", map[string]string{"lead": lead.at, "follow": follow.at}, steady)
 	g := want(t, events, gains)
-	if r, err := c.Act(t.Context(), g.Ref, state.Command{Op: state.Mark}); err != nil || r.N != 1 {
+	if r, err := c.DoFenced(t.Context(), g.Ref, state.Command{Op: state.Mark}); err != nil || r.N != 1 {
 		t.Errorf("%+v %v", r, err)
 	}
 	forged := duty.Ref{Name: g.Name, Epoch: g.Epoch + 1}
-	if _, err := c.Act(t.Context(), forged, state.Command{Op: state.Mark}); !errors.Is(err, ErrStale) || c.Fenced() != 1 {
-		t.Errorf("forged epoch: error %v, %d fenced commands counted", err, c.Fenced())
+	if _, err := c.DoFenced(t.Context(), forged, state.Command{Op: state.Mark}); !errors.Is(err, ErrStaleEpoch) || c.FencedCommands() != 1 {
+		t.Errorf("forged epoch: error %v, %d fenced commands counted", err, c.FencedCommands())
 	}
 	if fresh, err := c.Begin("0a"); !fresh || err != nil {
 		t.Errorf("%v %v", fresh, err)
@@ -165,8 +165,8 @@
 	if fresh, err := c.Begin("0a"); fresh || err != nil {
 		t.Errorf("second begin of the same effect: fresh %v, error %v", fresh, err)
 	}
-	var d Duties
-	if err := c.Read(t.Context(), ReadDuties, &d); err != nil || d.Marks["allotter"] != 1 || d.Stale["allotter"] != 1 {
+	var d DutyStatus
+	if err := c.Read(t.Context(), ReadDuties, &d); err != nil || d.Marks["allotter"] != 1 || d.StaleCommands["allotter"] != 1 {
 		t.Errorf("%+v %v", d, err)
 	}
 	if err := c.Read(t.Context(), "nonsense", &d); err == nil {
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	y := want(t, events, func(duty.Yields) bool { return true })
-	c.Quiet(y.Ref)
+	c.Quiesced(y.Ref)
 	want(t, events, func(e duty.Ended) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
 	for late := time.Now().Add(patience); ; {
 		if err := c.Read(t.Context(), ReadDuties, &d); err != nil {
@@ -189,7 +189,7 @@
 			t.Fatal("the yielded duty was not released")
 		}
 	}
-	if _, err := c.Act(t.Context(), y.Ref, state.Command{Op: state.Mark}); !errors.Is(err, ErrStale) {
+	if _, err := c.DoFenced(t.Context(), y.Ref, state.Command{Op: state.Mark}); !errors.Is(err, ErrStaleEpoch) {
 		t.Errorf("command under a yielded duty: %v", err)
 	}
 }
@@ -252,7 +252,7 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		conn.SetDeadline(time.Now().Add(patience))
-		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Read: ReadFleet, No: 1}))...))
+		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Read: ReadCapacity, No: 1}))...))
 		conns = append(conns, conn)
 		var m toServer
 		if err := newReader(conn, 0).Next(&m); err != nil {
@@ -277,7 +277,7 @@
 	} else if least, most := fullRetry*rules.Renew*0.5, fullRetry*rules.Renew*1.5; full.retryMs < least || full.retryMs > most {
 		t.Errorf("retry delay %v ms, want %v to %v", full.retryMs, least, most)
 	}
-	if f := lead.server.Figures(); f.Open != 16 || f.Cut != 1 {
+	if f := lead.server.Metrics(); f.OpenSessions != 16 || f.Terminated != 1 {
 		t.Errorf("%+v", f)
 	}
 	conns[0].Close()
@@ -314,7 +314,7 @@
 			}
 		}
 	}
-	until("all heartbeats have arrived", func() bool { return lead.server.Figures().Heartbeats == fleet })
+	until("all heartbeats have arrived", func() bool { return lead.server.Metrics().Heartbeats == fleet })
 	close(copy.begin)
 	present := 0
 	until("all are present", func() bool {
@@ -345,7 +345,7 @@
 		conn.Write([]byte{store.ForSessions})
 		go func() { // a silent session would be closed
 			for conn.SetWriteDeadline(time.Now().Add(patience)) == nil {
-				if _, err := conn.Write(must(framed(toCopy{Read: ReadFleet, No: 1}))); err != nil {
+				if _, err := conn.Write(must(framed(toCopy{Read: ReadCapacity, No: 1}))); err != nil {
 					return
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -354,14 +354,14 @@
 		go io.Copy(io.Discard, conn)
 		conns = append(conns, conn)
 	}
-	for late := time.Now().Add(patience); lead.server.Figures().Open < 16; time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(patience); lead.server.Metrics().OpenSessions < 16; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("not all sessions were opened")
 		}
 	}
 	var mu sync.Mutex
 	var tries []float64
-	c := NewClient(Options{Me: "a#1", Copies: map[string]string{"lead": lead.at}, Rules: slow, Seed: 1, Steady: steady, Log: zerolog.Nop(),
+	c := NewClient(Options{ProcessID: "a#1", ReplicaAddresses: map[string]string{"lead": lead.at}, Rules: slow, Seed: 1, Steady: steady, Log: zerolog.Nop(),
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			mu.Lock()
 			tries = append(tries, steady.Now())
@@ -388,7 +388,7 @@
 	}
 	mu.Unlock()
 	conns[0].Close()
-	for late := time.Now().Add(patience); !c.Linked(); time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(patience); !c.Connected(); time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("no session after another has ended")
 		}
@@ -421,7 +421,7 @@
 			}()
 			quick := rules
 			quick.Renew = 200
-			c := NewClient(Options{Me: "a#1", Copies: map[string]string{"a": ln.Addr().String()}, Rules: quick, Seed: 1, Steady: steady, Log: zerolog.Nop()})
+			c := NewClient(Options{ProcessID: "a#1", ReplicaAddresses: map[string]string{"a": ln.Addr().String()}, Rules: quick, Seed: 1, Steady: steady, Log: zerolog.Nop()})
 			go c.Run(t.Context())
 			first := <-tries
 			select {
@@ -460,9 +460,9 @@
 	second.mu.Lock()
 	second.leads, second.term, second.index = true, 2, index
 	second.mu.Unlock()
-	want(t, events, func(Linked) bool { return true })
+	want(t, events, func(SessionEstablished) bool { return true })
 	want(t, events, func(h duty.Held) bool { return h.Name == "allotter" })
-	if r, ok := c.May("allotter"); !ok || r != g.Ref {
+	if r, ok := c.ActiveGrant("allotter"); !ok || r != g.Ref {
 		t.Errorf("active grant %+v, %v; granted %+v", r, ok, g.Ref)
 	}
 }
--- a/internal/net/session/wire.go
+++ b/internal/net/session/wire.go
@@ -24,8 +24,8 @@
 // Errors of session commands.
 var (
 	ErrUnconfirmed = errors.New("session: unconfirmed: the command may have been executed or may still be")
-	ErrNotSent     = errors.New("session: no leader reached: the command was not executed")
-	ErrStale       = errors.New("session: command refused: stale epoch")
+	ErrNotExecuted = errors.New("session: no leader reached: the command was not executed")
+	ErrStaleEpoch  = errors.New("session: command refused: stale epoch")
 )
 
 // toCopy is a message from an order server to a store replica. Exactly one of Heartbeat, Do and Read is set. The JSON names are
@@ -64,34 +64,34 @@
 
 // Queries that Client.Read accepts.
 const (
-	ReadFleet   = "fleet"
-	ReadEffects = "effects"
-	ReadDuties  = "duties"
-	ReadVersion = "version"
-	ReadConfig  = "config" // returns a distribution.Status
+	ReadCapacity = "fleet"
+	ReadEffects  = "effects"
+	ReadDuties   = "duties"
+	ReadVersion  = "version"
+	ReadConfig   = "config" // returns a distribution.Status
 )
 
-// Fleet is the result of ReadFleet: the capacity pool, and the demand and share of each server.
-type Fleet struct {
-	Pool int64        `json:"pool"`
-	Of   []allot.Need `json:"of"`
+// CapacityStatus is the result of ReadCapacity: the capacity pool, and the demand and share of each server.
+type CapacityStatus struct {
+	Pool    int64        `json:"pool"`
+	Servers []allot.Need `json:"of"`
 }
 
-// Effects is the result of ReadEffects: the state of the effect log.
-type Effects struct {
-	Seq     uint64   `json:"seq"`
-	Kept    int      `json:"kept"`
-	Orphans []string `json:"orphans"`
+// EffectStatus is the result of ReadEffects: the state of the effect log.
+type EffectStatus struct {
+	Seq      uint64   `json:"seq"`
+	Retained int      `json:"kept"`
+	Orphans  []string `json:"orphans"`
 }
 
-// Duties is the result of ReadDuties: the leases, and what each process reported about published versions.
-type Duties struct {
-	Table *duty.Table       `json:"table"`
-	Marks map[string]uint64 `json:"marks"`
-	Stale map[string]uint64 `json:"stale"` // commands refused for a stale epoch, by duty
-	Words map[string]string `json:"words"` // by process: whether it accepted the latest version that it checked
-	Term  uint64            `json:"term"`
-	Lead  string            `json:"lead"`
+// DutyStatus is the result of ReadDuties: the leases, and what each process reported about published versions.
+type DutyStatus struct {
+	Table            *duty.Table       `json:"table"`
+	Marks            map[string]uint64 `json:"marks"`
+	StaleCommands    map[string]uint64 `json:"stale"` // commands refused for a stale epoch, by duty
+	Acknowledgements map[string]string `json:"words"` // by process: whether it accepted the latest version that it checked
+	Term             uint64            `json:"term"`
+	Leader           string            `json:"lead"`
 }
 
 // framed encodes a message with its length prefix.
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -43,21 +43,21 @@
 // NewOrigin makes one; Run has to be called for it to serve.
 func NewOrigin(c Copy, steady *clock.Clock, log zerolog.Logger, plant string) *Origin {
 	o := &Origin{copy: c, steady: steady, log: log}
-	o.server = configwatch.NewServer(configwatch.ServerOptions{Limits: originLimits, Source: o, Serves: o.serves, Steady: steady, Log: log, Seed: 1, Plant: plant})
+	o.server = configwatch.NewServer(configwatch.ServerOptions{Limits: originLimits, Source: o, CheckWatch: o.serves, Steady: steady, Log: log, Seed: 1, InjectedBug: plant})
 	return o
 }
 
 // serves sends away who is no relay, and relays that came to a copy that does not lead.
-func (o *Origin) serves(w configwatch.Watch) *configwatch.Refused {
-	if !w.Relay {
-		return &configwatch.Refused{RetryMs: 10 * leadRetryMs, Reason: "copies of the store serve relays alone"}
+func (o *Origin) serves(w configwatch.Watch) *configwatch.Refusal {
+	if !w.IsRelay {
+		return &configwatch.Refusal{RetryMS: 10 * leadRetryMs, Reason: "copies of the store serve relays alone"}
 	}
 	if _, leads := o.copy.Office(); leads {
 		return nil
 	}
-	r := &configwatch.Refused{RetryMs: leadRetryMs, Reason: "this copy does not lead"}
+	r := &configwatch.Refusal{RetryMS: leadRetryMs, Reason: "this copy does not lead"}
 	if leader := o.copy.Leader(); leader != "" {
-		r.Elsewhere = []string{leader}
+		r.AlternateAddresses = []string{leader}
 	}
 	return r
 }
@@ -72,7 +72,7 @@
 func (o *Origin) Serve(conn net.Conn) { o.server.Serve(conn) }
 
 // Figures reads the counts.
-func (o *Origin) Figures() configwatch.Figures { return o.server.Figures() }
+func (o *Origin) Figures() configwatch.Metrics { return o.server.Metrics() }
 
 // Status tells how far each region is.
 func (o *Origin) Status() distribution.Status { return o.server.Status() }
@@ -88,7 +88,7 @@
 		o.publish()
 		_, leads := o.copy.Office()
 		if led && !leads {
-			o.server.DropAll() // relays look for the copy that leads
+			o.server.DisconnectAll() // relays look for the copy that leads
 		}
 		led = leads
 		due := make(chan struct{})
@@ -107,7 +107,7 @@
 	var commits []records.Commit
 	var floor *distribution.Position
 	o.copy.View(func(st *state.State, _ uint64) {
-		at := o.server.At()
+		at := o.server.Position()
 		since, err := st.Records.Since(at.Revision)
 		if err == nil && (len(since) > 0 && since[0].Before != at.Digest || len(since) == 0 && st.Records.Digest() != at.Digest) {
 			err = records.ErrCompacted // the copy took other records than it had, and those were never agreed on
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -73,8 +73,8 @@
 			return nil, fmt.Errorf("relay: %w", err)
 		}
 	}
-	r.server = configwatch.NewServer(configwatch.ServerOptions{Limits: o.Limits, Source: r, Serves: r.serves, Elsewhere: o.Elsewhere, Steady: o.Steady,
-		Log: o.Log, Seed: o.Seed, Plant: o.Plant})
+	r.server = configwatch.NewServer(configwatch.ServerOptions{Limits: o.Limits, Source: r, CheckWatch: r.serves, AlternateAddresses: o.Elsewhere, Steady: o.Steady,
+		Log: o.Log, Seed: o.Seed, InjectedBug: o.Plant})
 	r.replica = replica.Open(replica.Options{Name: o.Name, Path: o.Path, Limits: records.Limits{Commits: o.Limits.Commits, Bytes: o.Limits.Bytes},
 		Committed: r.committed, Adopted: r.adopted, Reported: o.Reported, Log: o.Log, Plant: o.Plant})
 	floor, commits := r.replica.Held()
@@ -92,18 +92,18 @@
 	for _, id := range slices.Sorted(maps.Keys(o.Copies)) {
 		copies = append(copies, distribution.Relay{Name: id, Address: o.Copies[id]})
 	}
-	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, Relay: true, Region: o.Region, Preamble: []byte{store.ForWatches},
-		Selector: distribution.NewCopySelector(copies, o.Seed), Follower: follower{r.replica, r.server},
-		Steady: o.Steady, Log: o.Log, Plant: o.Plant})
+	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, IsRelay: true, Region: o.Region, Preamble: []byte{store.ForWatches},
+		Selector: distribution.NewCopySelector(copies, o.Seed), Replica: follower{r.replica, r.server},
+		Steady: o.Steady, Log: o.Log, InjectedBug: o.Plant})
 	return r, nil
 }
 
 // serves sends watchers on while the relay has nothing at all.
-func (r *Relay) serves(configwatch.Watch) *configwatch.Refused {
-	if r.replica.Position().Revision > 0 || r.client.Figures().Connected > 0 {
+func (r *Relay) serves(configwatch.Watch) *configwatch.Refusal {
+	if r.replica.Position().Revision > 0 || r.client.Metrics().Connections > 0 {
 		return nil
 	}
-	return &configwatch.Refused{RetryMs: leadRetryMs, Elsewhere: r.o.Elsewhere, Reason: "this relay has no configuration yet"}
+	return &configwatch.Refusal{RetryMS: leadRetryMs, AlternateAddresses: r.o.Elsewhere, Reason: "this relay has no configuration yet"}
 }
 
 // committed passes a commit on. It is called under the replica's lock, in order.
@@ -131,22 +131,22 @@
 
 // Figures are the relay's counts.
 type Figures struct {
-	Serving  configwatch.Figures       `json:"serving"`
-	Watching configwatch.ClientFigures `json:"watching"`
+	Serving  configwatch.Metrics       `json:"serving"`
+	Watching configwatch.ClientMetrics `json:"watching"`
 	Records  int                       `json:"records"`
 	Report   distribution.Report       `json:"report"`
 }
 
 // Figures reads the counts.
 func (r *Relay) Figures() Figures {
-	return Figures{r.server.Figures(), r.client.Figures(), r.replica.Records(), r.server.Report()}
+	return Figures{r.server.Metrics(), r.client.Metrics(), r.replica.Records(), r.server.Report()}
 }
 
 // Run serves until the context ends.
 func (r *Relay) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		r.ln.Close()
-		r.server.DropAll()
+		r.server.DisconnectAll()
 	})
 	defer stop()
 	defer r.replica.Close()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -159,7 +159,7 @@
 // server is an order server's replica that watches relays.
 func server(t *testing.T, name string, relays ...distribution.Relay) (*replica.Replica, *configwatch.Client) {
 	r := replica.Open(replica.Options{Name: name, Log: zerolog.Nop()})
-	c := configwatch.NewClient(configwatch.ClientOptions{Name: name, Follower: r, Steady: clock.Steady(), Log: zerolog.Nop(),
+	c := configwatch.NewClient(configwatch.ClientOptions{Name: name, Replica: r, Steady: clock.Steady(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector(relays, distribution.Place{Zone: "z"}, 1)})
 	go c.Run(t.Context())
 	return r, c
@@ -226,14 +226,14 @@
 	second := run(t, Options{Name: "relay", Copies: addresses, Path: path})
 	s, c := server(t, "s", second.near())
 	until(t, "the server is level with the relay", func() bool { return s.Position() == e.at() })
-	if f := c.Figures(); f.Snapshots != 0 {
+	if f := c.Metrics(); f.Snapshots != 0 {
 		t.Errorf("%d snapshots, though the relay's file has the commits", f.Snapshots)
 	}
-	before := second.client.Figures().Snapshots
+	before := second.client.Metrics().Snapshots
 	e.lead("a")
 	e.change(t, "k0", "2")
 	until(t, "the change is in force", func() bool { return s.Position() == e.at() })
-	if n := second.client.Figures().Snapshots; n != before {
+	if n := second.client.Metrics().Snapshots; n != before {
 		t.Errorf("the relay took %d snapshots", n-before)
 	}
 }
@@ -251,7 +251,7 @@
 		t.Error("the relay without configuration sent nobody away")
 	}
 	r := replica.Open(replica.Options{Name: "direct", Log: zerolog.Nop()})
-	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.ForWatches}, Follower: r, Steady: clock.Steady(), Log: zerolog.Nop(),
+	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.ForWatches}, Replica: r, Steady: clock.Steady(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector([]distribution.Relay{{Name: "a", Address: addresses["a"]}}, distribution.Place{}, 1)})
 	go c.Run(t.Context())
 	until(t, "an order server is sent away", func() bool { return origins["a"].Figures().Refused > 0 })
@@ -271,8 +271,8 @@
 	until(t, "the copy has dropped its relay", func() bool { return origins["a"].Figures().Watchers == 0 })
 	late, c2 := server(t, "late", r.near())
 	until(t, "another server is served", func() bool { return late.Position() == e.at() })
-	for _, f := range []configwatch.ClientFigures{c.Figures(), c2.Figures()} {
-		if f.Connected != 1 || f.Watching != r.Addr() {
+	for _, f := range []configwatch.ClientMetrics{c.Metrics(), c2.Metrics()} {
+		if f.Connections != 1 || f.RelayAddress != r.Addr() {
 			t.Errorf("%+v", f)
 		}
 	}
