--- a/internal/net/configwatch/client.go
+++ b/internal/net/configwatch/client.go
@@ -17,8 +17,8 @@
 	"puffinsaddle/internal/records"
 )
 
-// Follower is the configuration replica that a client keeps up to date. Its methods are called one at a time, except Report.
-type Follower interface {
+// Replica is the configuration replica that a client keeps up to date. Its methods are called one at a time, except Report.
+type Replica interface {
 	// Position returns the latest position that the replica has applied.
 	Position() distribution.Position
 	// Follow applies the next commit. It returns once the commit is in force.
@@ -40,10 +40,10 @@
 	Region   string // region of a relay
 	Preamble []byte // first bytes of a connection: store replicas accept other protocols at the same address
 	Selector *distribution.Selector
-	Replica  Follower
+	Replica  Replica
 	Dial     func(ctx context.Context, address string) (net.Conn, error) // nil: dial over TCP
-	// OnConnectionChange is called with a nil error when a feed begins to serve a connection, and with an error when that connection ends. It
-	// may be nil.
+	// OnConnectionChange is called with a nil error when a feed begins to serve a connection, and with an error when that
+	// connection ends. It may be nil.
 	OnConnectionChange func(address string, err error)
 	Steady             *clock.Clock
 	Log                zerolog.Logger
@@ -52,8 +52,8 @@
 
 // ClientMetrics are the metrics of a Client since its start.
 type ClientMetrics struct {
-	ReceivedBytes  uint64 `json:"received"` // bytes
-	SentBytes      uint64 `json:"sent"`     // bytes
+	ReceivedBytes  uint64 `json:"received"`
+	SentBytes      uint64 `json:"sent"`
 	Connections    uint64 `json:"connected"`
 	Snapshots      uint64 `json:"snapshots"` // received completely
 	LatestRevision uint64 `json:"latest"`    // latest revision reported by the relay
@@ -62,14 +62,14 @@
 
 // Client watches a feed on behalf of one process.
 type Client struct {
-	o ClientOptions
+	options ClientOptions
 
-	bytes                        meter.Count
-	connected, snapshots, latest atomic.Uint64
+	traffic                                meter.Count
+	connections, snapshots, latestRevision atomic.Uint64
 
-	mu       sync.Mutex
-	watching string
-	last     string // address of the relay that served last
+	mu           sync.Mutex
+	relayAddress string
+	lastRelay    string // address of the relay that served last
 }
 
 const dialTimeout = time.Second
@@ -80,36 +80,37 @@
 		d := net.Dialer{Timeout: dialTimeout}
 		o.Dial = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 	}
-	return &Client{o: o}
+	return &Client{options: o}
 }
 
 // Metrics returns the current metrics.
 func (c *Client) Metrics() ClientMetrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return ClientMetrics{c.bytes.In.Load(), c.bytes.Out.Load(), c.connected.Load(), c.snapshots.Load(), c.latest.Load(), c.watching}
+	return ClientMetrics{c.traffic.In.Load(), c.traffic.Out.Load(), c.connections.Load(), c.snapshots.Load(),
+		c.latestRevision.Load(), c.relayAddress}
 }
 
 // Run watches, reconnecting to one relay after another, until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		relay, wait, ok := c.o.Selector.Next(c.o.Steady.Now())
+		relay, wait, ok := c.options.Selector.Next(c.options.Steady.Now())
 		if ok {
 			err := c.watch(ctx, relay)
 			if r, refused := IsRefusal(err); refused {
-				wait = c.o.Selector.Refused(c.o.Steady.Now(), r.RetryMS, r.AlternateAddresses)
+				wait = c.options.Selector.Refused(c.options.Steady.Now(), r.RetryMS, r.AlternateAddresses)
 			} else {
-				wait = c.o.Selector.Failed()
+				wait = c.options.Selector.Failed()
 			}
-			c.o.Log.Debug().Err(err).Str("relay", relay.Address).Float64("wait_ms", wait).Msg("not watching")
+			c.options.Log.Debug().Err(err).Str("relay", relay.Address).Float64("wait_ms", wait).Msg("not watching")
 		}
-		c.pause(ctx, wait)
+		c.sleep(ctx, wait)
 	}
 }
 
-func (c *Client) pause(ctx context.Context, ms float64) {
+func (c *Client) sleep(ctx context.Context, ms float64) {
 	due := make(chan struct{})
-	t := c.o.Steady.After(ms, func() { close(due) })
+	t := c.options.Steady.After(ms, func() { close(due) })
 	defer t.Stop()
 	select {
 	case <-due:
@@ -119,56 +120,56 @@
 
 // watch connects to a relay and processes its messages until the connection ends.
 func (c *Client) watch(ctx context.Context, relay distribution.Relay) error {
-	raw, err := c.o.Dial(ctx, relay.Address)
+	raw, err := c.options.Dial(ctx, relay.Address)
 	if err != nil {
 		return err
 	}
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
-	conn := meter.New(raw, &c.bytes)
-	if len(c.o.Preamble) > 0 {
+	conn := meter.New(raw, &c.traffic)
+	if len(c.options.Preamble) > 0 {
 		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := conn.Write(c.o.Preamble); err != nil {
+		if _, err := conn.Write(c.options.Preamble); err != nil {
 			return err
 		}
 	}
-	w := Watch{Name: c.o.Name, Position: c.o.Replica.Position(), IsRelay: c.o.IsRelay, Region: c.o.Region}
-	if err := frame.Send(conn, toFeed{Watch: &w}, maxReport); err != nil {
+	w := Watch{Name: c.options.Name, Position: c.options.Replica.Position(), IsRelay: c.options.IsRelay, Region: c.options.Region}
+	if err := frame.Send(conn, watcherMessage{Watch: &w}, maxReportBytes); err != nil {
 		return err
 	}
-	s := &stream{client: c, relay: relay, conn: conn, over: make(chan struct{})}
-	s.lose = c.o.InjectedBug == distribution.PlantLostChange && c.last != "" && c.last != relay.Address
-	defer close(s.over)
+	s := &stream{client: c, relay: relay, conn: conn, done: make(chan struct{})}
+	s.skipNextCommit = c.options.InjectedBug == distribution.PlantLostChange && c.lastRelay != "" && c.lastRelay != relay.Address
+	defer close(s.done)
 	err = s.read()
 	if s.served {
-		c.setWatching("")
-		if c.o.OnConnectionChange != nil {
-			c.o.OnConnectionChange(relay.Address, err)
+		c.setRelayAddress("")
+		if c.options.OnConnectionChange != nil {
+			c.options.OnConnectionChange(relay.Address, err)
 		}
 	}
 	return err
 }
 
-func (c *Client) setWatching(address string) {
+func (c *Client) setRelayAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watching = address
+	c.relayAddress = address
 	if address != "" {
-		c.last = address
+		c.lastRelay = address
 	}
 }
 
 // stream is the state of one connection.
 type stream struct {
-	client    *Client
-	relay     distribution.Relay
-	conn      net.Conn
-	assembler *records.Assembler // of the snapshot being received; nil: none
-	header    records.Header
-	served    bool
-	lose      bool // injected bug: the next commit is counted but not applied
-	over      chan struct{}
+	client         *Client
+	relay          distribution.Relay
+	conn           net.Conn
+	assembler      *records.Assembler // of the snapshot being received; nil: none
+	header         records.Header
+	served         bool
+	skipNextCommit bool // injected bug: the next commit is counted but not applied
+	done           chan struct{}
 }
 
 // read processes messages until the connection fails or violates the protocol.
@@ -178,7 +179,7 @@
 			s.assembler.Close()
 		}
 	}()
-	r := frame.NewReader(s.conn, silentTimeout, maxMessage)
+	r := frame.NewReader(s.conn, feedIdleTimeout, maxMessageBytes)
 	for {
 		content, err := r.NextBytes()
 		if err != nil {
@@ -188,115 +189,115 @@
 		if err != nil {
 			return err
 		}
-		if m.Refused != nil {
-			return m.Refused
+		if m.Refusal != nil {
+			return m.Refusal
 		}
 		if !s.served {
-			s.begin()
+			s.start()
 		}
-		if err := s.take(m); err != nil {
+		if err := s.handle(m); err != nil {
 			return err
 		}
 	}
 }
 
-// begin records that the relay serves this client, and starts the periodic reports.
-func (s *stream) begin() {
+// start records that the relay serves this client, and starts the periodic reports.
+func (s *stream) start() {
 	c := s.client
 	s.served = true
-	c.connected.Add(1)
-	keepFor := c.o.Selector.Served()
-	c.setWatching(s.relay.Address)
-	if c.o.OnConnectionChange != nil {
-		c.o.OnConnectionChange(s.relay.Address, nil)
+	c.connections.Add(1)
+	reconnectAfterMS := c.options.Selector.Served()
+	c.setRelayAddress(s.relay.Address)
+	if c.options.OnConnectionChange != nil {
+		c.options.OnConnectionChange(s.relay.Address, nil)
 	}
-	if keepFor > 0 {
-		t := c.o.Steady.After(keepFor, func() { s.conn.Close() })
+	if reconnectAfterMS > 0 {
+		t := c.options.Steady.After(reconnectAfterMS, func() { s.conn.Close() })
 		go func() {
-			<-s.over
+			<-s.done
 			t.Stop()
 		}()
 	}
-	go s.report()
+	go s.sendReports()
 }
 
-// report sends the progress of the replica at each heartbeat interval.
-func (s *stream) report() {
+// sendReports sends the progress of the replica at each heartbeat interval.
+func (s *stream) sendReports() {
 	for {
 		due := make(chan struct{})
-		t := s.client.o.Steady.After(heartbeatMs, func() { close(due) })
+		t := s.client.options.Steady.After(heartbeatIntervalMS, func() { close(due) })
 		select {
-		case <-s.over:
+		case <-s.done:
 			t.Stop()
 			return
 		case <-due:
 		}
-		r := s.client.o.Replica.Report()
-		if err := frame.Send(s.conn, toFeed{Report: &r}, maxReport); err != nil {
+		r := s.client.options.Replica.Report()
+		if err := frame.Send(s.conn, watcherMessage{Report: &r}, maxReportBytes); err != nil {
 			s.conn.Close()
 			return
 		}
 	}
 }
 
-// take handles one message.
-func (s *stream) take(m toWatcher) error {
+// handle processes one message from the feed.
+func (s *stream) handle(m feedMessage) error {
 	c := s.client
 	switch {
 	case m.Commit != nil:
-		return s.follow(*m.Commit)
+		return s.applyCommit(*m.Commit)
 	case m.Header != nil:
 		return s.beginSnapshot(*m.Header)
-	case m.Piece != nil:
-		return s.addPiece(*m.Piece)
+	case m.Chunk != nil:
+		return s.addChunk(*m.Chunk)
 	case m.Heartbeat != nil:
-		c.latest.Store(*m.Heartbeat)
+		c.latestRevision.Store(*m.Heartbeat)
 		return nil
 	}
-	return errNoPart
+	return errEmptyMessage
 }
 
-func (s *stream) follow(commit records.Commit) error {
-	f := s.client.o.Replica
-	s.client.latest.Store(max(s.client.latest.Load(), commit.Revision))
+func (s *stream) applyCommit(commit records.Commit) error {
+	replica := s.client.options.Replica
+	s.client.latestRevision.Store(max(s.client.latestRevision.Load(), commit.Revision))
 	if s.assembler != nil {
-		return errPiece
+		return errSnapshotOrder
 	}
-	if skipper, ok := f.(interface{ Skip(records.Commit) error }); ok && s.lose {
-		s.lose = false
+	if skipper, ok := replica.(interface{ Skip(records.Commit) error }); ok && s.skipNextCommit {
+		s.skipNextCommit = false
 		return skipper.Skip(commit)
 	}
-	err := f.Follow(commit)
+	err := replica.Follow(commit)
 	var order *records.OrderError
 	if errors.As(err, &order) && order.Differ {
-		f.Discard(err) // the next watch then begins with a snapshot
+		replica.Discard(err) // the next watch then begins with a snapshot
 	}
 	return err
 }
 
 func (s *stream) beginSnapshot(h records.Header) error {
-	f := s.client.o.Replica
+	replica := s.client.options.Replica
 	if s.assembler != nil {
-		return errPiece
+		return errSnapshotOrder
 	}
-	if h.Revision < f.Position().Revision {
+	if h.Revision < replica.Position().Revision {
 		// A feed refuses a watcher that is ahead of it, so this feed knows the watcher's revision, with different records.
-		f.Discard(errOther)
+		replica.Discard(errDivergentRecords)
 	}
-	a, err := records.NewAssembler(h, f.KeepsRecords())
+	assembler, err := records.NewAssembler(h, replica.KeepsRecords())
 	if err != nil {
 		return err
 	}
-	s.assembler, s.header = a, h
+	s.assembler, s.header = assembler, h
 	if h.Pieces == 0 {
-		return s.adopt()
+		return s.adoptSnapshot()
 	}
 	return nil
 }
 
-func (s *stream) addPiece(p records.Piece) error {
+func (s *stream) addChunk(p records.Piece) error {
 	if s.assembler == nil {
-		return errPiece
+		return errSnapshotOrder
 	}
 	if err := s.assembler.Add(p); err != nil {
 		return err
@@ -304,17 +305,17 @@
 	if p.Number+1 < s.header.Pieces {
 		return nil
 	}
-	return s.adopt()
+	return s.adoptSnapshot()
 }
 
-func (s *stream) adopt() error {
+func (s *stream) adoptSnapshot() error {
 	table, err := s.assembler.Finish()
 	s.assembler.Close()
 	s.assembler = nil
 	if err != nil {
 		return err
 	}
-	if err := s.client.o.Replica.Adopt(s.header, table); err != nil {
+	if err := s.client.options.Replica.Adopt(s.header, table); err != nil {
 		return err
 	}
 	s.client.snapshots.Add(1)
--- a/internal/net/configwatch/configwatch_test.go
+++ b/internal/net/configwatch/configwatch_test.go
@@ -25,7 +25,7 @@
 	"puffinsaddle/internal/replica"
 )
 
-const patience = 30 * time.Second // a hanging test fails after it; no test measures time against it
+const testTimeout = 30 * time.Second // a hanging test fails after it; no test measures time against it
 
 // feed is a server and the records that it serves.
 type feed struct {
@@ -42,11 +42,11 @@
 	return f.set.Table().Clone(), f.set.Revision()
 }
 
-func openFeed(t *testing.T, limits distribution.Limits, change ...func(*configwatch.ServerOptions)) *feed {
+func startFeed(t *testing.T, limits distribution.Limits, modify ...func(*configwatch.ServerOptions)) *feed {
 	t.Helper()
 	f := &feed{t: t, set: records.NewSet(records.DefaultLimits)}
 	o := configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Steady(), Log: zerolog.Nop()}
-	for _, c := range change {
+	for _, c := range modify {
 		c(&o)
 	}
 	f.server = configwatch.NewServer(o)
@@ -70,7 +70,7 @@
 	return f
 }
 
-func (f *feed) at() string { return f.ln.Addr().String() }
+func (f *feed) address() string { return f.ln.Addr().String() }
 
 // commit changes some records and publishes the commit.
 func (f *feed) commit(names ...string) records.Commit {
@@ -79,7 +79,8 @@
 	defer f.mu.Unlock()
 	var c records.Change
 	for _, name := range names {
-		c.Puts = append(c.Puts, records.Put{Key: records.Key{Kind: records.Setting, Name: name}, Value: []byte(fmt.Sprint(f.set.Revision(), strings.Repeat("x", len(name)*40)))})
+		c.Puts = append(c.Puts, records.Put{Key: records.Key{Kind: records.Setting, Name: name},
+			Value: []byte(fmt.Sprint(f.set.Revision(), strings.Repeat("x", len(name)*40)))})
 	}
 	commit, err := f.set.Apply(c)
 	if err != nil {
@@ -97,8 +98,8 @@
 	return f.set.Digest()
 }
 
-// watching is a configuration replica and its client.
-type watching struct {
+// watcher is a configuration replica and its client.
+type watcher struct {
 	*replica.Replica
 	client  *configwatch.Client
 	commits chan uint64
@@ -106,13 +107,14 @@
 	done    chan struct{}
 }
 
-func watch(t *testing.T, path string, relays []distribution.Relay, change ...func(*configwatch.ClientOptions)) *watching {
+func startWatcher(t *testing.T, path string, relays []distribution.Relay, modify ...func(*configwatch.ClientOptions)) *watcher {
 	t.Helper()
-	w := &watching{commits: make(chan uint64, 100000), done: make(chan struct{})}
-	w.Replica = replica.Open(replica.Options{Name: "server", Path: path, Log: zerolog.Nop(), Committed: func(c records.Commit) { w.commits <- c.Revision }})
+	w := &watcher{commits: make(chan uint64, 100000), done: make(chan struct{})}
+	w.Replica = replica.Open(replica.Options{Name: "server", Path: path, Log: zerolog.Nop(),
+		Committed: func(c records.Commit) { w.commits <- c.Revision }})
 	o := configwatch.ClientOptions{Name: "server", Replica: w.Replica, Steady: clock.Steady(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector(relays, distribution.Place{Zone: "z"}, 1)}
-	for _, c := range change {
+	for _, c := range modify {
 		c(&o)
 	}
 	w.client = configwatch.NewClient(o)
@@ -130,61 +132,61 @@
 	return w
 }
 
-// to returns relay entries for the feeds.
-func to(feeds ...*feed) (relays []distribution.Relay) {
+// relaysOf returns relay entries for the feeds.
+func relaysOf(feeds ...*feed) (relays []distribution.Relay) {
 	for _, f := range feeds {
-		relays = append(relays, distribution.Relay{Name: f.at(), Address: f.at(), Zone: "z"})
+		relays = append(relays, distribution.Relay{Name: f.address(), Address: f.address(), Zone: "z"})
 	}
 	return relays
 }
 
-func until(t *testing.T, what string, holds func() bool) {
+func waitUntil(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for late := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatalf("condition not met within %s: %s", patience, what)
+	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within %s: %s", testTimeout, condition)
 		}
 	}
 }
 
-// level waits until the watcher has the records of the feed.
-func (w *watching) level(t *testing.T, f *feed) {
+// waitUntilCurrent waits until the watcher has the records of the feed.
+func (w *watcher) waitUntilCurrent(t *testing.T, f *feed) {
 	t.Helper()
-	until(t, "the watcher has the records of the feed", func() bool {
+	waitUntil(t, "the watcher has the records of the feed", func() bool {
 		p := w.Position()
 		return p.Revision == f.server.Position().Revision && p.Digest == f.digest()
 	})
 }
 
-// tookSnapshot waits until the client has counted one snapshot, which happens after the records are in place.
-func (w *watching) tookSnapshot(t *testing.T) {
+// waitForSnapshot waits until the client has counted one snapshot, which happens after the records are in place.
+func (w *watcher) waitForSnapshot(t *testing.T) {
 	t.Helper()
-	until(t, "one snapshot is counted", func() bool { return w.client.Metrics().Snapshots == 1 })
+	waitUntil(t, "one snapshot is counted", func() bool { return w.client.Metrics().Snapshots == 1 })
 }
 
 // A watcher receives each commit once and in order, also when its feed ends: it continues at another feed from its own revision.
-func TestWatchGoesOnAtAnotherFeed(t *testing.T) {
-	a, b := openFeed(t, distribution.DefaultLimits), openFeed(t, distribution.DefaultLimits)
-	both := func(names ...string) {
+func TestWatchContinuesAtAnotherFeed(t *testing.T) {
+	a, b := startFeed(t, distribution.DefaultLimits), startFeed(t, distribution.DefaultLimits)
+	commitBoth := func(names ...string) {
 		a.commit(names...)
 		b.commit(names...)
 	}
-	both("one", "two")
-	w := watch(t, "", to(a, b))
+	commitBoth("one", "two")
+	w := startWatcher(t, "", relaysOf(a, b))
 	for i := range 50 {
-		both(fmt.Sprint("n", i%5))
+		commitBoth(fmt.Sprint("n", i%5))
 	}
-	w.level(t, b)
+	w.waitUntilCurrent(t, b)
 	first, second := a, b
-	if w.client.Metrics().RelayAddress == b.at() {
+	if w.client.Metrics().RelayAddress == b.address() {
 		first, second = b, a
 	}
 	first.ln.Close()
 	first.server.DisconnectAll()
 	for i := range 50 {
-		both(fmt.Sprint("n", i%5))
+		commitBoth(fmt.Sprint("n", i%5))
 	}
-	w.level(t, second)
+	w.waitUntilCurrent(t, second)
 	for want := uint64(1); want <= 101; want++ {
 		if got := <-w.commits; got != want {
 			t.Fatalf("got commit %d, want %d", got, want)
@@ -197,23 +199,23 @@
 
 // A restarted server receives only the commits that it missed. A corrupt records file is discarded and replaced by a snapshot; a
 // truncated one does not keep the server from catching up.
-func TestRestartAsksForWhatItMissed(t *testing.T) {
-	f := openFeed(t, distribution.Limits{Commits: 30, Bytes: 1 << 20, Watchers: 10, Snapshots: 2})
+func TestRestartFetchesOnlyMissedCommits(t *testing.T) {
+	f := startFeed(t, distribution.Limits{Commits: 30, Bytes: 1 << 20, Watchers: 10, Snapshots: 2})
 	for i := range 100 {
 		f.commit(fmt.Sprint("n", i))
 	}
 	path := filepath.Join(t.TempDir(), "records")
-	w := watch(t, path, to(f))
-	w.level(t, f)
-	w.tookSnapshot(t)
+	w := startWatcher(t, path, relaysOf(f))
+	w.waitUntilCurrent(t, f)
+	w.waitForSnapshot(t)
 	f.commit("behind-the-snapshot")
-	w.level(t, f)
+	w.waitUntilCurrent(t, f)
 	w.stop()
 	for i := range 20 {
 		f.commit(fmt.Sprint("missed", i))
 	}
-	w = watch(t, path, to(f))
-	w.level(t, f)
+	w = startWatcher(t, path, relaysOf(f))
+	w.waitUntilCurrent(t, f)
 	if n := w.client.Metrics(); n.Snapshots != 0 || len(w.commits) != 20 {
 		t.Errorf("%d snapshots and %d commits for a server that missed 20 commits", n.Snapshots, len(w.commits))
 	}
@@ -226,9 +228,9 @@
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w = watch(t, path, to(f))
-	w.level(t, f)
-	w.tookSnapshot(t)
+	w = startWatcher(t, path, relaysOf(f))
+	w.waitUntilCurrent(t, f)
+	w.waitForSnapshot(t)
 	w.stop()
 	if b, err = os.ReadFile(path); err != nil {
 		t.Fatal(err)
@@ -237,82 +239,84 @@
 		t.Fatal(err)
 	}
 	f.commit("later")
-	w = watch(t, path, to(f))
-	w.level(t, f)
+	w = startWatcher(t, path, relaysOf(f))
+	w.waitUntilCurrent(t, f)
 }
 
 // A watcher whose records differ from the committed ones at the same revision discards them and takes a snapshot.
-func TestOtherRecordsAreThrownAway(t *testing.T) {
-	a, b := openFeed(t, distribution.DefaultLimits), openFeed(t, distribution.DefaultLimits)
+func TestDivergentRecordsAreReplaced(t *testing.T) {
+	a, b := startFeed(t, distribution.DefaultLimits), startFeed(t, distribution.DefaultLimits)
 	for range 5 {
 		a.commit("of-a")
 		b.commit("of-b")
 	}
 	path := filepath.Join(t.TempDir(), "records")
-	w := watch(t, path, to(a))
-	w.level(t, a)
+	w := startWatcher(t, path, relaysOf(a))
+	w.waitUntilCurrent(t, a)
 	w.stop()
-	w = watch(t, path, to(b))
-	w.level(t, b)
-	w.tookSnapshot(t)
+	w = startWatcher(t, path, relaysOf(b))
+	w.waitUntilCurrent(t, b)
+	w.waitForSnapshot(t)
 }
 
 // The same if the feed's snapshot is older than the watcher's revision: the watcher must not end up without records.
-func TestOtherRecordsAreThrownAwayForAnOlderSnapshot(t *testing.T) {
+func TestDivergentRecordsAreReplacedByOlderSnapshot(t *testing.T) {
 	limits := distribution.Limits{Commits: 10, Bytes: 1 << 20, Watchers: 10, Snapshots: 2}
-	a, b := openFeed(t, distribution.DefaultLimits), openFeed(t, limits)
+	a, b := startFeed(t, distribution.DefaultLimits), startFeed(t, limits)
 	for range 23 {
 		a.commit("of-a")
 	}
 	for range 20 {
 		b.commit("of-b")
 	}
-	watch(t, "", to(b)).level(t, b) // builds the snapshot at revision 20
+	startWatcher(t, "", relaysOf(b)).waitUntilCurrent(t, b) // builds the snapshot at revision 20
 	for range 5 {
 		b.commit("of-b")
 	}
 	path := filepath.Join(t.TempDir(), "records")
-	w := watch(t, path, to(a))
-	w.level(t, a)
+	w := startWatcher(t, path, relaysOf(a))
+	w.waitUntilCurrent(t, a)
 	w.stop()
-	w = watch(t, path, to(b))
-	w.level(t, b)
-	w.tookSnapshot(t)
+	w = startWatcher(t, path, relaysOf(b))
+	w.waitUntilCurrent(t, b)
+	w.waitForSnapshot(t)
 }
 
 // A feed at its watcher limit refuses a watcher and names another address, where the watcher continues.
-func TestRefusedWatchersGoElsewhere(t *testing.T) {
-	other := openFeed(t, distribution.DefaultLimits)
-	full := openFeed(t, distribution.Limits{Commits: 10, Bytes: 1 << 20, Watchers: 0, Snapshots: 1}, func(o *configwatch.ServerOptions) { o.AlternateAddresses = []string{other.at()} })
+func TestRefusedWatcherTriesAlternateAddress(t *testing.T) {
+	other := startFeed(t, distribution.DefaultLimits)
+	full := startFeed(t, distribution.Limits{Commits: 10, Bytes: 1 << 20, Watchers: 0, Snapshots: 1},
+		func(o *configwatch.ServerOptions) { o.AlternateAddresses = []string{other.address()} })
 	other.commit("x")
-	relays := []distribution.Relay{{Name: "full", Address: full.at(), Zone: "z"}, {Name: "other", Address: other.at(), Zone: "y"}}
-	w := watch(t, "", relays)
-	w.level(t, other)
+	relays := []distribution.Relay{{Name: "full", Address: full.address(), Zone: "z"},
+		{Name: "other", Address: other.address(), Zone: "y"}}
+	w := startWatcher(t, "", relays)
+	w.waitUntilCurrent(t, other)
 	if full.server.Metrics().Refused == 0 {
 		t.Error("the feed at its limit refused no watcher")
 	}
 }
 
 // A watcher that does not read is disconnected, and the bytes that the feed retains for it stay within the limit.
-func TestSlowWatcherIsCutOff(t *testing.T) {
+func TestSlowWatcherIsDisconnected(t *testing.T) {
 	limits := distribution.Limits{Commits: 50, Bytes: 1 << 20, Watchers: 10, Snapshots: 2}
-	f := openFeed(t, limits)
-	conn, err := net.Dial("tcp", f.at())
+	f := startFeed(t, limits)
+	conn, err := net.Dial("tcp", f.address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	conn.Write(message(t, `{"watch":{"name":"slow","at":{"revision":0,"digest":"00000000000000000000000000000000"}}}`))
-	until(t, "the slow watcher is served", func() bool { return f.server.Metrics().Watchers == 1 })
-	w := watch(t, "", to(f))
+	conn.Write(frameMessage(t, `{"watch":{"name":"slow","at":{"revision":0,"digest":"00000000000000000000000000000000"}}}`))
+	waitUntil(t, "the slow watcher is served", func() bool { return f.server.Metrics().Watchers == 1 })
+	w := startWatcher(t, "", relaysOf(f))
 	large := strings.Repeat("n", 128)
-	until(t, "the slow watcher is disconnected", func() bool {
+	waitUntil(t, "the slow watcher is disconnected", func() bool {
 		f.commit(large, large[:100], large[:99], large[:98])
 		if held := f.server.Metrics().RetainedBytes; held > limits.Bytes {
 			t.Fatalf("%d bytes retained, limit %d", held, limits.Bytes)
 		}
-		w.level(t, f) // the other watcher is still served
+		w.waitUntilCurrent(t, f) // the other watcher is still served
 		return f.server.Metrics().Watchers == 1
 	})
 	if f.server.Metrics().Disconnected == 0 {
@@ -320,38 +324,38 @@
 	}
 }
 
-func message(t *testing.T, text string) []byte {
+func frameMessage(t *testing.T, text string) []byte {
 	t.Helper()
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 }
 
 // A watcher that violates the protocol loses its connection; other watchers are unaffected.
-func TestMalformedWatchesEndTheirConnection(t *testing.T) {
-	f := openFeed(t, distribution.DefaultLimits)
+func TestMalformedWatchClosesConnection(t *testing.T) {
+	f := startFeed(t, distribution.DefaultLimits)
 	f.commit("x")
-	w := watch(t, "", to(f))
-	w.level(t, f)
-	const good = `{"watch":{"name":"x","at":{"revision":1,"digest":"%s"}}}`
-	hello := string(message(t, fmt.Sprintf(good, f.digest())))
+	w := startWatcher(t, "", relaysOf(f))
+	w.waitUntilCurrent(t, f)
+	const validWatch = `{"watch":{"name":"x","at":{"revision":1,"digest":"%s"}}}`
+	firstMessage := string(frameMessage(t, fmt.Sprintf(validWatch, f.digest())))
 	for name, text := range map[string]string{
-		"invalid JSON":        string(message(t, "{")),
-		"empty message":       string(message(t, "{}")),
-		"report before watch": string(message(t, `{"report":{"servers":1}}`)),
-		"missing name":        string(message(t, `{"watch":{"at":{}}}`)),
-		"invalid digest":      string(message(t, `{"watch":{"name":"x","at":{"revision":1,"digest":"zz"}}}`)),
+		"invalid JSON":        string(frameMessage(t, "{")),
+		"empty message":       string(frameMessage(t, "{}")),
+		"report before watch": string(frameMessage(t, `{"report":{"servers":1}}`)),
+		"missing name":        string(frameMessage(t, `{"watch":{"at":{}}}`)),
+		"invalid digest":      string(frameMessage(t, `{"watch":{"name":"x","at":{"revision":1,"digest":"zz"}}}`)),
 		"length of zero":      "\x00\x00\x00\x00",
 		"excessive length":    "\xff\xff\xff\xff",
-		"second watch":        hello + hello,
-		"oversized report":    hello + "\x00\x10\x00\x00",
-		"noise":               hello + strings.Repeat("\xfe", 4000),
-		"truncated message":   hello[:9],
-		"negative revision":   string(message(t, `{"watch":{"name":"x","at":{"revision":-1}}}`)),
+		"second watch":        firstMessage + firstMessage,
+		"oversized report":    firstMessage + "\x00\x10\x00\x00",
+		"noise":               firstMessage + strings.Repeat("\xfe", 4000),
+		"truncated message":   firstMessage[:9],
+		"negative revision":   string(frameMessage(t, `{"watch":{"name":"x","at":{"revision":-1}}}`)),
 	} {
-		conn, err := net.Dial("tcp", f.at())
+		conn, err := net.Dial("tcp", f.address())
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		conn.Write([]byte(text))
 		if name == "truncated message" {
 			conn.(*net.TCPConn).CloseWrite()
@@ -361,13 +365,13 @@
 		}
 		conn.Close()
 	}
-	until(t, "only the valid watcher remains", func() bool { return f.server.Metrics().Watchers == 1 })
+	waitUntil(t, "only the valid watcher remains", func() bool { return f.server.Metrics().Watchers == 1 })
 	f.commit("y")
-	w.level(t, f)
+	w.waitUntilCurrent(t, f)
 }
 
-// scripted accepts connections and sends the given bytes on each; n is the number of the connection.
-func scripted(t *testing.T, bytes func(n int) []byte) (address string, ended *atomic.Int64) {
+// startScriptedFeed accepts connections and sends the given bytes on each; n is the number of the connection.
+func startScriptedFeed(t *testing.T, bytes func(n int) []byte) (address string, ended *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -392,7 +396,7 @@
 }
 
 // A watcher closes its connection to a feed that violates the protocol and keeps its records unchanged.
-func TestMalformedFeedsAreLeft(t *testing.T) {
+func TestWatcherLeavesMalformedFeed(t *testing.T) {
 	set := records.NewSet(records.DefaultLimits)
 	var commits []string
 	for i := range 3 {
@@ -400,37 +404,37 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := configwatch.Encode(c)
+		b, err := configwatch.EncodeCommit(c)
 		if err != nil {
 			t.Fatal(err)
 		}
 		commits = append(commits, string(b))
 	}
-	const head = 4 // bytes of the length prefix of a message
-	first := commits[0][head:]
-	header := string(message(t, `{"header":{"revision":9,"digest":"00000000000000000000000000000000","records":5,"pieces":1}}`))
+	const prefixBytes = 4 // bytes of the length prefix of a message
+	first := commits[0][prefixBytes:]
+	header := string(frameMessage(t, `{"header":{"revision":9,"digest":"00000000000000000000000000000000","records":5,"pieces":1}}`))
 	for name, text := range map[string]string{
-		"invalid JSON":         string(message(t, "[1")),
-		"empty message":        string(message(t, "{}")),
+		"invalid JSON":         string(frameMessage(t, "[1")),
+		"empty message":        string(frameMessage(t, "{}")),
 		"excessive length":     "\x7f\xff\xff\xff",
 		"missing commit":       commits[0] + commits[2],
 		"repeated commit":      commits[0] + commits[0],
-		"chunk before header":  string(message(t, `{"piece":{"number":0,"data":"AA=="}}`)),
-		"corrupt chunk":        header + string(message(t, `{"piece":{"number":0,"data":"AAAA"}}`)),
-		"truncated commit":     string(message(t, first[:len(first)-1])),
-		"trailing bytes":       string(message(t, first+"\x00")),
-		"unknown encoding":     string(message(t, "\x02"+first[1:])),
-		"commit as JSON":       string(message(t, `{"commit":{"revision":1}}`)),
-		"missing commit body":  string(message(t, first[:1])),
+		"chunk before header":  string(frameMessage(t, `{"piece":{"number":0,"data":"AA=="}}`)),
+		"corrupt chunk":        header + string(frameMessage(t, `{"piece":{"number":0,"data":"AAAA"}}`)),
+		"truncated commit":     string(frameMessage(t, first[:len(first)-1])),
+		"trailing bytes":       string(frameMessage(t, first+"\x00")),
+		"unknown encoding":     string(frameMessage(t, "\x02"+first[1:])),
+		"commit as JSON":       string(frameMessage(t, `{"commit":{"revision":1}}`)),
+		"missing commit body":  string(frameMessage(t, first[:1])),
 		"second header":        header + header,
 		"commit in a snapshot": header + commits[0],
-		"excessive records":    string(message(t, `{"header":{"revision":9,"records":999999999999,"pieces":1}}`)),
-		"no records promised":  string(message(t, `{"header":{"revision":9,"records":0,"pieces":1}}`)),
+		"excessive records":    string(frameMessage(t, `{"header":{"revision":9,"records":999999999999,"pieces":1}}`)),
+		"no records promised":  string(frameMessage(t, `{"header":{"revision":9,"records":0,"pieces":1}}`)),
 	} {
 		t.Run(name, func(t *testing.T) {
-			at, ended := scripted(t, func(int) []byte { return []byte(text) })
-			w := watch(t, "", []distribution.Relay{{Name: "bad", Address: at, Zone: "z"}})
-			until(t, "the connection is closed", func() bool { return ended.Load() > 0 })
+			address, ended := startScriptedFeed(t, func(int) []byte { return []byte(text) })
+			w := startWatcher(t, "", []distribution.Relay{{Name: "bad", Address: address, Zone: "z"}})
+			waitUntil(t, "the connection is closed", func() bool { return ended.Load() > 0 })
 			if p := w.Position(); p.Revision > 1 || w.Records() > 1 {
 				t.Errorf("the watcher advanced to %+v", p)
 			}
@@ -439,21 +443,21 @@
 }
 
 // The feed sums the reports of its watchers, with the reasons of rejected records.
-func TestReportsTellWhatWasTurnedDown(t *testing.T) {
-	f := openFeed(t, distribution.DefaultLimits)
-	w := &watching{}
+func TestReportsIncludeRejectedRecords(t *testing.T) {
+	f := startFeed(t, distribution.DefaultLimits)
+	w := &watcher{}
 	w.Replica = replica.Open(replica.Options{Name: "picky", Log: zerolog.Nop(), Check: func(p records.Put) error {
 		if p.Name == "bad" {
 			return errors.New("value rejected")
 		}
 		return nil
 	}})
-	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: "picky", Replica: w.Replica, Steady: clock.Steady(), Log: zerolog.Nop(),
-		Selector: distribution.NewSelector(to(f), distribution.Place{}, 1)})
+	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: "picky", Replica: w.Replica,
+		Steady: clock.Steady(), Log: zerolog.Nop(), Selector: distribution.NewSelector(relaysOf(f), distribution.Place{}, 1)})
 	go w.client.Run(t.Context())
 	f.commit("good")
 	f.commit("bad")
-	until(t, "the rejection is reported", func() bool {
+	waitUntil(t, "the rejection is reported", func() bool {
 		r := f.server.Report()
 		return r.Servers == 1 && r.Lowest == 2 && r.Rejecting == 1 && len(r.Rejections) == 1 && r.Rejections[0].Key == "setting/bad" &&
 			r.Rejections[0].Reason == "value rejected" && r.Rejections[0].Revision == 2
@@ -464,7 +468,7 @@
 	if err = errors.Join(err, f.server.Publish(commit)); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "no rejection is reported any more", func() bool { r := f.server.Report(); return r.Lowest == 3 && r.Rejecting == 0 })
+	waitUntil(t, "no rejection is reported any more", func() bool { r := f.server.Report(); return r.Lowest == 3 && r.Rejecting == 0 })
 }
 
 // BenchmarkFanOut measures the cost of a commit at a feed for several numbers of watchers.
@@ -474,25 +478,25 @@
 			f := &feed{t: b, set: records.NewSet(records.DefaultLimits)}
 			limits := distribution.DefaultLimits
 			f.server = configwatch.NewServer(configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Steady(), Log: zerolog.Nop()})
-			var got sync.WaitGroup
+			var received sync.WaitGroup
 			for i := range n {
-				here, there := net.Pipe()
-				b.Cleanup(func() { here.Close() })
-				go f.server.Serve(there)
+				clientConn, serverConn := net.Pipe()
+				b.Cleanup(func() { clientConn.Close() })
+				go f.server.Serve(serverConn)
 				go func() {
 					text := fmt.Sprintf(`{"watch":{"name":"w%d","at":{"revision":0,"digest":"00000000000000000000000000000000"}}}`, i)
-					here.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...))
+					clientConn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...))
 					buf := make([]byte, 4)
 					for {
-						if _, err := io.ReadFull(here, buf); err != nil {
+						if _, err := io.ReadFull(clientConn, buf); err != nil {
 							return
 						}
 						body := make([]byte, binary.BigEndian.Uint32(buf))
-						if _, err := io.ReadFull(here, body); err != nil {
+						if _, err := io.ReadFull(clientConn, body); err != nil {
 							return
 						}
 						if body[0] != '{' { // a commit; the other messages are JSON
-							got.Done()
+							received.Done()
 						}
 					}
 				}()
@@ -502,43 +506,45 @@
 			}
 			i := 0
 			for b.Loop() {
-				got.Add(n)
+				received.Add(n)
 				i++
 				f.commit(fmt.Sprint("n", i%100))
-				got.Wait()
+				received.Wait()
 			}
 		})
 	}
 }
 
 // All snapshots together stay within the configured rate, regardless of the number of watchers.
-func TestSnapshotsAreThrottled(t *testing.T) {
-	const bytesASecond, burst, watchers = 4 << 20, 1 << 20, 3
-	f := openFeed(t, distribution.Limits{Commits: 1, Bytes: 1 << 20, Watchers: 8, Snapshots: 4}, func(o *configwatch.ServerOptions) { o.SnapshotBytesPerSecond = bytesASecond })
+func TestSnapshotsAreRateLimited(t *testing.T) {
+	const bytesPerSecond, burst, watchers = 4 << 20, 1 << 20, 3
+	f := startFeed(t, distribution.Limits{Commits: 1, Bytes: 1 << 20, Watchers: 8, Snapshots: 4},
+		func(o *configwatch.ServerOptions) { o.SnapshotBytesPerSecond = bytesPerSecond })
 	random := rand.NewChaCha8([32]byte{1})
 	for i := range 40 { // values that cannot be compressed
 		value := make([]byte, records.MaxSetting)
 		random.Read(value)
 		f.mu.Lock()
-		commit, err := f.set.Apply(records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Setting, Name: fmt.Sprint(i)}, Value: value}}})
+		commit, err := f.set.Apply(records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Setting, Name: fmt.Sprint(i)},
+			Value: value}}})
 		f.mu.Unlock()
 		if err = errors.Join(err, f.server.Publish(commit)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	began := time.Now()
-	var all []*watching
+	start := time.Now()
+	var all []*watcher
 	for range watchers {
-		all = append(all, watch(t, "", to(f)))
+		all = append(all, startWatcher(t, "", relaysOf(f)))
 	}
 	for _, w := range all {
-		w.level(t, f)
+		w.waitUntilCurrent(t, f)
 	}
-	least := time.Duration(float64(watchers*40*records.MaxSetting-burst) / bytesASecond * float64(time.Second))
-	if took := time.Since(began); took < least {
-		t.Errorf("%d snapshots took %s, want at least %s", watchers, took, least)
+	minDuration := time.Duration(float64(watchers*40*records.MaxSetting-burst) / bytesPerSecond * float64(time.Second))
+	if took := time.Since(start); took < minDuration {
+		t.Errorf("%d snapshots took %s, want at least %s", watchers, took, minDuration)
 	}
 	if n := f.server.Metrics().Snapshots; n < watchers {
-		t.Errorf("%d snapshots were sent, want at least %d", n, watchers)
+		t.Errorf("%d snapshots were sent, want one per watcher", n)
 	}
 }
--- a/internal/net/configwatch/server.go
+++ b/internal/net/configwatch/server.go
@@ -28,9 +28,9 @@
 type ServerOptions struct {
 	Limits                 distribution.Limits
 	Source                 Source
-	SnapshotBytesPerSecond float64 // bytes per second for all snapshots together
-	// CheckWatch returns nil if a watcher is to be served, otherwise the reason and the addresses that may serve it. If Serves is nil,
-	// all watchers are served.
+	SnapshotBytesPerSecond float64 // for all snapshots together
+	// CheckWatch returns nil if a watcher is to be served, otherwise the reason and the addresses that may serve it. If
+	// CheckWatch is nil, all watchers are served.
 	CheckWatch func(Watch) *Refusal
 	// AlternateAddresses lists the addresses that a refused watcher may try.
 	AlternateAddresses []string
@@ -44,10 +44,10 @@
 type Metrics struct {
 	Watchers       int    `json:"watchers"`
 	Revision       uint64 `json:"revision"`
-	OldestRevision uint64 `json:"floor"`     // oldest revision that is served without a snapshot
-	RetainedBytes  int    `json:"held"`      // bytes of commits retained for watchers
-	SentBytes      uint64 `json:"sent"`      // bytes
-	ReceivedBytes  uint64 `json:"received"`  // bytes
+	OldestRevision uint64 `json:"floor"` // oldest revision that is served without a snapshot
+	RetainedBytes  int    `json:"held"`  // bytes of commits retained for watchers
+	SentBytes      uint64 `json:"sent"`
+	ReceivedBytes  uint64 `json:"received"`
 	Snapshots      uint64 `json:"snapshots"` // sent completely
 	Refused        uint64 `json:"refused"`
 	Disconnected   uint64 `json:"cut"` // watchers disconnected for an invalid message or for not reading
@@ -55,40 +55,41 @@
 
 // Server serves watchers from a feed.
 type Server struct {
-	o     ServerOptions
-	pace  *rate.Limiter
-	build sync.Mutex // one snapshot is compressed at a time
+	options         ServerOptions
+	snapshotLimiter *rate.Limiter
+	buildMu         sync.Mutex // one snapshot is compressed at a time
 
-	bytes                   meter.Count
-	snapshots, refused, cut atomic.Uint64
+	traffic                          meter.Count
+	snapshots, refused, disconnected atomic.Uint64
 
-	mu       sync.Mutex
-	feed     *distribution.Feed
-	progress *distribution.Progress
-	regions  *distribution.Regions // of the relays that watch here
-	ages     distribution.Ages
-	changed  chan struct{}     // closed at each change of the feed
-	conns    map[net.Conn]bool // connections of served watchers
-	cached   *records.Snapshot // nil: none
+	mu             sync.Mutex
+	feed           *distribution.Feed
+	progress       *distribution.Progress
+	regions        *distribution.Regions // of the relays that watch here
+	revisionAges   distribution.Ages
+	changed        chan struct{}     // closed at each change of the feed
+	conns          map[net.Conn]bool // connections of served watchers
+	cachedSnapshot *records.Snapshot // nil: none
 }
 
 const (
-	defaultSnapshotBytes = 32 << 20 // per second
-	snapshotBurst        = 1 << 20  // bytes
+	defaultSnapshotBytesPerSecond = 32 << 20
+	snapshotBurstBytes            = 1 << 20
 )
 
 // NewServer returns a server with an empty feed. Reset sets its first position.
 func NewServer(o ServerOptions) *Server {
 	if o.SnapshotBytesPerSecond <= 0 {
-		o.SnapshotBytesPerSecond = defaultSnapshotBytes
+		o.SnapshotBytesPerSecond = defaultSnapshotBytesPerSecond
 	}
-	return &Server{o: o, pace: rate.NewLimiter(rate.Limit(o.SnapshotBytesPerSecond), snapshotBurst), feed: distribution.NewFeed(o.Limits, o.Seed),
-		progress: distribution.NewProgress(), regions: distribution.NewRegions(), changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	return &Server{options: o, snapshotLimiter: rate.NewLimiter(rate.Limit(o.SnapshotBytesPerSecond), snapshotBurstBytes),
+		feed: distribution.NewFeed(o.Limits, o.Seed), progress: distribution.NewProgress(), regions: distribution.NewRegions(),
+		changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 }
 
 // Publish appends the next commit to the feed.
 func (s *Server) Publish(c records.Commit) error {
-	b, err := Encode(c)
+	b, err := EncodeCommit(c)
 	if err != nil {
 		return err
 	}
@@ -97,8 +98,8 @@
 	if err := s.feed.Advance(c, b); err != nil {
 		return err
 	}
-	s.ages.Add(c.Revision, s.o.Steady.Now())
-	s.wake()
+	s.revisionAges.Add(c.Revision, s.options.Steady.Now())
+	s.notifyWatchers()
 	return nil
 }
 
@@ -107,13 +108,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feed.Reset(p)
-	s.ages = distribution.Ages{}
-	s.ages.Add(p.Revision, s.o.Steady.Now()) // lower bound of the lag of watchers behind it
-	s.cached = nil
-	s.wake()
+	s.revisionAges = distribution.Ages{}
+	s.revisionAges.Add(p.Revision, s.options.Steady.Now()) // lower bound of the lag of watchers behind it
+	s.cachedSnapshot = nil
+	s.notifyWatchers()
 }
 
-func (s *Server) wake() {
+// notifyWatchers wakes the goroutines that wait for a change of the feed. The caller holds the lock.
+func (s *Server) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -137,66 +139,66 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	latest := s.feed.At().Revision
-	return distribution.Status{Revision: latest, Regions: s.regions.Status(s.o.Steady.Now(), latest, &s.ages)}
+	return distribution.Status{Revision: latest, Regions: s.regions.Status(s.options.Steady.Now(), latest, &s.revisionAges)}
 }
 
 // Metrics returns the current metrics.
 func (s *Server) Metrics() Metrics {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Metrics{s.feed.Watchers(), s.feed.At().Revision, s.feed.Floor(), s.feed.Held(), s.bytes.Out.Load(), s.bytes.In.Load(),
-		s.snapshots.Load(), s.refused.Load(), s.cut.Load()}
+	return Metrics{s.feed.Watchers(), s.feed.At().Revision, s.feed.Floor(), s.feed.Held(), s.traffic.Out.Load(), s.traffic.In.Load(),
+		s.snapshots.Load(), s.refused.Load(), s.disconnected.Load()}
 }
 
 // Serve serves one watcher until its connection ends.
 func (s *Server) Serve(conn net.Conn) {
 	defer conn.Close()
-	counted := meter.New(conn, &s.bytes)
+	metered := meter.New(conn, &s.traffic)
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		tcp.SetWriteBuffer(sendBuffer)
+		tcp.SetWriteBuffer(sendBufferBytes)
 	}
-	r := frame.NewReader(counted, reportTimeout, maxReport)
-	late := time.AfterFunc(helloTimeout, func() { conn.Close() })
-	var first toFeed
+	r := frame.NewReader(metered, reportIdleTimeout, maxReportBytes)
+	timer := time.AfterFunc(firstMessageTimeout, func() { conn.Close() })
+	var first watcherMessage
 	err := r.Next(&first)
-	late.Stop()
+	timer.Stop()
 	if err == nil && first.Watch == nil {
-		err = errNotYet
+		err = errNoWatch
 	}
 	if err == nil {
 		err = first.Watch.check()
 	}
 	if err != nil {
-		s.cut.Add(1)
-		s.o.Log.Debug().Err(err).Msg("invalid first message of a watcher")
+		s.disconnected.Add(1)
+		s.options.Log.Debug().Err(err).Msg("invalid first message of a watcher")
 		return
 	}
 	w := *first.Watch
-	admission, refused := s.admit(w)
-	if refused != nil {
+	admission, refusal := s.admit(w)
+	if refusal != nil {
 		s.refused.Add(1)
-		frame.Send(counted, toWatcher{Refused: refused}, maxMessage)
+		frame.Send(metered, feedMessage{Refusal: refusal}, maxMessageBytes)
 		return
 	}
-	s.enter(conn)
-	defer s.leave(w.Name, conn)
+	s.addConn(conn)
+	defer s.removeConn(w.Name, conn)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
 		defer cancel()
-		s.read(r, w)
+		s.readReports(r, w)
 	}()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if err := s.write(ctx, counted, w, admission); err != nil && ctx.Err() == nil {
-		s.cut.Add(1)
-		s.o.Log.Info().Err(err).Str("watcher", w.Name).Msg("watcher disconnected")
+	if err := s.sendCommits(ctx, metered, w, admission); err != nil && ctx.Err() == nil {
+		s.disconnected.Add(1)
+		s.options.Log.Info().Err(err).Str("watcher", w.Name).Msg("watcher disconnected")
 	}
 }
 
 func (s *Server) admit(w Watch) (distribution.Admission, *Refusal) {
-	if s.o.CheckWatch != nil {
-		if r := s.o.CheckWatch(w); r != nil {
+	if s.options.CheckWatch != nil {
+		if r := s.options.CheckWatch(w); r != nil {
 			return distribution.Admission{}, r
 		}
 	}
@@ -204,12 +206,12 @@
 	defer s.mu.Unlock()
 	a := s.feed.Admit(w.Position)
 	if a.Verdict == distribution.Refuse {
-		return a, &Refusal{a.RetryMs, s.o.AlternateAddresses, a.Reason}
+		return a, &Refusal{a.RetryMs, s.options.AlternateAddresses, a.Reason}
 	}
 	return a, nil
 }
 
-func (s *Server) enter(conn net.Conn) {
+func (s *Server) addConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[conn] = true
@@ -224,7 +226,7 @@
 	}
 }
 
-func (s *Server) leave(name string, conn net.Conn) {
+func (s *Server) removeConn(name string, conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
@@ -233,33 +235,33 @@
 	s.regions.Left(name)
 }
 
-// read receives the watcher's reports until the connection ends. It counts a watcher that violates the protocol.
-func (s *Server) read(r *frame.Reader, w Watch) {
+// readReports receives the watcher's reports until the connection ends. It counts a watcher that violates the protocol.
+func (s *Server) readReports(r *frame.Reader, w Watch) {
 	for {
-		var m toFeed
+		var m watcherMessage
 		if err := r.Next(&m); err != nil {
 			return
 		}
 		if m.Report == nil {
-			s.cut.Add(1)
-			s.o.Log.Warn().Err(errAgain).Str("watcher", w.Name).Msg("watcher disconnected")
+			s.disconnected.Add(1)
+			s.options.Log.Warn().Err(errSecondWatch).Str("watcher", w.Name).Msg("watcher disconnected")
 			return
 		}
-		s.heard(w, *m.Report)
+		s.recordReport(w, *m.Report)
 	}
 }
 
-func (s *Server) heard(w Watch, r distribution.Report) {
+func (s *Server) recordReport(w Watch, r distribution.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.progress.Put(w.Name, r)
 	if w.IsRelay {
-		s.regions.Put(s.o.Steady.Now(), w.Name, w.Region, r)
+		s.regions.Put(s.options.Steady.Now(), w.Name, w.Region, r)
 	}
 }
 
-// write sends the commits that the watcher lacks, after a snapshot if needed, and heartbeats when there are none.
-func (s *Server) write(ctx context.Context, conn net.Conn, w Watch, a distribution.Admission) error {
+// sendCommits sends the commits that the watcher lacks, after a snapshot if needed, and heartbeats when there are none.
+func (s *Server) sendCommits(ctx context.Context, conn net.Conn, w Watch, a distribution.Admission) error {
 	revision := w.Position.Revision
 	if a.Verdict == distribution.Snapshot {
 		var err error
@@ -269,7 +271,7 @@
 	}
 	for {
 		s.mu.Lock()
-		frames, through, err := s.feed.Next(revision, batchBytes)
+		frames, through, err := s.feed.Next(revision, maxBatchBytes)
 		latest, changed := s.feed.At().Revision, s.changed
 		s.mu.Unlock()
 		if err != nil {
@@ -282,22 +284,22 @@
 			revision = through
 			continue
 		}
-		if err := s.wait(ctx, conn, latest, changed); err != nil {
+		if err := s.waitForChange(ctx, conn, latest, changed); err != nil {
 			return err
 		}
 	}
 }
 
-// wait waits for a change of the feed, for at most the heartbeat interval, after which it sends a heartbeat.
-func (s *Server) wait(ctx context.Context, conn net.Conn, latest uint64, changed <-chan struct{}) error {
+// waitForChange waits for a change of the feed, for at most the heartbeat interval, after which it sends a heartbeat.
+func (s *Server) waitForChange(ctx context.Context, conn net.Conn, latest uint64, changed <-chan struct{}) error {
 	due := make(chan struct{})
-	t := s.o.Steady.After(heartbeatMs, func() { close(due) })
+	t := s.options.Steady.After(heartbeatIntervalMS, func() { close(due) })
 	defer t.Stop()
 	select {
 	case <-changed:
 		return nil
 	case <-due:
-		return frame.Send(conn, toWatcher{Heartbeat: &latest}, maxMessage)
+		return frame.Send(conn, feedMessage{Heartbeat: &latest}, maxMessageBytes)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -320,19 +322,19 @@
 		defer s.mu.Unlock()
 		s.feed.SnapshotDone()
 	}()
-	snapshot, err := s.snapshot()
+	snapshot, err := s.sharedSnapshot()
 	if err != nil {
 		return 0, err
 	}
-	if err := frame.Send(conn, toWatcher{Header: &snapshot.Header}, maxMessage); err != nil {
+	if err := frame.Send(conn, feedMessage{Header: &snapshot.Header}, maxMessageBytes); err != nil {
 		return 0, err
 	}
 	for i := range snapshot.Content {
 		p := &snapshot.Content[i]
-		if err := s.pace.WaitN(ctx, min(len(p.Data), snapshotBurst)); err != nil {
+		if err := s.snapshotLimiter.WaitN(ctx, min(len(p.Data), snapshotBurstBytes)); err != nil {
 			return 0, err
 		}
-		if err := frame.Send(conn, toWatcher{Piece: p}, maxMessage); err != nil {
+		if err := frame.Send(conn, feedMessage{Chunk: p}, maxMessageBytes); err != nil {
 			return 0, err
 		}
 	}
@@ -340,18 +342,19 @@
 	return snapshot.Revision, nil
 }
 
-// snapshot returns the snapshot that all watchers share. It builds a new one if the feed no longer retains the commits after it.
-func (s *Server) snapshot() (*records.Snapshot, error) {
-	s.build.Lock()
-	defer s.build.Unlock()
+// sharedSnapshot returns the snapshot that all watchers share. It builds a new one if the feed no longer retains the commits
+// after it.
+func (s *Server) sharedSnapshot() (*records.Snapshot, error) {
+	s.buildMu.Lock()
+	defer s.buildMu.Unlock()
 	s.mu.Lock()
-	cached, floor := s.cached, s.feed.Floor()
+	cached, oldest := s.cachedSnapshot, s.feed.Floor()
 	s.mu.Unlock()
-	if cached != nil && cached.Revision >= floor {
+	if cached != nil && cached.Revision >= oldest {
 		return cached, nil
 	}
-	table, revision := s.o.Source.Table()
-	if s.o.InjectedBug == distribution.PlantSnapshotRevision {
+	table, revision := s.options.Source.Table()
+	if s.options.InjectedBug == distribution.PlantSnapshotRevision {
 		revision++ // injected bug: the revision of the next change, which the table lacks
 	}
 	fresh, err := records.NewSnapshot(table, revision)
@@ -360,7 +363,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cached = fresh
+	s.cachedSnapshot = fresh
 	return fresh, nil
 }
 
--- a/internal/net/configwatch/wire.go
+++ b/internal/net/configwatch/wire.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	maxMessage    = 640 << 10        // bytes per message to a watcher; a chunk of a snapshot is the largest message
-	maxReport     = 32 << 10         // bytes per message to a feed
-	maxWatchName  = 128              // bytes
-	helloTimeout  = 2 * time.Second  // for the first message of a watcher
-	writeTimeout  = 2 * time.Second  // for one batch; a watcher that takes longer reads too slowly and is disconnected
-	heartbeatMs   = 1000.0           // longest interval between messages of a feed, and between reports of a watcher
-	silentTimeout = 3 * time.Second  // a feed that is silent for longer counts as gone
-	batchBytes    = 64 << 10         // bytes of commits per write
-	sendBuffer    = 128 << 10        // bytes of socket send buffer per watcher, which bounds unsent output
-	reportTimeout = 10 * time.Second // a watcher that sends no report for longer is disconnected
+	maxMessageBytes     = 640 << 10        // per message to a watcher; a chunk of a snapshot is the largest message
+	maxReportBytes      = 32 << 10         // per message to a feed
+	maxNameBytes        = 128              // of a watcher, and of a region
+	firstMessageTimeout = 2 * time.Second  // for the first message of a watcher
+	writeTimeout        = 2 * time.Second  // for one batch; a watcher that takes longer reads too slowly and is disconnected
+	heartbeatIntervalMS = 1000.0           // longest interval between messages of a feed, and between reports of a watcher
+	feedIdleTimeout     = 3 * time.Second  // a feed that is silent for longer counts as gone
+	maxBatchBytes       = 64 << 10         // of commits per write
+	sendBufferBytes     = 128 << 10        // of the socket of each watcher; bounds unsent output
+	reportIdleTimeout   = 10 * time.Second // a watcher that sends no report for longer is disconnected
 )
 
 // Watch is the first message of a watcher: its name and the position from which it continues.
@@ -35,11 +35,11 @@
 }
 
 func (w Watch) check() error {
-	if w.Name == "" || len(w.Name) > maxWatchName {
-		return fmt.Errorf("configwatch: invalid watch: name must have 1 to %d characters", maxWatchName)
+	if w.Name == "" || len(w.Name) > maxNameBytes {
+		return fmt.Errorf("configwatch: invalid watch: name must have 1 to %d characters", maxNameBytes)
 	}
-	if len(w.Region) > maxWatchName {
-		return fmt.Errorf("configwatch: invalid watch: region has more than %d characters", maxWatchName)
+	if len(w.Region) > maxNameBytes {
+		return fmt.Errorf("configwatch: invalid watch: region has more than %d characters", maxNameBytes)
 	}
 	return nil
 }
@@ -54,41 +54,41 @@
 // Error returns the reason for the refusal.
 func (r *Refusal) Error() string { return "configwatch: refused: " + r.Reason }
 
-// toFeed is a message from a watcher to a feed. Exactly one field is set.
-type toFeed struct {
+// watcherMessage is a message from a watcher to a feed. Exactly one field is set.
+type watcherMessage struct {
 	Watch  *Watch               `json:"watch,omitempty"`
 	Report *distribution.Report `json:"report,omitempty"`
 }
 
-// toWatcher is a message from a feed to a watcher. Exactly one field is set. A commit is encoded in binary form after the byte
-// packedCommit, since commits make up most of the traffic; the other messages are JSON, which begins with another byte.
-type toWatcher struct {
+// feedMessage is a message from a feed to a watcher. Exactly one field is set. A commit is encoded in binary form after the byte
+// commitPrefix, since commits make up most of the traffic; the other messages are JSON, which begins with another byte.
+type feedMessage struct {
 	Commit    *records.Commit `json:"-"`
 	Header    *records.Header `json:"header,omitempty"` // start of a snapshot
-	Piece     *records.Piece  `json:"piece,omitempty"`
+	Chunk     *records.Piece  `json:"piece,omitempty"`
 	Heartbeat *uint64         `json:"heartbeat,omitempty"` // latest revision of the feed
-	Refused   *Refusal        `json:"refused,omitempty"`
+	Refusal   *Refusal        `json:"refused,omitempty"`
 }
 
 // Protocol errors of a connection.
 var (
-	errNoPart = errors.New("configwatch: empty message")
-	errPiece  = errors.New("configwatch: snapshot messages out of order")
-	errAgain  = errors.New("configwatch: second watch on one connection")
-	errNotYet = errors.New("configwatch: first message is not a watch")
-	errOther  = errors.New("configwatch: local records differ from the committed records at this revision")
+	errEmptyMessage     = errors.New("configwatch: empty message")
+	errSnapshotOrder    = errors.New("configwatch: snapshot messages out of order")
+	errSecondWatch      = errors.New("configwatch: second watch on one connection")
+	errNoWatch          = errors.New("configwatch: first message is not a watch")
+	errDivergentRecords = errors.New("configwatch: local records differ from the committed records at this revision")
 )
 
-const packedCommit = 1 // first byte of a message that contains a commit
+const commitPrefix = 1 // first byte of a message that contains a commit
 
-// Encode returns the wire encoding of a commit.
-func Encode(c records.Commit) ([]byte, error) {
-	return frame.AppendBytes(nil, records.AppendCommit([]byte{packedCommit}, c), maxMessage)
+// EncodeCommit returns the wire encoding of a commit.
+func EncodeCommit(c records.Commit) ([]byte, error) {
+	return frame.AppendBytes(nil, records.AppendCommit([]byte{commitPrefix}, c), maxMessageBytes)
 }
 
 // decode parses the content of a message from a feed.
-func decode(content []byte) (m toWatcher, err error) {
-	if content[0] != packedCommit {
+func decode(content []byte) (m feedMessage, err error) {
+	if content[0] != commitPrefix {
 		return m, frame.Decode(content, &m)
 	}
 	c, err := records.ParseCommit(content[1:])
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -27,15 +27,15 @@
 )
 
 const (
-	dialFor    = time.Second
-	firstRetry = 0.2     // renewal intervals; bound of the first backoff
-	maxRetry   = 2.0     // renewal intervals; bound of the last backoff: a server finds the leader before its presence expires
-	fullMost   = 20.0    // renewal intervals; longest retry delay accepted from a replica at its session limit
-	answerFor  = 3.0     // renewal intervals without a heartbeat reply after which the client tries another replica
-	endedEvery = 50.0    // ms; outcomes of effects that arrive within it are sent as one command
-	mostEnded  = 256     // succeeded effects, and failed effects, in one command
-	mostEnds   = 1 << 14 // outcomes waiting to be sent; further ones are dropped
-	commandFor = 3000.0  // ms; timeout of a command or query
+	dialTimeout           = time.Second
+	firstBackoffRenewals  = 0.2     // renewal intervals; bound of the first backoff
+	maxBackoffRenewals    = 2.0     // renewal intervals; bound of later backoffs, so that a leader is found before the presence expires
+	maxLimitRetryRenewals = 20.0    // renewal intervals; bound of the retry delay accepted from a replica at its session limit
+	replyTimeoutRenewals  = 3.0     // renewal intervals without a heartbeat reply after which the client tries another replica
+	outcomeBatchMS        = 50.0    // outcomes of effects that arrive within it are sent as one command
+	maxOutcomesPerCommand = 256     // succeeded effects, and failed effects, in one command
+	maxPendingOutcomes    = 1 << 14 // outcomes waiting to be sent; further ones are dropped
+	commandTimeoutMS      = 3000.0  // after it a command or query without a reply counts as unconfirmed
 )
 
 // Options configure a Client.
@@ -52,7 +52,7 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
 	// OnEvent is called for each event, in order, on a dedicated goroutine. An event is an action of duty.Machine, or one of
-	// Allotted, Published and Linked. If nil, events are discarded.
+	// ShareChanged, VersionPublished and SessionEstablished. If nil, events are discarded.
 	OnEvent func(any)
 	// Need returns the downstream capacity that the server could use beyond its standalone share, in thousandths of a call in
 	// flight. If nil, the server reports a demand of 0.
@@ -74,28 +74,28 @@
 
 // Client maintains an order server's session with the current leader of the store.
 type Client struct {
-	o     Options
-	on    *mailbox.Box[any]
-	fence atomic.Uint64 // commands refused for a stale epoch
-
-	mu      sync.Mutex
-	m       *duty.Machine
-	line    *line
-	conn    net.Conn
-	since   float64 // steady clock, ms: time of the last heartbeat reply, or of the connect
-	hint    string  // ID of the reported leader; "": unknown
-	next    int     // counter into order, used without a hint
-	no      uint64
-	waits   map[uint64]chan toServer
-	mine    allot.Mine
-	used    uint64 // version of the share in use
-	version uint64 // latest published version seen
-	ended   []string
-	failed  []string
-	ending  bool
-	timer   *clock.Timer
-	led     bool // the current session has received a heartbeat reply
-	order   []string
+	options        Options
+	events         *mailbox.Box[any]
+	fencedCommands atomic.Uint64 // commands refused for a stale epoch
+
+	mu                sync.Mutex
+	machine           *duty.Machine
+	writer            *messageWriter
+	conn              net.Conn
+	lastReplyAt       float64 // steady clock, ms: time of the last heartbeat reply, or of the connect
+	leaderHint        string  // ID of the reported leader; "": unknown
+	nextReplica       int     // counter into replicaIDs, used without a hint
+	lastRequestID     uint64
+	pendingReplies    map[uint64]chan serverMessage
+	share             allot.Mine
+	acknowledgedShare uint64 // version of the share in use
+	publishedVersion  uint64 // latest published version seen
+	succeededEffects  []string
+	failedEffects     []string
+	reportScheduled   bool
+	stepTimer         *clock.Timer
+	established       bool // the current session has received a heartbeat reply
+	replicaIDs        []string
 }
 
 // NewClient returns a client. It connects once Run is called.
@@ -103,61 +103,63 @@
 	m := duty.NewMachine(o.Rules, o.ProcessID, o.Seed)
 	m.Plant = o.InjectedBug
 	if o.Dial == nil {
-		d := net.Dialer{Timeout: dialFor}
+		d := net.Dialer{Timeout: dialTimeout}
 		o.Dial = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 	}
-	c := &Client{o: o, on: mailbox.New[any](), m: m, waits: map[uint64]chan toServer{}, order: slices.Sorted(maps.Keys(o.ReplicaAddresses))}
-	if n := len(c.order); n > 0 {
-		c.next = int(o.Seed % uint64(n))
+	c := &Client{options: o, events: mailbox.New[any](), machine: m,
+		pendingReplies: map[uint64]chan serverMessage{}, replicaIDs: slices.Sorted(maps.Keys(o.ReplicaAddresses))}
+	if n := len(c.replicaIDs); n > 0 {
+		c.nextReplica = int(o.Seed % uint64(n))
 	}
 	return c
 }
 
 // Run maintains a session, reconnecting with backoff, until the context ends.
 func (c *Client) Run(ctx context.Context) {
-	go c.events(ctx)
+	go c.dispatchEvents(ctx)
 	c.mu.Lock()
 	c.step()
 	c.mu.Unlock()
-	retry := backoff.New(firstRetry*c.o.Rules.Renew, maxRetry*c.o.Rules.Renew, rand.New(rand.NewPCG(c.o.Seed, 2)))
+	backoffs := backoff.New(firstBackoffRenewals*c.options.Rules.Renew, maxBackoffRenewals*c.options.Rules.Renew,
+		rand.New(rand.NewPCG(c.options.Seed, 2)))
 	for ctx.Err() == nil {
 		var err error
-		if at := c.seek(); at != "" {
-			err = c.try(ctx, at)
-			c.o.Log.Debug().Err(err).Str("at", at).Msg("session ended; reconnecting")
+		if address := c.nextAddress(); address != "" {
+			err = c.connect(ctx, address)
+			c.options.Log.Debug().Err(err).Str("at", address).Msg("session ended; reconnecting")
 		}
-		if c.wasServed() {
-			retry.Reset()
+		if c.takeEstablished() {
+			backoffs.Reset()
 		}
-		wait := retry.Next()
-		if full := (*fullError)(nil); errors.As(err, &full) {
-			wait += full.retryMs
+		wait := backoffs.Next()
+		if limitErr := (*sessionLimitError)(nil); errors.As(err, &limitErr) {
+			wait += limitErr.retryMS
 		}
-		c.pause(ctx, wait)
+		c.sleep(ctx, wait)
 	}
 }
 
-// try connects to a replica and serves the session until it ends.
-func (c *Client) try(ctx context.Context, at string) error {
-	conn, err := c.o.Dial(ctx, at)
+// connect connects to a replica and serves the session until it ends.
+func (c *Client) connect(ctx context.Context, address string) error {
+	conn, err := c.options.Dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	return c.hold(ctx, conn)
+	return c.serve(ctx, conn)
 }
 
-// wasServed reports whether the last session received a heartbeat reply, and clears that state.
-func (c *Client) wasServed() bool {
+// takeEstablished reports whether the last session received a heartbeat reply, and clears that state.
+func (c *Client) takeEstablished() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	served := c.led
-	c.led = false
-	return served
+	established := c.established
+	c.established = false
+	return established
 }
 
-func (c *Client) pause(ctx context.Context, ms float64) {
+func (c *Client) sleep(ctx context.Context, ms float64) {
 	due := make(chan struct{})
-	t := c.o.Steady.After(ms, func() { close(due) })
+	t := c.options.Steady.After(ms, func() { close(due) })
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -165,40 +167,40 @@
 	}
 }
 
-func (c *Client) events(ctx context.Context) {
+func (c *Client) dispatchEvents(ctx context.Context) {
 	var batch []any
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.on.Ready:
+		case <-c.events.Ready:
 		}
-		batch = c.on.Take(batch)
+		batch = c.events.Take(batch)
 		for _, e := range batch {
-			if c.o.OnEvent != nil {
-				c.o.OnEvent(e)
+			if c.options.OnEvent != nil {
+				c.options.OnEvent(e)
 			}
 		}
 	}
 }
 
-// seek returns the address of the replica to try next; "": none is configured.
-func (c *Client) seek() string {
+// nextAddress returns the address of the replica to try next; "": none is configured.
+func (c *Client) nextAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at := c.o.ReplicaAddresses[c.hint]; at != "" {
-		c.hint = "" // used once: the hint may be outdated
-		return at
+	if address := c.options.ReplicaAddresses[c.leaderHint]; address != "" {
+		c.leaderHint = "" // used once: the hint may be outdated
+		return address
 	}
-	if len(c.order) == 0 {
+	if len(c.replicaIDs) == 0 {
 		return ""
 	}
-	c.next++
-	return c.o.ReplicaAddresses[c.order[c.next%len(c.order)]]
+	c.nextReplica++
+	return c.options.ReplicaAddresses[c.replicaIDs[c.nextReplica%len(c.replicaIDs)]]
 }
 
-// hold serves one connection until it ends.
-func (c *Client) hold(ctx context.Context, conn net.Conn) error {
+// serve serves one connection until it ends.
+func (c *Client) serve(ctx context.Context, conn net.Conn) error {
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
@@ -206,74 +208,75 @@
 	if _, err := conn.Write([]byte{store.ForSessions}); err != nil {
 		return err
 	}
-	l := newLine(conn)
-	defer close(l.done)
+	writer := newMessageWriter(conn)
+	defer close(writer.done)
 	c.mu.Lock()
-	c.line, c.conn, c.since, c.led = l, conn, c.o.Steady.Now(), false
-	c.m.Hurry()
+	c.writer, c.conn, c.lastReplyAt, c.established = writer, conn, c.options.Steady.Now(), false
+	c.machine.Hurry()
 	c.step()
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.line, c.conn = nil, nil
-		for no, w := range c.waits { // commands and queries sent on this connection get no reply
-			delete(c.waits, no)
-			close(w)
+		c.writer, c.conn = nil, nil
+		for id, reply := range c.pendingReplies { // commands and queries sent on this connection get no reply
+			delete(c.pendingReplies, id)
+			close(reply)
 		}
 	}()
 	r := newReader(conn, 0)
 	for {
-		var m toServer
+		var m serverMessage
 		if err := r.Next(&m); err != nil {
 			return err
 		}
-		if err := c.hear(m); err != nil {
+		if err := c.handleMessage(m); err != nil {
 			return err
 		}
 	}
 }
 
-func (c *Client) hear(m toServer) error {
+func (c *Client) handleMessage(m serverMessage) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m.Else != nil {
-		c.hint = *m.Else
-		if w := c.waits[m.No]; w != nil {
-			delete(c.waits, m.No)
-			w <- m
+	if m.LeaderID != nil {
+		c.leaderHint = *m.LeaderID
+		if reply := c.pendingReplies[m.RequestID]; reply != nil {
+			delete(c.pendingReplies, m.RequestID)
+			reply <- m
 		}
-		return fmt.Errorf("session: not the leader; the leader is %q", *m.Else)
+		return fmt.Errorf("session: not the leader; the leader is %q", *m.LeaderID)
 	}
-	if m.RetryMs > 0 {
-		return &fullError{min(m.RetryMs, fullMost*c.o.Rules.Renew)}
+	if m.RetryMS > 0 {
+		return &sessionLimitError{min(m.RetryMS, maxLimitRetryRenewals*c.options.Rules.Renew)}
 	}
 	if m.Reply != nil {
-		now := c.o.Steady.Now()
-		c.since = now
-		if !c.led {
-			c.led = true
-			c.on.Put(SessionEstablished{})
+		now := c.options.Steady.Now()
+		c.lastReplyAt = now
+		if !c.established {
+			c.established = true
+			c.events.Put(SessionEstablished{})
 		}
-		current := m.Reply.Index >= c.m.Seen()
-		c.do(c.m.HandleReply(now, *m.Reply))
+		current := m.Reply.Index >= c.machine.Seen()
+		c.handleActions(c.machine.HandleReply(now, *m.Reply))
 		if current {
-			if _, here := c.m.May(now, duty.PresenceOf(c.o.ProcessID)); here && m.Share != nil && m.Share.Version > c.mine.Version {
-				c.mine.Take(*m.Share)
-				c.on.Put(ShareChanged{c.mine.Amount, c.mine.Version})
+			if _, present := c.machine.May(now, duty.PresenceOf(c.options.ProcessID)); present &&
+				m.Share != nil && m.Share.Version > c.share.Version {
+				c.share.Take(*m.Share)
+				c.events.Put(ShareChanged{c.share.Amount, c.share.Version})
 			}
-			if m.Version > c.version {
-				c.version = m.Version
-				c.on.Put(VersionPublished{m.Version})
+			if m.Version > c.publishedVersion {
+				c.publishedVersion = m.Version
+				c.events.Put(VersionPublished{m.Version})
 			}
 		}
 		c.step()
 		return nil
 	}
-	if w := c.waits[m.No]; w != nil {
-		delete(c.waits, m.No)
-		w <- m
-	} else if m.Error != "" && m.No == 0 { // other replies belong to requests that timed out
+	if reply := c.pendingReplies[m.RequestID]; reply != nil {
+		delete(c.pendingReplies, m.RequestID)
+		reply <- m
+	} else if m.Error != "" && m.RequestID == 0 { // other replies belong to requests that timed out
 		return fmt.Errorf("session: %s", m.Error)
 	}
 	return nil
@@ -281,39 +284,39 @@
 
 // step advances the duty machine to the current time and schedules the next step. The caller holds the lock.
 func (c *Client) step() {
-	now := c.o.Steady.Now()
-	c.do(c.m.Tick(now))
-	if c.conn != nil && now > c.since+answerFor*c.o.Rules.Renew {
+	now := c.options.Steady.Now()
+	c.handleActions(c.machine.Tick(now))
+	if c.conn != nil && now > c.lastReplyAt+replyTimeoutRenewals*c.options.Rules.Renew {
 		c.conn.Close() // the replica is stalled or unreachable; another may be the leader by now
 	}
-	if c.timer != nil {
-		c.timer.Stop()
+	if c.stepTimer != nil {
+		c.stepTimer.Stop()
 	}
-	c.timer = c.o.Steady.After(max(c.m.Next()-now, 1), func() {
+	c.stepTimer = c.options.Steady.After(max(c.machine.Next()-now, 1), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.step()
 	})
 }
 
-func (c *Client) do(actions []duty.Action) {
+func (c *Client) handleActions(actions []duty.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case duty.Send:
-			if c.line != nil {
+			if c.writer != nil {
 				need := int64(0)
-				if c.o.Need != nil {
-					need = c.o.Need()
+				if c.options.Need != nil {
+					need = c.options.Need()
 				}
-				c.line.send(toCopy{Heartbeat: &a.Heartbeat, Ack: c.used, Need: need})
+				c.writer.send(clientMessage{Heartbeat: &a.Heartbeat, ShareAck: c.acknowledgedShare, Need: need})
 			}
 		case duty.Ended:
-			if a.Name == duty.PresenceOf(c.o.ProcessID) {
-				c.mine, c.used = allot.Mine{}, 0
+			if a.Name == duty.PresenceOf(c.options.ProcessID) {
+				c.share, c.acknowledgedShare = allot.Mine{}, 0
 			}
-			c.on.Put(a)
+			c.events.Put(a)
 		default:
-			c.on.Put(a)
+			c.events.Put(a)
 		}
 	}
 }
@@ -322,9 +325,9 @@
 func (c *Client) AcknowledgeShare(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if version == c.mine.Version {
-		c.used = version
-		c.m.Hurry()
+	if version == c.share.Version {
+		c.acknowledgedShare = version
+		c.machine.Hurry()
 		c.step()
 	}
 }
@@ -333,7 +336,7 @@
 func (c *Client) ActiveGrant(name string) (duty.Ref, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.m.May(c.o.Steady.Now(), name)
+	return c.machine.May(c.options.Steady.Now(), name)
 }
 
 // LeaseEnd returns the grant of a held duty and the end of its lease on the steady clock in ms, also while the duty is being
@@ -341,22 +344,22 @@
 func (c *Client) LeaseEnd(name string) (duty.Ref, float64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.m.Until(name)
+	return c.machine.Until(name)
 }
 
 // Presence returns the grant of this process's presence and the end of its lease on the steady clock in ms.
 func (c *Client) Presence() (duty.Ref, float64, bool) {
-	return c.LeaseEnd(duty.PresenceOf(c.o.ProcessID))
+	return c.LeaseEnd(duty.PresenceOf(c.options.ProcessID))
 }
 
 // FencedCommands returns the number of commands refused for a stale epoch.
-func (c *Client) FencedCommands() uint64 { return c.fence.Load() }
+func (c *Client) FencedCommands() uint64 { return c.fencedCommands.Load() }
 
 // Quiesced reports that no action is in progress under a grant that is being yielded.
 func (c *Client) Quiesced(r duty.Ref) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.do(c.m.Quiet(c.o.Steady.Now(), r))
+	c.handleActions(c.machine.Quiet(c.options.Steady.Now(), r))
 	c.step()
 }
 
@@ -364,7 +367,7 @@
 func (c *Client) SetMode(mode duty.Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.do(c.m.Switch(c.o.Steady.Now(), mode))
+	c.handleActions(c.machine.Switch(c.options.Steady.Now(), mode))
 	c.step()
 }
 
@@ -372,90 +375,91 @@
 func (c *Client) ReleaseAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.do(c.m.Leave(c.o.Steady.Now()))
+	c.handleActions(c.machine.Leave(c.options.Steady.Now()))
 }
 
-// ask sends a command or query and waits for its reply. ErrNotExecuted means that it was not executed.
-func (c *Client) ask(ctx context.Context, m toCopy) (toServer, error) {
+// request sends a command or query and waits for its reply. ErrNotExecuted means that it was not executed.
+func (c *Client) request(ctx context.Context, m clientMessage) (serverMessage, error) {
 	c.mu.Lock()
-	l := c.line
-	if l == nil {
+	writer := c.writer
+	if writer == nil {
 		c.mu.Unlock()
-		return toServer{}, ErrNotExecuted
+		return serverMessage{}, ErrNotExecuted
 	}
-	c.no++
-	m.No = c.no
-	w := make(chan toServer, 1)
-	c.waits[m.No] = w
-	l.send(m)
+	c.lastRequestID++
+	m.RequestID = c.lastRequestID
+	reply := make(chan serverMessage, 1)
+	c.pendingReplies[m.RequestID] = reply
+	writer.send(m)
 	c.mu.Unlock()
-	late := make(chan struct{})
-	t := c.o.Steady.After(commandFor, func() { close(late) })
+	expired := make(chan struct{})
+	t := c.options.Steady.After(commandTimeoutMS, func() { close(expired) })
 	defer t.Stop()
 	select {
-	case got, ok := <-w:
+	case response, ok := <-reply:
 		if !ok {
-			return got, ErrUnconfirmed
+			return response, ErrUnconfirmed
 		}
-		if got.Else != nil {
-			return got, ErrNotExecuted
+		if response.LeaderID != nil {
+			return response, ErrNotExecuted
 		}
-		if got.Error != "" {
-			return got, fmt.Errorf("%w: %s", ErrUnconfirmed, got.Error)
+		if response.Error != "" {
+			return response, fmt.Errorf("%w: %s", ErrUnconfirmed, response.Error)
 		}
-		return got, nil
-	case <-late:
+		return response, nil
+	case <-expired:
 	case <-ctx.Done():
 	}
 	c.mu.Lock()
-	delete(c.waits, m.No)
+	delete(c.pendingReplies, m.RequestID)
 	c.mu.Unlock()
-	return toServer{}, ErrUnconfirmed
+	return serverMessage{}, ErrUnconfirmed
 }
 
 // Do sends a command and returns its result. The command is sent once: after ErrUnconfirmed the caller has to find out whether
 // it was executed.
 func (c *Client) Do(ctx context.Context, cmd state.Command) (state.Result, error) {
-	got, err := c.ask(ctx, toCopy{Do: &cmd})
+	response, err := c.request(ctx, clientMessage{Command: &cmd})
 	if err != nil {
 		return state.Result{}, err
 	}
-	if got.Result == nil {
+	if response.Result == nil {
 		return state.Result{}, ErrUnconfirmed
 	}
-	if got.Result.Stale {
-		c.fence.Add(1)
-		return *got.Result, fmt.Errorf("%w: %s", ErrStaleEpoch, got.Result.Error)
+	if response.Result.Stale {
+		c.fencedCommands.Add(1)
+		return *response.Result, fmt.Errorf("%w: %s", ErrStaleEpoch, response.Result.Error)
 	}
-	if got.Result.Error != "" {
-		return *got.Result, fmt.Errorf("session: refused: %s", got.Result.Error)
+	if response.Result.Error != "" {
+		return *response.Result, fmt.Errorf("session: refused: %s", response.Result.Error)
 	}
-	return *got.Result, nil
+	return *response.Result, nil
 }
 
 // DoFenced executes commands under a duty. The store checks the fencing token (epoch) in the same log entry that applies the
 // commands.
-func (c *Client) DoFenced(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
-	return c.Do(ctx, state.Command{Op: state.Act, Fence: &under, Do: do})
+func (c *Client) DoFenced(ctx context.Context, grant duty.Ref, commands ...state.Command) (state.Result, error) {
+	return c.Do(ctx, state.Command{Op: state.Act, Fence: &grant, Do: commands})
 }
 
 // Read runs a query and decodes its result. The result reflects the state at some time after the call began.
-func (c *Client) Read(ctx context.Context, what string, into any) error {
-	got, err := c.ask(ctx, toCopy{Read: what})
+func (c *Client) Read(ctx context.Context, query string, result any) error {
+	response, err := c.request(ctx, clientMessage{Query: query})
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(got.Body, into)
+	return json.Unmarshal(response.Body, result)
 }
 
 // Begin records an effect in the replicated store before its attempt, under this process's presence. Begin and Ended make the
-// client a core.Ledger.
+// client the effect log that package core writes to.
 func (c *Client) Begin(id string) (bool, error) {
-	here, ok := c.ActiveGrant(duty.PresenceOf(c.o.ProcessID))
+	presence, ok := c.ActiveGrant(duty.PresenceOf(c.options.ProcessID))
 	if !ok {
 		return false, fmt.Errorf("%w: no presence lease in force", ErrNotExecuted)
 	}
-	r, err := c.Do(context.Background(), state.Command{Op: state.Begin, Key: id, Who: c.o.ProcessID, Epoch: here.Epoch, Keep: true})
+	r, err := c.Do(context.Background(), state.Command{Op: state.Begin, Key: id, Who: c.options.ProcessID,
+		Epoch: presence.Epoch, Keep: true})
 	return err == nil && r.Fresh, err
 }
 
@@ -464,40 +468,41 @@
 func (c *Client) Ended(id string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.ended)+len(c.failed) >= mostEnds {
+	if len(c.succeededEffects)+len(c.failedEffects) >= maxPendingOutcomes {
 		return
 	}
 	if ok {
-		c.ended = append(c.ended, id)
+		c.succeededEffects = append(c.succeededEffects, id)
 	} else {
-		c.failed = append(c.failed, id)
+		c.failedEffects = append(c.failedEffects, id)
 	}
-	c.endSoon()
+	c.scheduleReport()
 }
 
-// endSoon schedules a report of the collected outcomes. The caller holds the lock.
-func (c *Client) endSoon() {
-	if !c.ending {
-		c.ending = true
-		c.o.Steady.After(endedEvery, func() { go c.end() })
+// scheduleReport schedules a report of the collected outcomes. The caller holds the lock.
+func (c *Client) scheduleReport() {
+	if !c.reportScheduled {
+		c.reportScheduled = true
+		c.options.Steady.After(outcomeBatchMS, func() { go c.reportOutcomes() })
 	}
 }
 
-// end sends the collected outcomes. Unconfirmed outcomes are sent again, since recording an outcome is idempotent.
-func (c *Client) end() {
+// reportOutcomes sends the collected outcomes. Unconfirmed outcomes are sent again, since recording an outcome is idempotent.
+func (c *Client) reportOutcomes() {
 	c.mu.Lock()
-	ok, failed := c.ended[:min(len(c.ended), mostEnded)], c.failed[:min(len(c.failed), mostEnded)]
-	cmd := state.Command{Op: state.End, Who: c.o.ProcessID, IDs: slices.Clone(ok), Failed: slices.Clone(failed)}
+	succeeded, failed := c.succeededEffects[:min(len(c.succeededEffects), maxOutcomesPerCommand)],
+		c.failedEffects[:min(len(c.failedEffects), maxOutcomesPerCommand)]
+	cmd := state.Command{Op: state.End, Who: c.options.ProcessID, IDs: slices.Clone(succeeded), Failed: slices.Clone(failed)}
 	c.mu.Unlock()
 	_, err := c.Do(context.Background(), cmd)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = false
+	c.reportScheduled = false
 	if err == nil {
-		c.ended, c.failed = c.ended[len(cmd.IDs):], c.failed[len(cmd.Failed):]
+		c.succeededEffects, c.failedEffects = c.succeededEffects[len(cmd.IDs):], c.failedEffects[len(cmd.Failed):]
 	}
-	if len(c.ended)+len(c.failed) > 0 {
-		c.endSoon()
+	if len(c.succeededEffects)+len(c.failedEffects) > 0 {
+		c.scheduleReport()
 	}
 }
 
@@ -511,15 +516,15 @@
 func (c *Client) Connected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.line != nil && c.led
+	return c.writer != nil && c.established
 }
 
 // Share returns the capacity that this process may use now beyond its standalone share, in thousandths of a call in flight.
 func (c *Client) Share() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, here := c.m.May(c.o.Steady.Now(), duty.PresenceOf(c.o.ProcessID)); !here {
+	if _, present := c.machine.May(c.options.Steady.Now(), duty.PresenceOf(c.options.ProcessID)); !present {
 		return 0
 	}
-	return c.mine.Amount
+	return c.share.Amount
 }
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -21,80 +21,81 @@
 	"puffinsaddle/internal/store"
 )
 
-const patience = 60 * time.Second // a hanging test fails after it
+const testTimeout = 60 * time.Second // a hanging test fails after it
 
 var rules = duty.Rules{Bounds: duty.Bounds{Rate: 0.1, Margin: 50}, Renew: 300, Cool: 1000, ColdWait: 1000, Presence: 2000,
 	Duties: []duty.Terms{{Name: "allotter", TTL: 2000}}}
 
-// oneCopy is a fake store replica that commits each entry at once and is the leader unless a test sets otherwise.
-type oneCopy struct {
-	mu    sync.Mutex
-	st    *state.State
-	term  uint64
-	leads bool
-	other string
-	index uint64
-
-	begin   chan struct{} // Prove is not confirmed before it is closed; nil: confirmed at once
-	largest int           // most orders in one entry
+// fakeReplica is a fake store replica that commits each entry at once and is the leader unless a test sets otherwise.
+type fakeReplica struct {
+	mu       sync.Mutex
+	st       *state.State
+	term     uint64
+	leads    bool
+	leaderID string
+	index    uint64
+
+	proveGate chan struct{} // Prove is not confirmed before it is closed; nil: confirmed at once
+	maxOrders int           // most orders in one entry
 }
 
-func (c *oneCopy) Office() (uint64, bool) {
+func (c *fakeReplica) Office() (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.term, c.leads
 }
 
-func (c *oneCopy) Leader() string { return c.other }
+func (c *fakeReplica) Leader() string { return c.leaderID }
 
-func (c *oneCopy) Propose(cmd state.Command) func() (state.Result, error) {
+func (c *fakeReplica) Propose(cmd state.Command) func() (state.Result, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index++
-	c.largest = max(c.largest, len(cmd.Orders))
+	c.maxOrders = max(c.maxOrders, len(cmd.Orders))
 	r := c.st.Apply(cmd, c.term)
 	return func() (state.Result, error) { return r, nil }
 }
 
-func (c *oneCopy) Prove() func() error {
+func (c *fakeReplica) Prove() func() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index++
 	return func() error {
-		if c.begin != nil {
-			<-c.begin
+		if c.proveGate != nil {
+			<-c.proveGate
 		}
 		return nil
 	}
 }
 
-func (c *oneCopy) View(look func(*state.State, uint64)) {
+func (c *fakeReplica) View(look func(*state.State, uint64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	look(c.st, c.index)
 }
 
-// place is a server listening on a port.
-type place struct {
-	copy   *oneCopy
-	server *Server
-	at     string
+// testServer is a server listening on a port.
+type testServer struct {
+	replica *fakeReplica
+	server  *Server
+	address string
 }
 
-func open(t *testing.T, c *oneCopy, steady *clock.Clock) *place {
+func startServer(t *testing.T, c *fakeReplica, steady *clock.Clock) *testServer {
 	t.Helper()
-	return openFor(t, c, steady, rules, 16)
+	return startServerWith(t, c, steady, rules, 16)
 }
 
-// openFor starts a server with the given session limit.
-func openFor(t *testing.T, c *oneCopy, steady *clock.Clock, r duty.Rules, sessions int) *place {
+// startServerWith starts a server with the given session limit.
+func startServerWith(t *testing.T, c *fakeReplica, steady *clock.Clock, r duty.Rules, maxSessions int) *testServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	p := &place{copy: c, at: ln.Addr().String(), server: NewServer(c, &duty.Grantor{Rules: r, Seed: 1}, sessions, steady, zerolog.Nop())}
+	s := &testServer{replica: c, address: ln.Addr().String(),
+		server: NewServer(c, &duty.Grantor{Rules: r, Seed: 1}, maxSessions, steady, zerolog.Nop())}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -107,56 +108,58 @@
 					conn.Close()
 					return
 				}
-				p.server.Serve(conn)
+				s.server.Serve(conn)
 			}()
 		}
 	}()
-	go p.server.Run(t.Context())
-	return p
+	go s.server.Run(t.Context())
+	return s
 }
 
-// join starts a client and returns the channel of its events.
-func join(t *testing.T, me string, copies map[string]string, steady *clock.Clock) (*Client, chan any) {
+// startClient starts a client and returns the channel of its events.
+func startClient(t *testing.T, processID string, addresses map[string]string, steady *clock.Clock) (*Client, chan any) {
 	events := make(chan any, 1000)
-	c := NewClient(Options{ProcessID: me, ReplicaAddresses: copies, Rules: rules, Seed: 1, Steady: steady, Log: zerolog.Nop(), OnEvent: func(e any) { events <- e }})
+	c := NewClient(Options{ProcessID: processID, ReplicaAddresses: addresses, Rules: rules, Seed: 1, Steady: steady,
+		Log: zerolog.Nop(), OnEvent: func(e any) { events <- e }})
 	go c.Run(t.Context())
 	return c, events
 }
 
-// want waits for an event of type T that satisfies the predicate.
-func want[T any](t *testing.T, events chan any, is func(T) bool) T {
+// waitForEvent waits for an event of type T that satisfies the predicate.
+func waitForEvent[T any](t *testing.T, events chan any, matches func(T) bool) T {
 	t.Helper()
-	late := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case e := <-events:
-			if v, ok := e.(T); ok && is(v) {
+			if v, ok := e.(T); ok && matches(v) {
 				return v
 			}
-		case <-late:
+		case <-timeout:
 			var v T
-			t.Fatalf("no matching %T event within %s", v, patience)
+			t.Fatalf("no matching %T event before the timeout", v)
 		}
 	}
 }
 
-func leads(st *state.State) *oneCopy { return &oneCopy{st: st, term: 1, leads: true} }
+func newLeader(st *state.State) *fakeReplica { return &fakeReplica{st: st, term: 1, leads: true} }
 
-func gains(g duty.Gained) bool { return g.Name == "allotter" }
+func isAllotterGrant(g duty.Gained) bool { return g.Name == "allotter" }
 
 // An order server is redirected to the leader, is granted the duty for which it is a candidate, executes commands under it, and
 // is refused under any other epoch.
-func TestHolderActsAndForgedEpochsAreRefused(t *testing.T) {
+func TestHolderRunsCommandsAndForgedEpochsAreRefused(t *testing.T) {
 	steady := clock.Steady()
-	lead := open(t, leads(state.New()), steady)
-	follow := open(t, &oneCopy{st: state.New(), term: 1, other: "lead"}, steady)
-	c, events := join(t, "a#1", map[string]string{"lead": lead.at, "follow": follow.at}, steady)
-	g := want(t, events, gains)
+	leader := startServer(t, newLeader(state.New()), steady)
+	follower := startServer(t, &fakeReplica{st: state.New(), term: 1, leaderID: "lead"}, steady)
+	c, events := startClient(t, "a#1", map[string]string{"lead": leader.address, "follow": follower.address}, steady)
+	g := waitForEvent(t, events, isAllotterGrant)
 	if r, err := c.DoFenced(t.Context(), g.Ref, state.Command{Op: state.Mark}); err != nil || r.N != 1 {
 		t.Errorf("%+v %v", r, err)
 	}
 	forged := duty.Ref{Name: g.Name, Epoch: g.Epoch + 1}
-	if _, err := c.DoFenced(t.Context(), forged, state.Command{Op: state.Mark}); !errors.Is(err, ErrStaleEpoch) || c.FencedCommands() != 1 {
+	if _, err := c.DoFenced(t.Context(), forged, state.Command{Op: state.Mark}); !errors.Is(err, ErrStaleEpoch) ||
+		c.FencedCommands() != 1 {
 		t.Errorf("forged epoch: error %v, %d fenced commands counted", err, c.FencedCommands())
 	}
 	if fresh, err := c.Begin("0a"); !fresh || err != nil {
@@ -175,17 +178,17 @@
 	if _, err := c.Do(t.Context(), state.Command{Op: state.Ask, Key: "allotter"}); err != nil {
 		t.Fatal(err)
 	}
-	y := want(t, events, func(duty.Yields) bool { return true })
+	y := waitForEvent(t, events, func(duty.Yields) bool { return true })
 	c.Quiesced(y.Ref)
-	want(t, events, func(e duty.Ended) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
-	for late := time.Now().Add(patience); ; {
+	waitForEvent(t, events, func(e duty.Ended) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
+	for deadline := time.Now().Add(testTimeout); ; {
 		if err := c.Read(t.Context(), ReadDuties, &d); err != nil {
 			t.Fatal(err)
 		}
 		if l := d.Table.Leases["allotter"]; l.Holder == "" || l.Epoch > y.Epoch {
 			break
 		}
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			t.Fatal("the yielded duty was not released")
 		}
 	}
@@ -195,29 +198,29 @@
 }
 
 // A message that violates the protocol ends its own connection and changes no state.
-func TestMalformedMessagesEndTheirConnection(t *testing.T) {
-	lead := open(t, leads(state.New()), clock.Steady())
+func TestMalformedMessageClosesConnection(t *testing.T) {
+	leader := startServer(t, newLeader(state.New()), clock.Steady())
 	message := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
 	for name, b := range map[string][]byte{
-		"no JSON":                  message("{"),
-		"empty message":            message("{}"),
-		"heartbeat without a name": message(`{"beat":{"no":1}}`),
-		"length of zero":           {0, 0, 0, 0},
-		"length beyond the limit":  {0xff, 0xff, 0xff, 0xff},
-		"orders, which are reserved for the grantor": message(`{"no":1,"do":{"op":"orders","orders":[{"k":"grant","n":"allotter","h":"x","term":1}]}}`),
-		"a command that sessions may not run":        message(`{"no":1,"do":{"op":"set","key":"k"}}`),
-		"effect of another process":                  message(`{"no":1,"do":{"op":"begin","key":"0a","who":"a#1","epoch":1}}`),
-		"two names in one session":                   append(message(`{"beat":{"from":"x#1","no":1}}`), message(`{"beat":{"from":"y#1","no":1}}`)...),
-		"too many duty names":                        message(fmt.Sprintf(`{"beat":{"from":"x#1","no":1,"stands":[%s"x"]}}`, string(repeat(`"x",`, 100)))),
-		"truncated message":                          message(`{"beat":{"from":"x#1"}}`)[:9],
+		"invalid JSON":              message("{"),
+		"empty message":             message("{}"),
+		"heartbeat without a name":  message(`{"beat":{"no":1}}`),
+		"length of zero":            {0, 0, 0, 0},
+		"length beyond the limit":   {0xff, 0xff, 0xff, 0xff},
+		"orders of the grantor":     message(`{"no":1,"do":{"op":"orders","orders":[{"k":"grant","n":"allotter","h":"x","term":1}]}}`),
+		"forbidden command":         message(`{"no":1,"do":{"op":"set","key":"k"}}`),
+		"effect of another process": message(`{"no":1,"do":{"op":"begin","key":"0a","who":"a#1","epoch":1}}`),
+		"two names in one session":  append(message(`{"beat":{"from":"x#1","no":1}}`), message(`{"beat":{"from":"y#1","no":1}}`)...),
+		"too many duty names":       message(fmt.Sprintf(`{"beat":{"from":"x#1","no":1,"stands":[%s"x"]}}`, string(repeat(`"x",`, 100)))),
+		"truncated message":         message(`{"beat":{"from":"x#1"}}`)[:9],
 	} {
-		conn, err := net.Dial("tcp", lead.at)
+		conn, err := net.Dial("tcp", leader.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		conn.Write(append([]byte{store.ForSessions}, b...))
 		if name == "truncated message" {
 			conn.(*net.TCPConn).CloseWrite()
@@ -227,7 +230,7 @@
 		}
 		conn.Close()
 	}
-	lead.copy.View(func(st *state.State, _ uint64) {
+	leader.replica.View(func(st *state.State, _ uint64) {
 		if len(st.Duties.Leases)+len(st.Values)+len(st.Effects.Effects) > 0 {
 			t.Errorf("state was changed: %+v %+v %+v", st.Duties.Leases, st.Values, st.Effects.Effects)
 		}
@@ -242,47 +245,48 @@
 }
 
 // Sessions beyond the limit are refused with a retry delay, and a new one is served once another has ended.
-func TestSessionsAreBounded(t *testing.T) {
-	lead := open(t, leads(state.New()), clock.Steady())
+func TestSessionLimitIsEnforced(t *testing.T) {
+	leader := startServer(t, newLeader(state.New()), clock.Steady())
 	var conns []net.Conn
-	ask := func() error { // opens a session and runs one query
-		conn, err := net.Dial("tcp", lead.at)
+	openSession := func() error { // opens a session and runs one query
+		conn, err := net.Dial("tcp", leader.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(patience))
-		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Read: ReadCapacity, No: 1}))...))
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		conn.Write(append([]byte{store.ForSessions}, must(encodeFrame(clientMessage{Query: ReadCapacity, RequestID: 1}))...))
 		conns = append(conns, conn)
-		var m toServer
+		var m serverMessage
 		if err := newReader(conn, 0).Next(&m); err != nil {
 			return err
 		}
-		if m.RetryMs > 0 {
-			return &fullError{m.RetryMs}
+		if m.RetryMS > 0 {
+			return &sessionLimitError{m.RetryMS}
 		}
-		if m.No != 1 {
+		if m.RequestID != 1 {
 			t.Fatalf("%+v", m)
 		}
 		return nil
 	}
 	for range 16 {
-		if err := ask(); err != nil {
+		if err := openSession(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var full *fullError
-	if err := ask(); !errors.As(err, &full) {
+	var limitErr *sessionLimitError
+	if err := openSession(); !errors.As(err, &limitErr) {
 		t.Errorf("session beyond the limit did not get a retry delay: %v", err)
-	} else if least, most := fullRetry*rules.Renew*0.5, fullRetry*rules.Renew*1.5; full.retryMs < least || full.retryMs > most {
-		t.Errorf("retry delay %v ms, want %v to %v", full.retryMs, least, most)
+	} else if minDelay, maxDelay := limitRetryRenewals*rules.Renew*0.5, limitRetryRenewals*rules.Renew*1.5; limitErr.retryMS < minDelay ||
+		limitErr.retryMS > maxDelay {
+		t.Errorf("retry delay %v ms, want %v to %v", limitErr.retryMS, minDelay, maxDelay)
 	}
-	if f := lead.server.Metrics(); f.OpenSessions != 16 || f.Terminated != 1 {
+	if f := leader.server.Metrics(); f.OpenSessions != 16 || f.Terminated != 1 {
 		t.Errorf("%+v", f)
 	}
 	conns[0].Close()
-	for late := time.Now().Add(patience); ask() != nil; {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(testTimeout); openSession() != nil; {
+		if time.Now().After(deadline) {
 			t.Fatal("no session accepted after another has ended")
 		}
 	}
@@ -290,62 +294,63 @@
 
 // Servers that connect at the same moment, while the leader waits for the first entry of its term, are all granted their
 // presence, and each log entry carries a bounded number of orders.
-func TestServersThatComeAtOnceAreTakenInSteps(t *testing.T) {
+func TestSimultaneousArrivalsAreGrantedInBoundedEntries(t *testing.T) {
 	const fleet = 2*duty.MaxOrders + 100
-	copy := leads(state.New())
-	copy.begin = make(chan struct{})
-	patient := rules
-	patient.Renew = clock.Millis(patience) // no session is closed for silence while the others connect
-	lead := openFor(t, copy, clock.Steady(), patient, fleet)
+	replica := newLeader(state.New())
+	replica.proveGate = make(chan struct{})
+	slowRules := rules
+	slowRules.Renew = clock.Millis(testTimeout) // no session is closed for silence while the others connect
+	leader := startServerWith(t, replica, clock.Steady(), slowRules, fleet)
 	for i := range fleet {
-		conn, err := net.Dial("tcp", lead.at)
+		conn, err := net.Dial("tcp", leader.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		who := fmt.Sprintf("os-%d#1", i)
-		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, No: 1, Stands: []string{duty.PresenceOf(who)}}}))...))
+		processID := fmt.Sprintf("os-%d#1", i)
+		conn.Write(append([]byte{store.ForSessions}, must(encodeFrame(clientMessage{Heartbeat: &duty.Heartbeat{From: processID, No: 1,
+			Stands: []string{duty.PresenceOf(processID)}}}))...))
 		go io.Copy(io.Discard, conn)
 	}
-	until := func(what string, holds func() bool) {
-		for late := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
-			if time.Now().After(late) {
-				t.Fatalf("not within %s: %s", patience, what)
+	waitUntil := func(condition string, holds func() bool) {
+		for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("not within %s: %s", testTimeout, condition)
 			}
 		}
 	}
-	until("all heartbeats have arrived", func() bool { return lead.server.Metrics().Heartbeats == fleet })
-	close(copy.begin)
+	waitUntil("all heartbeats have arrived", func() bool { return leader.server.Metrics().Heartbeats == fleet })
+	close(replica.proveGate)
 	present := 0
-	until("all are present", func() bool {
-		copy.View(func(st *state.State, _ uint64) { present = max(present, st.Duties.Present()) })
+	waitUntil("all are present", func() bool {
+		replica.View(func(st *state.State, _ uint64) { present = max(present, st.Duties.Present()) })
 		return present == fleet
 	})
-	copy.mu.Lock()
-	defer copy.mu.Unlock()
-	if copy.largest > duty.MaxOrders {
-		t.Errorf("an entry has %d orders, at most %d allowed", copy.largest, duty.MaxOrders)
+	replica.mu.Lock()
+	defer replica.mu.Unlock()
+	if replica.maxOrders > duty.MaxOrders {
+		t.Errorf("an entry has %d orders, more than the limit", replica.maxOrders)
 	}
 }
 
 // A server refused by a replica at its session limit reconnects no sooner than the retry delay, and is served once another
 // session has ended.
-func TestServerComesBackWhenItWasTold(t *testing.T) {
+func TestRefusedServerWaitsForRetryDelay(t *testing.T) {
 	t.Parallel()
-	steady, slow := clock.Steady(), rules
-	slow.Renew = 1000 // long enough that no session is closed as silent on a busy machine
-	lead := openFor(t, leads(state.New()), steady, slow, 16)
+	steady, slowRules := clock.Steady(), rules
+	slowRules.Renew = 1000 // long enough that no session is closed as silent on a busy machine
+	leader := startServerWith(t, newLeader(state.New()), steady, slowRules, 16)
 	var conns []net.Conn
 	for range 16 {
-		conn, err := net.Dial("tcp", lead.at)
+		conn, err := net.Dial("tcp", leader.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
 		conn.Write([]byte{store.ForSessions})
 		go func() { // a silent session would be closed
-			for conn.SetWriteDeadline(time.Now().Add(patience)) == nil {
-				if _, err := conn.Write(must(framed(toCopy{Read: ReadCapacity, No: 1}))); err != nil {
+			for conn.SetWriteDeadline(time.Now().Add(testTimeout)) == nil {
+				if _, err := conn.Write(must(encodeFrame(clientMessage{Query: ReadCapacity, RequestID: 1}))); err != nil {
 					return
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -354,42 +359,43 @@
 		go io.Copy(io.Discard, conn)
 		conns = append(conns, conn)
 	}
-	for late := time.Now().Add(patience); lead.server.Metrics().OpenSessions < 16; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(testTimeout); leader.server.Metrics().OpenSessions < 16; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("not all sessions were opened")
 		}
 	}
 	var mu sync.Mutex
-	var tries []float64
-	c := NewClient(Options{ProcessID: "a#1", ReplicaAddresses: map[string]string{"lead": lead.at}, Rules: slow, Seed: 1, Steady: steady, Log: zerolog.Nop(),
+	var attempts []float64
+	c := NewClient(Options{ProcessID: "a#1", ReplicaAddresses: map[string]string{"lead": leader.address}, Rules: slowRules,
+		Seed: 1, Steady: steady, Log: zerolog.Nop(),
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			mu.Lock()
-			tries = append(tries, steady.Now())
+			attempts = append(attempts, steady.Now())
 			mu.Unlock()
 			return new(net.Dialer).DialContext(ctx, "tcp", address)
 		}})
 	go c.Run(t.Context())
-	for late := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		mu.Lock()
-		n := len(tries)
+		n := len(attempts)
 		mu.Unlock()
 		if n >= 3 {
 			break
 		}
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%d connection attempts, want at least 3", n)
 		}
 	}
 	mu.Lock()
-	for i := 1; i < len(tries); i++ {
-		if gap := tries[i] - tries[i-1]; gap < fullRetry*slow.Renew*0.5 {
-			t.Errorf("reconnected after %v ms, want at least %v", gap, fullRetry*slow.Renew*0.5)
+	for i := 1; i < len(attempts); i++ {
+		if gap := attempts[i] - attempts[i-1]; gap < limitRetryRenewals*slowRules.Renew*0.5 {
+			t.Errorf("reconnected after %v ms, before the retry delay", gap)
 		}
 	}
 	mu.Unlock()
 	conns[0].Close()
-	for late := time.Now().Add(patience); !c.Connected(); time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(testTimeout); !c.Connected(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("no session after another has ended")
 		}
 	}
@@ -397,9 +403,9 @@
 
 // A retry delay of days, or longer than a timer can represent, is bounded to a number of renewal intervals; the client does not
 // reconnect sooner.
-func TestRetryOfAFullCopyIsBounded(t *testing.T) {
-	for _, retryMs := range []float64{1e9, 1e300} {
-		t.Run(fmt.Sprint(retryMs), func(t *testing.T) {
+func TestRetryDelayIsBounded(t *testing.T) {
+	for _, retryMS := range []float64{1e9, 1e300} {
+		t.Run(fmt.Sprint(retryMS), func(t *testing.T) {
 			t.Parallel()
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -407,29 +413,30 @@
 			}
 			t.Cleanup(func() { ln.Close() })
 			steady := clock.Steady()
-			tries := make(chan float64, 1000)
+			attempts := make(chan float64, 1000)
 			go func() {
 				for {
 					conn, err := ln.Accept()
 					if err != nil {
 						return
 					}
-					tries <- steady.Now()
-					conn.Write(must(framed(toServer{RetryMs: retryMs})))
+					attempts <- steady.Now()
+					conn.Write(must(encodeFrame(serverMessage{RetryMS: retryMS})))
 					go io.Copy(io.Discard, conn)
 				}
 			}()
-			quick := rules
-			quick.Renew = 200
-			c := NewClient(Options{ProcessID: "a#1", ReplicaAddresses: map[string]string{"a": ln.Addr().String()}, Rules: quick, Seed: 1, Steady: steady, Log: zerolog.Nop()})
+			fastRules := rules
+			fastRules.Renew = 200
+			c := NewClient(Options{ProcessID: "a#1", ReplicaAddresses: map[string]string{"a": ln.Addr().String()}, Rules: fastRules,
+				Seed: 1, Steady: steady, Log: zerolog.Nop()})
 			go c.Run(t.Context())
-			first := <-tries
+			first := <-attempts
 			select {
-			case second := <-tries:
-				if gap := second - first; gap < fullMost*quick.Renew {
-					t.Errorf("reconnected after %v ms, want at least %v", gap, fullMost*quick.Renew)
+			case second := <-attempts:
+				if gap := second - first; gap < maxLimitRetryRenewals*fastRules.Renew {
+					t.Errorf("reconnected after %v ms, before the bounded retry delay", gap)
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("the client did not reconnect")
 			}
 		})
@@ -444,24 +451,24 @@
 }
 
 // When the leader loses leadership and another replica becomes leader with the same log, the holder finds it and keeps its duty.
-func TestHolderKeepsItsDutyOverAChangeOfLeader(t *testing.T) {
+func TestHolderKeepsDutyAcrossLeaderChange(t *testing.T) {
 	steady := clock.Steady()
 	st := state.New()
-	first := leads(st)
-	one := open(t, first, steady)
-	second := &oneCopy{st: st, term: 1, other: "one"}
-	two := open(t, second, steady)
-	c, events := join(t, "a#1", map[string]string{"one": one.at, "two": two.at}, steady)
-	g := want(t, events, gains)
+	first := newLeader(st)
+	firstServer := startServer(t, first, steady)
+	second := &fakeReplica{st: st, term: 1, leaderID: "one"}
+	secondServer := startServer(t, second, steady)
+	c, events := startClient(t, "a#1", map[string]string{"one": firstServer.address, "two": secondServer.address}, steady)
+	g := waitForEvent(t, events, isAllotterGrant)
 	first.mu.Lock()
-	first.leads, first.other = false, "two"
+	first.leads, first.leaderID = false, "two"
 	index := first.index
 	first.mu.Unlock()
 	second.mu.Lock()
 	second.leads, second.term, second.index = true, 2, index
 	second.mu.Unlock()
-	want(t, events, func(SessionEstablished) bool { return true })
-	want(t, events, func(h duty.Held) bool { return h.Name == "allotter" })
+	waitForEvent(t, events, func(SessionEstablished) bool { return true })
+	waitForEvent(t, events, func(h duty.Held) bool { return h.Name == "allotter" })
 	if r, ok := c.ActiveGrant("allotter"); !ok || r != g.Ref {
 		t.Errorf("active grant %+v, %v; granted %+v", r, ok, g.Ref)
 	}
@@ -471,7 +478,9 @@
 // The disk of the log and the sockets are excluded.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct{ servers, duties int }{{12, 5}, {100, 20}, {300, 20}, {1000, 20}, {2000, 20}, {4300, 20}} {
-		b.Run(fmt.Sprintf("servers=%d/duties=%d", size.servers, size.duties), func(b *testing.B) { measureFleet(b, size.servers, size.duties) })
+		b.Run(fmt.Sprintf("servers=%d/duties=%d", size.servers, size.duties), func(b *testing.B) {
+			measureFleet(b, size.servers, size.duties)
+		})
 	}
 }
 
@@ -499,34 +508,34 @@
 		fleet = append(fleet, m)
 		byName[m.Me] = m
 	}
-	var entries, in, out, heartbeats int
-	var ours, theirs time.Duration
+	var entries, bytesIn, bytesOut, heartbeats int
+	var replicaTime, clientTime time.Duration
 	run := func() { // one second
-		for end := now + 1000; now < end; now += batchEvery {
-			begun := time.Now()
-			var came [][]byte
+		for end := now + 1000; now < end; now += batchIntervalMS {
+			start := time.Now()
+			var heartbeatFrames [][]byte
 			for _, m := range fleet {
 				for _, a := range m.Tick(now) {
 					if s, ok := a.(duty.Send); ok {
-						came = append(came, must(framed(toCopy{Heartbeat: &s.Heartbeat})))
+						heartbeatFrames = append(heartbeatFrames, must(encodeFrame(clientMessage{Heartbeat: &s.Heartbeat})))
 					}
 				}
 			}
-			theirs += time.Since(begun)
-			begun = time.Now()
+			clientTime += time.Since(start)
+			start = time.Now()
 			var orders []duty.Order
-			var from []duty.Heartbeat
-			for _, f := range came {
-				var m toCopy
+			var processed []duty.Heartbeat
+			for _, f := range heartbeatFrames {
+				var m clientMessage
 				if err := json.Unmarshal(f[4:], &m); err != nil {
 					b.Fatal(err)
 				}
-				in += len(f)
-				from = append(from, *m.Heartbeat)
+				bytesIn += len(f)
+				processed = append(processed, *m.Heartbeat)
 				orders = append(orders, g.Take(now, *m.Heartbeat, st.Duties)...)
 			}
 			orders = append(orders, g.Tick(now, st.Duties)...)
-			if len(orders)+len(came) > 0 {
+			if len(orders)+len(heartbeatFrames) > 0 {
 				entries++
 				index++
 			}
@@ -534,38 +543,38 @@
 			for _, o := range orders {
 				g.Done(now, o, st.Duties)
 			}
-			var told [][]byte
-			for _, f := range from {
+			var replyFrames [][]byte
+			for _, f := range processed {
 				a := g.Answer(f.From, f.No, index, st.Duties)
-				told = append(told, must(framed(toServer{Reply: &a})))
-				out += len(told[len(told)-1])
+				replyFrames = append(replyFrames, must(encodeFrame(serverMessage{Reply: &a})))
+				bytesOut += len(replyFrames[len(replyFrames)-1])
 			}
-			ours += time.Since(begun)
-			begun = time.Now()
-			for i, f := range told {
-				var m toServer
+			replicaTime += time.Since(start)
+			start = time.Now()
+			for i, f := range replyFrames {
+				var m serverMessage
 				if err := json.Unmarshal(f[4:], &m); err != nil {
 					b.Fatal(err)
 				}
-				byName[from[i].From].HandleReply(now, *m.Reply)
+				byName[processed[i].From].HandleReply(now, *m.Reply)
 			}
-			theirs += time.Since(begun)
-			heartbeats += len(came)
+			clientTime += time.Since(start)
+			heartbeats += len(heartbeatFrames)
 		}
 	}
 	run()
 	run()
-	entries, in, out, heartbeats, ours, theirs = 0, 0, 0, 0, 0, 0
+	entries, bytesIn, bytesOut, heartbeats, replicaTime, clientTime = 0, 0, 0, 0, 0, 0
 	for b.Loop() {
 		run()
 	}
 	n := float64(b.N)
 	b.ReportMetric(float64(entries)/n, "entries/s")
 	b.ReportMetric(float64(heartbeats)/n, "heartbeats/s")
-	b.ReportMetric(float64(in)/n, "bytes-in/s")
-	b.ReportMetric(float64(out)/n, "bytes-out/s")
-	b.ReportMetric(float64(ours.Microseconds())/n, "copy-µs/s")
-	b.ReportMetric(float64(theirs.Microseconds())/n/float64(servers), "server-µs/s")
+	b.ReportMetric(float64(bytesIn)/n, "bytes-in/s")
+	b.ReportMetric(float64(bytesOut)/n, "bytes-out/s")
+	b.ReportMetric(float64(replicaTime.Microseconds())/n, "copy-µs/s")
+	b.ReportMetric(float64(clientTime.Microseconds())/n/float64(servers), "server-µs/s")
 }
 
 // BenchmarkArrivals measures, on a simulated clock, the leader's work until all servers of a fleet that connects at one moment are
@@ -580,22 +589,23 @@
 				st, now := state.New(), 1000.0
 				g := &duty.Grantor{Rules: r, Seed: 1}
 				g.Lead(1, now)
-				var came [][]byte
+				var heartbeatFrames [][]byte
 				for i := range servers {
-					who := fmt.Sprintf("os-%d#%016x", i, i)
-					came = append(came, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, No: 1, Stands: []string{duty.PresenceOf(who)}}})))
+					processID := fmt.Sprintf("os-%d#%016x", i, i)
+					heartbeatFrames = append(heartbeatFrames, must(encodeFrame(clientMessage{Heartbeat: &duty.Heartbeat{From: processID, No: 1,
+						Stands: []string{duty.PresenceOf(processID)}}})))
 				}
 				for entries = 0; st.Duties.Present() < servers; entries++ {
-					begun := time.Now()
+					start := time.Now()
 					var orders []duty.Order
-					for _, f := range came {
-						var m toCopy
+					for _, f := range heartbeatFrames {
+						var m clientMessage
 						if err := json.Unmarshal(f[4:], &m); err != nil {
 							b.Fatal(err)
 						}
 						orders = append(orders, g.Take(now, *m.Heartbeat, st.Duties)...)
 					}
-					came = nil
+					heartbeatFrames = nil
 					orders = append(orders, g.Tick(now, st.Duties)...)
 					text, err := json.Marshal(state.Command{Op: state.Orders, Orders: orders})
 					if err != nil {
@@ -609,8 +619,8 @@
 					for _, o := range orders {
 						g.Done(now, o, st.Duties)
 					}
-					longest = max(longest, time.Since(begun))
-					now += batchEvery
+					longest = max(longest, time.Since(start))
+					now += batchIntervalMS
 				}
 			}
 			b.ReportMetric(float64(longest.Microseconds()), "longest-step-µs")
--- a/internal/net/session/wire.go
+++ b/internal/net/session/wire.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	mostMessage = 512 << 10 // bytes per message; a published version is the largest message
-	mostUnsent  = 256       // messages queued for a peer that does not read; a peer that exceeds this is disconnected
+	maxMessageBytes   = 512 << 10 // a published version is the largest message
+	maxUnsentMessages = 256       // messages queued for a peer that does not read; a peer that exceeds this is disconnected
 )
 
 // Errors of session commands.
@@ -28,38 +28,38 @@
 	ErrStaleEpoch  = errors.New("session: command refused: stale epoch")
 )
 
-// toCopy is a message from an order server to a store replica. Exactly one of Heartbeat, Do and Read is set. The JSON names are
-// those of earlier builds, with whose servers and replicas this build interoperates.
-type toCopy struct {
+// clientMessage is a message from an order server to a store replica. Exactly one of Heartbeat, Command and Query is set. The JSON
+// names are those of earlier builds, with whose servers and replicas this build interoperates.
+type clientMessage struct {
 	Heartbeat *duty.Heartbeat `json:"beat,omitempty"`
-	Ack       uint64          `json:"ack,omitempty"`  // with a heartbeat: version of the capacity share in use
+	ShareAck  uint64          `json:"ack,omitempty"`  // with a heartbeat: version of the capacity share in use
 	Need      int64           `json:"need,omitempty"` // with a heartbeat: capacity it could use beyond its standalone share
-	No        uint64          `json:"no,omitempty"`   // identifies a command or query
-	Do        *state.Command  `json:"do,omitempty"`
-	Read      string          `json:"read,omitempty"`
+	RequestID uint64          `json:"no,omitempty"`   // identifies a command or query
+	Command   *state.Command  `json:"do,omitempty"`
+	Query     string          `json:"read,omitempty"`
 }
 
-// toServer is a message from a store replica to an order server. It is a heartbeat reply, the reply to a command or a query, a
-// redirect to the leader, or a refusal of the session.
-type toServer struct {
-	Reply   *duty.HeartbeatReply `json:"told,omitempty"`
-	Share   *allot.Share         `json:"share,omitempty"`   // with a reply
-	Version uint64               `json:"version,omitempty"` // with a reply: latest published version
-	Refused uint64               `json:"refused,omitempty"` // with a reply: commands of this server refused for a stale epoch
-	No      uint64               `json:"no,omitempty"`
-	Result  *state.Result        `json:"result,omitempty"`
-	Body    json.RawMessage      `json:"body,omitempty"` // the result of a query
-	Error   string               `json:"error,omitempty"`
-	Else    *string              `json:"else,omitempty"`     // ID of the leader as known to this replica; "" if unknown
-	RetryMs float64              `json:"retry_ms,omitempty"` // the replica is full: time after which the client may reconnect
+// serverMessage is a message from a store replica to an order server. It is a heartbeat reply, the reply to a command or a query,
+// a redirect to the leader, or a refusal of the session.
+type serverMessage struct {
+	Reply         *duty.HeartbeatReply `json:"told,omitempty"`
+	Share         *allot.Share         `json:"share,omitempty"`   // with a reply
+	Version       uint64               `json:"version,omitempty"` // with a reply: latest published version
+	StaleCommands uint64               `json:"refused,omitempty"` // with a reply: commands of this server refused for a stale epoch
+	RequestID     uint64               `json:"no,omitempty"`
+	Result        *state.Result        `json:"result,omitempty"`
+	Body          json.RawMessage      `json:"body,omitempty"` // the result of a query
+	Error         string               `json:"error,omitempty"`
+	LeaderID      *string              `json:"else,omitempty"`     // ID of the leader as known to this replica; "" if unknown
+	RetryMS       float64              `json:"retry_ms,omitempty"` // the replica is full: time after which the client may reconnect
 }
 
-// fullError reports that a store replica is at its session limit.
-type fullError struct{ retryMs float64 }
+// sessionLimitError reports that a store replica is at its session limit.
+type sessionLimitError struct{ retryMS float64 }
 
 // Error returns a message with the time after which the client may reconnect.
-func (e *fullError) Error() string {
-	return fmt.Sprintf("session: the store replica is at its session limit; retry in %.0f ms", e.retryMs)
+func (e *sessionLimitError) Error() string {
+	return fmt.Sprintf("session: the store replica is at its session limit; retry in %.0f ms", e.retryMS)
 }
 
 // Queries that Client.Read accepts.
@@ -94,52 +94,52 @@
 	Leader           string            `json:"lead"`
 }
 
-// framed encodes a message with its length prefix.
-func framed(v any) ([]byte, error) { return frame.Append(nil, v, mostMessage) }
+// encodeFrame encodes a message with its length prefix.
+func encodeFrame(v any) ([]byte, error) { return frame.Append(nil, v, maxMessageBytes) }
 
 func newReader(conn net.Conn, idle time.Duration) *frame.Reader {
-	return frame.NewReader(conn, idle, mostMessage)
+	return frame.NewReader(conn, idle, maxMessageBytes)
 }
 
-// line writes messages to one peer from a bounded queue. Sending never blocks.
-type line struct {
-	conn net.Conn
-	out  chan []byte
-	done chan struct{}
+// messageWriter writes messages to one peer from a bounded queue. Sending never blocks.
+type messageWriter struct {
+	conn  net.Conn
+	queue chan []byte
+	done  chan struct{}
 }
 
-func newLine(conn net.Conn) *line {
-	l := &line{conn: conn, out: make(chan []byte, mostUnsent), done: make(chan struct{})}
+func newMessageWriter(conn net.Conn) *messageWriter {
+	w := &messageWriter{conn: conn, queue: make(chan []byte, maxUnsentMessages), done: make(chan struct{})}
 	go func() {
 		defer conn.Close()
 		for {
 			select {
-			case b := <-l.out:
+			case b := <-w.queue:
 				conn.SetWriteDeadline(time.Now().Add(frame.Whole))
 				if _, err := conn.Write(b); err != nil {
 					return
 				}
-			case <-l.done:
+			case <-w.done:
 				return
 			}
 		}
 	}()
-	return l
+	return w
 }
 
 // send queues a message. It closes the connection if the queue is full, which means that the peer does not read.
-func (l *line) send(v any) {
-	b, err := framed(v)
+func (w *messageWriter) send(v any) {
+	b, err := encodeFrame(v)
 	if err != nil {
-		b, err = framed(toServer{Error: err.Error()})
+		b, err = encodeFrame(serverMessage{Error: err.Error()})
 	}
 	if err != nil {
-		l.conn.Close()
+		w.conn.Close()
 		return
 	}
 	select {
-	case l.out <- b:
+	case w.queue <- b:
 	default:
-		l.conn.Close()
+		w.conn.Close()
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -46,7 +46,7 @@
 	Plant string // a planted bug, for the laboratory; "": none
 }
 
-// Replica is the copy. It is a configwatch.Follower.
+// Replica is the copy. It is a configwatch.Replica.
 type Replica struct {
 	o Options
 
