--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -144,10 +144,10 @@
 		return err
 	}
 	rules := o.Duties.Rules()
-	rules.Duties, rules.Presence = nil, 0 // an operator stands for nothing
+	rules.Duties, rules.PresenceTTLMS = nil, 0 // an operator stands for nothing
 	linked := make(chan struct{}, 1)
 	c := session.NewClient(session.Options{ProcessID: "operator#" + hex.EncodeToString(b[:]), ReplicaAddresses: o.Duties.Copies, Rules: rules,
-		Seed: uint64(b[0]), Steady: clock.Steady(), Log: zerolog.Nop(), OnEvent: func(e any) {
+		Seed: uint64(b[0]), Steady: clock.Monotonic(), Log: zerolog.Nop(), OnEvent: func(e any) {
 			if _, ok := e.(session.SessionEstablished); ok {
 				select {
 				case linked <- struct{}{}:
@@ -245,7 +245,7 @@
 }
 
 func unknown(set config.Duties, name string) error {
-	if !set.Rules().Known(name) {
+	if !set.Rules().HasDuty(name) {
 		return fmt.Errorf("%w: no duty %q on duties.list", errWrong, name)
 	}
 	return nil
@@ -284,15 +284,15 @@
 
 // Run asks the holder.
 func (y *yieldCmd) Run(out io.Writer) error {
-	return y.order(out, state.Ask, y.Name, "its holder is asked to hand it on")
+	return y.order(out, state.OpRequestYield, y.Name, "its holder is asked to hand it on")
 }
 
 // Run freezes, or thaws.
 func (f *freezeCmd) Run(out io.Writer) error {
 	if f.Off {
-		return f.order(out, state.Thaw, f.Name, "may be held again")
+		return f.order(out, state.OpUnfreezeDuty, f.Name, "may be held again")
 	}
-	return f.order(out, state.Freeze, f.Name, "its holder is asked to give it up, and nobody will get it")
+	return f.order(out, state.OpFreezeDuty, f.Name, "its holder is asked to give it up, and nobody will get it")
 }
 
 // Run checks the files that are named.
--- a/internal/distribution/explore_test.go
+++ b/internal/distribution/explore_test.go
@@ -54,7 +54,7 @@
 	relays   [exploreRelays]*Feed
 	snapshot [exploreRelays]*Position // that is shared by a relay's watchers; nil: none was made
 
-	watcher  records.Marker
+	watcher  records.DigestFollower
 	at       int // the relay to which the watcher is connected; -1: none
 	sent     uint64
 	underWay []message
@@ -200,8 +200,8 @@
 	m.underWay = m.underWay[1:]
 	before := m.watcher.Revision
 	if first.snapshot != nil {
-		m.watcher = records.Marker(*first.snapshot)
-	} else if err := m.watcher.Follow(*first.commit); err != nil {
+		m.watcher = records.DigestFollower(*first.snapshot)
+	} else if err := m.watcher.ApplyCommit(*first.commit); err != nil {
 		return true, fmt.Errorf("the watcher does not take a commit: %w", err)
 	}
 	if m.watcher.Revision < before {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -98,7 +98,7 @@
 	seed uint64
 
 	mu      sync.Mutex
-	marker  records.Marker
+	marker  records.DigestFollower
 	pending trace.Event // commits that came into force one after the other, not written down yet
 	early   uint64
 	told    uint64
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	p := &hollowProcess{steady: clock.Steady()}
+	p := &hollowProcess{steady: clock.Monotonic()}
 	if err := json.Unmarshal(b, &p.c); err != nil {
 		return fmt.Errorf("%s: %w", h.Config, err)
 	}
@@ -131,7 +131,7 @@
 	for i := range p.c.Count {
 		s := &hollowServer{p: p, name: fmt.Sprintf("%s-h%04d", p.c.Zone, i), seed: rng.Uint64()}
 		if i >= p.c.Empty {
-			s.marker = records.Marker(p.c.Position)
+			s.marker = records.DigestFollower(p.c.Position)
 		}
 		p.servers = append(p.servers, s)
 		s.start(false)
@@ -280,7 +280,7 @@
 	if err != nil {
 		return
 	}
-	c.Do(ctx, state.Command{Op: state.AcknowledgeVersion, Who: me, Said: &publish.Acknowledgement{No: v.No}})
+	c.Do(ctx, state.Command{Op: state.OpAcknowledgeVersion, Process: me, Acknowledgement: &publish.Acknowledgement{No: v.No}})
 }
 
 // end ends this life.
@@ -348,7 +348,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.marker.Follow(c); err != nil {
+	if err := s.marker.ApplyCommit(c); err != nil {
 		return err
 	}
 	now := s.p.steady.Now()
@@ -375,7 +375,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.flush()
-	s.marker = records.Marker{Revision: h.Revision, Digest: t.Digest()}
+	s.marker = records.DigestFollower{Revision: h.Revision, Digest: t.Digest()}
 	s.p.journal.add(trace.Event{Who: s.name, What: trace.Installed, N: h.Revision, Text: h.Digest.String()})
 	return nil
 }
@@ -385,7 +385,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.flush()
-	s.marker = records.Marker{}
+	s.marker = records.DigestFollower{}
 	s.p.journal.add(trace.Event{Who: s.name, What: eventSpoilt})
 }
 
@@ -393,7 +393,7 @@
 func (s *hollowServer) Skip(c records.Commit) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.marker = records.Marker{Revision: c.Revision, Digest: c.After}
+	s.marker = records.DigestFollower{Revision: c.Revision, Digest: c.After}
 	return nil
 }
 
--- a/internal/net/configwatch/client.go
+++ b/internal/net/configwatch/client.go
@@ -268,8 +268,8 @@
 		return skipper.Skip(commit)
 	}
 	err := replica.Follow(commit)
-	var order *records.OrderError
-	if errors.As(err, &order) && order.Differ {
+	var order *records.SequenceError
+	if errors.As(err, &order) && order.DigestMismatch {
 		replica.Discard(err) // the next watch then begins with a snapshot
 	}
 	return err
@@ -289,20 +289,20 @@
 		return err
 	}
 	s.assembler, s.header = assembler, h
-	if h.Pieces == 0 {
+	if h.ChunkCount == 0 {
 		return s.adoptSnapshot()
 	}
 	return nil
 }
 
-func (s *stream) addChunk(p records.Piece) error {
+func (s *stream) addChunk(p records.Chunk) error {
 	if s.assembler == nil {
 		return errSnapshotOrder
 	}
 	if err := s.assembler.Add(p); err != nil {
 		return err
 	}
-	if p.Number+1 < s.header.Pieces {
+	if p.Index+1 < s.header.ChunkCount {
 		return nil
 	}
 	return s.adoptSnapshot()
--- a/internal/net/configwatch/configwatch_test.go
+++ b/internal/net/configwatch/configwatch_test.go
@@ -45,7 +45,7 @@
 func startFeed(t *testing.T, limits distribution.Limits, modify ...func(*configwatch.ServerOptions)) *feed {
 	t.Helper()
 	f := &feed{t: t, set: records.NewSet(records.DefaultLimits)}
-	o := configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Steady(), Log: zerolog.Nop()}
+	o := configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Monotonic(), Log: zerolog.Nop()}
 	for _, c := range modify {
 		c(&o)
 	}
@@ -112,7 +112,7 @@
 	w := &watcher{commits: make(chan uint64, 100000), done: make(chan struct{})}
 	w.Replica = replica.Open(replica.Options{Name: "server", Path: path, Log: zerolog.Nop(),
 		Committed: func(c records.Commit) { w.commits <- c.Revision }})
-	o := configwatch.ClientOptions{Name: "server", Replica: w.Replica, Steady: clock.Steady(), Log: zerolog.Nop(),
+	o := configwatch.ClientOptions{Name: "server", Replica: w.Replica, Steady: clock.Monotonic(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector(relays, distribution.Place{Zone: "z"}, 1)}
 	for _, c := range modify {
 		c(&o)
@@ -453,7 +453,7 @@
 		return nil
 	}})
 	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: "picky", Replica: w.Replica,
-		Steady: clock.Steady(), Log: zerolog.Nop(), Selector: distribution.NewSelector(relaysOf(f), distribution.Place{}, 1)})
+		Steady: clock.Monotonic(), Log: zerolog.Nop(), Selector: distribution.NewSelector(relaysOf(f), distribution.Place{}, 1)})
 	go w.client.Run(t.Context())
 	f.commit("good")
 	f.commit("bad")
@@ -477,7 +477,7 @@
 		b.Run(fmt.Sprintf("watchers=%d", n), func(b *testing.B) {
 			f := &feed{t: b, set: records.NewSet(records.DefaultLimits)}
 			limits := distribution.DefaultLimits
-			f.server = configwatch.NewServer(configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Steady(), Log: zerolog.Nop()})
+			f.server = configwatch.NewServer(configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Monotonic(), Log: zerolog.Nop()})
 			var received sync.WaitGroup
 			for i := range n {
 				clientConn, serverConn := net.Pipe()
@@ -522,7 +522,7 @@
 		func(o *configwatch.ServerOptions) { o.SnapshotBytesPerSecond = bytesPerSecond })
 	random := rand.NewChaCha8([32]byte{1})
 	for i := range 40 { // values that cannot be compressed
-		value := make([]byte, records.MaxSetting)
+		value := make([]byte, records.MaxSettingBytes)
 		random.Read(value)
 		f.mu.Lock()
 		commit, err := f.set.Apply(records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Setting, Name: fmt.Sprint(i)},
@@ -540,7 +540,7 @@
 	for _, w := range all {
 		w.waitUntilCurrent(t, f)
 	}
-	minDuration := time.Duration(float64(watchers*40*records.MaxSetting-burst) / bytesPerSecond * float64(time.Second))
+	minDuration := time.Duration(float64(watchers*40*records.MaxSettingBytes-burst) / bytesPerSecond * float64(time.Second))
 	if took := time.Since(start); took < minDuration {
 		t.Errorf("%d snapshots took %s, want at least %s", watchers, took, minDuration)
 	}
--- a/internal/net/configwatch/server.go
+++ b/internal/net/configwatch/server.go
@@ -329,8 +329,8 @@
 	if err := frame.Send(conn, feedMessage{Header: &snapshot.Header}, maxMessageBytes); err != nil {
 		return 0, err
 	}
-	for i := range snapshot.Content {
-		p := &snapshot.Content[i]
+	for i := range snapshot.Chunks {
+		p := &snapshot.Chunks[i]
 		if err := s.snapshotLimiter.WaitN(ctx, min(len(p.Data), snapshotBurstBytes)); err != nil {
 			return 0, err
 		}
--- a/internal/net/configwatch/wire.go
+++ b/internal/net/configwatch/wire.go
@@ -65,7 +65,7 @@
 type feedMessage struct {
 	Commit    *records.Commit `json:"-"`
 	Header    *records.Header `json:"header,omitempty"` // start of a snapshot
-	Chunk     *records.Piece  `json:"piece,omitempty"`
+	Chunk     *records.Chunk  `json:"piece,omitempty"`
 	Heartbeat *uint64         `json:"heartbeat,omitempty"` // latest revision of the feed
 	Refusal   *Refusal        `json:"refused,omitempty"`
 }
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -87,7 +87,7 @@
 	nextReplica       int     // counter into replicaIDs, used without a hint
 	lastRequestID     uint64
 	pendingReplies    map[uint64]chan serverMessage
-	share             allot.Mine
+	share             allot.LocalShare
 	acknowledgedShare uint64 // version of the share in use
 	publishedVersion  uint64 // latest published version seen
 	succeededEffects  []string
@@ -101,7 +101,7 @@
 // NewClient returns a client. It connects once Run is called.
 func NewClient(o Options) *Client {
 	m := duty.NewMachine(o.Rules, o.ProcessID, o.Seed)
-	m.Plant = o.InjectedBug
+	m.InjectedBug = o.InjectedBug
 	if o.Dial == nil {
 		d := net.Dialer{Timeout: dialTimeout}
 		o.Dial = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
@@ -120,7 +120,7 @@
 	c.mu.Lock()
 	c.step()
 	c.mu.Unlock()
-	backoffs := backoff.New(firstBackoffRenewals*c.options.Rules.Renew, maxBackoffRenewals*c.options.Rules.Renew,
+	backoffs := backoff.New(firstBackoffRenewals*c.options.Rules.RenewIntervalMS, maxBackoffRenewals*c.options.Rules.RenewIntervalMS,
 		rand.New(rand.NewPCG(c.options.Seed, 2)))
 	for ctx.Err() == nil {
 		var err error
@@ -175,7 +175,7 @@
 			return
 		case <-c.events.Ready:
 		}
-		batch = c.events.Take(batch)
+		batch = c.events.TakeAll(batch)
 		for _, e := range batch {
 			if c.options.OnEvent != nil {
 				c.options.OnEvent(e)
@@ -204,7 +204,7 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	conn.SetWriteDeadline(time.Now().Add(frame.Whole))
+	conn.SetWriteDeadline(time.Now().Add(frame.MessageTimeout))
 	if _, err := conn.Write([]byte{store.ForSessions}); err != nil {
 		return err
 	}
@@ -212,7 +212,7 @@
 	defer close(writer.done)
 	c.mu.Lock()
 	c.writer, c.conn, c.lastReplyAt, c.established = writer, conn, c.options.Steady.Now(), false
-	c.machine.Hurry()
+	c.machine.ExpediteHeartbeat()
 	c.step()
 	c.mu.Unlock()
 	defer func() {
@@ -248,7 +248,7 @@
 		return fmt.Errorf("session: not the leader; the leader is %q", *m.LeaderID)
 	}
 	if m.RetryMS > 0 {
-		return &sessionLimitError{min(m.RetryMS, maxLimitRetryRenewals*c.options.Rules.Renew)}
+		return &sessionLimitError{min(m.RetryMS, maxLimitRetryRenewals*c.options.Rules.RenewIntervalMS)}
 	}
 	if m.Reply != nil {
 		now := c.options.Steady.Now()
@@ -257,12 +257,12 @@
 			c.established = true
 			c.events.Put(SessionEstablished{})
 		}
-		current := m.Reply.Index >= c.machine.Seen()
+		current := m.Reply.LogIndex >= c.machine.SeenIndex()
 		c.handleActions(c.machine.HandleReply(now, *m.Reply))
 		if current {
-			if _, present := c.machine.May(now, duty.PresenceOf(c.options.ProcessID)); present &&
+			if _, present := c.machine.ActiveGrant(now, duty.PresenceName(c.options.ProcessID)); present &&
 				m.Share != nil && m.Share.Version > c.share.Version {
-				c.share.Take(*m.Share)
+				c.share.Apply(*m.Share)
 				c.events.Put(ShareChanged{c.share.Amount, c.share.Version})
 			}
 			if m.Version > c.publishedVersion {
@@ -286,13 +286,13 @@
 func (c *Client) step() {
 	now := c.options.Steady.Now()
 	c.handleActions(c.machine.Tick(now))
-	if c.conn != nil && now > c.lastReplyAt+replyTimeoutRenewals*c.options.Rules.Renew {
+	if c.conn != nil && now > c.lastReplyAt+replyTimeoutRenewals*c.options.Rules.RenewIntervalMS {
 		c.conn.Close() // the replica is stalled or unreachable; another may be the leader by now
 	}
 	if c.stepTimer != nil {
 		c.stepTimer.Stop()
 	}
-	c.stepTimer = c.options.Steady.After(max(c.machine.Next()-now, 1), func() {
+	c.stepTimer = c.options.Steady.After(max(c.machine.NextTick()-now, 1), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.step()
@@ -302,7 +302,7 @@
 func (c *Client) handleActions(actions []duty.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case duty.Send:
+		case duty.SendHeartbeat:
 			if c.writer != nil {
 				need := int64(0)
 				if c.options.Need != nil {
@@ -310,9 +310,9 @@
 				}
 				c.writer.send(clientMessage{Heartbeat: &a.Heartbeat, ShareAck: c.acknowledgedShare, Need: need})
 			}
-		case duty.Ended:
-			if a.Name == duty.PresenceOf(c.options.ProcessID) {
-				c.share, c.acknowledgedShare = allot.Mine{}, 0
+		case duty.LeaseEnded:
+			if a.Name == duty.PresenceName(c.options.ProcessID) {
+				c.share, c.acknowledgedShare = allot.LocalShare{}, 0
 			}
 			c.events.Put(a)
 		default:
@@ -327,7 +327,7 @@
 	defer c.mu.Unlock()
 	if version == c.share.Version {
 		c.acknowledgedShare = version
-		c.machine.Hurry()
+		c.machine.ExpediteHeartbeat()
 		c.step()
 	}
 }
@@ -336,7 +336,7 @@
 func (c *Client) ActiveGrant(name string) (duty.Ref, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.May(c.options.Steady.Now(), name)
+	return c.machine.ActiveGrant(c.options.Steady.Now(), name)
 }
 
 // LeaseEnd returns the grant of a held duty and the end of its lease on the steady clock in ms, also while the duty is being
@@ -344,12 +344,12 @@
 func (c *Client) LeaseEnd(name string) (duty.Ref, float64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.Until(name)
+	return c.machine.LeaseEnd(name)
 }
 
 // Presence returns the grant of this process's presence and the end of its lease on the steady clock in ms.
 func (c *Client) Presence() (duty.Ref, float64, bool) {
-	return c.LeaseEnd(duty.PresenceOf(c.options.ProcessID))
+	return c.LeaseEnd(duty.PresenceName(c.options.ProcessID))
 }
 
 // FencedCommands returns the number of commands refused for a stale epoch.
@@ -359,7 +359,7 @@
 func (c *Client) Quiesced(r duty.Ref) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handleActions(c.machine.Quiet(c.options.Steady.Now(), r))
+	c.handleActions(c.machine.Quiesced(c.options.Steady.Now(), r))
 	c.step()
 }
 
@@ -367,7 +367,7 @@
 func (c *Client) SetMode(mode duty.Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handleActions(c.machine.Switch(c.options.Steady.Now(), mode))
+	c.handleActions(c.machine.SetMode(c.options.Steady.Now(), mode))
 	c.step()
 }
 
@@ -375,7 +375,7 @@
 func (c *Client) ReleaseAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handleActions(c.machine.Leave(c.options.Steady.Now()))
+	c.handleActions(c.machine.ReleaseAll(c.options.Steady.Now()))
 }
 
 // request sends a command or query and waits for its reply. ErrNotExecuted means that it was not executed.
@@ -439,7 +439,7 @@
 // DoFenced executes commands under a duty. The store checks the fencing token (epoch) in the same log entry that applies the
 // commands.
 func (c *Client) DoFenced(ctx context.Context, grant duty.Ref, commands ...state.Command) (state.Result, error) {
-	return c.Do(ctx, state.Command{Op: state.Act, Fence: &grant, Do: commands})
+	return c.Do(ctx, state.Command{Op: state.OpFenced, Fence: &grant, Batch: commands})
 }
 
 // Read runs a query and decodes its result. The result reflects the state at some time after the call began.
@@ -454,13 +454,13 @@
 // Begin records an effect in the replicated store before its attempt, under this process's presence. Begin and Ended make the
 // client the effect log that package core writes to.
 func (c *Client) Begin(id string) (bool, error) {
-	presence, ok := c.ActiveGrant(duty.PresenceOf(c.options.ProcessID))
+	presence, ok := c.ActiveGrant(duty.PresenceName(c.options.ProcessID))
 	if !ok {
 		return false, fmt.Errorf("%w: no presence lease in force", ErrNotExecuted)
 	}
-	r, err := c.Do(context.Background(), state.Command{Op: state.Begin, Key: id, Who: c.options.ProcessID,
-		Epoch: presence.Epoch, Keep: true})
-	return err == nil && r.Fresh, err
+	r, err := c.Do(context.Background(), state.Command{Op: state.OpBeginEffect, Key: id, Process: c.options.ProcessID,
+		Epoch: presence.Epoch, NoEviction: true})
+	return err == nil && r.WasAbsent, err
 }
 
 // Ended records the outcome of an effect. It does not block: an outcome that is lost is resolved as unknown once this process is
@@ -492,14 +492,14 @@
 	c.mu.Lock()
 	succeeded, failed := c.succeededEffects[:min(len(c.succeededEffects), maxOutcomesPerCommand)],
 		c.failedEffects[:min(len(c.failedEffects), maxOutcomesPerCommand)]
-	cmd := state.Command{Op: state.End, Who: c.options.ProcessID, IDs: slices.Clone(succeeded), Failed: slices.Clone(failed)}
+	cmd := state.Command{Op: state.OpEndEffects, Process: c.options.ProcessID, EffectIDs: slices.Clone(succeeded), FailedIDs: slices.Clone(failed)}
 	c.mu.Unlock()
 	_, err := c.Do(context.Background(), cmd)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reportScheduled = false
 	if err == nil {
-		c.succeededEffects, c.failedEffects = c.succeededEffects[len(cmd.IDs):], c.failedEffects[len(cmd.Failed):]
+		c.succeededEffects, c.failedEffects = c.succeededEffects[len(cmd.EffectIDs):], c.failedEffects[len(cmd.FailedIDs):]
 	}
 	if len(c.succeededEffects)+len(c.failedEffects) > 0 {
 		c.scheduleReport()
@@ -523,7 +523,7 @@
 func (c *Client) Share() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, present := c.machine.May(c.options.Steady.Now(), duty.PresenceOf(c.options.ProcessID)); !present {
+	if _, present := c.machine.ActiveGrant(c.options.Steady.Now(), duty.PresenceName(c.options.ProcessID)); !present {
 		return 0
 	}
 	return c.share.Amount
--- a/internal/net/session/server.go
+++ b/internal/net/session/server.go
@@ -163,7 +163,7 @@
 	s := &session{writer: newMessageWriter(conn), commandSlots: make(chan struct{}, maxCommandsInFlight)}
 	defer close(s.writer.done)
 	defer d.inbox.Put(sessionClosed{s})
-	r := newReader(conn, clock.Duration(idleTimeoutRenewals*d.grantor.Renew))
+	r := newReader(conn, clock.Duration(idleTimeoutRenewals*d.grantor.RenewIntervalMS))
 	for {
 		var m clientMessage
 		err := r.Next(&m)
@@ -188,13 +188,13 @@
 		return
 	}
 	defer d.refusalsInFlight.Add(-1)
-	timer := time.AfterFunc(frame.Whole, func() { conn.Close() })
+	timer := time.AfterFunc(frame.MessageTimeout, func() { conn.Close() })
 	defer timer.Stop()
 	var first clientMessage
-	if newReader(conn, frame.Whole).Next(&first) != nil {
+	if newReader(conn, frame.MessageTimeout).Next(&first) != nil {
 		return
 	}
-	frame.Send(conn, serverMessage{RetryMS: limitRetryRenewals * d.grantor.Renew * (0.5 + rand.Float64())}, maxMessageBytes)
+	frame.Send(conn, serverMessage{RetryMS: limitRetryRenewals * d.grantor.RenewIntervalMS * (0.5 + rand.Float64())}, maxMessageBytes)
 }
 
 // dispatch handles one message of a client. An error ends the session.
@@ -204,9 +204,9 @@
 		if err := s.bind(m.Heartbeat.From); err != nil {
 			return err
 		}
-		if len(m.Heartbeat.Stands)+len(m.Heartbeat.Renews)+len(m.Heartbeat.Gives) > 4*(len(d.grantor.Duties)+1) {
+		if len(m.Heartbeat.Candidacies)+len(m.Heartbeat.Renewals)+len(m.Heartbeat.Releases) > 4*(len(d.grantor.Duties)+1) {
 			return fmt.Errorf("session: heartbeat has too many duty names: %d",
-				len(m.Heartbeat.Stands)+len(m.Heartbeat.Renews)+len(m.Heartbeat.Gives))
+				len(m.Heartbeat.Candidacies)+len(m.Heartbeat.Renewals)+len(m.Heartbeat.Releases))
 		}
 		d.inbox.Put(heartbeatReceived{s, m})
 	case m.Command != nil:
@@ -241,13 +241,13 @@
 // grantor.
 func (s *session) authorize(cmd state.Command) error {
 	switch cmd.Op {
-	case state.Act, state.Ask, state.Freeze, state.Thaw, state.Change:
+	case state.OpFenced, state.OpRequestYield, state.OpFreezeDuty, state.OpUnfreezeDuty, state.OpChangeRecords:
 		return nil
-	case state.Begin, state.End, state.AcknowledgeVersion:
-		if processID := s.processID.Load(); processID != nil && *processID == cmd.Who {
+	case state.OpBeginEffect, state.OpEndEffects, state.OpAcknowledgeVersion:
+		if processID := s.processID.Load(); processID != nil && *processID == cmd.Process {
 			return nil
 		}
-		return fmt.Errorf("session: %s for %q, which does not own this session", cmd.Op, cmd.Who)
+		return fmt.Errorf("session: %s for %q, which does not own this session", cmd.Op, cmd.Process)
 	}
 	return fmt.Errorf("session: command %q is not allowed in a session", cmd.Op)
 }
@@ -273,7 +273,7 @@
 }
 
 func (d *Server) checkChange(cmd state.Command) error {
-	if cmd.Op != state.Change || cmd.Change == nil || d.CheckChange == nil {
+	if cmd.Op != state.OpChangeRecords || cmd.Change == nil || d.CheckChange == nil {
 		return nil
 	}
 	if err := cmd.Change.Check(); err != nil {
@@ -314,7 +314,7 @@
 // processInbox processes the events in the inbox and, once per tick, proposes a log entry for the heartbeats and queries
 // received.
 func (d *Server) processInbox() {
-	d.batch = d.inbox.Take(d.batch)
+	d.batch = d.inbox.TakeAll(d.batch)
 	ticked := false
 	for i, e := range d.batch {
 		switch e := e.(type) {
@@ -326,12 +326,12 @@
 			}
 			if old := d.heartbeats[e.session]; old != nil {
 				// The later heartbeat replaces the earlier one and keeps its releases.
-				e.message.Heartbeat.Gives = append(e.message.Heartbeat.Gives, old.Heartbeat.Gives...)
+				e.message.Heartbeat.Releases = append(e.message.Heartbeat.Releases, old.Heartbeat.Releases...)
 			}
 			d.heartbeats[e.session] = &e.message
-			if d.grantor.Plant == duty.PlantUnproven && d.assumedLeader {
+			if d.grantor.InjectedBug == duty.BugUnproven && d.assumedLeader {
 				d.replica.View(func(st *state.State, index uint64) {
-					d.replyToHeartbeat(e.session, e.message.Heartbeat.From, e.message.Heartbeat.No, index, st)
+					d.replyToHeartbeat(e.session, e.message.Heartbeat.From, e.message.Heartbeat.Seq, index, st)
 				})
 			}
 			d.increment(&d.counts.Heartbeats)
@@ -386,11 +386,11 @@
 	d.replica.View(func(st *state.State, _ uint64) {
 		for c, m := range d.heartbeats {
 			b := *m.Heartbeat
-			d.sessions[b.From], d.latestHeartbeats[b.From] = c, max(d.latestHeartbeats[b.From], b.No)
+			d.sessions[b.From], d.latestHeartbeats[b.From] = c, max(d.latestHeartbeats[b.From], b.Seq)
 			d.shareNeeds[b.From] = m.Need
-			p.orders = append(p.orders, d.grantor.Take(now, b, st.Duties)...)
-			if s := st.Shares.Shares[b.From]; s != nil && s.Cap > s.Want && s.Version == m.ShareAck {
-				acks = append(acks, state.Command{Op: state.Ack, Who: b.From, Epoch: m.ShareAck})
+			p.orders = append(p.orders, d.grantor.HandleHeartbeat(now, b, st.Duties)...)
+			if s := st.Allocations.Shares[b.From]; s != nil && s.Cap > s.Target && s.Version == m.ShareAck {
+				acks = append(acks, state.Command{Op: state.OpAcknowledgeAllocation, Process: b.From, Epoch: m.ShareAck})
 			}
 		}
 		p.orders = append(p.orders, d.grantor.Tick(now, st.Duties)...)
@@ -411,7 +411,7 @@
 	d.proposing = true
 	d.increment(&d.counts.LogEntries)
 	if len(p.orders) > 0 {
-		wait := d.replica.Propose(state.Command{Op: state.Orders, Orders: p.orders})
+		wait := d.replica.Propose(state.Command{Op: state.OpLeaseOrders, Orders: p.orders})
 		go func() {
 			p.result, p.err = wait()
 			d.inbox.Put(p)
@@ -433,7 +433,7 @@
 		if term, leads := d.replica.Office(); leads && term == p.term {
 			d.readyTerm, d.assumedLeader = p.term, true
 			d.leaderTerm.Store(p.term)
-			d.grantor.Lead(p.term, now)
+			d.grantor.StartTerm(p.term, now)
 			clear(d.latestHeartbeats)
 			if d.OnTermStart != nil {
 				d.OnTermStart(p.term)
@@ -450,8 +450,8 @@
 	d.replica.View(func(st *state.State, index uint64) {
 		granted := map[string]bool{}
 		for i, o := range p.orders {
-			d.grantor.Done(now, o, st.Duties)
-			ok := i < len(p.result.Part) && p.result.Part[i] == ""
+			d.grantor.HandleOrderResult(now, o, st.Duties)
+			ok := i < len(p.result.Refusals) && p.result.Refusals[i] == ""
 			if ok {
 				d.log.Info().Str("order", o.Kind).Str("duty", o.Name).Str("holder", o.Holder).Uint64("epoch", currentEpoch(st, o)).Msg("duty")
 			}
@@ -461,7 +461,7 @@
 		}
 		for c, m := range p.heartbeats {
 			delete(granted, m.Heartbeat.From)
-			d.replyToHeartbeat(c, m.Heartbeat.From, m.Heartbeat.No, index, st)
+			d.replyToHeartbeat(c, m.Heartbeat.From, m.Heartbeat.Seq, index, st)
 		}
 		for processID := range granted { // the process was a candidate in an earlier heartbeat, whose reply came before this grant
 			if c := d.sessions[processID]; c != nil && d.latestHeartbeats[processID] > 0 {
@@ -484,9 +484,9 @@
 
 // replyToHeartbeat replies to a heartbeat.
 func (d *Server) replyToHeartbeat(c *session, processID string, heartbeatSeq, index uint64, st *state.State) {
-	reply := d.grantor.Answer(processID, heartbeatSeq, index, st.Duties)
+	reply := d.grantor.Reply(processID, heartbeatSeq, index, st.Duties)
 	m := serverMessage{Reply: &reply, Version: st.Config.Latest().No}
-	if s := st.Shares.Shares[processID]; s != nil {
+	if s := st.Allocations.Shares[processID]; s != nil {
 		v := *s
 		m.Share = &v
 	}
@@ -499,16 +499,16 @@
 	var v any
 	switch q.query {
 	case ReadCapacity:
-		capacity := CapacityStatus{Pool: st.Shares.Pool}
-		for _, processID := range st.Shares.Whos() {
-			capacity.Servers = append(capacity.Servers, allot.Need{Who: processID, Need: d.shareNeeds[processID],
-				Share: *st.Shares.Shares[processID]})
+		capacity := CapacityStatus{Pool: st.Allocations.Pool}
+		for _, processID := range st.Allocations.Processes() {
+			capacity.Servers = append(capacity.Servers, allot.ProcessNeed{Who: processID, Need: d.shareNeeds[processID],
+				Share: *st.Allocations.Shares[processID]})
 		}
 		v = capacity
 	case ReadEffects:
-		v = EffectStatus{Seq: st.Effects.Seq, Retained: len(st.Effects.Effects), Orphans: st.Effects.Orphans(st.Live, maxOrphansPerReply)}
+		v = EffectStatus{Seq: st.Effects.Seq, Retained: len(st.Effects.Effects), Orphans: st.Effects.Orphans(st.PresenceInForce, maxOrphansPerReply)}
 	case ReadDuties:
-		duties := DutyStatus{Table: st.Duties.Clone(), Marks: st.Marks, StaleCommands: st.Stale,
+		duties := DutyStatus{Table: st.Duties.Clone(), Marks: st.Counters, StaleCommands: st.StaleRefusals,
 			Acknowledgements: map[string]string{}, Term: term, Leader: d.replica.Leader()}
 		for processID, ack := range st.Config.Acknowledgements {
 			duties.Acknowledgements[processID] = fmt.Sprintf("%d taken", ack.No)
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -23,8 +23,8 @@
 
 const testTimeout = 60 * time.Second // a hanging test fails after it
 
-var rules = duty.Rules{Bounds: duty.Bounds{Rate: 0.1, Margin: 50}, Renew: 300, Cool: 1000, ColdWait: 1000, Presence: 2000,
-	Duties: []duty.Terms{{Name: "allotter", TTL: 2000}}}
+var rules = duty.Rules{ClockBounds: duty.ClockBounds{MaxDrift: 0.1, MarginMS: 50}, RenewIntervalMS: 300, CooldownMS: 1000, ColdWaitMS: 1000, PresenceTTLMS: 2000,
+	Duties: []duty.DutyRule{{Name: "allotter", TTLMS: 2000}}}
 
 // fakeReplica is a fake store replica that commits each entry at once and is the leader unless a test sets otherwise.
 type fakeReplica struct {
@@ -144,21 +144,21 @@
 
 func newLeader(st *state.State) *fakeReplica { return &fakeReplica{st: st, term: 1, leads: true} }
 
-func isAllotterGrant(g duty.Gained) bool { return g.Name == "allotter" }
+func isAllotterGrant(g duty.LeaseGained) bool { return g.Name == "allotter" }
 
 // An order server is redirected to the leader, is granted the duty for which it is a candidate, executes commands under it, and
 // is refused under any other epoch.
 func TestHolderRunsCommandsAndForgedEpochsAreRefused(t *testing.T) {
-	steady := clock.Steady()
+	steady := clock.Monotonic()
 	leader := startServer(t, newLeader(state.New()), steady)
 	follower := startServer(t, &fakeReplica{st: state.New(), term: 1, leaderID: "lead"}, steady)
 	c, events := startClient(t, "a#1", map[string]string{"lead": leader.address, "follow": follower.address}, steady)
 	g := waitForEvent(t, events, isAllotterGrant)
-	if r, err := c.DoFenced(t.Context(), g.Ref, state.Command{Op: state.Mark}); err != nil || r.N != 1 {
+	if r, err := c.DoFenced(t.Context(), g.Ref, state.Command{Op: state.OpIncrementCounter}); err != nil || r.Value != 1 {
 		t.Errorf("%+v %v", r, err)
 	}
 	forged := duty.Ref{Name: g.Name, Epoch: g.Epoch + 1}
-	if _, err := c.DoFenced(t.Context(), forged, state.Command{Op: state.Mark}); !errors.Is(err, ErrStaleEpoch) ||
+	if _, err := c.DoFenced(t.Context(), forged, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStaleEpoch) ||
 		c.FencedCommands() != 1 {
 		t.Errorf("forged epoch: error %v, %d fenced commands counted", err, c.FencedCommands())
 	}
@@ -175,12 +175,12 @@
 	if err := c.Read(t.Context(), "nonsense", &d); err == nil {
 		t.Error("an unknown query was answered")
 	}
-	if _, err := c.Do(t.Context(), state.Command{Op: state.Ask, Key: "allotter"}); err != nil {
+	if _, err := c.Do(t.Context(), state.Command{Op: state.OpRequestYield, Key: "allotter"}); err != nil {
 		t.Fatal(err)
 	}
-	y := waitForEvent(t, events, func(duty.Yields) bool { return true })
+	y := waitForEvent(t, events, func(duty.YieldRequested) bool { return true })
 	c.Quiesced(y.Ref)
-	waitForEvent(t, events, func(e duty.Ended) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
+	waitForEvent(t, events, func(e duty.LeaseEnded) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
 	for deadline := time.Now().Add(testTimeout); ; {
 		if err := c.Read(t.Context(), ReadDuties, &d); err != nil {
 			t.Fatal(err)
@@ -192,14 +192,14 @@
 			t.Fatal("the yielded duty was not released")
 		}
 	}
-	if _, err := c.DoFenced(t.Context(), y.Ref, state.Command{Op: state.Mark}); !errors.Is(err, ErrStaleEpoch) {
+	if _, err := c.DoFenced(t.Context(), y.Ref, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStaleEpoch) {
 		t.Errorf("command under a yielded duty: %v", err)
 	}
 }
 
 // A message that violates the protocol ends its own connection and changes no state.
 func TestMalformedMessageClosesConnection(t *testing.T) {
-	leader := startServer(t, newLeader(state.New()), clock.Steady())
+	leader := startServer(t, newLeader(state.New()), clock.Monotonic())
 	message := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
@@ -246,7 +246,7 @@
 
 // Sessions beyond the limit are refused with a retry delay, and a new one is served once another has ended.
 func TestSessionLimitIsEnforced(t *testing.T) {
-	leader := startServer(t, newLeader(state.New()), clock.Steady())
+	leader := startServer(t, newLeader(state.New()), clock.Monotonic())
 	var conns []net.Conn
 	openSession := func() error { // opens a session and runs one query
 		conn, err := net.Dial("tcp", leader.address)
@@ -277,7 +277,7 @@
 	var limitErr *sessionLimitError
 	if err := openSession(); !errors.As(err, &limitErr) {
 		t.Errorf("session beyond the limit did not get a retry delay: %v", err)
-	} else if minDelay, maxDelay := limitRetryRenewals*rules.Renew*0.5, limitRetryRenewals*rules.Renew*1.5; limitErr.retryMS < minDelay ||
+	} else if minDelay, maxDelay := limitRetryRenewals*rules.RenewIntervalMS*0.5, limitRetryRenewals*rules.RenewIntervalMS*1.5; limitErr.retryMS < minDelay ||
 		limitErr.retryMS > maxDelay {
 		t.Errorf("retry delay %v ms, want %v to %v", limitErr.retryMS, minDelay, maxDelay)
 	}
@@ -295,12 +295,12 @@
 // Servers that connect at the same moment, while the leader waits for the first entry of its term, are all granted their
 // presence, and each log entry carries a bounded number of orders.
 func TestSimultaneousArrivalsAreGrantedInBoundedEntries(t *testing.T) {
-	const fleet = 2*duty.MaxOrders + 100
+	const fleet = 2*duty.MaxOrdersPerTick + 100
 	replica := newLeader(state.New())
 	replica.proveGate = make(chan struct{})
 	slowRules := rules
-	slowRules.Renew = clock.Millis(testTimeout) // no session is closed for silence while the others connect
-	leader := startServerWith(t, replica, clock.Steady(), slowRules, fleet)
+	slowRules.RenewIntervalMS = clock.Millis(testTimeout) // no session is closed for silence while the others connect
+	leader := startServerWith(t, replica, clock.Monotonic(), slowRules, fleet)
 	for i := range fleet {
 		conn, err := net.Dial("tcp", leader.address)
 		if err != nil {
@@ -308,8 +308,8 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		processID := fmt.Sprintf("os-%d#1", i)
-		conn.Write(append([]byte{store.ForSessions}, must(encodeFrame(clientMessage{Heartbeat: &duty.Heartbeat{From: processID, No: 1,
-			Stands: []string{duty.PresenceOf(processID)}}}))...))
+		conn.Write(append([]byte{store.ForSessions}, must(encodeFrame(clientMessage{Heartbeat: &duty.Heartbeat{From: processID, Seq: 1,
+			Candidacies: []string{duty.PresenceName(processID)}}}))...))
 		go io.Copy(io.Discard, conn)
 	}
 	waitUntil := func(condition string, holds func() bool) {
@@ -323,12 +323,12 @@
 	close(replica.proveGate)
 	present := 0
 	waitUntil("all are present", func() bool {
-		replica.View(func(st *state.State, _ uint64) { present = max(present, st.Duties.Present()) })
+		replica.View(func(st *state.State, _ uint64) { present = max(present, st.Duties.CountPresent()) })
 		return present == fleet
 	})
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
-	if replica.maxOrders > duty.MaxOrders {
+	if replica.maxOrders > duty.MaxOrdersPerTick {
 		t.Errorf("an entry has %d orders, more than the limit", replica.maxOrders)
 	}
 }
@@ -337,8 +337,8 @@
 // session has ended.
 func TestRefusedServerWaitsForRetryDelay(t *testing.T) {
 	t.Parallel()
-	steady, slowRules := clock.Steady(), rules
-	slowRules.Renew = 1000 // long enough that no session is closed as silent on a busy machine
+	steady, slowRules := clock.Monotonic(), rules
+	slowRules.RenewIntervalMS = 1000 // long enough that no session is closed as silent on a busy machine
 	leader := startServerWith(t, newLeader(state.New()), steady, slowRules, 16)
 	var conns []net.Conn
 	for range 16 {
@@ -388,7 +388,7 @@
 	}
 	mu.Lock()
 	for i := 1; i < len(attempts); i++ {
-		if gap := attempts[i] - attempts[i-1]; gap < limitRetryRenewals*slowRules.Renew*0.5 {
+		if gap := attempts[i] - attempts[i-1]; gap < limitRetryRenewals*slowRules.RenewIntervalMS*0.5 {
 			t.Errorf("reconnected after %v ms, before the retry delay", gap)
 		}
 	}
@@ -412,7 +412,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { ln.Close() })
-			steady := clock.Steady()
+			steady := clock.Monotonic()
 			attempts := make(chan float64, 1000)
 			go func() {
 				for {
@@ -426,14 +426,14 @@
 				}
 			}()
 			fastRules := rules
-			fastRules.Renew = 200
+			fastRules.RenewIntervalMS = 200
 			c := NewClient(Options{ProcessID: "a#1", ReplicaAddresses: map[string]string{"a": ln.Addr().String()}, Rules: fastRules,
 				Seed: 1, Steady: steady, Log: zerolog.Nop()})
 			go c.Run(t.Context())
 			first := <-attempts
 			select {
 			case second := <-attempts:
-				if gap := second - first; gap < maxLimitRetryRenewals*fastRules.Renew {
+				if gap := second - first; gap < maxLimitRetryRenewals*fastRules.RenewIntervalMS {
 					t.Errorf("reconnected after %v ms, before the bounded retry delay", gap)
 				}
 			case <-time.After(testTimeout):
@@ -452,7 +452,7 @@
 
 // When the leader loses leadership and another replica becomes leader with the same log, the holder finds it and keeps its duty.
 func TestHolderKeepsDutyAcrossLeaderChange(t *testing.T) {
-	steady := clock.Steady()
+	steady := clock.Monotonic()
 	st := state.New()
 	first := newLeader(st)
 	firstServer := startServer(t, first, steady)
@@ -468,7 +468,7 @@
 	second.leads, second.term, second.index = true, 2, index
 	second.mu.Unlock()
 	waitForEvent(t, events, func(SessionEstablished) bool { return true })
-	waitForEvent(t, events, func(h duty.Held) bool { return h.Name == "allotter" })
+	waitForEvent(t, events, func(h duty.LeaseRenewed) bool { return h.Name == "allotter" })
 	if r, ok := c.ActiveGrant("allotter"); !ok || r != g.Ref {
 		t.Errorf("active grant %+v, %v; granted %+v", r, ok, g.Ref)
 	}
@@ -496,17 +496,17 @@
 	r := rules
 	r.Duties = nil
 	for i := range dutyCount {
-		r.Duties = append(r.Duties, duty.Terms{Name: fmt.Sprintf("duty-%d", i), TTL: 2000})
+		r.Duties = append(r.Duties, duty.DutyRule{Name: fmt.Sprintf("duty-%d", i), TTLMS: 2000})
 	}
 	st, now, index := state.New(), 1000.0, uint64(0)
 	g := &duty.Grantor{Rules: r, Seed: 1}
-	g.Lead(1, now)
+	g.StartTerm(1, now)
 	var fleet []*duty.Machine
 	byName := map[string]*duty.Machine{}
 	for i := range servers {
 		m := duty.NewMachine(r, fmt.Sprintf("os-%d#%016x", i, i), uint64(i))
 		fleet = append(fleet, m)
-		byName[m.Me] = m
+		byName[m.ProcessID] = m
 	}
 	var entries, bytesIn, bytesOut, heartbeats int
 	var replicaTime, clientTime time.Duration
@@ -516,7 +516,7 @@
 			var heartbeatFrames [][]byte
 			for _, m := range fleet {
 				for _, a := range m.Tick(now) {
-					if s, ok := a.(duty.Send); ok {
+					if s, ok := a.(duty.SendHeartbeat); ok {
 						heartbeatFrames = append(heartbeatFrames, must(encodeFrame(clientMessage{Heartbeat: &s.Heartbeat})))
 					}
 				}
@@ -532,20 +532,20 @@
 				}
 				bytesIn += len(f)
 				processed = append(processed, *m.Heartbeat)
-				orders = append(orders, g.Take(now, *m.Heartbeat, st.Duties)...)
+				orders = append(orders, g.HandleHeartbeat(now, *m.Heartbeat, st.Duties)...)
 			}
 			orders = append(orders, g.Tick(now, st.Duties)...)
 			if len(orders)+len(heartbeatFrames) > 0 {
 				entries++
 				index++
 			}
-			st.Apply(state.Command{Op: state.Orders, Orders: orders}, 1)
+			st.Apply(state.Command{Op: state.OpLeaseOrders, Orders: orders}, 1)
 			for _, o := range orders {
-				g.Done(now, o, st.Duties)
+				g.HandleOrderResult(now, o, st.Duties)
 			}
 			var replyFrames [][]byte
 			for _, f := range processed {
-				a := g.Answer(f.From, f.No, index, st.Duties)
+				a := g.Reply(f.From, f.Seq, index, st.Duties)
 				replyFrames = append(replyFrames, must(encodeFrame(serverMessage{Reply: &a})))
 				bytesOut += len(replyFrames[len(replyFrames)-1])
 			}
@@ -588,14 +588,14 @@
 			for b.Loop() {
 				st, now := state.New(), 1000.0
 				g := &duty.Grantor{Rules: r, Seed: 1}
-				g.Lead(1, now)
+				g.StartTerm(1, now)
 				var heartbeatFrames [][]byte
 				for i := range servers {
 					processID := fmt.Sprintf("os-%d#%016x", i, i)
-					heartbeatFrames = append(heartbeatFrames, must(encodeFrame(clientMessage{Heartbeat: &duty.Heartbeat{From: processID, No: 1,
-						Stands: []string{duty.PresenceOf(processID)}}})))
+					heartbeatFrames = append(heartbeatFrames, must(encodeFrame(clientMessage{Heartbeat: &duty.Heartbeat{From: processID, Seq: 1,
+						Candidacies: []string{duty.PresenceName(processID)}}})))
 				}
-				for entries = 0; st.Duties.Present() < servers; entries++ {
+				for entries = 0; st.Duties.CountPresent() < servers; entries++ {
 					start := time.Now()
 					var orders []duty.Order
 					for _, f := range heartbeatFrames {
@@ -603,11 +603,11 @@
 						if err := json.Unmarshal(f[4:], &m); err != nil {
 							b.Fatal(err)
 						}
-						orders = append(orders, g.Take(now, *m.Heartbeat, st.Duties)...)
+						orders = append(orders, g.HandleHeartbeat(now, *m.Heartbeat, st.Duties)...)
 					}
 					heartbeatFrames = nil
 					orders = append(orders, g.Tick(now, st.Duties)...)
-					text, err := json.Marshal(state.Command{Op: state.Orders, Orders: orders})
+					text, err := json.Marshal(state.Command{Op: state.OpLeaseOrders, Orders: orders})
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -617,7 +617,7 @@
 					}
 					st.Apply(c, 1)
 					for _, o := range orders {
-						g.Done(now, o, st.Duties)
+						g.HandleOrderResult(now, o, st.Duties)
 					}
 					longest = max(longest, time.Since(start))
 					now += batchIntervalMS
--- a/internal/net/session/wire.go
+++ b/internal/net/session/wire.go
@@ -73,8 +73,8 @@
 
 // CapacityStatus is the result of ReadCapacity: the capacity pool, and the demand and share of each server.
 type CapacityStatus struct {
-	Pool    int64        `json:"pool"`
-	Servers []allot.Need `json:"of"`
+	Pool    int64               `json:"pool"`
+	Servers []allot.ProcessNeed `json:"of"`
 }
 
 // EffectStatus is the result of ReadEffects: the state of the effect log.
@@ -115,7 +115,7 @@
 		for {
 			select {
 			case b := <-w.queue:
-				conn.SetWriteDeadline(time.Now().Add(frame.Whole))
+				conn.SetWriteDeadline(time.Now().Add(frame.MessageTimeout))
 				if _, err := conn.Write(b); err != nil {
 					return
 				}
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -108,15 +108,15 @@
 	var floor *distribution.Position
 	o.copy.View(func(st *state.State, _ uint64) {
 		at := o.server.Position()
-		since, err := st.Records.Since(at.Revision)
+		since, err := st.Records.CommitsSince(at.Revision)
 		if err == nil && (len(since) > 0 && since[0].Before != at.Digest || len(since) == 0 && st.Records.Digest() != at.Digest) {
 			err = records.ErrCompacted // the copy took other records than it had, and those were never agreed on
 		}
 		if err != nil { // this copy took a snapshot
-			since, _ = st.Records.Since(st.Records.Floor())
+			since, _ = st.Records.CommitsSince(st.Records.OldestRevision())
 			floor = &distribution.Position{Revision: st.Records.Revision(), Digest: st.Records.Digest()}
 			if len(since) > 0 {
-				floor = &distribution.Position{Revision: st.Records.Floor(), Digest: since[0].Before}
+				floor = &distribution.Position{Revision: st.Records.OldestRevision(), Digest: since[0].Before}
 			}
 		}
 		commits = slices.Clone(since)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -75,7 +75,7 @@
 	}
 	r.server = configwatch.NewServer(configwatch.ServerOptions{Limits: o.Limits, Source: r, CheckWatch: r.serves, AlternateAddresses: o.Elsewhere, Steady: o.Steady,
 		Log: o.Log, Seed: o.Seed, InjectedBug: o.Plant})
-	r.replica = replica.Open(replica.Options{Name: o.Name, Path: o.Path, Limits: records.Limits{Commits: o.Limits.Commits, Bytes: o.Limits.Bytes},
+	r.replica = replica.Open(replica.Options{Name: o.Name, Path: o.Path, Limits: records.Limits{MaxCommits: o.Limits.Commits, MaxBytes: o.Limits.Bytes},
 		Committed: r.committed, Adopted: r.adopted, Reported: o.Reported, Log: o.Log, Plant: o.Plant})
 	floor, commits := r.replica.Held()
 	r.server.Reset(floor)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -38,7 +38,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	c := records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Setting, Name: name}, Value: []byte(value)}}}
-	if r := e.st.Apply(state.Command{Op: state.Change, Change: &c}, 1); r.Error != "" {
+	if r := e.st.Apply(state.Command{Op: state.OpChangeRecords, Change: &c}, 1); r.Error != "" {
 		t.Fatal(r.Error)
 	}
 	e.wake()
@@ -103,7 +103,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { ln.Close() })
-		o := NewOrigin(member{e, id}, clock.Steady(), zerolog.Nop(), "")
+		o := NewOrigin(member{e, id}, clock.Monotonic(), zerolog.Nop(), "")
 		addresses[id], origins[id] = ln.Addr().String(), o
 		go o.Run(t.Context())
 		go func() {
@@ -136,7 +136,7 @@
 	t.Helper()
 	o.Listen = "127.0.0.1:0"
 	if o.Steady == nil {
-		o.Steady, o.Log = clock.Steady(), zerolog.Nop()
+		o.Steady, o.Log = clock.Monotonic(), zerolog.Nop()
 	}
 	r, err := Open(o)
 	if err != nil {
@@ -159,7 +159,7 @@
 // server is an order server's replica that watches relays.
 func server(t *testing.T, name string, relays ...distribution.Relay) (*replica.Replica, *configwatch.Client) {
 	r := replica.Open(replica.Options{Name: name, Log: zerolog.Nop()})
-	c := configwatch.NewClient(configwatch.ClientOptions{Name: name, Replica: r, Steady: clock.Steady(), Log: zerolog.Nop(),
+	c := configwatch.NewClient(configwatch.ClientOptions{Name: name, Replica: r, Steady: clock.Monotonic(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector(relays, distribution.Place{Zone: "z"}, 1)})
 	go c.Run(t.Context())
 	return r, c
@@ -251,7 +251,7 @@
 		t.Error("the relay without configuration sent nobody away")
 	}
 	r := replica.Open(replica.Options{Name: "direct", Log: zerolog.Nop()})
-	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.ForWatches}, Replica: r, Steady: clock.Steady(), Log: zerolog.Nop(),
+	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.ForWatches}, Replica: r, Steady: clock.Monotonic(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector([]distribution.Relay{{Name: "a", Address: addresses["a"]}}, distribution.Place{}, 1)})
 	go c.Run(t.Context())
 	until(t, "an order server is sent away", func() bool { return origins["a"].Figures().Refused > 0 })
@@ -346,7 +346,7 @@
 	e.lead("nobody")
 	e.change(t, "k", "1")
 	w := &waits{}
-	r := run(t, Options{Name: "relay", Copies: addresses, Seed: 1, Steady: clock.Steady().Apart(fast), Log: zerolog.New(w)})
+	r := run(t, Options{Name: "relay", Copies: addresses, Seed: 1, Steady: clock.Monotonic().SetRate(fast), Log: zerolog.New(w)})
 	until(t, "it was refused many times", func() bool { return len(w.list()) >= tries })
 	if longest := slices.Max(w.list()); longest > mostWait {
 		t.Errorf("it waits %v ms between two tries", longest)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -84,10 +84,10 @@
 
 // load takes what a file holds, and begins a new one with it.
 func (r *Replica) load(c *recordfile.Content) error {
-	r.set.Adopt(c.Table, c.Revision)
+	r.set.ReplaceTable(c.Table, c.Revision)
 	for _, commit := range c.Commits {
-		if err := r.set.Follow(commit); err != nil {
-			return fmt.Errorf("%w: %v", recordfile.ErrSpoilt, err)
+		if err := r.set.ApplyCommit(commit); err != nil {
+			return fmt.Errorf("%w: %v", recordfile.ErrCorrupt, err)
 		}
 	}
 	r.useAll()
@@ -140,7 +140,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := r.set.Follow(c); err != nil {
+	if err := r.set.ApplyCommit(c); err != nil {
 		return err
 	}
 	r.use(c)
@@ -161,7 +161,7 @@
 		r.file = nil
 		return
 	}
-	if r.file.Commits() > rewriteAfter {
+	if r.file.CommitBytes() > rewriteAfter {
 		r.rewrite()
 	}
 }
@@ -238,10 +238,10 @@
 func (r *Replica) Adopt(h records.Header, t *records.Table) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.set.Adopt(t, h.Revision)
+	r.set.ReplaceTable(t, h.Revision)
 	r.useAll()
 	r.rewrite()
-	r.o.Log.Info().Uint64("revision", h.Revision).Int("records", h.Records).Int64("bytes", h.Bytes).Msg("configuration from a snapshot is in force")
+	r.o.Log.Info().Uint64("revision", h.Revision).Int("records", h.RecordCount).Int64("bytes", h.CompressedBytes).Msg("configuration from a snapshot is in force")
 	if r.o.Adopted != nil {
 		r.o.Adopted(r.position())
 	}
@@ -265,7 +265,7 @@
 func (r *Replica) Skip(c records.Commit) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.set.Adopt(r.set.Table(), c.Revision)
+	r.set.ReplaceTable(r.set.Table(), c.Revision)
 	return nil
 }
 
@@ -307,11 +307,11 @@
 func (r *Replica) Held() (floor distribution.Position, commits []records.Commit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	commits, err := r.set.Since(r.set.Floor())
+	commits, err := r.set.CommitsSince(r.set.OldestRevision())
 	if err != nil || len(commits) == 0 {
 		return r.position(), nil
 	}
-	return distribution.Position{Revision: r.set.Floor(), Digest: commits[0].Before}, slices.Clone(commits)
+	return distribution.Position{Revision: r.set.OldestRevision(), Digest: commits[0].Before}, slices.Clone(commits)
 }
 
 // Records counts the records that are held.
