--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -9,7 +9,7 @@
 	"puffinsaddle/internal/records"
 )
 
-// commits makes a chain of so many commits.
+// commits returns a chain of n commits.
 func commits(t *testing.T, n int) []records.Commit {
 	t.Helper()
 	s := records.NewSet(records.DefaultLimits)
@@ -26,15 +26,15 @@
 
 func after(c records.Commit) Position { return Position{c.Revision, c.After} }
 
-// Watchers that come, go and read at their own pace see each commit once and in order, or are told to begin again; what the
-// feed holds stays within its limits.
+// Watchers that connect, disconnect and read at random times receive each commit once and in order, or get ErrFellBehind; the feed
+// stays within its limits.
 func TestWatchersSeeEachCommitOnce(t *testing.T) {
 	all := commits(t, 600)
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		limits := Limits{Commits: 40, Bytes: 1200, Watchers: 8, Snapshots: 2}
 		f := NewFeed(limits, seed)
-		at := map[int]uint64{} // of the watchers that are served
+		at := map[int]uint64{} // revision by admitted watcher
 		next := 0
 		for range 5000 {
 			switch who := rng.IntN(10); rng.IntN(4) {
@@ -53,7 +53,7 @@
 					}
 					at, verdict := serve(f, at, who, from)
 					if verdict == Refuse && len(at) < limits.Watchers && f.Snapshots() < limits.Snapshots {
-						t.Fatalf("seed %d: refused with room", seed)
+						t.Fatalf("seed %d: watcher refused below the limits", seed)
 					}
 				}
 			case 2:
@@ -68,7 +68,7 @@
 				}
 				frames, through, err := f.Next(revision, 200)
 				if errors.Is(err, ErrFellBehind) != (revision < f.Floor()) {
-					t.Fatalf("seed %d: at %d with the floor at %d: %v", seed, revision, f.Floor(), err)
+					t.Fatalf("seed %d: Next from %d with oldest revision %d: %v", seed, revision, f.Floor(), err)
 				}
 				if err != nil {
 					f.Leave()
@@ -81,13 +81,13 @@
 				at[who] = through
 			}
 			if f.Held() > limits.Bytes || f.At().Revision-f.Floor() > uint64(limits.Commits) || f.Watchers() != len(at) || f.Watchers() > limits.Watchers {
-				t.Fatalf("seed %d: over a limit", seed)
+				t.Fatalf("seed %d: feed exceeds a limit", seed)
 			}
 		}
 	}
 }
 
-// serve admits a watcher; a snapshot is over at once.
+// serve admits a watcher; a snapshot ends immediately.
 func serve(f *Feed, at map[int]uint64, who int, from Position) (map[int]uint64, Verdict) {
 	a := f.Admit(from)
 	switch a.Verdict {
@@ -100,7 +100,7 @@
 	return at, a.Verdict
 }
 
-// Who holds what was never agreed on gets a snapshot, who is ahead is sent away, and so is one too many.
+// A watcher with records that were never committed gets a snapshot; a watcher that is ahead, or over a limit, is refused.
 func TestAdmission(t *testing.T) {
 	all := commits(t, 10)
 	f := NewFeed(Limits{Commits: 5, Bytes: 1 << 20, Watchers: 4, Snapshots: 1}, 1)
@@ -110,33 +110,33 @@
 		}
 	}
 	if a := f.Admit(after(all[9])); a.Verdict != Refuse || a.RetryMs < behindRetryMs/2 {
-		t.Errorf("a watcher that is ahead: %+v", a)
+		t.Errorf("watcher ahead of the feed: %+v", a)
 	}
 	if a := f.Admit(after(all[3])); a.Verdict != Stream {
-		t.Errorf("at the floor: %+v", a)
+		t.Errorf("watcher at the oldest revision: %+v", a)
 	}
 	if a := f.Admit(Position{all[6].Revision, all[5].After}); a.Verdict != Snapshot {
-		t.Errorf("with other records: %+v", a)
+		t.Errorf("watcher with a different digest: %+v", a)
 	}
 	if a := f.Admit(after(all[1])); a.Verdict != Refuse || a.RetryMs < snapshotRetryMs/2 || a.RetryMs > snapshotRetryMs*1.5 {
-		t.Errorf("one snapshot too many: %+v", a)
+		t.Errorf("snapshot over the limit: %+v", a)
 	}
 	f.SnapshotDone()
 	if a := f.Admit(after(all[1])); a.Verdict != Snapshot {
-		t.Errorf("behind the floor: %+v", a)
+		t.Errorf("watcher behind the oldest revision: %+v", a)
 	}
 	if a := f.Admit(after(all[8])); a.Verdict != Stream {
-		t.Errorf("the last that has room: %+v", a)
+		t.Errorf("last watcher within the limit: %+v", a)
 	}
 	if a := f.Admit(after(all[8])); a.Verdict != Refuse || a.Reason != "full" {
-		t.Errorf("one too many: %+v", a)
+		t.Errorf("watcher over the limit: %+v", a)
 	}
 	if err := f.Advance(all[8], nil); !errors.Is(err, ErrOrder) {
-		t.Errorf("a commit twice: %v", err)
+		t.Errorf("commit added twice: %v", err)
 	}
 }
 
-// Watchers of a relay that fails spread over the others of their region, at different times, and come back to their zone.
+// Watchers of a failed relay spread over the other relays of their region, after jittered waits, and later return to their zone.
 func TestSelectorsSpreadAndComeBack(t *testing.T) {
 	var relays []Relay
 	for i := range 12 {
@@ -148,15 +148,15 @@
 		s := NewSelector(relays, Place{"z0", "r0"}, seed)
 		r, _, ok := s.Next(0)
 		if !ok || r.Zone != "z0" {
-			t.Fatalf("the first choice is %+v", r)
+			t.Fatalf("first choice: got %+v, want the relay of zone z0", r)
 		}
 		s.Served()
 		waits += s.Failed()
 		s.Next(1)
-		s.Failed() // the own zone's does not come back
+		s.Failed() // the relay of the own zone stays down
 		r, _, _ = s.Next(2)
 		if r.Region != "r0" {
-			t.Fatalf("the second choice is %+v", r)
+			t.Fatalf("second choice: got %+v, want a relay of region r0", r)
 		}
 		second[r.Name]++
 		if keep := s.Served(); keep >= awayFor && keep <= 2*awayFor {
@@ -164,14 +164,14 @@
 		}
 	}
 	if away != watchers {
-		t.Errorf("%d of %d look for a nearer relay later", away, watchers)
+		t.Errorf("%d of %d watchers select a nearer relay later, want all", away, watchers)
 	}
 	if mean := waits / watchers; mean < firstBackoff/3 || mean > firstBackoff {
-		t.Errorf("they wait %.0f ms in the mean", mean)
+		t.Errorf("mean backoff is %.0f ms", mean)
 	}
 	for name, n := range second {
 		if n > watchers/2 {
-			t.Errorf("%d of %d turn to %s", n, watchers, name)
+			t.Errorf("%d of %d watchers choose %s", n, watchers, name)
 		}
 	}
 	s := NewSelector(relays, Place{"z0", "r0"}, 1)
@@ -181,11 +181,11 @@
 		longest = max(longest, last)
 	}
 	if longest > maxBackoff || longest < maxBackoff/2 {
-		t.Errorf("the longest wait is %.0f ms", longest)
+		t.Errorf("longest backoff is %.0f ms", longest)
 	}
 }
 
-// A relay that refuses is not asked again before its time, and the one that it named is tried next.
+// A relay that refused is not chosen again before its retry delay has passed, and the alternative that it gave is chosen next.
 func TestSelectorFollowsARefusal(t *testing.T) {
 	relays := []Relay{{Name: "a", Address: "127.0.0.1:1", Zone: "z"}, {Name: "b", Address: "127.0.0.1:2", Zone: "y"}, {Name: "c", Address: "127.0.0.1:3", Zone: "x"}}
 	s := NewSelector(relays, Place{Zone: "z"}, 1)
@@ -194,22 +194,22 @@
 	}
 	s.Refused(0, 5000, []string{"nobody", "c"})
 	if r, _, _ := s.Next(10); r.Name != "c" {
-		t.Errorf("tried %s", r.Name)
+		t.Errorf("chose %s", r.Name)
 	}
 	s.Refused(10, 5000, nil)
 	if r, _, _ := s.Next(20); r.Name != "b" {
-		t.Errorf("tried %s", r.Name)
+		t.Errorf("chose %s", r.Name)
 	}
 	s.Refused(20, 9000, nil)
 	if _, wait, ok := s.Next(30); ok || wait != 4970 {
-		t.Errorf("all refused: %v, %v", wait, ok)
+		t.Errorf("all relays refused: wait %v, ok %v", wait, ok)
 	}
 	if r, _, ok := s.Next(5001); !ok || r.Name != "a" {
-		t.Errorf("after its time: %+v, %v", r, ok)
+		t.Errorf("after the retry delay: %+v, %v", r, ok)
 	}
 }
 
-// Reports of many come to one of the same size.
+// The reports of many watchers are aggregated into one of bounded size, and aggregates can be aggregated again.
 func TestReportsAreSummed(t *testing.T) {
 	p := NewProgress()
 	for i := range 500 {
@@ -238,7 +238,7 @@
 	}
 }
 
-// A relay that seeks the copy that leads waits less between its tries than a server that seeks a relay.
+// A relay that looks for the store leader has a shorter maximum backoff than a server that looks for a relay.
 func TestRelaysSeekTheLeaderSooner(t *testing.T) {
 	copies := []Relay{{Name: "a", Address: "a:1"}, {Name: "b", Address: "b:1"}}
 	longest := func(s *Selector) (ms float64) {
@@ -248,22 +248,22 @@
 		return ms
 	}
 	if ms := longest(NewCopySelector(copies, 1)); ms > maxCopyBackoff || ms < 0.9*maxCopyBackoff {
-		t.Errorf("a relay waits up to %v ms", ms)
+		t.Errorf("longest backoff of a relay is %v ms", ms)
 	}
 	if ms := longest(NewSelector(copies, Place{}, 1)); ms > maxBackoff || ms < 0.9*maxBackoff {
-		t.Errorf("a server waits up to %v ms", ms)
+		t.Errorf("longest backoff of a server is %v ms", ms)
 	}
 }
 
-// A relay that asks not to be tried for years is tried again within a minute.
+// A relay that asks for a retry delay of years is retried within maxRefusal.
 func TestRefusalsAreBounded(t *testing.T) {
 	s := NewSelector([]Relay{{Name: "a", Address: "a:1"}}, Place{}, 1)
 	s.Next(0)
 	s.Refused(0, 1e300, nil)
 	if _, wait, ok := s.Next(1); ok || wait > maxRefusal {
-		t.Errorf("tried at once %v, or after %v ms", ok, wait)
+		t.Errorf("after a refusal: ok %v, wait %v ms", ok, wait)
 	}
 	if _, _, ok := s.Next(maxRefusal); !ok {
-		t.Error("not tried after a minute")
+		t.Error("relay is not retried after the longest delay")
 	}
 }
--- a/internal/distribution/explore_test.go
+++ b/internal/distribution/explore_test.go
@@ -8,10 +8,10 @@
 	"puffinsaddle/internal/records"
 )
 
-// The exploration plays every order of steps of a copy that leads, two relays and a watcher: changes are agreed on, relays take
-// them, fall behind and start again with their file or without, and the watcher connects, is sent to, hears, and loses its
-// connection with what was under way. Windows are as short as they may be, so that snapshots and watchers that fall behind come
-// about within few steps.
+// The exploration executes every order of steps of a model of the store leader, two relays and a watcher: changes are committed,
+// relays receive them, fall behind and restart with or without their file, and the watcher connects, receives messages, and loses
+// its connection together with the messages in flight. The windows are as short as possible, so that snapshots and watchers that
+// fall behind occur within few steps.
 const (
 	exploreChanges = 4
 	exploreRelays  = 2
@@ -19,50 +19,50 @@
 	relayWindow    = 1
 )
 
-// stepKind is a kind of step.
+// stepKind is the kind of a step.
 type stepKind int
 
 const (
-	stepChange  stepKind = iota // the next change is agreed on
-	stepRelay                   // a relay takes the next commit, or a snapshot
-	stepRestart                 // a relay starts again from its file
-	stepEmpty                   // a relay starts again with nothing
+	stepChange  stepKind = iota // the next change is committed
+	stepRelay                   // a relay receives the next commit, or a snapshot
+	stepRestart                 // a relay restarts from its file
+	stepEmpty                   // a relay restarts without a file
 	stepConnect                 // the watcher connects to a relay
-	stepSend                    // the relay sends what it has next
-	stepHear                    // the watcher takes the first message that is under way
-	stepCut                     // the connection ends, and what is under way is lost
+	stepSend                    // the relay sends the next commit
+	stepHear                    // the watcher receives the first message in flight
+	stepCut                     // the connection ends, and the messages in flight are lost
 )
 
-// step is one step, of one relay where its kind is of relays.
+// step is one step of the model; relay is set for the kinds that concern one relay.
 type step struct {
 	kind  stepKind
 	relay int
 }
 
-// message is what a relay sent: a commit, or a snapshot as of a position.
+// message is a message from a relay: a commit, or a snapshot at a position.
 type message struct {
 	commit   *records.Commit
 	snapshot *Position
 }
 
-// model is the whole of it. The changes are the same in each.
+// model is the state of the modelled system. All models have the same commits.
 type model struct {
 	commits   []records.Commit
-	positions []Position // at each revision
+	positions []Position // by revision
 
 	leader   *Feed
 	relays   [exploreRelays]*Feed
-	snapshot [exploreRelays]*Position // that is shared by a relay's watchers; nil: none was made
+	snapshot [exploreRelays]*Position // shared by the watchers of a relay; nil: not yet built
 
 	watcher  records.Marker
-	at       int // the relay to which the watcher is connected; -1: none
+	at       int // relay that the watcher is connected to; -1: none
 	sent     uint64
 	underWay []message
 
 	plant string
 }
 
-// agreedChanges are the changes of all models.
+// agreedChanges returns the commits of all models and the positions by revision.
 func agreedChanges(t *testing.T) (commits []records.Commit, positions []Position) {
 	t.Helper()
 	set := records.NewSet(records.DefaultLimits)
@@ -88,7 +88,7 @@
 	return m
 }
 
-// play carries a step out; false: it can't be taken now. An error is a broken invariant.
+// play executes a step. It returns false if the step is not possible in this state, and an error if an invariant is violated.
 func (m *model) play(s step) (bool, error) {
 	switch s.kind {
 	case stepChange:
@@ -124,7 +124,7 @@
 	return true, nil
 }
 
-// advance has a relay take what it lacks next.
+// advance delivers to a relay the next commit that it lacks, or a snapshot.
 func (m *model) advance(i int) (bool, error) {
 	relay := m.relays[i]
 	p := relay.At()
@@ -162,7 +162,7 @@
 	return true
 }
 
-// sharedSnapshot is the one that a relay has, made anew where the relay no longer has what comes after it.
+// sharedSnapshot returns the relay's snapshot. It is rebuilt if the relay no longer retains the commits after it.
 func (m *model) sharedSnapshot(i int) Position {
 	if s := m.snapshot[i]; s != nil && s.Revision >= m.relays[i].Floor() {
 		return *s
@@ -181,7 +181,7 @@
 	}
 	frames, through, err := m.relays[m.at].Next(m.sent, 1)
 	if errors.Is(err, ErrFellBehind) {
-		m.cut() // a watcher that reads too slowly
+		m.cut() // the watcher has read too slowly
 		return true, nil
 	}
 	if err != nil || len(frames) == 0 {
@@ -202,10 +202,10 @@
 	if first.snapshot != nil {
 		m.watcher = records.Marker(*first.snapshot)
 	} else if err := m.watcher.Follow(*first.commit); err != nil {
-		return true, fmt.Errorf("the watcher does not take a commit: %w", err)
+		return true, fmt.Errorf("the watcher rejects a commit: %w", err)
 	}
 	if m.watcher.Revision < before {
-		return true, fmt.Errorf("the watcher goes back from %d to %d", before, m.watcher.Revision)
+		return true, fmt.Errorf("the watcher goes back from revision %d to %d", before, m.watcher.Revision)
 	}
 	return true, m.check()
 }
@@ -215,19 +215,19 @@
 	m.at, m.underWay = -1, nil
 }
 
-// check holds the watcher against what was agreed on.
+// check compares the watcher's position with the committed ones.
 func (m *model) check() error {
 	p := Position(m.watcher)
 	switch {
 	case p.Revision > m.leader.At().Revision:
-		return fmt.Errorf("the watcher is at %d, and %d is agreed on", p.Revision, m.leader.At().Revision)
+		return fmt.Errorf("the watcher is at revision %d, but only %d is committed", p.Revision, m.leader.At().Revision)
 	case p != m.positions[p.Revision]:
-		return fmt.Errorf("the watcher has other records at %d than were agreed on", p.Revision)
+		return fmt.Errorf("the watcher's records at revision %d differ from the committed ones", p.Revision)
 	}
 	return nil
 }
 
-// key tells models apart.
+// key returns a string that identifies the state of the model.
 func (m *model) key() string {
 	key := fmt.Sprint(m.leader.At().Revision, m.watcher.Revision, m.at, m.sent)
 	for i, r := range m.relays {
@@ -246,7 +246,7 @@
 	return key
 }
 
-// settle lets everything go well from here: the watcher has to come level with what is agreed on.
+// settle continues without faults: the watcher must reach the latest committed revision.
 func (m *model) settle() error {
 	for range 4 * exploreChanges {
 		for i := range m.relays {
@@ -263,12 +263,12 @@
 		}
 	}
 	if m.watcher.Revision != m.leader.At().Revision {
-		return fmt.Errorf("the watcher stays at %d of %d", m.watcher.Revision, m.leader.At().Revision)
+		return fmt.Errorf("the watcher does not get past revision %d of %d", m.watcher.Revision, m.leader.At().Revision)
 	}
 	return m.check()
 }
 
-// allSteps are the steps that there are, taken or not.
+// allSteps returns all steps, possible in a given state or not.
 func allSteps() (all []step) {
 	for _, kind := range []stepKind{stepChange, stepSend, stepHear, stepCut} {
 		all = append(all, step{kind: kind})
@@ -281,8 +281,8 @@
 	return all
 }
 
-// explore plays every order of steps until no model comes that was not met before, and settles from each of them. It tells how many
-// there were, and the first way that broke an invariant.
+// explore visits every reachable state, breadth first, and checks from each that the watcher converges without further faults. It
+// returns the number of states, and the first sequence of steps that violates an invariant.
 func explore(t *testing.T, plant string) (models int, broken error) {
 	commits, positions := agreedChanges(t)
 	replay := func(way []step) *model {
@@ -312,7 +312,7 @@
 				models++
 				next = append(next, longer)
 				if err := m.settle(); err != nil {
-					return models, fmt.Errorf("%v, then nothing but good: %w", longer, err)
+					return models, fmt.Errorf("%v, then without faults: %w", longer, err)
 				}
 			}
 		}
@@ -321,22 +321,22 @@
 	return models, nil
 }
 
-// No order of steps skips, doubles or reorders a commit for the watcher, puts into force what was not agreed on, or leaves it
-// where it can't come level again.
+// No order of steps skips, duplicates or reorders a commit for the watcher, delivers records that were not committed, or leaves the
+// watcher unable to catch up.
 func TestEveryOrderOfSteps(t *testing.T) {
 	models, err := explore(t, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if models < 1000 {
-		t.Errorf("%d models only", models)
+		t.Errorf("only %d states explored, want at least 1000", models)
 	}
-	t.Logf("%d models", models)
+	t.Logf("%d states", models)
 }
 
-// The exploration finds a snapshot that is taken for a revision that it has not.
+// The exploration finds a snapshot that is labelled with a revision that it does not contain.
 func TestExplorationFindsAPlantedBug(t *testing.T) {
 	if _, err := explore(t, PlantSnapshotRevision); err == nil {
-		t.Error("it is not found")
+		t.Error("the injected bug is not found")
 	}
 }
--- a/internal/distribution/feed.go
+++ b/internal/distribution/feed.go
@@ -1,9 +1,9 @@
-// Package distribution decides how records get from the copies of the store to the order servers: which watcher is served from
-// where, who is sent away and until when, which relay a server turns to, and what is reported back. It is free of I/O: the
-// clock's time comes in, in milliseconds.
+// Package distribution implements the logic that distributes configuration records from the store replicas to the order
+// servers: which commits or snapshot a watcher is sent, which watchers are refused and when they may retry, which relay a server
+// connects to, and how progress is reported back. It does no I/O; the current time is passed in, in milliseconds.
 //
-// A Feed is the side that serves watchers, at the copy that leads and at relays. A Selector is a watcher's choice of where to
-// watch. Progress gathers what the watchers report. docs/distribution.md has the argument.
+// A Feed serves watchers, at the store leader and at relays. A Selector chooses the relay that a watcher connects to. Progress
+// aggregates the reports of watchers. The design and its correctness argument are in docs/distribution.md.
 package distribution
 
 import (
@@ -14,101 +14,102 @@
 	"puffinsaddle/internal/records"
 )
 
-// Errors of a feed.
+// Errors returned by a Feed.
 var (
-	ErrFellBehind = errors.New("distribution: the watcher fell behind what is held")
-	ErrOrder      = errors.New("distribution: a commit out of order")
+	ErrFellBehind = errors.New("distribution: watcher is behind the oldest retained revision")
+	ErrOrder      = errors.New("distribution: commit out of order")
 )
 
-// Limits bound what a feed holds and whom it serves.
+// Limits bound the memory of a feed and the number of its watchers.
 type Limits struct {
-	Commits   int // held for watchers
-	Bytes     int // of them
-	Watchers  int // served at once
-	Snapshots int // sent at once
+	Commits   int // retained for watchers
+	Bytes     int // total size of the retained commits
+	Watchers  int // served concurrently
+	Snapshots int // sent concurrently
 }
 
-// DefaultLimits are those of a relay.
+// DefaultLimits are the limits of a relay.
 var DefaultLimits = Limits{Commits: 8192, Bytes: 16 << 20, Watchers: 1024, Snapshots: 4}
 
-// Verdict is what becomes of a watch.
+// Verdict is the decision on a watch request.
 type Verdict int
 
-// Verdicts.
+// Verdicts on a watch request.
 const (
-	Stream   Verdict = iota // the commits behind its revision
-	Snapshot                // a snapshot first
-	Refuse                  // nothing for now
+	Stream   Verdict = iota // send the commits after the watcher's revision
+	Snapshot                // send a snapshot, then the commits after it
+	Refuse                  // do not serve; the watcher may retry later
 )
 
-// Position is how far a watcher is.
+// Position is a revision of the records and the digest of the records at that revision.
 type Position struct {
 	Revision uint64         `json:"revision"`
 	Digest   records.Digest `json:"digest"`
 }
 
-// Admission is the answer to a watch.
+// Admission is the response to a watch request.
 type Admission struct {
 	Verdict Verdict
-	RetryMs float64 // with Refuse: when to come back
+	RetryMs float64 // with Refuse: delay before the watcher retries
 	Reason  string  // with Refuse
 }
 
+// Mean delays before a refused watcher retries.
 const (
-	fullRetryMs     = 2000.0 // a full feed is not asked again before
-	behindRetryMs   = 500.0  // nor one that is behind its watcher
-	snapshotRetryMs = 1000.0 // nor one that sends as many snapshots as it may
+	fullRetryMs     = 2000.0 // the feed serves its maximum of watchers
+	behindRetryMs   = 500.0  // the feed is behind the watcher
+	snapshotRetryMs = 1000.0 // the feed sends its maximum of snapshots
 )
 
-// held is one commit as it is sent.
+// held is a retained commit in its encoded form.
 type held struct {
 	frame []byte
 	after records.Digest
 }
 
-// Feed serves watchers from a window of the latest commits. Its memory is bounded by its limits, whatever its watchers do: a
-// watcher that is behind the window has to begin again from its revision.
+// Feed serves watchers from a window of the latest commits. Its limits bound its memory however slowly its watchers read: a
+// watcher that falls behind the window must watch again from its revision.
 type Feed struct {
 	limits Limits
 	rng    *rand.Rand
 
-	at      Position // the latest
-	floor   Position // before the first of the window
+	at      Position // of the newest commit
+	floor   Position // before the first commit of the window
 	window  []held
 	bytes   int
-	serving int // watchers
-	sending int // snapshots
+	serving int // admitted watchers
+	sending int // snapshots being sent
 }
 
-// NewFeed is a feed that holds nothing.
+// NewFeed returns an empty feed.
 func NewFeed(l Limits, seed uint64) *Feed {
 	return &Feed{limits: l, rng: rand.New(rand.NewPCG(seed, 3))}
 }
 
-// At is the latest position.
+// At returns the position of the newest commit.
 func (f *Feed) At() Position { return f.at }
 
-// Floor is the earliest revision from which a watcher can be served without a snapshot.
+// Floor returns the oldest revision from which a watcher can be served without a snapshot.
 func (f *Feed) Floor() uint64 { return f.floor.Revision }
 
-// Held is the bytes of the window, and Watchers and Snapshots who is served.
+// Held returns the size of the retained commits in bytes.
 func (f *Feed) Held() int { return f.bytes }
 
-// Watchers counts the watchers that were admitted and have not left.
+// Watchers returns the number of admitted watchers.
 func (f *Feed) Watchers() int { return f.serving }
 
-// Snapshots counts those that are being sent.
+// Snapshots returns the number of snapshots being sent.
 func (f *Feed) Snapshots() int { return f.sending }
 
-// Reset begins anew at a position, as after a snapshot.
+// Reset empties the window and restarts the feed at a position, for example after a snapshot.
 func (f *Feed) Reset(p Position) {
 	f.at, f.floor, f.window, f.bytes = p, p, nil, 0
 }
 
-// Advance adds the next commit in the form in which it is sent.
+// Advance adds the next commit together with its encoded frame.
 func (f *Feed) Advance(c records.Commit, frame []byte) error {
 	if c.Revision != f.at.Revision+1 || c.Before != f.at.Digest {
-		return fmt.Errorf("%w: %d behind %d", ErrOrder, c.Revision, f.at.Revision)
+		return fmt.Errorf("%w: revision %d after %d", ErrOrder, c.Revision, f.at.Revision)
 	}
 	f.at = Position{c.Revision, c.After}
 	f.window = append(f.window, held{frame, c.After})
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// Admit decides on a watch. A watcher that was admitted has to be taken out with Leave, and a snapshot that was allowed with
+// Admit decides on a watch request. An admitted watcher must be removed with Leave, and an admitted snapshot must be ended with
 // SnapshotDone.
 func (f *Feed) Admit(from Position) Admission {
 	switch {
@@ -143,13 +144,13 @@
 	return Admission{Verdict: Snapshot}
 }
 
-// refuse spreads those who come back over a span.
+// refuse jitters the retry delay between 0.5 and 1.5 times its mean, so that refused watchers do not return all at once.
 func (f *Feed) refuse(ms float64, reason string) Admission {
 	return Admission{Verdict: Refuse, RetryMs: ms * (0.5 + f.rng.Float64()), Reason: reason}
 }
 
-// knows tells whether a position is on the way of this feed's records, and within the window. A watcher with other records at
-// the same revision holds what was never agreed on, and begins with a snapshot.
+// knows reports whether a position is within the window and in the history of this feed's records. A watcher whose digest
+// differs at the same revision has records that were never committed, and must start with a snapshot.
 func (f *Feed) knows(p Position) bool {
 	switch {
 	case p.Revision == f.floor.Revision:
@@ -160,16 +161,17 @@
 	return f.window[p.Revision-f.floor.Revision-1].after == p.Digest
 }
 
-// Leave takes a watcher out.
+// Leave removes an admitted watcher.
 func (f *Feed) Leave() { f.serving-- }
 
-// SnapshotDone makes room for another snapshot.
+// SnapshotDone ends an admitted snapshot, so that another can be sent.
 func (f *Feed) SnapshotDone() { f.sending-- }
 
-// Next lists the frames behind a revision, of so many bytes at most but one at least, and the revision of the last.
+// Next returns the frames after a revision, and the revision of the last. It returns at most maxBytes, but at least one frame if
+// there is any.
 func (f *Feed) Next(revision uint64, maxBytes int) (frames [][]byte, through uint64, err error) {
 	if revision < f.floor.Revision {
-		return nil, revision, fmt.Errorf("%w: %d, and %d is the earliest", ErrFellBehind, revision, f.floor.Revision)
+		return nil, revision, fmt.Errorf("%w: revision %d, oldest is %d", ErrFellBehind, revision, f.floor.Revision)
 	}
 	bytes := 0
 	for through = revision; through < f.at.Revision; through++ {
--- a/internal/distribution/plants.go
+++ b/internal/distribution/plants.go
@@ -1,11 +1,11 @@
 package distribution
 
-// Planted bugs, by which the laboratory and the tests show that they would find one. Nothing else sets any.
+// Injected bugs, with which the fault-injection lab and the tests verify that their checks find a fault. Off in production.
 const (
-	PlantLostChange       = "lost-change"       // a watcher that turns to another relay loses the first change there
-	PlantEarlyReport      = "early-report"      // a revision is reported before it is in force
-	PlantSnapshotRevision = "snapshot-revision" // a snapshot is sent for a revision that it does not have
+	PlantLostChange       = "lost-change"       // a watcher that switches relays skips the first commit from the new one
+	PlantEarlyReport      = "early-report"      // a revision is reported before it has been applied
+	PlantSnapshotRevision = "snapshot-revision" // a snapshot is labelled with a revision that it does not contain
 )
 
-// Plants are all of them.
+// Plants lists all injected bugs of this package.
 var Plants = []string{PlantLostChange, PlantEarlyReport, PlantSnapshotRevision}
--- a/internal/distribution/progress.go
+++ b/internal/distribution/progress.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Bounds of reports.
+// Bounds of a report, which may come from another process.
 const (
-	MaxRejections = 16  // by name, in one report
-	maxReason     = 256 // bytes
+	MaxRejections = 16  // listed in one report
+	maxReason     = 256 // bytes of each name, key and reason
 )
 
-// Rejection is a record that a server could not put into force.
+// Rejection is a record that a server could not apply.
 type Rejection struct {
 	Server   string `json:"server"`
 	Key      string `json:"key"`
@@ -19,17 +19,18 @@
 	Reason   string `json:"reason"`
 }
 
-// Report is what a watcher tells: for itself, or a relay for all that watch it. Its size does not depend on how many they are.
+// Report is a watcher's progress. A server reports for itself, a relay for all its watchers; the size of a report does not depend
+// on their number.
 type Report struct {
-	Servers    int         `json:"servers"`              // for which it speaks
-	Lowest     uint64      `json:"lowest"`               // revision in force at all of them
-	LowestName string      `json:"lowest_name"`          // one that is at the lowest
-	Behind     int         `json:"behind"`               // servers that are not at the latest that the reporter knows
-	Rejecting  int         `json:"rejecting,omitempty"`  // servers that could not take some record
-	Rejections []Rejection `json:"rejections,omitempty"` // some of them
+	Servers    int         `json:"servers"`              // number of servers covered
+	Lowest     uint64      `json:"lowest"`               // revision applied at all of them
+	LowestName string      `json:"lowest_name"`          // a server at the lowest revision
+	Behind     int         `json:"behind"`               // servers behind the latest revision known to the reporter
+	Rejecting  int         `json:"rejecting,omitempty"`  // servers that could not apply some record
+	Rejections []Rejection `json:"rejections,omitempty"` // a bounded sample
 }
 
-// Check bounds a report that came from elsewhere.
+// Check truncates a report to its bounds and clamps negative counts to 0.
 func (r *Report) Check() {
 	r.Rejections = r.Rejections[:min(len(r.Rejections), MaxRejections)]
 	for i := range r.Rejections {
@@ -42,22 +43,22 @@
 
 func bound(s string) string { return s[:min(len(s), maxReason)] }
 
-// Progress gathers the reports of the watchers of one feed.
+// Progress aggregates the latest reports of the watchers of one feed.
 type Progress struct{ reports map[string]Report }
 
-// NewProgress knows of no watcher.
+// NewProgress returns a Progress without reports.
 func NewProgress() *Progress { return &Progress{reports: map[string]Report{}} }
 
-// Put takes the latest report of a watcher.
+// Put stores the latest report of a watcher.
 func (p *Progress) Put(watcher string, r Report) {
 	r.Check()
 	p.reports[watcher] = r
 }
 
-// Drop forgets a watcher that has left.
+// Drop removes the report of a watcher that has disconnected.
 func (p *Progress) Drop(watcher string) { delete(p.reports, watcher) }
 
-// Sum is one report for all watchers, of which latest is the newest revision.
+// Sum returns one report for all watchers; latest is the newest revision of the feed.
 func (p *Progress) Sum(latest uint64) Report {
 	var sum Report
 	for _, r := range p.reports {
@@ -69,7 +70,7 @@
 		}
 		sum.Servers += r.Servers
 		if r.Behind == 0 && r.Lowest < latest {
-			sum.Behind += r.Servers // they were level with what their relay knew
+			sum.Behind += r.Servers // level with their relay, which is itself behind
 		} else {
 			sum.Behind += r.Behind
 		}
--- a/internal/distribution/regions.go
+++ b/internal/distribution/regions.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	maxRelaysKnown = 1024 // relays whose last report is kept
-	maxAges        = 8192 // revisions of which it is known when they were agreed on
+	maxRelaysKnown = 1024 // relays whose last report is retained
+	maxAges        = 8192 // revisions whose commit time is retained
 )
 
-// Status is how far the fleet is, as the copy that leads knows it.
+// Status is the progress of all regions as known to the store leader.
 type Status struct {
-	Revision uint64         `json:"revision"` // the latest
+	Revision uint64         `json:"revision"` // newest committed revision
 	Regions  []RegionStatus `json:"regions"`
 }
 
-// RegionStatus is how far the servers of one region are, by the last report of each of its relays.
+// RegionStatus is the progress of the servers of one region, from the last report of each of its relays.
 type RegionStatus struct {
 	Region string `json:"region"`
-	Relays int    `json:"relays"` // that watch
-	Lost   int    `json:"lost"`   // that watched and do so no more; what they reported last still counts
+	Relays int    `json:"relays"` // connected relays
+	Lost   int    `json:"lost"`   // disconnected relays; their last reports still count
 	Report
-	AgeMs    float64 `json:"age_ms"`    // since a change was agreed on that some server of the region does not use yet; 0: there is none
-	SilentMs float64 `json:"silent_ms"` // since the last report of the relay that was not heard for longest
+	AgeMs    float64 `json:"age_ms"`    // since the commit of the oldest change that some server has not applied; 0: none
+	SilentMs float64 `json:"silent_ms"` // since the last report of the relay that has been silent longest
 }
 
-// regionalRelay is one relay as its last report left it.
+// regionalRelay is the last known state of a relay.
 type regionalRelay struct {
 	region  string
 	report  Report
@@ -35,14 +35,14 @@
 	watches bool
 }
 
-// Regions keeps the last report of each relay, also of those that are not heard any more: a region that is cut off must not
-// vanish from what operators see. A copy that takes office begins with nothing.
+// Regions keeps the last report of each relay, disconnected ones included: a region that is cut off must remain visible to
+// operators. It is in memory only, so a new leader starts empty.
 type Regions struct{ relays map[string]*regionalRelay }
 
-// NewRegions knows of no relay.
+// NewRegions returns a Regions without relays.
 func NewRegions() *Regions { return &Regions{relays: map[string]*regionalRelay{}} }
 
-// Put takes the latest report of a relay.
+// Put stores the latest report of a relay and marks it as connected.
 func (g *Regions) Put(now float64, relay, region string, r Report) {
 	r.Check()
 	g.relays[relay] = &regionalRelay{region: region, report: r, heardAt: now, watches: true}
@@ -51,7 +51,7 @@
 	}
 }
 
-// forgetOne forgets the relay that was not heard for longest.
+// forgetOne evicts the relay whose last report is the oldest.
 func (g *Regions) forgetOne() {
 	oldest := ""
 	for name, relay := range g.relays {
@@ -62,14 +62,14 @@
 	delete(g.relays, oldest)
 }
 
-// Left tells that a relay watches no more.
+// Left marks a relay as disconnected and keeps its last report.
 func (g *Regions) Left(relay string) {
 	if known := g.relays[relay]; known != nil {
 		known.watches = false
 	}
 }
 
-// Status sums the reports by region, of which latest is the newest revision.
+// Status aggregates the reports by region; latest is the newest committed revision. The most stale region comes first.
 func (g *Regions) Status(now float64, latest uint64, ages *Ages) []RegionStatus {
 	all := map[string]*RegionStatus{}
 	reports := map[string]*Progress{}
@@ -96,17 +96,17 @@
 		}
 		out = append(out, *s)
 	}
-	slices.SortStableFunc(out, func(a, b RegionStatus) int { return cmp.Compare(b.AgeMs, a.AgeMs) }) // the oldest first
+	slices.SortStableFunc(out, func(a, b RegionStatus) int { return cmp.Compare(b.AgeMs, a.AgeMs) })
 	return out
 }
 
-// Ages knows when the latest revisions were agreed on.
+// Ages holds the commit times of the latest revisions, in milliseconds.
 type Ages struct {
-	first uint64    // the revision of the first time
-	at    []float64 // one for each revision from there on
+	first uint64    // revision of at[0]
+	at    []float64 // one for each revision from first on
 }
 
-// Add tells that a revision was agreed on now. One that does not follow the last begins anew.
+// Add records now as the commit time of a revision. A revision that does not follow the last one clears the earlier times.
 func (a *Ages) Add(revision uint64, now float64) {
 	if len(a.at) == 0 || revision != a.first+uint64(len(a.at)) {
 		a.first, a.at = revision, nil
@@ -118,8 +118,8 @@
 	}
 }
 
-// Behind is for how long a server that uses a revision has been behind: since the next one was agreed on. 0: it is the latest.
-// Where that is longer ago than is known, it is the longest time that is known.
+// Behind returns the staleness of a server at a revision in milliseconds: the time since the next revision was committed, or 0
+// if the server is at the latest. If that commit time is no longer retained, it returns the time since the oldest retained one.
 func (a *Ages) Behind(now float64, revision uint64) float64 {
 	if len(a.at) == 0 || revision+1 >= a.first+uint64(len(a.at)) {
 		return 0
--- a/internal/distribution/regions_test.go
+++ b/internal/distribution/regions_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A region's age counts from the first change that one of its servers does not use, and goes on while its relays are not heard.
+// A region's staleness counts from the commit of the first change that one of its servers has not applied, and keeps growing while
+// its relays are disconnected.
 func TestAgesOfRegions(t *testing.T) {
 	g, ages := NewRegions(), &Ages{}
 	for revision := uint64(1); revision <= 5; revision++ {
@@ -36,14 +37,14 @@
 	}
 }
 
-// What is remembered of relays and revisions is bounded, and what is older counts as the oldest that is known.
+// The numbers of retained relays and commit times are bounded, and an evicted commit time counts as the oldest retained one.
 func TestWhatIsRememberedOfRegionsIsBounded(t *testing.T) {
 	g := NewRegions()
 	for i := range maxRelaysKnown + 10 {
 		g.Put(float64(i), fmt.Sprint("r", i), "a", Report{Servers: 1})
 	}
 	if n := len(g.relays); n != maxRelaysKnown || g.relays["r9"] != nil || g.relays["r10"] == nil {
-		t.Errorf("%d relays are known", n)
+		t.Errorf("%d relays are retained, or not the latest ones", n)
 	}
 	ages := &Ages{}
 	for revision := uint64(1); revision <= maxAges+100; revision++ {
@@ -51,18 +52,18 @@
 	}
 	const now = 1e6
 	if age := ages.Behind(now, 5); len(ages.at) != maxAges || age != now-101 {
-		t.Errorf("%d times; an age of %v", len(ages.at), age)
+		t.Errorf("%d commit times, staleness %v", len(ages.at), age)
 	}
 	if age := ages.Behind(now, 200); age != now-201 {
-		t.Errorf("an age of %v", age)
+		t.Errorf("staleness %v", age)
 	}
 	begun := &Ages{}
-	begun.Add(100, now) // with a snapshot: nothing is known of what came before
+	begun.Add(100, now) // as after a snapshot: earlier commit times are unknown
 	if begun.Behind(now+7, 60) != 7 || begun.Behind(now+7, 100) != 0 {
-		t.Error("who is behind a snapshot is taken for level, or who is level for behind")
+		t.Error("a server behind the snapshot is not stale, or one at the snapshot is")
 	}
 	ages.Add(1, now)
 	if ages.Behind(now, 1) != 0 || ages.Behind(now+7, 0) != 7 {
-		t.Error("a revision that does not follow does not begin anew")
+		t.Error("a revision that does not follow the last one does not clear the earlier times")
 	}
 }
--- a/internal/distribution/selector.go
+++ b/internal/distribution/selector.go
@@ -9,21 +9,21 @@
 	"puffinsaddle/internal/backoff"
 )
 
-// Relay is one relay as servers know it.
+// Relay is the address and locality of a relay.
 type Relay struct {
-	Name    string `yaml:"name" json:"name"` // by which others name it
+	Name    string `yaml:"name" json:"name"` // by which other relays refer to it
 	Address string `yaml:"address" json:"address"`
 	Zone    string `yaml:"zone" json:"zone"`
 	Region  string `yaml:"region" json:"region"`
 }
 
-// Place is where a watcher stands.
+// Place is the zone and region of a watcher.
 type Place struct {
 	Zone   string
 	Region string
 }
 
-// CheckRelays names the first relay that makes no sense.
+// CheckRelays returns an error for the first relay with an invalid or duplicate address or without a zone.
 func CheckRelays(relays []Relay) error {
 	seen := map[string]int{}
 	for i, r := range relays {
@@ -31,7 +31,7 @@
 			return fmt.Errorf("[%d].address: %w", i, err)
 		}
 		if first, twice := seen[r.Address]; twice {
-			return fmt.Errorf("[%d].address: %s stands in [%d] already", i, r.Address, first)
+			return fmt.Errorf("[%d].address: %s is listed in [%d] already", i, r.Address, first)
 		}
 		if r.Zone == "" {
 			return fmt.Errorf("[%d].zone is missing", i)
@@ -41,35 +41,35 @@
 	return nil
 }
 
-// Backoff of a watcher that is not served, in ms.
+// Backoff and retry delays of a watcher, in milliseconds.
 const (
 	firstBackoff   = 250.0
 	maxBackoff     = 4000.0
-	maxCopyBackoff = 1000.0  // of a relay that seeks the copy that leads
-	maxRefusal     = 60000.0 // a relay that refused is tried again after so long, whatever it said
-	awayFor        = 30000.0 // a watcher on a relay of another zone looks for a nearer one after so long, up to twice that
+	maxCopyBackoff = 1000.0  // of a relay that looks for the store leader
+	maxRefusal     = 60000.0 // upper bound of the retry delay that a relay may ask for
+	awayFor        = 30000.0 // minimum time on a relay outside the nearest locality before selecting anew; jittered up to twice that
 )
 
-// Selector chooses the relay to watch: those of the own zone first, then of the own region, then all others; among equals by a
-// draw of its own, so that the watchers of a relay that fails spread over the others. Between two tries it waits by chance
-// within a span that doubles, so that they don't come at once.
+// Selector chooses the relay to watch: relays of the own zone first, then of the own region, then all others. The order among
+// equals is random for each selector, so that the watchers of a failed relay spread over the others. Between attempts it waits
+// with jittered exponential backoff, so that they do not all reconnect at once.
 type Selector struct {
 	rng    *rand.Rand
 	order  []Relay
 	place  Place
 	next   int
 	tries  *backoff.Backoff
-	avoid  map[string]float64 // by address: until when it asked not to be tried
+	avoid  map[string]float64 // by address: time in milliseconds before which the relay must not be retried
 	target Relay
 }
 
-// NewSelector makes a selector over some relays.
+// NewSelector returns a selector over relays for a watcher at place.
 func NewSelector(relays []Relay, place Place, seed uint64) *Selector {
 	return newSelector(relays, place, seed, maxBackoff)
 }
 
-// NewCopySelector makes a relay's selector over the copies of the store. Relays are few, so it waits less between tries: all that
-// watch the relay wait with it until it has found the copy that leads.
+// NewCopySelector returns a relay's selector over the store replicas. Its maximum backoff is shorter than that of NewSelector:
+// relays are few, and all watchers of a relay wait until it has found the leader.
 func NewCopySelector(copies []Relay, seed uint64) *Selector {
 	return newSelector(copies, Place{}, seed, maxCopyBackoff)
 }
@@ -83,7 +83,7 @@
 	return s
 }
 
-// distance is 0 for the own zone, 1 for the own region, 2 for the rest.
+// distance returns 0 for the own zone, 1 for the own region and 2 for the rest.
 func (s *Selector) distance(r Relay) int {
 	switch {
 	case r.Zone == s.place.Zone:
@@ -94,7 +94,8 @@
 	return 2
 }
 
-// Next is the relay to try now; false: all have asked not to be tried yet, and wait tells for how long.
+// Next returns the relay to connect to now. If all relays have asked for a delay, ok is false and wait is the time in
+// milliseconds until the first of them may be retried.
 func (s *Selector) Next(now float64) (r Relay, wait float64, ok bool) {
 	if len(s.order) == 0 {
 		return r, maxBackoff, false
@@ -115,11 +116,13 @@
 	return r, soonest - now, false
 }
 
-// Failed tells that the relay was not reached, or left; the next try is due after the wait that it returns.
+// Failed records that the relay could not be reached or that its connection ended. It returns the backoff before the next attempt,
+// in milliseconds.
 func (s *Selector) Failed() (wait float64) { return s.tries.Next() }
 
-// Refused tells that the relay asked not to be tried for a while, and which others it named, by name or address; the first of
-// them that is not to be avoided itself is tried next.
+// Refused records that the relay refused the watch, the delay that it asked for, and the alternatives that it gave by name or
+// address. The first alternative that may be tried now is the next choice. It returns the backoff before the next attempt, in
+// milliseconds.
 func (s *Selector) Refused(now, retryMs float64, elsewhere []string) (wait float64) {
 	s.avoid[s.target.Address] = now + min(max(retryMs, 0), maxRefusal)
 	for _, address := range elsewhere {
@@ -132,7 +135,8 @@
 	return s.Failed()
 }
 
-// Served tells that the relay serves. The wait is how long it is kept where it is not of the own zone; 0: as long as it lasts.
+// Served records that the relay serves. It returns after how many milliseconds to select anew if a nearer relay exists, or 0 to
+// stay connected.
 func (s *Selector) Served() (keepFor float64) {
 	s.next = 0
 	s.tries.Reset()
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -14,7 +14,7 @@
 	"puffinsaddle/internal/state"
 )
 
-// Copy is the copy of the store at which an Origin stands.
+// Copy is the store replica whose records an Origin serves.
 type Copy interface {
 	Office() (term uint64, leads bool)
 	Leader() string
@@ -22,32 +22,32 @@
 	View(look func(st *state.State, index uint64))
 }
 
-// originLimits are those of the copy that leads: it serves relays alone, so its watchers grow with zones, not with servers.
+// originLimits are the limits of an Origin. It serves relays only, so its watchers grow with the zones, not with the servers.
 var originLimits = distribution.Limits{Commits: 8192, Bytes: 16 << 20, Watchers: 256, Snapshots: 4}
 
 const (
-	leadLookMs  = 200.0 // between two looks at whether the copy leads
-	leadRetryMs = 200.0 // a relay that came to another copy comes back then, if it finds none
+	leadLookMs  = 200.0 // interval at which leadership is checked
+	leadRetryMs = 200.0 // retry delay of a watcher refused by a replica that does not lead
 )
 
-// Origin serves relays at a copy of the store.
+// Origin serves relays at a store replica, as long as that replica leads.
 type Origin struct {
 	copy   Copy
 	steady *clock.Clock
 	log    zerolog.Logger
 	server *configwatch.Server
-	// Agreed is called for each commit that reached this copy; nil: nobody asks.
+	// Agreed is called for each commit that reaches this replica; may be nil.
 	Agreed func(records.Commit)
 }
 
-// NewOrigin makes one; Run has to be called for it to serve.
+// NewOrigin returns an Origin for a store replica; Run must be called for it to serve.
 func NewOrigin(c Copy, steady *clock.Clock, log zerolog.Logger, plant string) *Origin {
 	o := &Origin{copy: c, steady: steady, log: log}
 	o.server = configwatch.NewServer(configwatch.ServerOptions{Limits: originLimits, Source: o, Serves: o.serves, Steady: steady, Log: log, Seed: 1, Plant: plant})
 	return o
 }
 
-// serves sends away who is no relay, and relays that came to a copy that does not lead.
+// serves refuses watchers that are not relays, and relays while this replica does not lead.
 func (o *Origin) serves(w configwatch.Watch) *configwatch.Refused {
 	if !w.Relay {
 		return &configwatch.Refused{RetryMs: 10 * leadRetryMs, Reason: "copies of the store serve relays alone"}
@@ -62,25 +62,25 @@
 	return r
 }
 
-// Table is a copy of the agreed records.
+// Table returns a copy of the committed records and their revision.
 func (o *Origin) Table() (t *records.Table, revision uint64) {
 	o.copy.View(func(st *state.State, _ uint64) { t, revision = st.Records.Table().Clone(), st.Records.Revision() })
 	return t, revision
 }
 
-// Serve serves one relay to its end.
+// Serve serves the connection of one relay until it ends.
 func (o *Origin) Serve(conn net.Conn) { o.server.Serve(conn) }
 
-// Figures reads the counts.
+// Figures returns the metrics of the origin's server.
 func (o *Origin) Figures() configwatch.Figures { return o.server.Figures() }
 
-// Status tells how far each region is.
+// Status returns the progress of each region.
 func (o *Origin) Status() distribution.Status { return o.server.Status() }
 
-// Report sums what the relays reported.
+// Report aggregates the reports of the relays.
 func (o *Origin) Report() distribution.Report { return o.server.Report() }
 
-// Run publishes what is agreed on until the context ends.
+// Run publishes commits until the context ends.
 func (o *Origin) Run(ctx context.Context) {
 	led := false
 	for ctx.Err() == nil {
@@ -88,7 +88,7 @@
 		o.publish()
 		_, leads := o.copy.Office()
 		if led && !leads {
-			o.server.DropAll() // relays look for the copy that leads
+			o.server.DropAll() // so that relays connect to the new leader
 		}
 		led = leads
 		due := make(chan struct{})
@@ -102,7 +102,7 @@
 	}
 }
 
-// publish serves the commits that came since the last look.
+// publish publishes the commits since the last call.
 func (o *Origin) publish() {
 	var commits []records.Commit
 	var floor *distribution.Position
@@ -110,9 +110,9 @@
 		at := o.server.At()
 		since, err := st.Records.Since(at.Revision)
 		if err == nil && (len(since) > 0 && since[0].Before != at.Digest || len(since) == 0 && st.Records.Digest() != at.Digest) {
-			err = records.ErrCompacted // the copy took other records than it had, and those were never agreed on
+			err = records.ErrCompacted // the records already published were never committed
 		}
-		if err != nil { // this copy took a snapshot
+		if err != nil { // the replica installed a snapshot
 			since, _ = st.Records.Since(st.Records.Floor())
 			floor = &distribution.Position{Revision: st.Records.Revision(), Digest: st.Records.Digest()}
 			if len(since) > 0 {
@@ -129,7 +129,7 @@
 			o.Agreed(c)
 		}
 		if err := o.server.Publish(c); err != nil {
-			o.log.Error().Err(err).Msg("commit not served")
+			o.log.Error().Err(err).Msg("failed to publish commit to watchers")
 			return
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay passes configuration on: an Origin serves relays at the copy of the store that leads, and a Relay watches there
-// and serves the order servers of its zone, so that the copy's cost does not grow with the servers.
+// Package relay implements the relays that distribute configuration. An Origin serves relays at the store leader; a Relay watches
+// the leader and serves the order servers of its zone, so that the leader's cost does not grow with the number of servers.
 package relay
 
 import (
@@ -20,27 +20,27 @@
 	"puffinsaddle/internal/store"
 )
 
-// Options set up a relay.
+// Options configure a relay.
 type Options struct {
 	Name      string
-	Region    string // where it stands
+	Region    string // shown to operators in the status
 	Listen    string
-	Listener  net.Listener        // in place of Listen; nil: none
-	Copies    map[string]string   // address of each copy of the store, by its id
-	Elsewhere []string            // relays that a watcher that is refused may try, by name or address
-	Path      string              // of the copy on the disk; "": none is kept
-	Limits    distribution.Limits // zero: the default
+	Listener  net.Listener        // used instead of Listen if not nil
+	Copies    map[string]string   // addresses of the store replicas by id
+	Elsewhere []string            // alternatives offered to refused watchers, by name or address
+	Path      string              // of the configuration replica on disk; "": not stored
+	Limits    distribution.Limits // zero: distribution.DefaultLimits
 	Seed      uint64
 	Steady    *clock.Clock
 	Log       zerolog.Logger
-	Plant     string
+	Plant     string // an injected bug, for the lab; "": none
 
-	Committed func(records.Commit)        // for each commit that is in force here; nil: nobody asks
-	Adopted   func(distribution.Position) // for each snapshot; nil: nobody asks
-	Reported  func(revision uint64)       // for each revision reported for the first time; nil: nobody asks
+	Committed func(records.Commit)        // called for each applied commit; may be nil
+	Adopted   func(distribution.Position) // called for each applied snapshot; may be nil
+	Reported  func(revision uint64)       // called for each revision reported for the first time; may be nil
 }
 
-// Relay is one relay.
+// Relay watches the store leader and serves the order servers of its zone.
 type Relay struct {
 	o       Options
 	ln      net.Listener
@@ -49,19 +49,19 @@
 	replica *replica.Replica
 }
 
-// follower is the relay's own copy, whose reports speak for its watchers.
+// follower is the relay's configuration replica, which reports on behalf of the relay's watchers.
 type follower struct {
 	*replica.Replica
 	server *configwatch.Server
 }
 
-// Report sums the watchers' reports. A relay without watchers speaks for nobody.
+// Report aggregates the watchers' reports. The report of a relay without watchers covers no server.
 func (f follower) Report() distribution.Report {
-	f.Replica.Report() // writes down what it would say of itself
+	f.Replica.Report() // calls the replica's report callback
 	return f.server.Report()
 }
 
-// Open reads the relay's copy and listens; Run has to be called for it to serve.
+// Open loads the relay's configuration replica and listens; Run must be called for it to serve.
 func Open(o Options) (*Relay, error) {
 	if o.Limits == (distribution.Limits{}) {
 		o.Limits = distribution.DefaultLimits
@@ -98,7 +98,7 @@
 	return r, nil
 }
 
-// serves sends watchers on while the relay has nothing at all.
+// serves refuses watchers as long as the relay has no configuration at all.
 func (r *Relay) serves(configwatch.Watch) *configwatch.Refused {
 	if r.replica.Position().Revision > 0 || r.client.Figures().Connected > 0 {
 		return nil
@@ -106,13 +106,13 @@
 	return &configwatch.Refused{RetryMs: leadRetryMs, Elsewhere: r.o.Elsewhere, Reason: "this relay has no configuration yet"}
 }
 
-// committed passes a commit on. It is called under the replica's lock, in order.
+// committed publishes a commit to the watchers. It is called in order, with the replica's lock held.
 func (r *Relay) committed(c records.Commit) {
 	if r.o.Committed != nil {
 		r.o.Committed(c)
 	}
 	if err := r.server.Publish(c); err != nil {
-		r.o.Log.Error().Err(err).Msg("commit not served")
+		r.o.Log.Error().Err(err).Msg("failed to publish commit to watchers")
 	}
 }
 
@@ -123,13 +123,13 @@
 	r.server.Reset(p)
 }
 
-// Table is the source of snapshots.
+// Table returns the records and their revision; it is the source of snapshots.
 func (r *Relay) Table() (*records.Table, uint64) { return r.replica.Table() }
 
-// Addr is where the relay listens.
+// Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
-// Figures are the relay's counts.
+// Figures are the metrics of a relay.
 type Figures struct {
 	Serving  configwatch.Figures       `json:"serving"`
 	Watching configwatch.ClientFigures `json:"watching"`
@@ -137,7 +137,7 @@
 	Report   distribution.Report       `json:"report"`
 }
 
-// Figures reads the counts.
+// Figures returns the relay's current metrics.
 func (r *Relay) Figures() Figures {
 	return Figures{r.server.Figures(), r.client.Figures(), r.replica.Records(), r.server.Report()}
 }
@@ -167,4 +167,4 @@
 	}
 }
 
-const acceptRetryMs = 50.0 // after an accept that failed, as where descriptors are used up
+const acceptRetryMs = 50.0 // delay after a failed accept, for example when file descriptors are exhausted
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,9 +23,9 @@
 	"puffinsaddle/internal/store"
 )
 
-const patience = 60 * time.Second // a test that hangs fails by then; none is timed
+const patience = 60 * time.Second // bound of every wait, so that a hanging test fails
 
-// ensemble is the state that copies agree on at once, and which of them leads.
+// ensemble is a fake store cluster: replicas that share one state, one of which leads.
 type ensemble struct {
 	mu      sync.Mutex
 	st      *state.State
@@ -62,7 +62,7 @@
 	return distribution.Position{Revision: e.st.Records.Revision(), Digest: e.st.Records.Digest()}
 }
 
-// member is one copy of an ensemble.
+// member is one replica of an ensemble.
 type member struct {
 	*ensemble
 	id string
@@ -92,7 +92,7 @@
 	look(m.st, 1)
 }
 
-// copies opens the copies of a new ensemble, and tells their addresses and origins.
+// copies starts an origin for each replica of a new ensemble, and returns their addresses and origins by id.
 func copies(t *testing.T, ids ...string) (e *ensemble, addresses map[string]string, origins map[string]*Origin) {
 	t.Helper()
 	e = &ensemble{st: state.New(), leader: ids[0], changed: make(chan struct{})}
@@ -126,7 +126,7 @@
 	return e, addresses, origins
 }
 
-// running is a relay that runs.
+// running is a started relay.
 type running struct {
 	*Relay
 	stop func()
@@ -156,7 +156,7 @@
 	return &running{r, stop}
 }
 
-// server is an order server's replica that watches relays.
+// server starts a configuration replica that watches relays, as in an order server.
 func server(t *testing.T, name string, relays ...distribution.Relay) (*replica.Replica, *configwatch.Client) {
 	r := replica.Open(replica.Options{Name: name, Log: zerolog.Nop()})
 	c := configwatch.NewClient(configwatch.ClientOptions{Name: name, Follower: r, Steady: clock.Steady(), Log: zerolog.Nop(),
@@ -173,13 +173,13 @@
 	t.Helper()
 	for late := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
-			t.Fatalf("not within %s: %s", patience, what)
+			t.Fatalf("timed out after %s waiting for: %s", patience, what)
 		}
 	}
 }
 
-// Changes reach the servers of a relay through the copy that leads, also where another copy leads from some change on, and the
-// copy that leads hears from the relay alone how far its servers are.
+// Changes reach the servers of a relay through the store leader, also after leadership changes, and the leader gets the progress
+// of all servers from the relay as its only watcher.
 func TestRelayFollowsTheCopyThatLeads(t *testing.T) {
 	e, addresses, origins := copies(t, "a", "b", "c")
 	r := run(t, Options{Name: "relay", Copies: addresses, Seed: 1})
@@ -201,18 +201,18 @@
 		for k := range 10 {
 			e.change(t, fmt.Sprint("k", k), fmt.Sprint(leader, i))
 		}
-		until(t, "all servers are level under "+leader, level)
-		until(t, "the copy that leads has heard so", func() bool {
+		until(t, "all servers are at the latest revision under leader "+leader, level)
+		until(t, "the leader has the reports of all servers", func() bool {
 			report := origins[leader].Report()
 			return report.Servers == len(servers) && report.Lowest == e.at().Revision && report.Behind == 0
 		})
 		if n := origins[leader].Figures().Watchers; n != 1 {
-			t.Errorf("%d watchers at the copy that leads", n)
+			t.Errorf("%d watchers at the leader, want 1", n)
 		}
 	}
 }
 
-// A relay that starts again serves from its copy on the disk while no copy of the store is reached, and goes on from there.
+// A restarted relay serves from its file while no store replica leads, and later continues from that revision without a snapshot.
 func TestRelayServesFromItsDisk(t *testing.T) {
 	e, addresses, _ := copies(t, "a")
 	path := filepath.Join(t.TempDir(), "records")
@@ -220,55 +220,55 @@
 	for i := range 20 {
 		e.change(t, fmt.Sprint("k", i), "1")
 	}
-	until(t, "the relay is level", func() bool { return first.replica.Position() == e.at() })
+	until(t, "the relay is at the latest revision", func() bool { return first.replica.Position() == e.at() })
 	first.stop()
 	e.lead("nobody")
 	second := run(t, Options{Name: "relay", Copies: addresses, Path: path})
 	s, c := server(t, "s", second.near())
-	until(t, "the server is level with the relay", func() bool { return s.Position() == e.at() })
+	until(t, "the server is at the revision of the relay", func() bool { return s.Position() == e.at() })
 	if f := c.Figures(); f.Snapshots != 0 {
-		t.Errorf("%d snapshots, though the relay's file has the commits", f.Snapshots)
+		t.Errorf("the server took %d snapshots, though the relay's file has the commits", f.Snapshots)
 	}
 	before := second.client.Figures().Snapshots
 	e.lead("a")
 	e.change(t, "k0", "2")
-	until(t, "the change is in force", func() bool { return s.Position() == e.at() })
+	until(t, "the change is applied", func() bool { return s.Position() == e.at() })
 	if n := second.client.Figures().Snapshots; n != before {
-		t.Errorf("the relay took %d snapshots", n-before)
+		t.Errorf("the relay took %d more snapshots, want none", n-before)
 	}
 }
 
-// A relay that has nothing yet sends its watchers to others, and copies of the store serve relays alone.
+// A relay without configuration refers its watchers to other relays, and store replicas refuse watchers that are not relays.
 func TestWhoIsSentAway(t *testing.T) {
 	e, addresses, origins := copies(t, "a")
 	e.change(t, "k", "1")
 	full := run(t, Options{Name: "full", Copies: addresses})
-	until(t, "the relay is level", func() bool { return full.replica.Position() == e.at() })
+	until(t, "the relay is at the latest revision", func() bool { return full.replica.Position() == e.at() })
 	empty := run(t, Options{Name: "empty", Copies: map[string]string{"gone": "127.0.0.1:1"}, Elsewhere: []string{"full"}})
 	s, _ := server(t, "s", empty.near(), distribution.Relay{Name: "full", Address: full.Addr(), Zone: "other"})
-	until(t, "the server is served elsewhere", func() bool { return s.Position() == e.at() })
+	until(t, "the server is served by the other relay", func() bool { return s.Position() == e.at() })
 	if empty.Figures().Serving.Refused == 0 {
-		t.Error("the relay without configuration sent nobody away")
+		t.Error("the relay without configuration refused no watcher")
 	}
 	r := replica.Open(replica.Options{Name: "direct", Log: zerolog.Nop()})
 	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.ForWatches}, Follower: r, Steady: clock.Steady(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector([]distribution.Relay{{Name: "a", Address: addresses["a"]}}, distribution.Place{}, 1)})
 	go c.Run(t.Context())
-	until(t, "an order server is sent away", func() bool { return origins["a"].Figures().Refused > 0 })
+	until(t, "the store replica refuses an order server", func() bool { return origins["a"].Figures().Refused > 0 })
 	if r.Position().Revision != 0 {
-		t.Errorf("it is at %+v", r.Position())
+		t.Errorf("the refused replica is at %+v, want revision 0", r.Position())
 	}
 }
 
-// A relay that loses its copies keeps serving what it has, and its watchers hear no failure.
+// A relay that finds no leader keeps serving its records, and its watchers stay connected.
 func TestWatchersStayWhileNoCopyIsReached(t *testing.T) {
 	e, addresses, origins := copies(t, "a")
 	r := run(t, Options{Name: "relay", Copies: addresses})
 	s, c := server(t, "s", r.near())
 	e.change(t, "k", "1")
-	until(t, "the server is level", func() bool { return s.Position() == e.at() })
+	until(t, "the server is at the latest revision", func() bool { return s.Position() == e.at() })
 	e.lead("nobody")
-	until(t, "the copy has dropped its relay", func() bool { return origins["a"].Figures().Watchers == 0 })
+	until(t, "the store replica has dropped its relay", func() bool { return origins["a"].Figures().Watchers == 0 })
 	late, c2 := server(t, "late", r.near())
 	until(t, "another server is served", func() bool { return late.Position() == e.at() })
 	for _, f := range []configwatch.ClientFigures{c.Figures(), c2.Figures()} {
@@ -278,10 +278,10 @@
 	}
 	e.lead("a")
 	e.change(t, "k", "2")
-	until(t, "both are level", func() bool { return s.Position() == e.at() && late.Position() == e.at() })
+	until(t, "both servers are at the latest revision", func() bool { return s.Position() == e.at() && late.Position() == e.at() })
 }
 
-// A region whose relay is gone stays in the status with what its servers used last, and its age grows once something changes.
+// A region whose relay is gone stays in the status with the last reported revision, and its staleness grows after the next change.
 func TestStatusKeepsARegionThatIsCutOff(t *testing.T) {
 	e, addresses, origins := copies(t, "a")
 	east := run(t, Options{Name: "e1", Region: "east", Copies: addresses})
@@ -289,7 +289,7 @@
 	near, _ := server(t, "near", east.near())
 	far, _ := server(t, "far", west.near())
 	e.change(t, "k", "1")
-	until(t, "both are level", func() bool { return near.Position() == e.at() && far.Position() == e.at() })
+	until(t, "both servers are at the latest revision", func() bool { return near.Position() == e.at() && far.Position() == e.at() })
 	region := func(name string) (r distribution.RegionStatus) {
 		for _, r := range origins["a"].Status().Regions {
 			if r.Region == name {
@@ -299,27 +299,27 @@
 		return r
 	}
 	for _, name := range []string{"east", "west"} {
-		until(t, name+" is heard to be level", func() bool {
+		until(t, name+" is reported to be at the latest revision", func() bool {
 			r := region(name)
 			return r.Relays == 1 && r.Lost == 0 && r.Servers == 1 && r.Lowest == 1 && r.AgeMs == 0
 		})
 	}
 	west.stop()
-	until(t, "west is not heard", func() bool { r := region("west"); return r.Relays == 0 && r.Lost == 1 && r.Lowest == 1 && r.AgeMs == 0 })
+	until(t, "the relay of west is reported as disconnected", func() bool { r := region("west"); return r.Relays == 0 && r.Lost == 1 && r.Lowest == 1 && r.AgeMs == 0 })
 	e.change(t, "k", "2")
-	until(t, "west grows old, and east is level", func() bool {
+	until(t, "west is stale, and east is at the latest revision", func() bool {
 		w, n := region("west"), region("east")
 		return w.AgeMs > 0 && w.Behind == 1 && w.LowestName == "far" && n.Lowest == 2 && n.AgeMs == 0
 	})
 }
 
-// waits gathers how long a relay waited after each try, in ms, from its log.
+// waits collects the backoffs after each attempt of a relay, in ms, from its log.
 type waits struct {
 	mu  sync.Mutex
 	all []float64
 }
 
-// Write takes a line of the log.
+// Write parses a line of the log.
 func (w *waits) Write(line []byte) (int, error) {
 	var text struct {
 		Message string  `json:"message"`
@@ -339,7 +339,8 @@
 	return slices.Clone(w.all)
 }
 
-// However long no copy leads, a relay tries again within a second or so of its clock, which runs fast here, and then follows.
+// While no store replica leads, a relay retries at least once a second of its clock, which runs fast here, and then follows the
+// new leader.
 func TestRelayKeepsSeekingTheLeader(t *testing.T) {
 	const tries, mostWait, fast = 20, 1000.0, 20.0
 	e, addresses, _ := copies(t, "a", "b", "c")
@@ -347,10 +348,10 @@
 	e.change(t, "k", "1")
 	w := &waits{}
 	r := run(t, Options{Name: "relay", Copies: addresses, Seed: 1, Steady: clock.Steady().Apart(fast), Log: zerolog.New(w)})
-	until(t, "it was refused many times", func() bool { return len(w.list()) >= tries })
+	until(t, "the relay was refused repeatedly", func() bool { return len(w.list()) >= tries })
 	if longest := slices.Max(w.list()); longest > mostWait {
-		t.Errorf("it waits %v ms between two tries", longest)
+		t.Errorf("longest backoff is %v ms", longest)
 	}
 	e.lead("b")
-	until(t, "it follows", func() bool { return r.replica.Position() == e.at() })
+	until(t, "the relay follows the new leader", func() bool { return r.replica.Position() == e.at() })
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica is one process's copy of the configuration: it takes commits and snapshots from a watch, keeps them on the
-// process's own disk, and puts them into force. Relays and order servers use it alike.
+// Package replica implements a process's configuration replica: it receives commits and snapshots from a watch, applies them and
+// stores them on the local disk. Relays and order servers both use it.
 package replica
 
 import (
@@ -20,33 +20,33 @@
 )
 
 const (
-	rewriteAfter   = 8 << 20 // bytes of commits behind the snapshot in the file
-	earlyReportFor = 300 * time.Millisecond
+	rewriteAfter   = 8 << 20                // bytes of commits after the snapshot in the file, beyond which the file is rewritten
+	earlyReportFor = 300 * time.Millisecond // how long the injected bug reports a revision before applying it
 )
 
-// Options set up a replica.
+// Options configure a replica.
 type Options struct {
 	Name   string
-	Path   string         // of the copy on the disk; "": none is kept
-	Limits records.Limits // of the commits that are remembered; relays serve their watchers from them
+	Path   string         // of the file on disk; "": not stored
+	Limits records.Limits // of the retained commits, from which relays serve their watchers
 
-	// Check tells whether a record can be put into force; nil: all can.
+	// Check returns an error for a record that cannot be applied; nil: all can.
 	Check func(records.Put) error
-	// Use puts settings into force, each with its value, nil where it was deleted. An error leaves those before in force, and is
-	// reported until settings that fit come; nil: nothing is to be done.
+	// Use applies changed settings by name, with a nil value for a deleted one. If it returns an error, the settings applied
+	// before must stay in effect, and the error is reported until a later change applies. May be nil.
 	Use func(settings map[string][]byte) error
 
-	// Committed is called for each commit once it is in force, and Adopted once a snapshot is; nil: nobody asks.
+	// Committed is called for each commit after it is applied, and Adopted after a snapshot is applied; both may be nil.
 	Committed func(records.Commit)
 	Adopted   func(at distribution.Position)
-	// Reported is called with each revision that is reported for the first time; nil: nobody asks.
+	// Reported is called for each revision when it is first reported; may be nil.
 	Reported func(revision uint64)
 
 	Log   zerolog.Logger
-	Plant string // a planted bug, for the laboratory; "": none
+	Plant string // an injected bug, for the lab; "": none
 }
 
-// Replica is the copy. It is a configwatch.Follower.
+// Replica is a process's configuration replica. It implements configwatch.Follower.
 type Replica struct {
 	o Options
 
@@ -54,12 +54,12 @@
 	set      *records.Set
 	file     *recordfile.File
 	rejected map[records.Key]distribution.Rejection
-	unfit    map[records.Key]distribution.Rejection // those of them that the last Use made
-	early    uint64                                 // the planted bug reports this
+	unfit    map[records.Key]distribution.Rejection // the part of rejected that the last failed Use added
+	early    uint64                                 // reported too early by an injected bug
 	reported uint64
 }
 
-// Open reads the copy on the disk, if there is any. A spoilt one is thrown away.
+// Open loads the replica from its file, if there is one. A corrupt file is discarded.
 func Open(o Options) *Replica {
 	r := &Replica{o: o, set: records.NewSet(o.Limits), rejected: map[records.Key]distribution.Rejection{}}
 	if o.Path == "" {
@@ -70,10 +70,10 @@
 		err = r.load(content)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		r.o.Log.Error().Err(err).Msg("the copy of the configuration on the disk is thrown away; it is fetched anew")
+		r.o.Log.Error().Err(err).Msg("local configuration file is unreadable; discarding it and fetching a snapshot")
 		r.set = records.NewSet(o.Limits)
 		if err := os.Remove(o.Path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			r.o.Log.Error().Err(err).Msg("it could not be removed")
+			r.o.Log.Error().Err(err).Msg("could not remove the local configuration file")
 		}
 	}
 	if r.file == nil {
@@ -82,7 +82,7 @@
 	return r
 }
 
-// load takes what a file holds, and begins a new one with it.
+// load applies the content of a file and reopens the file for appending.
 func (r *Replica) load(c *recordfile.Content) error {
 	r.set.Adopt(c.Table, c.Revision)
 	for _, commit := range c.Commits {
@@ -92,13 +92,13 @@
 	}
 	r.useAll()
 	r.o.Log.Info().Uint64("revision", r.set.Revision()).Int("records", r.set.Table().Len()).Int("commits", len(c.Commits)).
-		Msg("configuration from the disk is in force")
+		Msg("applied configuration from the local file")
 	var err error
 	r.file, err = recordfile.Reopen(r.o.Path, c)
 	return err
 }
 
-// rewrite writes the file anew. Where that fails the process goes on without one.
+// rewrite replaces the file with a snapshot of the current records. If that fails, the replica continues without a file.
 func (r *Replica) rewrite() {
 	if r.o.Path == "" {
 		return
@@ -112,11 +112,11 @@
 		r.file, err = recordfile.Write(r.o.Path, snapshot)
 	}
 	if err != nil {
-		r.o.Log.Error().Err(err).Msg("no copy of the configuration is kept on the disk")
+		r.o.Log.Error().Err(err).Msg("could not write the local configuration file; continuing without it")
 	}
 }
 
-// Position is how far the replica is.
+// Position returns the current revision and digest.
 func (r *Replica) Position() distribution.Position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,10 +127,10 @@
 	return distribution.Position{Revision: r.set.Revision(), Digest: r.set.Digest()}
 }
 
-// KeepsRecords is true.
+// KeepsRecords returns true: a replica holds the records, not only their digest.
 func (r *Replica) KeepsRecords() bool { return true }
 
-// Follow takes the next commit and puts it into force.
+// Follow applies the next commit.
 func (r *Replica) Follow(c records.Commit) error {
 	if r.o.Plant == distribution.PlantEarlyReport {
 		r.mu.Lock()
@@ -156,7 +156,7 @@
 		return
 	}
 	if err := r.file.Append(c); err != nil {
-		r.o.Log.Error().Err(err).Msg("no copy of the configuration is kept on the disk")
+		r.o.Log.Error().Err(err).Msg("could not write the local configuration file; continuing without it")
 		r.file.Close()
 		r.file = nil
 		return
@@ -166,8 +166,8 @@
 	}
 }
 
-// use checks the records of a commit and puts its settings into force. A record that the check refuses is held, since all hold
-// the same, but not put into force, and is reported until another takes its place.
+// use checks the records of a commit and applies its settings. A record that fails the check is stored, since all replicas must
+// hold the same records, but it is not applied, and it is reported until it is replaced.
 func (r *Replica) use(c records.Commit) {
 	settings := map[string][]byte{}
 	for _, p := range c.Puts {
@@ -191,13 +191,13 @@
 	r.useSettings(settings, c.Revision)
 }
 
-// useSettings puts settings into force, all together.
+// useSettings applies settings, all of them or none.
 func (r *Replica) useSettings(settings map[string][]byte, revision uint64) {
 	if len(settings) == 0 || r.o.Use == nil {
 		return
 	}
 	for k, made := range r.unfit {
-		if r.rejected[k] == made { // the check may have refused another value meanwhile
+		if r.rejected[k] == made { // the check may have rejected another value since
 			delete(r.rejected, k)
 		}
 	}
@@ -214,11 +214,11 @@
 }
 
 func (r *Replica) reject(k records.Key, revision uint64, err error) {
-	r.o.Log.Error().Stringer("key", k).Uint64("revision", revision).Err(err).Msg("a record is not put into force")
+	r.o.Log.Error().Stringer("key", k).Uint64("revision", revision).Err(err).Msg("record rejected")
 	r.rejected[k] = distribution.Rejection{Server: r.o.Name, Key: k.String(), Revision: revision, Reason: err.Error()}
 }
 
-// useAll checks all records and puts all settings into force, after a snapshot.
+// useAll checks all records and applies all settings, after a snapshot.
 func (r *Replica) useAll() {
 	clear(r.rejected)
 	all := records.Commit{Revision: r.set.Revision()}
@@ -234,25 +234,25 @@
 	r.use(all)
 }
 
-// Adopt takes the records of a snapshot in place of all that is held.
+// Adopt replaces all records with those of a snapshot.
 func (r *Replica) Adopt(h records.Header, t *records.Table) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.set.Adopt(t, h.Revision)
 	r.useAll()
 	r.rewrite()
-	r.o.Log.Info().Uint64("revision", h.Revision).Int("records", h.Records).Int64("bytes", h.Bytes).Msg("configuration from a snapshot is in force")
+	r.o.Log.Info().Uint64("revision", h.Revision).Int("records", h.Records).Int64("bytes", h.Bytes).Msg("applied configuration from a snapshot")
 	if r.o.Adopted != nil {
 		r.o.Adopted(r.position())
 	}
 	return nil
 }
 
-// Discard throws away what is held. What is in force stays so until a snapshot comes.
+// Discard deletes the stored records and the file. Applied settings stay in effect until a snapshot arrives.
 func (r *Replica) Discard(reason error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.o.Log.Error().Err(reason).Msg("the configuration that is held was never agreed on; it is fetched anew")
+	r.o.Log.Error().Err(reason).Msg("local configuration was never committed; discarding it and fetching a snapshot")
 	r.set = records.NewSet(r.o.Limits)
 	if r.file != nil {
 		r.file.Close()
@@ -261,7 +261,7 @@
 	}
 }
 
-// Skip counts a commit and does not carry it out: the planted bug of the laboratory.
+// Skip advances to the revision of a commit without applying it. Only the injected bug distribution.PlantLostChange calls it.
 func (r *Replica) Skip(c records.Commit) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -269,7 +269,7 @@
 	return nil
 }
 
-// Report tells how far this process is.
+// Report returns the progress of this process.
 func (r *Replica) Report() distribution.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -289,21 +289,21 @@
 	return report
 }
 
-// Get finds a record that is held.
+// Get returns the stored value of a record and its revision.
 func (r *Replica) Get(k records.Key) (value []byte, revision uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.set.Table().Get(k)
 }
 
-// Table is a copy of the records that nobody changes, and its revision: the source of a relay's snapshots.
+// Table returns a copy of the records and their revision. It is the source of a relay's snapshots.
 func (r *Replica) Table() (*records.Table, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.set.Table().Clone(), r.set.Revision()
 }
 
-// Held lists the commits that are remembered, and the position before the first.
+// Held returns the retained commits and the position before the first of them.
 func (r *Replica) Held() (floor distribution.Position, commits []records.Commit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -314,14 +314,14 @@
 	return distribution.Position{Revision: r.set.Floor(), Digest: commits[0].Before}, slices.Clone(commits)
 }
 
-// Records counts the records that are held.
+// Records returns the number of stored records.
 func (r *Replica) Records() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.set.Table().Len()
 }
 
-// Close ends the keeping on the disk; the file stays.
+// Close closes the file; later commits are not stored.
 func (r *Replica) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -18,7 +18,7 @@
 	return records.Put{Key: records.Key{Kind: records.Setting, Name: name}, Value: []byte(value)}
 }
 
-// agreed makes the commits that the replicas of a test take.
+// agreed makes the commits for the replicas of a test.
 type agreed struct {
 	t   *testing.T
 	set *records.Set
@@ -53,7 +53,7 @@
 	return s.Header, table
 }
 
-// inForce is the settings that a replica put into force.
+// inForce holds the settings that a replica has applied.
 type inForce map[string]string
 
 func (f inForce) use(settings map[string][]byte) error {
@@ -78,7 +78,7 @@
 	}
 }
 
-// A replica that starts again has in force what it had, before anybody is asked, and goes on from its revision.
+// A restarted replica applies the settings of its file before it connects to a relay, and continues from its revision.
 func TestRestartGoesOnFromTheDisk(t *testing.T) {
 	a, path := newAgreed(t), filepath.Join(t.TempDir(), "records")
 	first := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
@@ -89,10 +89,10 @@
 	second := Open(Options{Name: "s", Path: path, Use: used.use, Log: zerolog.Nop()})
 	defer second.Close()
 	if p := second.Position(); p.Revision != 4 || p.Digest != a.set.Digest() {
-		t.Errorf("it is at %+v", p)
+		t.Errorf("replica is at %+v", p)
 	}
 	if used.String() != "map[a:2]" {
-		t.Errorf("in force: %v", used)
+		t.Errorf("applied settings: %v", used)
 	}
 	follow(t, second, a.put("c", "1"))
 	if value, revision, ok := second.Get(records.Key{Kind: records.Setting, Name: "c"}); !ok || string(value) != "1" || revision != 5 {
@@ -100,7 +100,7 @@
 	}
 }
 
-// A spoilt copy is thrown away with a log line, and the replica begins with nothing and keeps a new one.
+// A corrupt file is discarded with a log line; the replica starts empty and writes a new file.
 func TestSpoiltCopyIsThrownAway(t *testing.T) {
 	a, path := newAgreed(t), filepath.Join(t.TempDir(), "records")
 	first := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
@@ -120,8 +120,8 @@
 	}
 	var log bytes.Buffer
 	second := Open(Options{Name: "s", Path: path, Log: zerolog.New(&log)})
-	if p := second.Position(); p != (distribution.Position{}) || !bytes.Contains(log.Bytes(), []byte("thrown away")) {
-		t.Errorf("it is at %+v; the log: %s", p, log.Bytes())
+	if p := second.Position(); p != (distribution.Position{}) || !bytes.Contains(log.Bytes(), []byte("discarding it")) {
+		t.Errorf("replica is at %+v; log: %s", p, log.Bytes())
 	}
 	if err := second.Adopt(h, table); err != nil {
 		t.Fatal(err)
@@ -130,11 +130,11 @@
 	third := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
 	defer third.Close()
 	if third.Position() != distribution.Position(records.Marker{Revision: 1, Digest: a.set.Digest()}) {
-		t.Errorf("it is at %+v", third.Position())
+		t.Errorf("replica is at %+v", third.Position())
 	}
 }
 
-// A commit that is not the next one, or rests on other records, changes nothing.
+// A commit that is not the next one, or whose digest differs, is rejected and changes nothing.
 func TestCommitsOutOfOrderChangeNothing(t *testing.T) {
 	a, used := newAgreed(t), inForce{}
 	r := Open(Options{Name: "s", Use: used.use, Log: zerolog.Nop()})
@@ -149,36 +149,37 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if r.Position().Revision != 1 || used["a"] != "1" {
-			t.Errorf("%s: at %+v, in force %v", name, r.Position(), used)
+			t.Errorf("%s: at %+v, applied %v", name, r.Position(), used)
 		}
 	}
 	follow(t, r, two, three)
 }
 
-// A record that the check refuses is held and reported, and what was in force before stays, until another value comes or it goes.
+// A record that fails the check is stored and reported, and the value applied before stays in effect, until the record is replaced
+// or deleted.
 func TestRefusedRecordsStayOutOfForce(t *testing.T) {
 	a, used := newAgreed(t), inForce{}
 	r := Open(Options{Name: "s", Use: used.use, Log: zerolog.Nop(), Check: func(p records.Put) error {
 		if string(p.Value) == "bad" {
-			return errors.New("not to be had")
+			return errors.New("value not allowed")
 		}
 		return nil
 	}})
 	follow(t, r, a.put("a", "1"), a.put("a", "bad"), a.put("b", "bad"))
 	report := r.Report()
 	if used["a"] != "1" || report.Lowest != 3 || report.Rejecting != 1 || len(report.Rejections) != 2 {
-		t.Errorf("in force %v, reported %+v", used, report)
+		t.Errorf("applied %v, reported %+v", used, report)
 	}
-	if j := report.Rejections[0]; j.Key != "setting/a" || j.Revision != 2 || j.Reason != "not to be had" || j.Server != "s" {
+	if j := report.Rejections[0]; j.Key != "setting/a" || j.Revision != 2 || j.Reason != "value not allowed" || j.Server != "s" {
 		t.Errorf("%+v", j)
 	}
 	follow(t, r, a.put("a", "2"), a.change(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "b"}}}))
 	if report = r.Report(); used["a"] != "2" || report.Rejecting != 0 || len(report.Rejections) != 0 {
-		t.Errorf("in force %v, reported %+v", used, report)
+		t.Errorf("applied %v, reported %+v", used, report)
 	}
 }
 
-// Settings that do not fit together are reported with the reason, until a change makes them fit.
+// Settings that are inconsistent with each other are reported with the reason, until a change makes them consistent.
 func TestSettingsThatDoNotFitAreReported(t *testing.T) {
 	a, all := newAgreed(t), inForce{}
 	r := Open(Options{Name: "s", Log: zerolog.Nop(), Use: func(settings map[string][]byte) error {
@@ -199,12 +200,12 @@
 	}
 }
 
-// A value that the check refuses stays reported, though the settings without it fit again.
+// A value that fails the check stays reported, although the settings without it can be applied again.
 func TestRefusedValueStaysReportedWhereTheRestFits(t *testing.T) {
 	a, all := newAgreed(t), inForce{}
 	r := Open(Options{Name: "s", Log: zerolog.Nop(), Check: func(p records.Put) error {
 		if string(p.Value) == "bad" {
-			return errors.New("not to be had")
+			return errors.New("value not allowed")
 		}
 		return nil
 	}, Use: func(settings map[string][]byte) error {
@@ -217,12 +218,12 @@
 	follow(t, r, a.put("a", "1"))
 	follow(t, r, a.change(records.Change{Puts: []records.Put{setting("a", "bad"), setting("b", "1")}}))
 	report := r.Report()
-	if len(report.Rejections) != 1 || report.Rejections[0].Key != "setting/a" || report.Rejections[0].Reason != "not to be had" {
+	if len(report.Rejections) != 1 || report.Rejections[0].Key != "setting/a" || report.Rejections[0].Reason != "value not allowed" {
 		t.Errorf("%+v", report)
 	}
 }
 
-// What was never agreed on is thrown away with its file; what is in force stays so until a snapshot takes its place.
+// Records that were never committed are discarded with their file; the applied settings stay in effect until a snapshot arrives.
 func TestDiscardedRecordsStayInForceUntilASnapshot(t *testing.T) {
 	a, used, path := newAgreed(t), inForce{}, filepath.Join(t.TempDir(), "records")
 	r := Open(Options{Name: "s", Path: path, Use: used.use, Log: zerolog.Nop()})
@@ -230,10 +231,10 @@
 	follow(t, r, a.put("a", "1"))
 	r.Discard(errors.New("other records"))
 	if r.Position() != (distribution.Position{}) || used["a"] != "1" {
-		t.Errorf("at %+v, in force %v", r.Position(), used)
+		t.Errorf("at %+v, applied %v", r.Position(), used)
 	}
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the file is still there: %v", err)
+		t.Errorf("the file still exists: %v", err)
 	}
 	a.put("a", "2")
 	h, table := a.snapshot()
@@ -241,11 +242,11 @@
 		t.Fatal(err)
 	}
 	if r.Position().Revision != 2 || used["a"] != "2" {
-		t.Errorf("at %+v, in force %v", r.Position(), used)
+		t.Errorf("at %+v, applied %v", r.Position(), used)
 	}
 }
 
-// The file is written anew where the commits behind its snapshot have grown large.
+// The file is rewritten when the commits after its snapshot exceed rewriteAfter.
 func TestFileStaysBounded(t *testing.T) {
 	a, path := newAgreed(t), filepath.Join(t.TempDir(), "records")
 	r := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
@@ -265,12 +266,12 @@
 	again := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
 	defer again.Close()
 	if p := again.Position(); p.Revision != commits || p.Digest != a.set.Digest() {
-		t.Errorf("it is at %+v", p)
+		t.Errorf("replica is at %+v", p)
 	}
 }
 
-// BenchmarkFollow measures what a change of three records costs an order server or a relay, its file included, by the records
-// that it holds.
+// BenchmarkFollow measures the cost of a commit of three records in an order server or a relay, writing the file included, by the
+// number of stored records.
 func BenchmarkFollow(b *testing.B) {
 	for _, n := range []int{30000, 100000, 240000, 477000} {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
