--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -133,7 +133,7 @@
 	h.sessions.Led = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
 	copy.ServeSessions(h.sessions.Serve)
 	h.origin = relay.NewOrigin(copy, h.steady, h.log, h.cfg.Operator.Lab.Plant)
-	h.origin.Agreed = func(c records.Commit) {
+	h.origin.OnCommit = func(c records.Commit) {
 		h.trace.Add(trace.Event{What: trace.Agreed, N: c.Revision, Text: c.After.String()}, 0)
 	}
 	h.sessions.ConfigStatus = h.origin.Status
@@ -301,7 +301,7 @@
 		f.Sessions = &v
 	}
 	if h.origin != nil {
-		v, sum := h.origin.Figures(), h.origin.Report()
+		v, sum := h.origin.Metrics(), h.origin.Report()
 		f.Origin, f.Relays = &v, &sum
 	}
 	return f
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -112,15 +112,15 @@
 	}
 	w := &watch{farm: farm, log: log, settings: map[string][]byte{}}
 	plant := cfg.Operator.Lab.Plant
-	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.Path, Check: records.CheckValue, Use: w.use, Log: log, Plant: plant,
-		Committed: func(c records.Commit) {
+	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.Path, CheckRecord: records.CheckValue, ApplySettings: w.use, Log: log, InjectedBug: plant,
+		OnCommit: func(c records.Commit) {
 			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
-		Adopted:  func(p distribution.Position) { traceInstalled(t, p) },
-		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
+		OnSnapshot: func(p distribution.Position) { traceInstalled(t, p) },
+		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
 	traceInstalled(t, w.replica.Position())
 	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Steady(), Log: log, Plant: plant, Follower: w.replica,
-		Selector: distribution.NewSelector(d.Relays, distribution.Place{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
+		Selector: distribution.NewSelector(d.Relays, distribution.Locality{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
 	return w, nil
 }
 
@@ -164,7 +164,7 @@
 		return nil
 	}
 	p := w.replica.Position()
-	return &watchFigures{w.client.Figures(), p.Revision, p.Digest.String(), w.replica.Records(), w.replica.Report()}
+	return &watchFigures{w.client.Figures(), p.Revision, p.Digest.String(), w.replica.RecordCount(), w.replica.Report()}
 }
 
 // tracer is the trace of the process; nil: it is off.
@@ -209,13 +209,13 @@
 	}
 	limits := distribution.DefaultLimits
 	limits.Watchers, limits.Snapshots = set.Watchers, set.Snapshots
-	r, err := relay.Open(relay.Options{Name: set.Name, Region: set.Region, Listen: set.Listen, Copies: set.Copies, Elsewhere: set.Elsewhere, Path: set.Path, Limits: limits,
-		Seed: seedOf(set.Name), Steady: steady, Log: log, Plant: file.Lab.Plant,
-		Committed: func(c records.Commit) {
+	r, err := relay.Open(relay.Options{Name: set.Name, Region: set.Region, Listen: set.Listen, StoreAddresses: set.Copies, Elsewhere: set.Elsewhere, Path: set.Path, Limits: limits,
+		Seed: seedOf(set.Name), Steady: steady, Log: log, InjectedBug: file.Lab.Plant,
+		OnCommit: func(c records.Commit) {
 			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
-		Adopted:  func(p distribution.Position) { traceInstalled(t, p) },
-		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
+		OnSnapshot: func(p distribution.Position) { traceInstalled(t, p) },
+		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
 	if err != nil {
 		return err
 	}
@@ -239,7 +239,7 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(r.Figures()) })
+	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(r.Metrics()) })
 	s := &http.Server{Handler: mux, ReadTimeout: figuresTimeout, WriteTimeout: figuresTimeout}
 	context.AfterFunc(ctx, func() { s.Close() })
 	go s.Serve(ln)
@@ -360,8 +360,8 @@
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "REGION\tRELAYS\tLOST\tSERVERS\tLOWEST\tAT\tBEHIND\tAGE\tREFUSING\tSILENT")
 	for _, r := range s.Regions {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\t%d\t%s\t%d\t%s\n", orDash(r.Region), r.Relays, r.Lost, r.Servers, r.Lowest, orDash(r.LowestName), r.Behind,
-			seconds(r.AgeMs), r.Rejecting, seconds(r.SilentMs))
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\t%d\t%s\t%d\t%s\n", orDash(r.Region), r.ConnectedRelays, r.DisconnectedRelays, r.Servers, r.LowestRevision, orDash(r.LowestServer), r.ServersBehind,
+			seconds(r.StalenessMS), r.ServersRejecting, seconds(r.SinceReportMS))
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -63,7 +63,7 @@
 }
 
 // Plants are the bugs that the laboratory can plant.
-var Plants = slices.Concat(duty.Plants, admit.Plants, distribution.Plants)
+var Plants = slices.Concat(duty.Plants, admit.Plants, distribution.InjectedBugs)
 
 // Lab is set by the laboratory alone.
 type Lab struct {
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -52,7 +52,7 @@
 						from = after(all[i-1])
 					}
 					at, verdict := serve(f, at, who, from)
-					if verdict == Refuse && len(at) < limits.Watchers && f.Snapshots() < limits.Snapshots {
+					if verdict == VerdictRefuse && len(at) < limits.Watchers && f.Snapshots() < limits.Snapshots {
 						t.Fatalf("seed %d: watcher refused below the limits", seed)
 					}
 				}
@@ -66,9 +66,9 @@
 				if !here {
 					continue
 				}
-				frames, through, err := f.Next(revision, 200)
-				if errors.Is(err, ErrFellBehind) != (revision < f.Floor()) {
-					t.Fatalf("seed %d: Next from %d with oldest revision %d: %v", seed, revision, f.Floor(), err)
+				frames, through, err := f.FramesAfter(revision, 200)
+				if errors.Is(err, ErrFellBehind) != (revision < f.OldestRevision()) {
+					t.Fatalf("seed %d: Next from %d with oldest revision %d: %v", seed, revision, f.OldestRevision(), err)
 				}
 				if err != nil {
 					f.Leave()
@@ -80,7 +80,7 @@
 				}
 				at[who] = through
 			}
-			if f.Held() > limits.Bytes || f.At().Revision-f.Floor() > uint64(limits.Commits) || f.Watchers() != len(at) || f.Watchers() > limits.Watchers {
+			if f.RetainedBytes() > limits.Bytes || f.Position().Revision-f.OldestRevision() > uint64(limits.Commits) || f.Watchers() != len(at) || f.Watchers() > limits.Watchers {
 				t.Fatalf("seed %d: feed exceeds a limit", seed)
 			}
 		}
@@ -91,11 +91,11 @@
 func serve(f *Feed, at map[int]uint64, who int, from Position) (map[int]uint64, Verdict) {
 	a := f.Admit(from)
 	switch a.Verdict {
-	case Stream:
+	case VerdictStream:
 		at[who] = from.Revision
-	case Snapshot:
+	case VerdictSnapshot:
 		f.SnapshotDone()
-		at[who] = f.At().Revision
+		at[who] = f.Position().Revision
 	}
 	return at, a.Verdict
 }
@@ -109,26 +109,26 @@
 			t.Fatal(err)
 		}
 	}
-	if a := f.Admit(after(all[9])); a.Verdict != Refuse || a.RetryMs < behindRetryMs/2 {
+	if a := f.Admit(after(all[9])); a.Verdict != VerdictRefuse || a.RetryDelayMS < behindRetryMs/2 {
 		t.Errorf("watcher ahead of the feed: %+v", a)
 	}
-	if a := f.Admit(after(all[3])); a.Verdict != Stream {
+	if a := f.Admit(after(all[3])); a.Verdict != VerdictStream {
 		t.Errorf("watcher at the oldest revision: %+v", a)
 	}
-	if a := f.Admit(Position{all[6].Revision, all[5].After}); a.Verdict != Snapshot {
+	if a := f.Admit(Position{all[6].Revision, all[5].After}); a.Verdict != VerdictSnapshot {
 		t.Errorf("watcher with a different digest: %+v", a)
 	}
-	if a := f.Admit(after(all[1])); a.Verdict != Refuse || a.RetryMs < snapshotRetryMs/2 || a.RetryMs > snapshotRetryMs*1.5 {
+	if a := f.Admit(after(all[1])); a.Verdict != VerdictRefuse || a.RetryDelayMS < snapshotRetryMs/2 || a.RetryDelayMS > snapshotRetryMs*1.5 {
 		t.Errorf("snapshot over the limit: %+v", a)
 	}
 	f.SnapshotDone()
-	if a := f.Admit(after(all[1])); a.Verdict != Snapshot {
+	if a := f.Admit(after(all[1])); a.Verdict != VerdictSnapshot {
 		t.Errorf("watcher behind the oldest revision: %+v", a)
 	}
-	if a := f.Admit(after(all[8])); a.Verdict != Stream {
+	if a := f.Admit(after(all[8])); a.Verdict != VerdictStream {
 		t.Errorf("last watcher within the limit: %+v", a)
 	}
-	if a := f.Admit(after(all[8])); a.Verdict != Refuse || a.Reason != "full" {
+	if a := f.Admit(after(all[8])); a.Verdict != VerdictRefuse || a.Reason != "full" {
 		t.Errorf("watcher over the limit: %+v", a)
 	}
 	if err := f.Advance(all[8], nil); !errors.Is(err, ErrOrder) {
@@ -145,7 +145,7 @@
 	second, waits, away := map[string]int{}, 0.0, 0
 	const watchers = 300
 	for seed := range uint64(watchers) {
-		s := NewSelector(relays, Place{"z0", "r0"}, seed)
+		s := NewSelector(relays, Locality{"z0", "r0"}, seed)
 		r, _, ok := s.Next(0)
 		if !ok || r.Zone != "z0" {
 			t.Fatalf("first choice: got %+v, want the relay of zone z0", r)
@@ -174,7 +174,7 @@
 			t.Errorf("%d of %d watchers choose %s", n, watchers, name)
 		}
 	}
-	s := NewSelector(relays, Place{"z0", "r0"}, 1)
+	s := NewSelector(relays, Locality{"z0", "r0"}, 1)
 	last, longest := 0.0, 0.0
 	for range 40 {
 		last = s.Failed()
@@ -188,7 +188,7 @@
 // A relay that refused is not chosen again before its retry delay has passed, and the alternative that it gave is chosen next.
 func TestSelectorFollowsARefusal(t *testing.T) {
 	relays := []Relay{{Name: "a", Address: "127.0.0.1:1", Zone: "z"}, {Name: "b", Address: "127.0.0.1:2", Zone: "y"}, {Name: "c", Address: "127.0.0.1:3", Zone: "x"}}
-	s := NewSelector(relays, Place{Zone: "z"}, 1)
+	s := NewSelector(relays, Locality{Zone: "z"}, 1)
 	if r, _, _ := s.Next(0); r.Name != "a" {
 		t.Fatalf("%+v", r)
 	}
@@ -213,27 +213,27 @@
 func TestReportsAreSummed(t *testing.T) {
 	p := NewProgress()
 	for i := range 500 {
-		r := Report{Servers: 1, Lowest: 20, LowestName: fmt.Sprintf("s%03d", i)}
+		r := Report{Servers: 1, LowestRevision: 20, LowestServer: fmt.Sprintf("s%03d", i)}
 		if i == 77 {
-			r.Lowest = 18
+			r.LowestRevision = 18
 		}
 		if i%10 == 0 {
-			r.Rejecting, r.Rejections = 1, []Rejection{{Server: r.LowestName, Key: "setting/x", Revision: uint64(i), Reason: "no"}}
+			r.ServersRejecting, r.Rejections = 1, []Rejection{{Server: r.LowestServer, Key: "setting/x", Revision: uint64(i), Reason: "no"}}
 		}
-		p.Put(r.LowestName, r)
+		p.Put(r.LowestServer, r)
 	}
 	sum := p.Sum(20)
-	if sum.Servers != 500 || sum.Lowest != 18 || sum.LowestName != "s077" || sum.Behind != 1 || sum.Rejecting != 50 || len(sum.Rejections) != MaxRejections {
+	if sum.Servers != 500 || sum.LowestRevision != 18 || sum.LowestServer != "s077" || sum.ServersBehind != 1 || sum.ServersRejecting != 50 || len(sum.Rejections) != MaxRejections {
 		t.Errorf("%+v", sum)
 	}
 	p.Drop("s077")
-	if sum = p.Sum(21); sum.Lowest != 20 || sum.Behind != 499 {
+	if sum = p.Sum(21); sum.LowestRevision != 20 || sum.ServersBehind != 499 {
 		t.Errorf("%+v", sum)
 	}
 	up := NewProgress()
 	up.Put("relay", p.Sum(20))
 	up.Put("another", Report{})
-	if sum = up.Sum(20); sum.Servers != 499 || sum.Behind != 0 || sum.Rejecting != 50 {
+	if sum = up.Sum(20); sum.Servers != 499 || sum.ServersBehind != 0 || sum.ServersRejecting != 50 {
 		t.Errorf("%+v", sum)
 	}
 }
@@ -250,14 +250,14 @@
 	if ms := longest(NewCopySelector(copies, 1)); ms > maxCopyBackoff || ms < 0.9*maxCopyBackoff {
 		t.Errorf("longest backoff of a relay is %v ms", ms)
 	}
-	if ms := longest(NewSelector(copies, Place{}, 1)); ms > maxBackoff || ms < 0.9*maxBackoff {
+	if ms := longest(NewSelector(copies, Locality{}, 1)); ms > maxBackoff || ms < 0.9*maxBackoff {
 		t.Errorf("longest backoff of a server is %v ms", ms)
 	}
 }
 
 // A relay that asks for a retry delay of years is retried within maxRefusal.
 func TestRefusalsAreBounded(t *testing.T) {
-	s := NewSelector([]Relay{{Name: "a", Address: "a:1"}}, Place{}, 1)
+	s := NewSelector([]Relay{{Name: "a", Address: "a:1"}}, Locality{}, 1)
 	s.Next(0)
 	s.Refused(0, 1e300, nil)
 	if _, wait, ok := s.Next(1); ok || wait > maxRefusal {
--- a/internal/distribution/explore_test.go
+++ b/internal/distribution/explore_test.go
@@ -92,7 +92,7 @@
 func (m *model) play(s step) (bool, error) {
 	switch s.kind {
 	case stepChange:
-		n := m.leader.At().Revision
+		n := m.leader.Position().Revision
 		if n == exploreChanges {
 			return false, nil
 		}
@@ -105,7 +105,7 @@
 		}
 		p := Position{}
 		if s.kind == stepRestart {
-			p = m.relays[s.relay].At()
+			p = m.relays[s.relay].Position()
 		}
 		m.relays[s.relay].Reset(p)
 		m.snapshot[s.relay] = nil
@@ -127,15 +127,15 @@
 // advance delivers to a relay the next commit that it lacks, or a snapshot.
 func (m *model) advance(i int) (bool, error) {
 	relay := m.relays[i]
-	p := relay.At()
-	if p.Revision >= m.leader.At().Revision {
+	p := relay.Position()
+	if p.Revision >= m.leader.Position().Revision {
 		return false, nil
 	}
 	if !m.leader.knows(p) {
-		relay.Reset(m.leader.At())
+		relay.Reset(m.leader.Position())
 		return true, nil
 	}
-	frames, _, err := m.leader.Next(p.Revision, 1)
+	frames, _, err := m.leader.FramesAfter(p.Revision, 1)
 	if err != nil {
 		return true, err
 	}
@@ -148,11 +148,11 @@
 	}
 	a := m.relays[i].Admit(Position(m.watcher))
 	switch a.Verdict {
-	case Refuse:
+	case VerdictRefuse:
 		return false
-	case Stream:
+	case VerdictStream:
 		m.sent = m.watcher.Revision
-	case Snapshot:
+	case VerdictSnapshot:
 		s := m.sharedSnapshot(i)
 		m.underWay = append(m.underWay, message{snapshot: &s})
 		m.sent = s.Revision
@@ -164,11 +164,11 @@
 
 // sharedSnapshot returns the relay's snapshot. It is rebuilt if the relay no longer retains the commits after it.
 func (m *model) sharedSnapshot(i int) Position {
-	if s := m.snapshot[i]; s != nil && s.Revision >= m.relays[i].Floor() {
+	if s := m.snapshot[i]; s != nil && s.Revision >= m.relays[i].OldestRevision() {
 		return *s
 	}
-	s := m.relays[i].At()
-	if m.plant == PlantSnapshotRevision && s.Revision < m.leader.At().Revision {
+	s := m.relays[i].Position()
+	if m.plant == BugSnapshotRevision && s.Revision < m.leader.Position().Revision {
 		s.Revision++
 	}
 	m.snapshot[i] = &s
@@ -179,7 +179,7 @@
 	if m.at < 0 {
 		return false, nil
 	}
-	frames, through, err := m.relays[m.at].Next(m.sent, 1)
+	frames, through, err := m.relays[m.at].FramesAfter(m.sent, 1)
 	if errors.Is(err, ErrFellBehind) {
 		m.cut() // the watcher has read too slowly
 		return true, nil
@@ -219,8 +219,8 @@
 func (m *model) check() error {
 	p := Position(m.watcher)
 	switch {
-	case p.Revision > m.leader.At().Revision:
-		return fmt.Errorf("the watcher is at revision %d, but only %d is committed", p.Revision, m.leader.At().Revision)
+	case p.Revision > m.leader.Position().Revision:
+		return fmt.Errorf("the watcher is at revision %d, but only %d is committed", p.Revision, m.leader.Position().Revision)
 	case p != m.positions[p.Revision]:
 		return fmt.Errorf("the watcher's records at revision %d differ from the committed ones", p.Revision)
 	}
@@ -229,9 +229,9 @@
 
 // key returns a string that identifies the state of the model.
 func (m *model) key() string {
-	key := fmt.Sprint(m.leader.At().Revision, m.watcher.Revision, m.at, m.sent)
+	key := fmt.Sprint(m.leader.Position().Revision, m.watcher.Revision, m.at, m.sent)
 	for i, r := range m.relays {
-		key += fmt.Sprint("|", r.At().Revision, r.Floor())
+		key += fmt.Sprint("|", r.Position().Revision, r.OldestRevision())
 		if m.snapshot[i] != nil {
 			key += fmt.Sprint("s", m.snapshot[i].Revision)
 		}
@@ -262,8 +262,8 @@
 			}
 		}
 	}
-	if m.watcher.Revision != m.leader.At().Revision {
-		return fmt.Errorf("the watcher does not get past revision %d of %d", m.watcher.Revision, m.leader.At().Revision)
+	if m.watcher.Revision != m.leader.Position().Revision {
+		return fmt.Errorf("the watcher does not get past revision %d of %d", m.watcher.Revision, m.leader.Position().Revision)
 	}
 	return m.check()
 }
@@ -336,7 +336,7 @@
 
 // The exploration finds a snapshot that is labelled with a revision that it does not contain.
 func TestExplorationFindsAPlantedBug(t *testing.T) {
-	if _, err := explore(t, PlantSnapshotRevision); err == nil {
+	if _, err := explore(t, BugSnapshotRevision); err == nil {
 		t.Error("the injected bug is not found")
 	}
 }
--- a/internal/distribution/feed.go
+++ b/internal/distribution/feed.go
@@ -36,9 +36,9 @@
 
 // Verdicts on a watch request.
 const (
-	Stream   Verdict = iota // send the commits after the watcher's revision
-	Snapshot                // send a snapshot, then the commits after it
-	Refuse                  // do not serve; the watcher may retry later
+	VerdictStream   Verdict = iota // send the commits after the watcher's revision
+	VerdictSnapshot                // send a snapshot, then the commits after it
+	VerdictRefuse                  // do not serve; the watcher may retry later
 )
 
 // Position is a revision of the records and the digest of the records at that revision.
@@ -49,9 +49,9 @@
 
 // Admission is the response to a watch request.
 type Admission struct {
-	Verdict Verdict
-	RetryMs float64 // with Refuse: delay before the watcher retries
-	Reason  string  // with Refuse
+	Verdict      Verdict
+	RetryDelayMS float64 // with Refuse: delay before the watcher retries
+	Reason       string  // with Refuse
 }
 
 // Mean delays before a refused watcher retries.
@@ -86,14 +86,14 @@
 	return &Feed{limits: l, rng: rand.New(rand.NewPCG(seed, 3))}
 }
 
-// At returns the position of the newest commit.
-func (f *Feed) At() Position { return f.at }
+// Position returns the position of the newest commit.
+func (f *Feed) Position() Position { return f.at }
 
-// Floor returns the oldest revision from which a watcher can be served without a snapshot.
-func (f *Feed) Floor() uint64 { return f.floor.Revision }
+// OldestRevision returns the oldest revision from which a watcher can be served without a snapshot.
+func (f *Feed) OldestRevision() uint64 { return f.floor.Revision }
 
-// Held returns the size of the retained commits in bytes.
-func (f *Feed) Held() int { return f.bytes }
+// RetainedBytes returns the size of the retained commits in bytes.
+func (f *Feed) RetainedBytes() int { return f.bytes }
 
 // Watchers returns the number of admitted watchers.
 func (f *Feed) Watchers() int { return f.serving }
@@ -138,15 +138,15 @@
 	}
 	f.serving++
 	if f.knows(from) {
-		return Admission{Verdict: Stream}
+		return Admission{Verdict: VerdictStream}
 	}
 	f.sending++
-	return Admission{Verdict: Snapshot}
+	return Admission{Verdict: VerdictSnapshot}
 }
 
 // refuse jitters the retry delay between 0.5 and 1.5 times its mean, so that refused watchers do not return all at once.
 func (f *Feed) refuse(ms float64, reason string) Admission {
-	return Admission{Verdict: Refuse, RetryMs: ms * (0.5 + f.rng.Float64()), Reason: reason}
+	return Admission{Verdict: VerdictRefuse, RetryDelayMS: ms * (0.5 + f.rng.Float64()), Reason: reason}
 }
 
 // knows reports whether a position is within the window and in the history of this feed's records. A watcher whose digest
@@ -167,9 +167,9 @@
 // SnapshotDone ends an admitted snapshot, so that another can be sent.
 func (f *Feed) SnapshotDone() { f.sending-- }
 
-// Next returns the frames after a revision, and the revision of the last. It returns at most maxBytes, but at least one frame if
+// FramesAfter returns the frames after a revision, and the revision of the last. It returns at most maxBytes, but at least one frame if
 // there is any.
-func (f *Feed) Next(revision uint64, maxBytes int) (frames [][]byte, through uint64, err error) {
+func (f *Feed) FramesAfter(revision uint64, maxBytes int) (frames [][]byte, through uint64, err error) {
 	if revision < f.floor.Revision {
 		return nil, revision, fmt.Errorf("%w: revision %d, oldest is %d", ErrFellBehind, revision, f.floor.Revision)
 	}
--- a/internal/distribution/plants.go
+++ b/internal/distribution/plants.go
@@ -2,10 +2,10 @@
 
 // Injected bugs, with which the fault-injection lab and the tests verify that their checks find a fault. Off in production.
 const (
-	PlantLostChange       = "lost-change"       // a watcher that switches relays skips the first commit from the new one
-	PlantEarlyReport      = "early-report"      // a revision is reported before it has been applied
-	PlantSnapshotRevision = "snapshot-revision" // a snapshot is labelled with a revision that it does not contain
+	BugLostChange       = "lost-change"       // a watcher that switches relays skips the first commit from the new one
+	BugEarlyReport      = "early-report"      // a revision is reported before it has been applied
+	BugSnapshotRevision = "snapshot-revision" // a snapshot is labelled with a revision that it does not contain
 )
 
-// Plants lists all injected bugs of this package.
-var Plants = []string{PlantLostChange, PlantEarlyReport, PlantSnapshotRevision}
+// InjectedBugs lists all injected bugs of this package.
+var InjectedBugs = []string{BugLostChange, BugEarlyReport, BugSnapshotRevision}
--- a/internal/distribution/progress.go
+++ b/internal/distribution/progress.go
@@ -22,12 +22,12 @@
 // Report is a watcher's progress. A server reports for itself, a relay for all its watchers; the size of a report does not depend
 // on their number.
 type Report struct {
-	Servers    int         `json:"servers"`              // number of servers covered
-	Lowest     uint64      `json:"lowest"`               // revision applied at all of them
-	LowestName string      `json:"lowest_name"`          // a server at the lowest revision
-	Behind     int         `json:"behind"`               // servers behind the latest revision known to the reporter
-	Rejecting  int         `json:"rejecting,omitempty"`  // servers that could not apply some record
-	Rejections []Rejection `json:"rejections,omitempty"` // a bounded sample
+	Servers          int         `json:"servers"`              // number of servers covered
+	LowestRevision   uint64      `json:"lowest"`               // revision applied at all of them
+	LowestServer     string      `json:"lowest_name"`          // a server at the lowest revision
+	ServersBehind    int         `json:"behind"`               // servers behind the latest revision known to the reporter
+	ServersRejecting int         `json:"rejecting,omitempty"`  // servers that could not apply some record
+	Rejections       []Rejection `json:"rejections,omitempty"` // a bounded sample
 }
 
 // Check truncates a report to its bounds and clamps negative counts to 0.
@@ -37,8 +37,8 @@
 		j := &r.Rejections[i]
 		j.Server, j.Key, j.Reason = bound(j.Server), bound(j.Key), bound(j.Reason)
 	}
-	r.LowestName = bound(r.LowestName)
-	r.Servers, r.Behind, r.Rejecting = max(r.Servers, 0), max(r.Behind, 0), max(r.Rejecting, 0)
+	r.LowestServer = bound(r.LowestServer)
+	r.Servers, r.ServersBehind, r.ServersRejecting = max(r.Servers, 0), max(r.ServersBehind, 0), max(r.ServersRejecting, 0)
 }
 
 func bound(s string) string { return s[:min(len(s), maxReason)] }
@@ -65,16 +65,16 @@
 		if r.Servers == 0 {
 			continue
 		}
-		if sum.Servers == 0 || r.Lowest < sum.Lowest || r.Lowest == sum.Lowest && r.LowestName < sum.LowestName {
-			sum.Lowest, sum.LowestName = r.Lowest, r.LowestName
+		if sum.Servers == 0 || r.LowestRevision < sum.LowestRevision || r.LowestRevision == sum.LowestRevision && r.LowestServer < sum.LowestServer {
+			sum.LowestRevision, sum.LowestServer = r.LowestRevision, r.LowestServer
 		}
 		sum.Servers += r.Servers
-		if r.Behind == 0 && r.Lowest < latest {
-			sum.Behind += r.Servers // level with their relay, which is itself behind
+		if r.ServersBehind == 0 && r.LowestRevision < latest {
+			sum.ServersBehind += r.Servers // level with their relay, which is itself behind
 		} else {
-			sum.Behind += r.Behind
+			sum.ServersBehind += r.ServersBehind
 		}
-		sum.Rejecting += r.Rejecting
+		sum.ServersRejecting += r.ServersRejecting
 		sum.Rejections = append(sum.Rejections, r.Rejections...)
 	}
 	slices.SortFunc(sum.Rejections, func(a, b Rejection) int {
--- a/internal/distribution/regions.go
+++ b/internal/distribution/regions.go
@@ -19,12 +19,12 @@
 
 // RegionStatus is the progress of the servers of one region, from the last report of each of its relays.
 type RegionStatus struct {
-	Region string `json:"region"`
-	Relays int    `json:"relays"` // connected relays
-	Lost   int    `json:"lost"`   // disconnected relays; their last reports still count
+	Region             string `json:"region"`
+	ConnectedRelays    int    `json:"relays"` // connected relays
+	DisconnectedRelays int    `json:"lost"`   // disconnected relays; their last reports still count
 	Report
-	AgeMs    float64 `json:"age_ms"`    // since the commit of the oldest change that some server has not applied; 0: none
-	SilentMs float64 `json:"silent_ms"` // since the last report of the relay that has been silent longest
+	StalenessMS   float64 `json:"age_ms"`    // since the commit of the oldest change that some server has not applied; 0: none
+	SinceReportMS float64 `json:"silent_ms"` // since the last report of the relay that has been silent longest
 }
 
 // regionalRelay is the last known state of a relay.
@@ -62,15 +62,15 @@
 	delete(g.relays, oldest)
 }
 
-// Left marks a relay as disconnected and keeps its last report.
-func (g *Regions) Left(relay string) {
+// MarkDisconnected marks a relay as disconnected and keeps its last report.
+func (g *Regions) MarkDisconnected(relay string) {
 	if known := g.relays[relay]; known != nil {
 		known.watches = false
 	}
 }
 
 // Status aggregates the reports by region; latest is the newest committed revision. The most stale region comes first.
-func (g *Regions) Status(now float64, latest uint64, ages *Ages) []RegionStatus {
+func (g *Regions) Status(now float64, latest uint64, ages *CommitTimes) []RegionStatus {
 	all := map[string]*RegionStatus{}
 	reports := map[string]*Progress{}
 	for name, relay := range g.relays {
@@ -80,11 +80,11 @@
 			all[relay.region], reports[relay.region] = s, NewProgress()
 		}
 		if relay.watches {
-			s.Relays++
+			s.ConnectedRelays++
 		} else {
-			s.Lost++
+			s.DisconnectedRelays++
 		}
-		s.SilentMs = max(s.SilentMs, now-relay.heardAt)
+		s.SinceReportMS = max(s.SinceReportMS, now-relay.heardAt)
 		reports[relay.region].Put(name, relay.report)
 	}
 	var out []RegionStatus
@@ -92,22 +92,22 @@
 		s := all[region]
 		s.Report = reports[region].Sum(latest)
 		if s.Servers > 0 {
-			s.AgeMs = ages.Behind(now, s.Lowest)
+			s.StalenessMS = ages.StalenessMS(now, s.LowestRevision)
 		}
 		out = append(out, *s)
 	}
-	slices.SortStableFunc(out, func(a, b RegionStatus) int { return cmp.Compare(b.AgeMs, a.AgeMs) })
+	slices.SortStableFunc(out, func(a, b RegionStatus) int { return cmp.Compare(b.StalenessMS, a.StalenessMS) })
 	return out
 }
 
-// Ages holds the commit times of the latest revisions, in milliseconds.
-type Ages struct {
+// CommitTimes holds the commit times of the latest revisions, in milliseconds.
+type CommitTimes struct {
 	first uint64    // revision of at[0]
 	at    []float64 // one for each revision from first on
 }
 
 // Add records now as the commit time of a revision. A revision that does not follow the last one clears the earlier times.
-func (a *Ages) Add(revision uint64, now float64) {
+func (a *CommitTimes) Add(revision uint64, now float64) {
 	if len(a.at) == 0 || revision != a.first+uint64(len(a.at)) {
 		a.first, a.at = revision, nil
 	}
@@ -118,9 +118,9 @@
 	}
 }
 
-// Behind returns the staleness of a server at a revision in milliseconds: the time since the next revision was committed, or 0
+// StalenessMS returns the staleness of a server at a revision in milliseconds: the time since the next revision was committed, or 0
 // if the server is at the latest. If that commit time is no longer retained, it returns the time since the oldest retained one.
-func (a *Ages) Behind(now float64, revision uint64) float64 {
+func (a *CommitTimes) StalenessMS(now float64, revision uint64) float64 {
 	if len(a.at) == 0 || revision+1 >= a.first+uint64(len(a.at)) {
 		return 0
 	}
--- a/internal/distribution/regions_test.go
+++ b/internal/distribution/regions_test.go
@@ -8,31 +8,31 @@
 // A region's staleness counts from the commit of the first change that one of its servers has not applied, and keeps growing while
 // its relays are disconnected.
 func TestAgesOfRegions(t *testing.T) {
-	g, ages := NewRegions(), &Ages{}
+	g, ages := NewRegions(), &CommitTimes{}
 	for revision := uint64(1); revision <= 5; revision++ {
 		ages.Add(revision, float64(revision)*1000)
 	}
-	g.Put(5000, "a1", "a", Report{Servers: 3, Lowest: 5, LowestName: "s1"})
-	g.Put(5000, "b1", "b", Report{Servers: 2, Lowest: 5, LowestName: "s4"})
-	g.Put(5000, "b2", "b", Report{Servers: 2, Lowest: 3, LowestName: "s6", Behind: 1})
+	g.Put(5000, "a1", "a", Report{Servers: 3, LowestRevision: 5, LowestServer: "s1"})
+	g.Put(5000, "b1", "b", Report{Servers: 2, LowestRevision: 5, LowestServer: "s4"})
+	g.Put(5000, "b2", "b", Report{Servers: 2, LowestRevision: 3, LowestServer: "s6", ServersBehind: 1})
 	g.Put(5000, "c1", "c", Report{})
-	g.Left("b2")
+	g.MarkDisconnected("b2")
 	all := g.Status(9000, 5, ages)
 	if len(all) != 3 || all[0].Region != "b" {
 		t.Fatalf("%+v", all)
 	}
 	b := all[0]
-	if b.Relays != 1 || b.Lost != 1 || b.Servers != 4 || b.Lowest != 3 || b.LowestName != "s6" || b.Behind != 1 || b.AgeMs != 5000 || b.SilentMs != 4000 {
+	if b.ConnectedRelays != 1 || b.DisconnectedRelays != 1 || b.Servers != 4 || b.LowestRevision != 3 || b.LowestServer != "s6" || b.ServersBehind != 1 || b.StalenessMS != 5000 || b.SinceReportMS != 4000 {
 		t.Errorf("%+v", b)
 	}
-	if a := all[1]; a.Region != "a" || a.AgeMs != 0 || a.Behind != 0 || a.Servers != 3 {
+	if a := all[1]; a.Region != "a" || a.StalenessMS != 0 || a.ServersBehind != 0 || a.Servers != 3 {
 		t.Errorf("%+v", a)
 	}
-	if c := all[2]; c.Region != "c" || c.AgeMs != 0 || c.Servers != 0 || c.Relays != 1 {
+	if c := all[2]; c.Region != "c" || c.StalenessMS != 0 || c.Servers != 0 || c.ConnectedRelays != 1 {
 		t.Errorf("%+v", c)
 	}
-	g.Put(9000, "b2", "b", Report{Servers: 2, Lowest: 5})
-	if b := g.Status(9000, 5, ages)[1]; b.Region != "b" || b.AgeMs != 0 || b.Lost != 0 {
+	g.Put(9000, "b2", "b", Report{Servers: 2, LowestRevision: 5})
+	if b := g.Status(9000, 5, ages)[1]; b.Region != "b" || b.StalenessMS != 0 || b.DisconnectedRelays != 0 {
 		t.Errorf("%+v", b)
 	}
 }
@@ -46,24 +46,24 @@
 	if n := len(g.relays); n != maxRelaysKnown || g.relays["r9"] != nil || g.relays["r10"] == nil {
 		t.Errorf("%d relays are retained, or not the latest ones", n)
 	}
-	ages := &Ages{}
+	ages := &CommitTimes{}
 	for revision := uint64(1); revision <= maxAges+100; revision++ {
 		ages.Add(revision, float64(revision))
 	}
 	const now = 1e6
-	if age := ages.Behind(now, 5); len(ages.at) != maxAges || age != now-101 {
+	if age := ages.StalenessMS(now, 5); len(ages.at) != maxAges || age != now-101 {
 		t.Errorf("%d commit times, staleness %v", len(ages.at), age)
 	}
-	if age := ages.Behind(now, 200); age != now-201 {
+	if age := ages.StalenessMS(now, 200); age != now-201 {
 		t.Errorf("staleness %v", age)
 	}
-	begun := &Ages{}
+	begun := &CommitTimes{}
 	begun.Add(100, now) // as after a snapshot: earlier commit times are unknown
-	if begun.Behind(now+7, 60) != 7 || begun.Behind(now+7, 100) != 0 {
+	if begun.StalenessMS(now+7, 60) != 7 || begun.StalenessMS(now+7, 100) != 0 {
 		t.Error("a server behind the snapshot is not stale, or one at the snapshot is")
 	}
 	ages.Add(1, now)
-	if ages.Behind(now, 1) != 0 || ages.Behind(now+7, 0) != 7 {
+	if ages.StalenessMS(now, 1) != 0 || ages.StalenessMS(now+7, 0) != 7 {
 		t.Error("a revision that does not follow the last one does not clear the earlier times")
 	}
 }
--- a/internal/distribution/selector.go
+++ b/internal/distribution/selector.go
@@ -17,8 +17,8 @@
 	Region  string `yaml:"region" json:"region"`
 }
 
-// Place is the zone and region of a watcher.
-type Place struct {
+// Locality is the zone and region of a watcher.
+type Locality struct {
 	Zone   string
 	Region string
 }
@@ -56,7 +56,7 @@
 type Selector struct {
 	rng    *rand.Rand
 	order  []Relay
-	place  Place
+	place  Locality
 	next   int
 	tries  *backoff.Backoff
 	avoid  map[string]float64 // by address: time in milliseconds before which the relay must not be retried
@@ -64,17 +64,17 @@
 }
 
 // NewSelector returns a selector over relays for a watcher at place.
-func NewSelector(relays []Relay, place Place, seed uint64) *Selector {
+func NewSelector(relays []Relay, place Locality, seed uint64) *Selector {
 	return newSelector(relays, place, seed, maxBackoff)
 }
 
 // NewCopySelector returns a relay's selector over the store replicas. Its maximum backoff is shorter than that of NewSelector:
 // relays are few, and all watchers of a relay wait until it has found the leader.
 func NewCopySelector(copies []Relay, seed uint64) *Selector {
-	return newSelector(copies, Place{}, seed, maxCopyBackoff)
+	return newSelector(copies, Locality{}, seed, maxCopyBackoff)
 }
 
-func newSelector(relays []Relay, place Place, seed uint64, maxBackoff float64) *Selector {
+func newSelector(relays []Relay, place Locality, seed uint64, maxBackoff float64) *Selector {
 	s := &Selector{rng: rand.New(rand.NewPCG(seed, 5)), place: place, avoid: map[string]float64{}}
 	s.tries = backoff.New(firstBackoff, maxBackoff, s.rng)
 	s.order = slices.Clone(relays)
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -217,7 +217,7 @@
 		s.p.journal.add(trace.Event{Who: s.name, What: trace.Installed, N: s.marker.Revision, Text: s.marker.Digest.String()})
 	}
 	c := configwatch.NewClient(configwatch.ClientOptions{Name: s.name, Follower: s, Dial: s.dial, Steady: s.p.steady, Log: zerolog.Nop(), Plant: s.p.c.Plant,
-		Selector: distribution.NewSelector(s.p.c.Relays, distribution.Place{Zone: s.p.c.Zone, Region: s.p.c.Region}, s.seed+uint64(s.life))})
+		Selector: distribution.NewSelector(s.p.c.Relays, distribution.Locality{Zone: s.p.c.Zone, Region: s.p.c.Region}, s.seed+uint64(s.life))})
 	s.done.Add(1)
 	go func() {
 		defer s.done.Done()
@@ -340,7 +340,7 @@
 
 // Follow takes the next commit.
 func (s *hollowServer) Follow(c records.Commit) error {
-	if s.p.c.Plant == distribution.PlantEarlyReport {
+	if s.p.c.Plant == distribution.BugEarlyReport {
 		s.mu.Lock()
 		s.early = c.Revision
 		s.mu.Unlock()
@@ -407,5 +407,5 @@
 		s.told = lowest
 		s.p.journal.add(trace.Event{Who: s.name, What: trace.Reported, N: lowest})
 	}
-	return distribution.Report{Servers: 1, Lowest: lowest, LowestName: s.name}
+	return distribution.Report{Servers: 1, LowestRevision: lowest, LowestServer: s.name}
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -119,7 +119,7 @@
 	}
 	s.relayCPU, s.relayBytes = map[string]float64{}, map[string]uint64{}
 	for _, p := range f.relays {
-		var v relay.Figures
+		var v relay.Metrics
 		if readFigures(p.figures, &v) == nil {
 			s.relayCPU[p.name] = processorTime(p.pid())
 			s.relayBytes[p.name] = v.Serving.Sent + v.Serving.Received + v.Watching.Sent + v.Watching.Received
--- a/internal/net/configwatch/client.go
+++ b/internal/net/configwatch/client.go
@@ -137,7 +137,7 @@
 		return err
 	}
 	s := &stream{client: c, relay: relay, conn: conn, over: make(chan struct{})}
-	s.lose = c.o.Plant == distribution.PlantLostChange && c.last != "" && c.last != relay.Address
+	s.lose = c.o.Plant == distribution.BugLostChange && c.last != "" && c.last != relay.Address
 	defer close(s.over)
 	err = s.read()
 	if s.served {
--- a/internal/net/configwatch/configwatch_test.go
+++ b/internal/net/configwatch/configwatch_test.go
@@ -109,9 +109,9 @@
 func watch(t *testing.T, path string, relays []distribution.Relay, change ...func(*configwatch.ClientOptions)) *watching {
 	t.Helper()
 	w := &watching{commits: make(chan uint64, 100000), done: make(chan struct{})}
-	w.Replica = replica.Open(replica.Options{Name: "server", Path: path, Log: zerolog.Nop(), Committed: func(c records.Commit) { w.commits <- c.Revision }})
+	w.Replica = replica.Open(replica.Options{Name: "server", Path: path, Log: zerolog.Nop(), OnCommit: func(c records.Commit) { w.commits <- c.Revision }})
 	o := configwatch.ClientOptions{Name: "server", Follower: w.Replica, Steady: clock.Steady(), Log: zerolog.Nop(),
-		Selector: distribution.NewSelector(relays, distribution.Place{Zone: "z"}, 1)}
+		Selector: distribution.NewSelector(relays, distribution.Locality{Zone: "z"}, 1)}
 	for _, c := range change {
 		c(&o)
 	}
@@ -428,7 +428,7 @@
 			at, ended := scripted(t, func(int) []byte { return []byte(text) })
 			w := watch(t, "", []distribution.Relay{{Name: "bad", Address: at, Zone: "z"}})
 			until(t, "it is left", func() bool { return ended.Load() > 0 })
-			if p := w.Position(); p.Revision > 1 || w.Records() > 1 {
+			if p := w.Position(); p.Revision > 1 || w.RecordCount() > 1 {
 				t.Errorf("it took %+v", p)
 			}
 		})
@@ -439,20 +439,20 @@
 func TestReportsTellWhatWasTurnedDown(t *testing.T) {
 	f := openFeed(t, distribution.DefaultLimits)
 	w := &watching{}
-	w.Replica = replica.Open(replica.Options{Name: "picky", Log: zerolog.Nop(), Check: func(p records.Put) error {
+	w.Replica = replica.Open(replica.Options{Name: "picky", Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
 		if p.Name == "bad" {
 			return errors.New("not to my liking")
 		}
 		return nil
 	}})
 	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: "picky", Follower: w.Replica, Steady: clock.Steady(), Log: zerolog.Nop(),
-		Selector: distribution.NewSelector(to(f), distribution.Place{}, 1)})
+		Selector: distribution.NewSelector(to(f), distribution.Locality{}, 1)})
 	go w.client.Run(t.Context())
 	f.commit("good")
 	f.commit("bad")
 	until(t, "the reason is heard", func() bool {
 		r := f.server.Report()
-		return r.Servers == 1 && r.Lowest == 2 && r.Rejecting == 1 && len(r.Rejections) == 1 && r.Rejections[0].Key == "setting/bad" &&
+		return r.Servers == 1 && r.LowestRevision == 2 && r.ServersRejecting == 1 && len(r.Rejections) == 1 && r.Rejections[0].Key == "setting/bad" &&
 			r.Rejections[0].Reason == "not to my liking" && r.Rejections[0].Revision == 2
 	})
 	f.mu.Lock()
@@ -461,7 +461,7 @@
 	if err = errors.Join(err, f.server.Publish(commit)); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "it is heard that nothing is turned down", func() bool { r := f.server.Report(); return r.Lowest == 3 && r.Rejecting == 0 })
+	until(t, "it is heard that nothing is turned down", func() bool { r := f.server.Report(); return r.LowestRevision == 3 && r.ServersRejecting == 0 })
 }
 
 // BenchmarkFanOut measures what a commit costs a feed, by the number of its watchers.
--- a/internal/net/configwatch/server.go
+++ b/internal/net/configwatch/server.go
@@ -65,7 +65,7 @@
 	feed     *distribution.Feed
 	progress *distribution.Progress
 	regions  *distribution.Regions // of relays that watch here
-	ages     distribution.Ages
+	ages     distribution.CommitTimes
 	changed  chan struct{}     // closed at each change of the feed
 	conns    map[net.Conn]bool // of watchers that are served
 	cached   *records.Snapshot // nil: none
@@ -106,7 +106,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feed.Reset(p)
-	s.ages = distribution.Ages{}
+	s.ages = distribution.CommitTimes{}
 	s.ages.Add(p.Revision, s.o.Steady.Now()) // whoever is behind it has been so for that long at least
 	s.cached = nil
 	s.wake()
@@ -121,21 +121,21 @@
 func (s *Server) At() distribution.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.feed.At()
+	return s.feed.Position()
 }
 
 // Report sums what the watchers reported.
 func (s *Server) Report() distribution.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.progress.Sum(s.feed.At().Revision)
+	return s.progress.Sum(s.feed.Position().Revision)
 }
 
 // Status tells how far the regions of the relays are that watch here, or did.
 func (s *Server) Status() distribution.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	latest := s.feed.At().Revision
+	latest := s.feed.Position().Revision
 	return distribution.Status{Revision: latest, Regions: s.regions.Status(s.o.Steady.Now(), latest, &s.ages)}
 }
 
@@ -143,7 +143,7 @@
 func (s *Server) Figures() Figures {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Figures{s.feed.Watchers(), s.feed.At().Revision, s.feed.Floor(), s.feed.Held(), s.bytes.Out.Load(), s.bytes.In.Load(),
+	return Figures{s.feed.Watchers(), s.feed.Position().Revision, s.feed.OldestRevision(), s.feed.RetainedBytes(), s.bytes.Out.Load(), s.bytes.In.Load(),
 		s.snapshots.Load(), s.refused.Load(), s.cut.Load()}
 }
 
@@ -202,8 +202,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.feed.Admit(w.At)
-	if a.Verdict == distribution.Refuse {
-		return a, &Refused{a.RetryMs, s.o.Elsewhere, a.Reason}
+	if a.Verdict == distribution.VerdictRefuse {
+		return a, &Refused{a.RetryDelayMS, s.o.Elsewhere, a.Reason}
 	}
 	return a, nil
 }
@@ -229,7 +229,7 @@
 	delete(s.conns, conn)
 	s.feed.Leave()
 	s.progress.Drop(name)
-	s.regions.Left(name)
+	s.regions.MarkDisconnected(name)
 }
 
 // read takes the watcher's reports until its connection ends. A connection that is ended for what it sent is counted.
@@ -260,7 +260,7 @@
 // write sends what the watcher lacks, and a heartbeat where there is nothing.
 func (s *Server) write(ctx context.Context, conn net.Conn, w Watch, a distribution.Admission) error {
 	revision := w.At.Revision
-	if a.Verdict == distribution.Snapshot {
+	if a.Verdict == distribution.VerdictSnapshot {
 		var err error
 		if revision, err = s.sendSnapshot(ctx, conn); err != nil {
 			return err
@@ -268,8 +268,8 @@
 	}
 	for {
 		s.mu.Lock()
-		frames, through, err := s.feed.Next(revision, batchBytes)
-		latest, changed := s.feed.At().Revision, s.changed
+		frames, through, err := s.feed.FramesAfter(revision, batchBytes)
+		latest, changed := s.feed.Position().Revision, s.changed
 		s.mu.Unlock()
 		if err != nil {
 			return err
@@ -344,13 +344,13 @@
 	s.build.Lock()
 	defer s.build.Unlock()
 	s.mu.Lock()
-	cached, floor := s.cached, s.feed.Floor()
+	cached, floor := s.cached, s.feed.OldestRevision()
 	s.mu.Unlock()
 	if cached != nil && cached.Revision >= floor {
 		return cached, nil
 	}
 	table, revision := s.o.Source.Table()
-	if s.o.Plant == distribution.PlantSnapshotRevision {
+	if s.o.Plant == distribution.BugSnapshotRevision {
 		revision++ // of the next change, which the table does not have
 	}
 	fresh, err := records.NewSnapshot(table, revision)
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -36,8 +36,8 @@
 	steady *clock.Clock
 	log    zerolog.Logger
 	server *configwatch.Server
-	// Agreed is called for each commit that reaches this replica; may be nil.
-	Agreed func(records.Commit)
+	// OnCommit is called for each commit that reaches this replica; may be nil.
+	OnCommit func(records.Commit)
 }
 
 // NewOrigin returns an Origin for a store replica; Run must be called for it to serve.
@@ -71,8 +71,8 @@
 // Serve serves the connection of one relay until it ends.
 func (o *Origin) Serve(conn net.Conn) { o.server.Serve(conn) }
 
-// Figures returns the metrics of the origin's server.
-func (o *Origin) Figures() configwatch.Figures { return o.server.Figures() }
+// Metrics returns the metrics of the origin's server.
+func (o *Origin) Metrics() configwatch.Figures { return o.server.Figures() }
 
 // Status returns the progress of each region.
 func (o *Origin) Status() distribution.Status { return o.server.Status() }
@@ -125,8 +125,8 @@
 		o.server.Reset(*floor)
 	}
 	for _, c := range commits {
-		if o.Agreed != nil {
-			o.Agreed(c)
+		if o.OnCommit != nil {
+			o.OnCommit(c)
 		}
 		if err := o.server.Publish(c); err != nil {
 			o.log.Error().Err(err).Msg("failed to publish commit to watchers")
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,22 +22,22 @@
 
 // Options configure a relay.
 type Options struct {
-	Name      string
-	Region    string // shown to operators in the status
-	Listen    string
-	Listener  net.Listener        // used instead of Listen if not nil
-	Copies    map[string]string   // addresses of the store replicas by id
-	Elsewhere []string            // alternatives offered to refused watchers, by name or address
-	Path      string              // of the configuration replica on disk; "": not stored
-	Limits    distribution.Limits // zero: distribution.DefaultLimits
-	Seed      uint64
-	Steady    *clock.Clock
-	Log       zerolog.Logger
-	Plant     string // an injected bug, for the lab; "": none
-
-	Committed func(records.Commit)        // called for each applied commit; may be nil
-	Adopted   func(distribution.Position) // called for each applied snapshot; may be nil
-	Reported  func(revision uint64)       // called for each revision reported for the first time; may be nil
+	Name           string
+	Region         string // shown to operators in the status
+	Listen         string
+	Listener       net.Listener        // used instead of Listen if not nil
+	StoreAddresses map[string]string   // addresses of the store replicas by id
+	Elsewhere      []string            // alternatives offered to refused watchers, by name or address
+	Path           string              // of the configuration replica on disk; "": not stored
+	Limits         distribution.Limits // zero: distribution.DefaultLimits
+	Seed           uint64
+	Steady         *clock.Clock
+	Log            zerolog.Logger
+	InjectedBug    string // an injected bug, for the lab; "": none
+
+	OnCommit   func(records.Commit)        // called for each applied commit; may be nil
+	OnSnapshot func(distribution.Position) // called for each applied snapshot; may be nil
+	OnReport   func(revision uint64)       // called for each revision reported for the first time; may be nil
 }
 
 // Relay watches the store leader and serves the order servers of its zone.
@@ -74,9 +74,9 @@
 		}
 	}
 	r.server = configwatch.NewServer(configwatch.ServerOptions{Limits: o.Limits, Source: r, Serves: r.serves, Elsewhere: o.Elsewhere, Steady: o.Steady,
-		Log: o.Log, Seed: o.Seed, Plant: o.Plant})
+		Log: o.Log, Seed: o.Seed, Plant: o.InjectedBug})
 	r.replica = replica.Open(replica.Options{Name: o.Name, Path: o.Path, Limits: records.Limits{Commits: o.Limits.Commits, Bytes: o.Limits.Bytes},
-		Committed: r.committed, Adopted: r.adopted, Reported: o.Reported, Log: o.Log, Plant: o.Plant})
+		OnCommit: r.committed, OnSnapshot: r.adopted, OnReport: o.OnReport, Log: o.Log, InjectedBug: o.InjectedBug})
 	floor, commits := r.replica.Held()
 	r.server.Reset(floor)
 	for _, c := range commits {
@@ -85,16 +85,16 @@
 			return nil, fmt.Errorf("relay: %w", err)
 		}
 	}
-	if o.Adopted != nil {
-		o.Adopted(r.replica.Position())
+	if o.OnSnapshot != nil {
+		o.OnSnapshot(r.replica.Position())
 	}
 	var copies []distribution.Relay
-	for _, id := range slices.Sorted(maps.Keys(o.Copies)) {
-		copies = append(copies, distribution.Relay{Name: id, Address: o.Copies[id]})
+	for _, id := range slices.Sorted(maps.Keys(o.StoreAddresses)) {
+		copies = append(copies, distribution.Relay{Name: id, Address: o.StoreAddresses[id]})
 	}
 	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, Relay: true, Region: o.Region, Preamble: []byte{store.ForWatches},
 		Selector: distribution.NewCopySelector(copies, o.Seed), Follower: follower{r.replica, r.server},
-		Steady: o.Steady, Log: o.Log, Plant: o.Plant})
+		Steady: o.Steady, Log: o.Log, Plant: o.InjectedBug})
 	return r, nil
 }
 
@@ -108,8 +108,8 @@
 
 // committed publishes a commit to the watchers. It is called in order, with the replica's lock held.
 func (r *Relay) committed(c records.Commit) {
-	if r.o.Committed != nil {
-		r.o.Committed(c)
+	if r.o.OnCommit != nil {
+		r.o.OnCommit(c)
 	}
 	if err := r.server.Publish(c); err != nil {
 		r.o.Log.Error().Err(err).Msg("failed to publish commit to watchers")
@@ -117,8 +117,8 @@
 }
 
 func (r *Relay) adopted(p distribution.Position) {
-	if r.o.Adopted != nil {
-		r.o.Adopted(p)
+	if r.o.OnSnapshot != nil {
+		r.o.OnSnapshot(p)
 	}
 	r.server.Reset(p)
 }
@@ -129,17 +129,17 @@
 // Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
-// Figures are the metrics of a relay.
-type Figures struct {
+// Metrics are the metrics of a relay.
+type Metrics struct {
 	Serving  configwatch.Figures       `json:"serving"`
 	Watching configwatch.ClientFigures `json:"watching"`
 	Records  int                       `json:"records"`
 	Report   distribution.Report       `json:"report"`
 }
 
-// Figures returns the relay's current metrics.
-func (r *Relay) Figures() Figures {
-	return Figures{r.server.Figures(), r.client.Figures(), r.replica.Records(), r.server.Report()}
+// Metrics returns the relay's current metrics.
+func (r *Relay) Metrics() Metrics {
+	return Metrics{r.server.Figures(), r.client.Figures(), r.replica.RecordCount(), r.server.Report()}
 }
 
 // Run serves until the context ends.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -160,7 +160,7 @@
 func server(t *testing.T, name string, relays ...distribution.Relay) (*replica.Replica, *configwatch.Client) {
 	r := replica.Open(replica.Options{Name: name, Log: zerolog.Nop()})
 	c := configwatch.NewClient(configwatch.ClientOptions{Name: name, Follower: r, Steady: clock.Steady(), Log: zerolog.Nop(),
-		Selector: distribution.NewSelector(relays, distribution.Place{Zone: "z"}, 1)})
+		Selector: distribution.NewSelector(relays, distribution.Locality{Zone: "z"}, 1)})
 	go c.Run(t.Context())
 	return r, c
 }
@@ -182,7 +182,7 @@
 // of all servers from the relay as its only watcher.
 func TestRelayFollowsTheCopyThatLeads(t *testing.T) {
 	e, addresses, origins := copies(t, "a", "b", "c")
-	r := run(t, Options{Name: "relay", Copies: addresses, Seed: 1})
+	r := run(t, Options{Name: "relay", StoreAddresses: addresses, Seed: 1})
 	var servers []*replica.Replica
 	for i := range 5 {
 		s, _ := server(t, fmt.Sprint("s", i), r.near())
@@ -204,9 +204,9 @@
 		until(t, "all servers are at the latest revision under leader "+leader, level)
 		until(t, "the leader has the reports of all servers", func() bool {
 			report := origins[leader].Report()
-			return report.Servers == len(servers) && report.Lowest == e.at().Revision && report.Behind == 0
+			return report.Servers == len(servers) && report.LowestRevision == e.at().Revision && report.ServersBehind == 0
 		})
-		if n := origins[leader].Figures().Watchers; n != 1 {
+		if n := origins[leader].Metrics().Watchers; n != 1 {
 			t.Errorf("%d watchers at the leader, want 1", n)
 		}
 	}
@@ -216,14 +216,14 @@
 func TestRelayServesFromItsDisk(t *testing.T) {
 	e, addresses, _ := copies(t, "a")
 	path := filepath.Join(t.TempDir(), "records")
-	first := run(t, Options{Name: "relay", Copies: addresses, Path: path})
+	first := run(t, Options{Name: "relay", StoreAddresses: addresses, Path: path})
 	for i := range 20 {
 		e.change(t, fmt.Sprint("k", i), "1")
 	}
 	until(t, "the relay is at the latest revision", func() bool { return first.replica.Position() == e.at() })
 	first.stop()
 	e.lead("nobody")
-	second := run(t, Options{Name: "relay", Copies: addresses, Path: path})
+	second := run(t, Options{Name: "relay", StoreAddresses: addresses, Path: path})
 	s, c := server(t, "s", second.near())
 	until(t, "the server is at the revision of the relay", func() bool { return s.Position() == e.at() })
 	if f := c.Figures(); f.Snapshots != 0 {
@@ -242,19 +242,19 @@
 func TestWhoIsSentAway(t *testing.T) {
 	e, addresses, origins := copies(t, "a")
 	e.change(t, "k", "1")
-	full := run(t, Options{Name: "full", Copies: addresses})
+	full := run(t, Options{Name: "full", StoreAddresses: addresses})
 	until(t, "the relay is at the latest revision", func() bool { return full.replica.Position() == e.at() })
-	empty := run(t, Options{Name: "empty", Copies: map[string]string{"gone": "127.0.0.1:1"}, Elsewhere: []string{"full"}})
+	empty := run(t, Options{Name: "empty", StoreAddresses: map[string]string{"gone": "127.0.0.1:1"}, Elsewhere: []string{"full"}})
 	s, _ := server(t, "s", empty.near(), distribution.Relay{Name: "full", Address: full.Addr(), Zone: "other"})
 	until(t, "the server is served by the other relay", func() bool { return s.Position() == e.at() })
-	if empty.Figures().Serving.Refused == 0 {
+	if empty.Metrics().Serving.Refused == 0 {
 		t.Error("the relay without configuration refused no watcher")
 	}
 	r := replica.Open(replica.Options{Name: "direct", Log: zerolog.Nop()})
 	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.ForWatches}, Follower: r, Steady: clock.Steady(), Log: zerolog.Nop(),
-		Selector: distribution.NewSelector([]distribution.Relay{{Name: "a", Address: addresses["a"]}}, distribution.Place{}, 1)})
+		Selector: distribution.NewSelector([]distribution.Relay{{Name: "a", Address: addresses["a"]}}, distribution.Locality{}, 1)})
 	go c.Run(t.Context())
-	until(t, "the store replica refuses an order server", func() bool { return origins["a"].Figures().Refused > 0 })
+	until(t, "the store replica refuses an order server", func() bool { return origins["a"].Metrics().Refused > 0 })
 	if r.Position().Revision != 0 {
 		t.Errorf("the refused replica is at %+v, want revision 0", r.Position())
 	}
@@ -263,12 +263,12 @@
 // A relay that finds no leader keeps serving its records, and its watchers stay connected.
 func TestWatchersStayWhileNoCopyIsReached(t *testing.T) {
 	e, addresses, origins := copies(t, "a")
-	r := run(t, Options{Name: "relay", Copies: addresses})
+	r := run(t, Options{Name: "relay", StoreAddresses: addresses})
 	s, c := server(t, "s", r.near())
 	e.change(t, "k", "1")
 	until(t, "the server is at the latest revision", func() bool { return s.Position() == e.at() })
 	e.lead("nobody")
-	until(t, "the store replica has dropped its relay", func() bool { return origins["a"].Figures().Watchers == 0 })
+	until(t, "the store replica has dropped its relay", func() bool { return origins["a"].Metrics().Watchers == 0 })
 	late, c2 := server(t, "late", r.near())
 	until(t, "another server is served", func() bool { return late.Position() == e.at() })
 	for _, f := range []configwatch.ClientFigures{c.Figures(), c2.Figures()} {
@@ -284,8 +284,8 @@
 // A region whose relay is gone stays in the status with the last reported revision, and its staleness grows after the next change.
 func TestStatusKeepsARegionThatIsCutOff(t *testing.T) {
 	e, addresses, origins := copies(t, "a")
-	east := run(t, Options{Name: "e1", Region: "east", Copies: addresses})
-	west := run(t, Options{Name: "w1", Region: "west", Copies: addresses})
+	east := run(t, Options{Name: "e1", Region: "east", StoreAddresses: addresses})
+	west := run(t, Options{Name: "w1", Region: "west", StoreAddresses: addresses})
 	near, _ := server(t, "near", east.near())
 	far, _ := server(t, "far", west.near())
 	e.change(t, "k", "1")
@@ -301,15 +301,18 @@
 	for _, name := range []string{"east", "west"} {
 		until(t, name+" is reported to be at the latest revision", func() bool {
 			r := region(name)
-			return r.Relays == 1 && r.Lost == 0 && r.Servers == 1 && r.Lowest == 1 && r.AgeMs == 0
+			return r.ConnectedRelays == 1 && r.DisconnectedRelays == 0 && r.Servers == 1 && r.LowestRevision == 1 && r.StalenessMS == 0
 		})
 	}
 	west.stop()
-	until(t, "the relay of west is reported as disconnected", func() bool { r := region("west"); return r.Relays == 0 && r.Lost == 1 && r.Lowest == 1 && r.AgeMs == 0 })
+	until(t, "the relay of west is reported as disconnected", func() bool {
+		r := region("west")
+		return r.ConnectedRelays == 0 && r.DisconnectedRelays == 1 && r.LowestRevision == 1 && r.StalenessMS == 0
+	})
 	e.change(t, "k", "2")
 	until(t, "west is stale, and east is at the latest revision", func() bool {
 		w, n := region("west"), region("east")
-		return w.AgeMs > 0 && w.Behind == 1 && w.LowestName == "far" && n.Lowest == 2 && n.AgeMs == 0
+		return w.StalenessMS > 0 && w.ServersBehind == 1 && w.LowestServer == "far" && n.LowestRevision == 2 && n.StalenessMS == 0
 	})
 }
 
@@ -347,7 +350,7 @@
 	e.lead("nobody")
 	e.change(t, "k", "1")
 	w := &waits{}
-	r := run(t, Options{Name: "relay", Copies: addresses, Seed: 1, Steady: clock.Steady().Apart(fast), Log: zerolog.New(w)})
+	r := run(t, Options{Name: "relay", StoreAddresses: addresses, Seed: 1, Steady: clock.Steady().Apart(fast), Log: zerolog.New(w)})
 	until(t, "the relay was refused repeatedly", func() bool { return len(w.list()) >= tries })
 	if longest := slices.Max(w.list()); longest > mostWait {
 		t.Errorf("longest backoff is %v ms", longest)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -30,20 +30,20 @@
 	Path   string         // of the file on disk; "": not stored
 	Limits records.Limits // of the retained commits, from which relays serve their watchers
 
-	// Check returns an error for a record that cannot be applied; nil: all can.
-	Check func(records.Put) error
-	// Use applies changed settings by name, with a nil value for a deleted one. If it returns an error, the settings applied
+	// CheckRecord returns an error for a record that cannot be applied; nil: all can.
+	CheckRecord func(records.Put) error
+	// ApplySettings applies changed settings by name, with a nil value for a deleted one. If it returns an error, the settings applied
 	// before must stay in effect, and the error is reported until a later change applies. May be nil.
-	Use func(settings map[string][]byte) error
+	ApplySettings func(settings map[string][]byte) error
 
-	// Committed is called for each commit after it is applied, and Adopted after a snapshot is applied; both may be nil.
-	Committed func(records.Commit)
-	Adopted   func(at distribution.Position)
-	// Reported is called for each revision when it is first reported; may be nil.
-	Reported func(revision uint64)
+	// OnCommit is called for each commit after it is applied, and Adopted after a snapshot is applied; both may be nil.
+	OnCommit   func(records.Commit)
+	OnSnapshot func(at distribution.Position)
+	// OnReport is called for each revision when it is first reported; may be nil.
+	OnReport func(revision uint64)
 
-	Log   zerolog.Logger
-	Plant string // an injected bug, for the lab; "": none
+	Log         zerolog.Logger
+	InjectedBug string // an injected bug, for the lab; "": none
 }
 
 // Replica is a process's configuration replica. It implements configwatch.Follower.
@@ -132,7 +132,7 @@
 
 // Follow applies the next commit.
 func (r *Replica) Follow(c records.Commit) error {
-	if r.o.Plant == distribution.PlantEarlyReport {
+	if r.o.InjectedBug == distribution.BugEarlyReport {
 		r.mu.Lock()
 		r.early = c.Revision
 		r.mu.Unlock()
@@ -145,8 +145,8 @@
 	}
 	r.use(c)
 	r.append(c)
-	if r.o.Committed != nil {
-		r.o.Committed(c)
+	if r.o.OnCommit != nil {
+		r.o.OnCommit(c)
 	}
 	return nil
 }
@@ -172,8 +172,8 @@
 	settings := map[string][]byte{}
 	for _, p := range c.Puts {
 		delete(r.rejected, p.Key)
-		if r.o.Check != nil {
-			if err := r.o.Check(p); err != nil {
+		if r.o.CheckRecord != nil {
+			if err := r.o.CheckRecord(p); err != nil {
 				r.reject(p.Key, c.Revision, err)
 				continue
 			}
@@ -193,7 +193,7 @@
 
 // useSettings applies settings, all of them or none.
 func (r *Replica) useSettings(settings map[string][]byte, revision uint64) {
-	if len(settings) == 0 || r.o.Use == nil {
+	if len(settings) == 0 || r.o.ApplySettings == nil {
 		return
 	}
 	for k, made := range r.unfit {
@@ -202,7 +202,7 @@
 		}
 	}
 	r.unfit = map[records.Key]distribution.Rejection{}
-	err := r.o.Use(settings)
+	err := r.o.ApplySettings(settings)
 	if err == nil {
 		return
 	}
@@ -223,7 +223,7 @@
 	clear(r.rejected)
 	all := records.Commit{Revision: r.set.Revision()}
 	for record := range r.set.Table().All() {
-		if record.Kind == records.Setting || r.o.Check != nil {
+		if record.Kind == records.Setting || r.o.CheckRecord != nil {
 			all.Puts = append(all.Puts, records.Put{Key: record.Key, Value: record.Value})
 		}
 		if len(all.Puts) == records.MaxChangeKeys {
@@ -242,8 +242,8 @@
 	r.useAll()
 	r.rewrite()
 	r.o.Log.Info().Uint64("revision", h.Revision).Int("records", h.Records).Int64("bytes", h.Bytes).Msg("applied configuration from a snapshot")
-	if r.o.Adopted != nil {
-		r.o.Adopted(r.position())
+	if r.o.OnSnapshot != nil {
+		r.o.OnSnapshot(r.position())
 	}
 	return nil
 }
@@ -261,7 +261,7 @@
 	}
 }
 
-// Skip advances to the revision of a commit without applying it. Only the injected bug distribution.PlantLostChange calls it.
+// Skip advances to the revision of a commit without applying it. Only the injected bug distribution.BugLostChange calls it.
 func (r *Replica) Skip(c records.Commit) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -273,19 +273,19 @@
 func (r *Replica) Report() distribution.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	report := distribution.Report{Servers: 1, Lowest: max(r.set.Revision(), r.early), LowestName: r.o.Name}
+	report := distribution.Report{Servers: 1, LowestRevision: max(r.set.Revision(), r.early), LowestServer: r.o.Name}
 	if len(r.rejected) > 0 {
-		report.Rejecting = 1
+		report.ServersRejecting = 1
 		for _, rejection := range r.rejected {
 			report.Rejections = append(report.Rejections, rejection)
 		}
 		slices.SortFunc(report.Rejections, func(a, b distribution.Rejection) int { return strings.Compare(a.Key, b.Key) })
 	}
 	report.Check()
-	if r.o.Reported != nil && report.Lowest > r.reported {
-		r.o.Reported(report.Lowest)
+	if r.o.OnReport != nil && report.LowestRevision > r.reported {
+		r.o.OnReport(report.LowestRevision)
 	}
-	r.reported = report.Lowest
+	r.reported = report.LowestRevision
 	return report
 }
 
@@ -314,8 +314,8 @@
 	return distribution.Position{Revision: r.set.Floor(), Digest: commits[0].Before}, slices.Clone(commits)
 }
 
-// Records returns the number of stored records.
-func (r *Replica) Records() int {
+// RecordCount returns the number of stored records.
+func (r *Replica) RecordCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.set.Table().Len()
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -86,7 +86,7 @@
 	follow(t, first, a.change(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "b"}}}))
 	first.Close()
 	used := inForce{}
-	second := Open(Options{Name: "s", Path: path, Use: used.use, Log: zerolog.Nop()})
+	second := Open(Options{Name: "s", Path: path, ApplySettings: used.use, Log: zerolog.Nop()})
 	defer second.Close()
 	if p := second.Position(); p.Revision != 4 || p.Digest != a.set.Digest() {
 		t.Errorf("replica is at %+v", p)
@@ -137,7 +137,7 @@
 // A commit that is not the next one, or whose digest differs, is rejected and changes nothing.
 func TestCommitsOutOfOrderChangeNothing(t *testing.T) {
 	a, used := newAgreed(t), inForce{}
-	r := Open(Options{Name: "s", Use: used.use, Log: zerolog.Nop()})
+	r := Open(Options{Name: "s", ApplySettings: used.use, Log: zerolog.Nop()})
 	one, two, three := a.put("a", "1"), a.put("a", "2"), a.put("a", "3")
 	follow(t, r, one)
 	other := two
@@ -159,7 +159,7 @@
 // or deleted.
 func TestRefusedRecordsStayOutOfForce(t *testing.T) {
 	a, used := newAgreed(t), inForce{}
-	r := Open(Options{Name: "s", Use: used.use, Log: zerolog.Nop(), Check: func(p records.Put) error {
+	r := Open(Options{Name: "s", ApplySettings: used.use, Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
 		if string(p.Value) == "bad" {
 			return errors.New("value not allowed")
 		}
@@ -167,14 +167,14 @@
 	}})
 	follow(t, r, a.put("a", "1"), a.put("a", "bad"), a.put("b", "bad"))
 	report := r.Report()
-	if used["a"] != "1" || report.Lowest != 3 || report.Rejecting != 1 || len(report.Rejections) != 2 {
+	if used["a"] != "1" || report.LowestRevision != 3 || report.ServersRejecting != 1 || len(report.Rejections) != 2 {
 		t.Errorf("applied %v, reported %+v", used, report)
 	}
 	if j := report.Rejections[0]; j.Key != "setting/a" || j.Revision != 2 || j.Reason != "value not allowed" || j.Server != "s" {
 		t.Errorf("%+v", j)
 	}
 	follow(t, r, a.put("a", "2"), a.change(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "b"}}}))
-	if report = r.Report(); used["a"] != "2" || report.Rejecting != 0 || len(report.Rejections) != 0 {
+	if report = r.Report(); used["a"] != "2" || report.ServersRejecting != 0 || len(report.Rejections) != 0 {
 		t.Errorf("applied %v, reported %+v", used, report)
 	}
 }
@@ -182,7 +182,7 @@
 // Settings that are inconsistent with each other are reported with the reason, until a change makes them consistent.
 func TestSettingsThatDoNotFitAreReported(t *testing.T) {
 	a, all := newAgreed(t), inForce{}
-	r := Open(Options{Name: "s", Log: zerolog.Nop(), Use: func(settings map[string][]byte) error {
+	r := Open(Options{Name: "s", Log: zerolog.Nop(), ApplySettings: func(settings map[string][]byte) error {
 		all.use(settings)
 		if all["a"] != all["b"] {
 			return errors.New("a and b differ")
@@ -191,11 +191,11 @@
 	}})
 	follow(t, r, a.put("a", "1"))
 	report := r.Report()
-	if len(report.Rejections) != 1 || report.Rejections[0].Key != "setting/a" || report.Rejections[0].Reason != "a and b differ" || report.Rejecting != 1 {
+	if len(report.Rejections) != 1 || report.Rejections[0].Key != "setting/a" || report.Rejections[0].Reason != "a and b differ" || report.ServersRejecting != 1 {
 		t.Errorf("%+v", report)
 	}
 	follow(t, r, a.put("b", "1"))
-	if report = r.Report(); len(report.Rejections) != 0 || report.Rejecting != 0 {
+	if report = r.Report(); len(report.Rejections) != 0 || report.ServersRejecting != 0 {
 		t.Errorf("%+v", report)
 	}
 }
@@ -203,12 +203,12 @@
 // A value that fails the check stays reported, although the settings without it can be applied again.
 func TestRefusedValueStaysReportedWhereTheRestFits(t *testing.T) {
 	a, all := newAgreed(t), inForce{}
-	r := Open(Options{Name: "s", Log: zerolog.Nop(), Check: func(p records.Put) error {
+	r := Open(Options{Name: "s", Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
 		if string(p.Value) == "bad" {
 			return errors.New("value not allowed")
 		}
 		return nil
-	}, Use: func(settings map[string][]byte) error {
+	}, ApplySettings: func(settings map[string][]byte) error {
 		all.use(settings)
 		if all["b"] == "" {
 			return errors.New("b is missing")
@@ -226,7 +226,7 @@
 // Records that were never committed are discarded with their file; the applied settings stay in effect until a snapshot arrives.
 func TestDiscardedRecordsStayInForceUntilASnapshot(t *testing.T) {
 	a, used, path := newAgreed(t), inForce{}, filepath.Join(t.TempDir(), "records")
-	r := Open(Options{Name: "s", Path: path, Use: used.use, Log: zerolog.Nop()})
+	r := Open(Options{Name: "s", Path: path, ApplySettings: used.use, Log: zerolog.Nop()})
 	defer r.Close()
 	follow(t, r, a.put("a", "1"))
 	r.Discard(errors.New("other records"))
@@ -280,7 +280,7 @@
 					Value: fmt.Appendf(nil, `{"share":0.0000025,"limit":%d.5}`, version%500)}
 			}
 			set := records.NewSet(records.DefaultLimits)
-			r := Open(Options{Name: "s", Path: filepath.Join(b.TempDir(), "records"), Check: records.CheckValue, Log: zerolog.Nop()})
+			r := Open(Options{Name: "s", Path: filepath.Join(b.TempDir(), "records"), CheckRecord: records.CheckValue, Log: zerolog.Nop()})
 			defer r.Close()
 			for i := 0; i < n; {
 				var c records.Change
