--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -9,8 +9,8 @@
 	"puffinsaddle/internal/records"
 )
 
-// commits returns a chain of n commits.
-func commits(t *testing.T, n int) []records.Commit {
+// commitChain returns a chain of n commits.
+func commitChain(t *testing.T, n int) []records.Commit {
 	t.Helper()
 	s := records.NewSet(records.DefaultLimits)
 	var all []records.Commit
@@ -24,20 +24,20 @@
 	return all
 }
 
-func after(c records.Commit) Position { return Position{c.Revision, c.After} }
+func positionAfter(c records.Commit) Position { return Position{c.Revision, c.After} }
 
-// Watchers that connect, disconnect and read at random times receive each commit once and in order, or get ErrFellBehind; the feed
+// Watchers that connect, disconnect and read at random times receive each commit once and in order, or get ErrNotRetained; the feed
 // stays within its limits.
-func TestWatchersSeeEachCommitOnce(t *testing.T) {
-	all := commits(t, 600)
+func TestFeedDeliversEachCommitOnceInOrder(t *testing.T) {
+	all := commitChain(t, 600)
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		limits := Limits{Commits: 40, Bytes: 1200, Watchers: 8, Snapshots: 2}
 		f := NewFeed(limits, seed)
-		at := map[int]uint64{} // revision by admitted watcher
+		revisions := map[int]uint64{} // revision by admitted watcher
 		next := 0
 		for range 5000 {
-			switch who := rng.IntN(10); rng.IntN(4) {
+			switch watcher := rng.IntN(10); rng.IntN(4) {
 			case 0:
 				if next < len(all) {
 					if err := f.Advance(all[next], make([]byte, 10+rng.IntN(60))); err != nil {
@@ -46,103 +46,103 @@
 					next++
 				}
 			case 1:
-				if _, here := at[who]; !here && next > 0 {
+				if _, admitted := revisions[watcher]; !admitted && next > 0 {
 					from := Position{}
 					if i := rng.IntN(next + 1); i > 0 {
-						from = after(all[i-1])
+						from = positionAfter(all[i-1])
 					}
-					at, verdict := serve(f, at, who, from)
-					if verdict == VerdictRefuse && len(at) < limits.Watchers && f.Snapshots() < limits.Snapshots {
+					revisions, verdict := admitWatcher(f, revisions, watcher, from)
+					if verdict == VerdictRefuse && len(revisions) < limits.Watchers && f.Snapshots() < limits.Snapshots {
 						t.Fatalf("seed %d: watcher refused below the limits", seed)
 					}
 				}
 			case 2:
-				if _, here := at[who]; here {
+				if _, admitted := revisions[watcher]; admitted {
 					f.Leave()
-					delete(at, who)
+					delete(revisions, watcher)
 				}
 			case 3:
-				revision, here := at[who]
-				if !here {
+				revision, admitted := revisions[watcher]
+				if !admitted {
 					continue
 				}
 				frames, through, err := f.FramesAfter(revision, 200)
-				if errors.Is(err, ErrFellBehind) != (revision < f.OldestRevision()) {
-					t.Fatalf("seed %d: Next from %d with oldest revision %d: %v", seed, revision, f.OldestRevision(), err)
+				if errors.Is(err, ErrNotRetained) != (revision < f.OldestRevision()) {
+					t.Fatalf("seed %d: FramesAfter revision %d with oldest revision %d: %v", seed, revision, f.OldestRevision(), err)
 				}
 				if err != nil {
 					f.Leave()
-					delete(at, who)
+					delete(revisions, watcher)
 					continue
 				}
 				if through-revision != uint64(len(frames)) {
 					t.Fatalf("seed %d: %d frames from %d to %d", seed, len(frames), revision, through)
 				}
-				at[who] = through
+				revisions[watcher] = through
 			}
-			if f.RetainedBytes() > limits.Bytes || f.Position().Revision-f.OldestRevision() > uint64(limits.Commits) || f.Watchers() != len(at) || f.Watchers() > limits.Watchers {
+			if f.RetainedBytes() > limits.Bytes || f.Position().Revision-f.OldestRevision() > uint64(limits.Commits) || f.Watchers() != len(revisions) || f.Watchers() > limits.Watchers {
 				t.Fatalf("seed %d: feed exceeds a limit", seed)
 			}
 		}
 	}
 }
 
-// serve admits a watcher; a snapshot ends immediately.
-func serve(f *Feed, at map[int]uint64, who int, from Position) (map[int]uint64, Verdict) {
+// admitWatcher admits a watcher; a snapshot ends immediately.
+func admitWatcher(f *Feed, revisions map[int]uint64, watcher int, from Position) (map[int]uint64, Verdict) {
 	a := f.Admit(from)
 	switch a.Verdict {
 	case VerdictStream:
-		at[who] = from.Revision
+		revisions[watcher] = from.Revision
 	case VerdictSnapshot:
 		f.SnapshotDone()
-		at[who] = f.Position().Revision
+		revisions[watcher] = f.Position().Revision
 	}
-	return at, a.Verdict
+	return revisions, a.Verdict
 }
 
 // A watcher with records that were never committed gets a snapshot; a watcher that is ahead, or over a limit, is refused.
-func TestAdmission(t *testing.T) {
-	all := commits(t, 10)
+func TestFeedAdmissionVerdicts(t *testing.T) {
+	all := commitChain(t, 10)
 	f := NewFeed(Limits{Commits: 5, Bytes: 1 << 20, Watchers: 4, Snapshots: 1}, 1)
 	for _, c := range all[:9] {
 		if err := f.Advance(c, []byte("frame")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if a := f.Admit(after(all[9])); a.Verdict != VerdictRefuse || a.RetryDelayMS < behindRetryMs/2 {
+	if a := f.Admit(positionAfter(all[9])); a.Verdict != VerdictRefuse || a.RetryDelayMS < feedBehindRetryMS/2 {
 		t.Errorf("watcher ahead of the feed: %+v", a)
 	}
-	if a := f.Admit(after(all[3])); a.Verdict != VerdictStream {
+	if a := f.Admit(positionAfter(all[3])); a.Verdict != VerdictStream {
 		t.Errorf("watcher at the oldest revision: %+v", a)
 	}
 	if a := f.Admit(Position{all[6].Revision, all[5].After}); a.Verdict != VerdictSnapshot {
 		t.Errorf("watcher with a different digest: %+v", a)
 	}
-	if a := f.Admit(after(all[1])); a.Verdict != VerdictRefuse || a.RetryDelayMS < snapshotRetryMs/2 || a.RetryDelayMS > snapshotRetryMs*1.5 {
+	if a := f.Admit(positionAfter(all[1])); a.Verdict != VerdictRefuse || a.RetryDelayMS < snapshotLimitRetryMS/2 || a.RetryDelayMS > snapshotLimitRetryMS*1.5 {
 		t.Errorf("snapshot over the limit: %+v", a)
 	}
 	f.SnapshotDone()
-	if a := f.Admit(after(all[1])); a.Verdict != VerdictSnapshot {
+	if a := f.Admit(positionAfter(all[1])); a.Verdict != VerdictSnapshot {
 		t.Errorf("watcher behind the oldest revision: %+v", a)
 	}
-	if a := f.Admit(after(all[8])); a.Verdict != VerdictStream {
+	if a := f.Admit(positionAfter(all[8])); a.Verdict != VerdictStream {
 		t.Errorf("last watcher within the limit: %+v", a)
 	}
-	if a := f.Admit(after(all[8])); a.Verdict != VerdictRefuse || a.Reason != "full" {
+	if a := f.Admit(positionAfter(all[8])); a.Verdict != VerdictRefuse || a.Reason != "full" {
 		t.Errorf("watcher over the limit: %+v", a)
 	}
-	if err := f.Advance(all[8], nil); !errors.Is(err, ErrOrder) {
+	if err := f.Advance(all[8], nil); !errors.Is(err, ErrOutOfOrder) {
 		t.Errorf("commit added twice: %v", err)
 	}
 }
 
 // Watchers of a failed relay spread over the other relays of their region, after jittered waits, and later return to their zone.
-func TestSelectorsSpreadAndComeBack(t *testing.T) {
+func TestSelectorsSpreadOverRegionAndReturnToOwnZone(t *testing.T) {
 	var relays []Relay
 	for i := range 12 {
 		relays = append(relays, Relay{Name: fmt.Sprintf("n%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 7000+i), Zone: fmt.Sprintf("z%d", i), Region: fmt.Sprintf("r%d", i%3)})
 	}
-	second, waits, away := map[string]int{}, 0.0, 0
+	secondChoices, totalWaitMS, reselecting := map[string]int{}, 0.0, 0
 	const watchers = 300
 	for seed := range uint64(watchers) {
 		s := NewSelector(relays, Locality{"z0", "r0"}, seed)
@@ -151,25 +151,25 @@
 			t.Fatalf("first choice: got %+v, want the relay of zone z0", r)
 		}
 		s.Served()
-		waits += s.Failed()
+		totalWaitMS += s.Failed()
 		s.Next(1)
 		s.Failed() // the relay of the own zone stays down
 		r, _, _ = s.Next(2)
 		if r.Region != "r0" {
 			t.Fatalf("second choice: got %+v, want a relay of region r0", r)
 		}
-		second[r.Name]++
-		if keep := s.Served(); keep >= awayFor && keep <= 2*awayFor {
-			away++
+		secondChoices[r.Name]++
+		if reselectAfterMS := s.Served(); reselectAfterMS >= minRemoteStayMS && reselectAfterMS <= 2*minRemoteStayMS {
+			reselecting++
 		}
 	}
-	if away != watchers {
-		t.Errorf("%d of %d watchers select a nearer relay later, want all", away, watchers)
+	if reselecting != watchers {
+		t.Errorf("%d of %d watchers select a nearer relay later, want all", reselecting, watchers)
 	}
-	if mean := waits / watchers; mean < firstBackoff/3 || mean > firstBackoff {
+	if mean := totalWaitMS / watchers; mean < initialBackoffMS/3 || mean > initialBackoffMS {
 		t.Errorf("mean backoff is %.0f ms", mean)
 	}
-	for name, n := range second {
+	for name, n := range secondChoices {
 		if n > watchers/2 {
 			t.Errorf("%d of %d watchers choose %s", n, watchers, name)
 		}
@@ -180,13 +180,13 @@
 		last = s.Failed()
 		longest = max(longest, last)
 	}
-	if longest > maxBackoff || longest < maxBackoff/2 {
+	if longest > maxBackoffMS || longest < maxBackoffMS/2 {
 		t.Errorf("longest backoff is %.0f ms", longest)
 	}
 }
 
 // A relay that refused is not chosen again before its retry delay has passed, and the alternative that it gave is chosen next.
-func TestSelectorFollowsARefusal(t *testing.T) {
+func TestSelectorHonoursRefusal(t *testing.T) {
 	relays := []Relay{{Name: "a", Address: "127.0.0.1:1", Zone: "z"}, {Name: "b", Address: "127.0.0.1:2", Zone: "y"}, {Name: "c", Address: "127.0.0.1:3", Zone: "x"}}
 	s := NewSelector(relays, Locality{Zone: "z"}, 1)
 	if r, _, _ := s.Next(0); r.Name != "a" {
@@ -210,7 +210,7 @@
 }
 
 // The reports of many watchers are aggregated into one of bounded size, and aggregates can be aggregated again.
-func TestReportsAreSummed(t *testing.T) {
+func TestProgressAggregatesReports(t *testing.T) {
 	p := NewProgress()
 	for i := range 500 {
 		r := Report{Servers: 1, LowestRevision: 20, LowestServer: fmt.Sprintf("s%03d", i)}
@@ -230,40 +230,40 @@
 	if sum = p.Sum(21); sum.LowestRevision != 20 || sum.ServersBehind != 499 {
 		t.Errorf("%+v", sum)
 	}
-	up := NewProgress()
-	up.Put("relay", p.Sum(20))
-	up.Put("another", Report{})
-	if sum = up.Sum(20); sum.Servers != 499 || sum.ServersBehind != 0 || sum.ServersRejecting != 50 {
+	upstream := NewProgress()
+	upstream.Put("relay", p.Sum(20))
+	upstream.Put("another", Report{})
+	if sum = upstream.Sum(20); sum.Servers != 499 || sum.ServersBehind != 0 || sum.ServersRejecting != 50 {
 		t.Errorf("%+v", sum)
 	}
 }
 
 // A relay that looks for the store leader has a shorter maximum backoff than a server that looks for a relay.
-func TestRelaysSeekTheLeaderSooner(t *testing.T) {
-	copies := []Relay{{Name: "a", Address: "a:1"}, {Name: "b", Address: "b:1"}}
+func TestStoreSelectorHasShorterMaxBackoff(t *testing.T) {
+	storeReplicas := []Relay{{Name: "a", Address: "a:1"}, {Name: "b", Address: "b:1"}}
 	longest := func(s *Selector) (ms float64) {
 		for range 1000 {
 			ms = max(ms, s.Failed())
 		}
 		return ms
 	}
-	if ms := longest(NewCopySelector(copies, 1)); ms > maxCopyBackoff || ms < 0.9*maxCopyBackoff {
+	if ms := longest(NewStoreSelector(storeReplicas, 1)); ms > maxStoreBackoffMS || ms < 0.9*maxStoreBackoffMS {
 		t.Errorf("longest backoff of a relay is %v ms", ms)
 	}
-	if ms := longest(NewSelector(copies, Locality{}, 1)); ms > maxBackoff || ms < 0.9*maxBackoff {
+	if ms := longest(NewSelector(storeReplicas, Locality{}, 1)); ms > maxBackoffMS || ms < 0.9*maxBackoffMS {
 		t.Errorf("longest backoff of a server is %v ms", ms)
 	}
 }
 
-// A relay that asks for a retry delay of years is retried within maxRefusal.
-func TestRefusalsAreBounded(t *testing.T) {
+// A relay that asks for a retry delay of years is retried within maxRefusalDelayMS.
+func TestRefusalDelayIsBounded(t *testing.T) {
 	s := NewSelector([]Relay{{Name: "a", Address: "a:1"}}, Locality{}, 1)
 	s.Next(0)
 	s.Refused(0, 1e300, nil)
-	if _, wait, ok := s.Next(1); ok || wait > maxRefusal {
+	if _, wait, ok := s.Next(1); ok || wait > maxRefusalDelayMS {
 		t.Errorf("after a refusal: ok %v, wait %v ms", ok, wait)
 	}
-	if _, _, ok := s.Next(maxRefusal); !ok {
+	if _, _, ok := s.Next(maxRefusalDelayMS); !ok {
 		t.Error("relay is not retried after the longest delay")
 	}
 }
--- a/internal/distribution/feed.go
+++ b/internal/distribution/feed.go
@@ -16,8 +16,8 @@
 
 // Errors returned by a Feed.
 var (
-	ErrFellBehind = errors.New("distribution: watcher is behind the oldest retained revision")
-	ErrOrder      = errors.New("distribution: commit out of order")
+	ErrNotRetained = errors.New("distribution: watcher is behind the oldest retained revision")
+	ErrOutOfOrder  = errors.New("distribution: commit out of order")
 )
 
 // Limits bound the memory of a feed and the number of its watchers.
@@ -50,21 +50,21 @@
 // Admission is the response to a watch request.
 type Admission struct {
 	Verdict      Verdict
-	RetryDelayMS float64 // with Refuse: delay before the watcher retries
-	Reason       string  // with Refuse
+	RetryDelayMS float64 // with VerdictRefuse: delay before the watcher retries
+	Reason       string  // with VerdictRefuse
 }
 
 // Mean delays before a refused watcher retries.
 const (
-	fullRetryMs     = 2000.0 // the feed serves its maximum of watchers
-	behindRetryMs   = 500.0  // the feed is behind the watcher
-	snapshotRetryMs = 1000.0 // the feed sends its maximum of snapshots
+	fullRetryMS          = 2000.0 // the feed serves its maximum of watchers
+	feedBehindRetryMS    = 500.0  // the feed is behind the watcher
+	snapshotLimitRetryMS = 1000.0 // the feed sends its maximum of snapshots
 )
 
-// held is a retained commit in its encoded form.
-type held struct {
-	frame []byte
-	after records.Digest
+// retainedCommit is a retained commit in its encoded form.
+type retainedCommit struct {
+	frame       []byte
+	digestAfter records.Digest
 }
 
 // Feed serves watchers from a window of the latest commits. Its limits bound its memory however slowly its watchers read: a
@@ -73,12 +73,12 @@
 	limits Limits
 	rng    *rand.Rand
 
-	at      Position // of the newest commit
-	floor   Position // before the first commit of the window
-	window  []held
-	bytes   int
-	serving int // admitted watchers
-	sending int // snapshots being sent
+	newest        Position // of the newest commit
+	windowStart   Position // before the first commit of the window
+	window        []retainedCommit
+	windowBytes   int
+	watcherCount  int // admitted watchers
+	snapshotCount int // snapshots being sent
 }
 
 // NewFeed returns an empty feed.
@@ -87,41 +87,41 @@
 }
 
 // Position returns the position of the newest commit.
-func (f *Feed) Position() Position { return f.at }
+func (f *Feed) Position() Position { return f.newest }
 
 // OldestRevision returns the oldest revision from which a watcher can be served without a snapshot.
-func (f *Feed) OldestRevision() uint64 { return f.floor.Revision }
+func (f *Feed) OldestRevision() uint64 { return f.windowStart.Revision }
 
 // RetainedBytes returns the size of the retained commits in bytes.
-func (f *Feed) RetainedBytes() int { return f.bytes }
+func (f *Feed) RetainedBytes() int { return f.windowBytes }
 
 // Watchers returns the number of admitted watchers.
-func (f *Feed) Watchers() int { return f.serving }
+func (f *Feed) Watchers() int { return f.watcherCount }
 
 // Snapshots returns the number of snapshots being sent.
-func (f *Feed) Snapshots() int { return f.sending }
+func (f *Feed) Snapshots() int { return f.snapshotCount }
 
 // Reset empties the window and restarts the feed at a position, for example after a snapshot.
 func (f *Feed) Reset(p Position) {
-	f.at, f.floor, f.window, f.bytes = p, p, nil, 0
+	f.newest, f.windowStart, f.window, f.windowBytes = p, p, nil, 0
 }
 
 // Advance adds the next commit together with its encoded frame.
 func (f *Feed) Advance(c records.Commit, frame []byte) error {
-	if c.Revision != f.at.Revision+1 || c.Before != f.at.Digest {
-		return fmt.Errorf("%w: revision %d after %d", ErrOrder, c.Revision, f.at.Revision)
+	if c.Revision != f.newest.Revision+1 || c.Before != f.newest.Digest {
+		return fmt.Errorf("%w: revision %d after %d", ErrOutOfOrder, c.Revision, f.newest.Revision)
 	}
-	f.at = Position{c.Revision, c.After}
-	f.window = append(f.window, held{frame, c.After})
-	f.bytes += len(frame)
-	drop := 0
-	for len(f.window)-drop > f.limits.Commits || f.bytes > f.limits.Bytes && len(f.window)-drop > 1 {
-		f.bytes -= len(f.window[drop].frame)
-		f.floor = Position{f.floor.Revision + 1, f.window[drop].after}
-		f.window[drop] = held{}
-		drop++
+	f.newest = Position{c.Revision, c.After}
+	f.window = append(f.window, retainedCommit{frame, c.After})
+	f.windowBytes += len(frame)
+	evicted := 0
+	for len(f.window)-evicted > f.limits.Commits || f.windowBytes > f.limits.Bytes && len(f.window)-evicted > 1 {
+		f.windowBytes -= len(f.window[evicted].frame)
+		f.windowStart = Position{f.windowStart.Revision + 1, f.window[evicted].digestAfter}
+		f.window[evicted] = retainedCommit{}
+		evicted++
 	}
-	f.window = f.window[drop:]
+	f.window = f.window[evicted:]
 	return nil
 }
 
@@ -129,54 +129,54 @@
 // SnapshotDone.
 func (f *Feed) Admit(from Position) Admission {
 	switch {
-	case f.serving >= f.limits.Watchers:
-		return f.refuse(fullRetryMs, "full")
-	case from.Revision > f.at.Revision:
-		return f.refuse(behindRetryMs, "behind the watcher")
-	case !f.knows(from) && f.sending >= f.limits.Snapshots:
-		return f.refuse(snapshotRetryMs, "sends as many snapshots as it may")
+	case f.watcherCount >= f.limits.Watchers:
+		return f.refuse(fullRetryMS, "full")
+	case from.Revision > f.newest.Revision:
+		return f.refuse(feedBehindRetryMS, "behind the watcher")
+	case !f.inWindow(from) && f.snapshotCount >= f.limits.Snapshots:
+		return f.refuse(snapshotLimitRetryMS, "sends as many snapshots as it may")
 	}
-	f.serving++
-	if f.knows(from) {
+	f.watcherCount++
+	if f.inWindow(from) {
 		return Admission{Verdict: VerdictStream}
 	}
-	f.sending++
+	f.snapshotCount++
 	return Admission{Verdict: VerdictSnapshot}
 }
 
 // refuse jitters the retry delay between 0.5 and 1.5 times its mean, so that refused watchers do not return all at once.
-func (f *Feed) refuse(ms float64, reason string) Admission {
-	return Admission{Verdict: VerdictRefuse, RetryDelayMS: ms * (0.5 + f.rng.Float64()), Reason: reason}
+func (f *Feed) refuse(meanDelayMS float64, reason string) Admission {
+	return Admission{Verdict: VerdictRefuse, RetryDelayMS: meanDelayMS * (0.5 + f.rng.Float64()), Reason: reason}
 }
 
-// knows reports whether a position is within the window and in the history of this feed's records. A watcher whose digest
+// inWindow reports whether a position is within the window and in the history of this feed's records. A watcher whose digest
 // differs at the same revision has records that were never committed, and must start with a snapshot.
-func (f *Feed) knows(p Position) bool {
+func (f *Feed) inWindow(p Position) bool {
 	switch {
-	case p.Revision == f.floor.Revision:
-		return p.Digest == f.floor.Digest
-	case p.Revision < f.floor.Revision || p.Revision > f.at.Revision:
+	case p.Revision == f.windowStart.Revision:
+		return p.Digest == f.windowStart.Digest
+	case p.Revision < f.windowStart.Revision || p.Revision > f.newest.Revision:
 		return false
 	}
-	return f.window[p.Revision-f.floor.Revision-1].after == p.Digest
+	return f.window[p.Revision-f.windowStart.Revision-1].digestAfter == p.Digest
 }
 
 // Leave removes an admitted watcher.
-func (f *Feed) Leave() { f.serving-- }
+func (f *Feed) Leave() { f.watcherCount-- }
 
 // SnapshotDone ends an admitted snapshot, so that another can be sent.
-func (f *Feed) SnapshotDone() { f.sending-- }
+func (f *Feed) SnapshotDone() { f.snapshotCount-- }
 
-// FramesAfter returns the frames after a revision, and the revision of the last. It returns at most maxBytes, but at least one frame if
-// there is any.
+// FramesAfter returns the frames after a revision, and the revision of the last. It returns at most maxBytes, but at least one
+// frame if there is any.
 func (f *Feed) FramesAfter(revision uint64, maxBytes int) (frames [][]byte, through uint64, err error) {
-	if revision < f.floor.Revision {
-		return nil, revision, fmt.Errorf("%w: revision %d, oldest is %d", ErrFellBehind, revision, f.floor.Revision)
+	if revision < f.windowStart.Revision {
+		return nil, revision, fmt.Errorf("%w: revision %d, oldest is %d", ErrNotRetained, revision, f.windowStart.Revision)
 	}
-	bytes := 0
-	for through = revision; through < f.at.Revision; through++ {
-		frame := f.window[through-f.floor.Revision].frame
-		if bytes += len(frame); bytes > maxBytes && len(frames) > 0 {
+	total := 0
+	for through = revision; through < f.newest.Revision; through++ {
+		frame := f.window[through-f.windowStart.Revision].frame
+		if total += len(frame); total > maxBytes && len(frames) > 0 {
 			break
 		}
 		frames = append(frames, frame)
--- a/internal/distribution/progress.go
+++ b/internal/distribution/progress.go
@@ -8,7 +8,7 @@
 // Bounds of a report, which may come from another process.
 const (
 	MaxRejections = 16  // listed in one report
-	maxReason     = 256 // bytes of each name, key and reason
+	maxTextBytes  = 256 // bytes of each name, key and reason
 )
 
 // Rejection is a record that a server could not apply.
@@ -30,18 +30,18 @@
 	Rejections       []Rejection `json:"rejections,omitempty"` // a bounded sample
 }
 
-// Check truncates a report to its bounds and clamps negative counts to 0.
-func (r *Report) Check() {
+// Clamp truncates a report to its bounds and clamps negative counts to 0.
+func (r *Report) Clamp() {
 	r.Rejections = r.Rejections[:min(len(r.Rejections), MaxRejections)]
 	for i := range r.Rejections {
-		j := &r.Rejections[i]
-		j.Server, j.Key, j.Reason = bound(j.Server), bound(j.Key), bound(j.Reason)
+		rejection := &r.Rejections[i]
+		rejection.Server, rejection.Key, rejection.Reason = truncate(rejection.Server), truncate(rejection.Key), truncate(rejection.Reason)
 	}
-	r.LowestServer = bound(r.LowestServer)
+	r.LowestServer = truncate(r.LowestServer)
 	r.Servers, r.ServersBehind, r.ServersRejecting = max(r.Servers, 0), max(r.ServersBehind, 0), max(r.ServersRejecting, 0)
 }
 
-func bound(s string) string { return s[:min(len(s), maxReason)] }
+func truncate(s string) string { return s[:min(len(s), maxTextBytes)] }
 
 // Progress aggregates the latest reports of the watchers of one feed.
 type Progress struct{ reports map[string]Report }
@@ -51,7 +51,7 @@
 
 // Put stores the latest report of a watcher.
 func (p *Progress) Put(watcher string, r Report) {
-	r.Check()
+	r.Clamp()
 	p.reports[watcher] = r
 }
 
--- a/internal/distribution/regions_test.go
+++ b/internal/distribution/regions_test.go
@@ -7,17 +7,17 @@
 
 // A region's staleness counts from the commit of the first change that one of its servers has not applied, and keeps growing while
 // its relays are disconnected.
-func TestAgesOfRegions(t *testing.T) {
-	g, ages := NewRegions(), &CommitTimes{}
+func TestRegionStalenessCountsFromFirstUnappliedChange(t *testing.T) {
+	g, commitTimes := NewRegions(), &CommitTimes{}
 	for revision := uint64(1); revision <= 5; revision++ {
-		ages.Add(revision, float64(revision)*1000)
+		commitTimes.Add(revision, float64(revision)*1000)
 	}
 	g.Put(5000, "a1", "a", Report{Servers: 3, LowestRevision: 5, LowestServer: "s1"})
 	g.Put(5000, "b1", "b", Report{Servers: 2, LowestRevision: 5, LowestServer: "s4"})
 	g.Put(5000, "b2", "b", Report{Servers: 2, LowestRevision: 3, LowestServer: "s6", ServersBehind: 1})
 	g.Put(5000, "c1", "c", Report{})
 	g.MarkDisconnected("b2")
-	all := g.Status(9000, 5, ages)
+	all := g.Status(9000, 5, commitTimes)
 	if len(all) != 3 || all[0].Region != "b" {
 		t.Fatalf("%+v", all)
 	}
@@ -32,38 +32,38 @@
 		t.Errorf("%+v", c)
 	}
 	g.Put(9000, "b2", "b", Report{Servers: 2, LowestRevision: 5})
-	if b := g.Status(9000, 5, ages)[1]; b.Region != "b" || b.StalenessMS != 0 || b.DisconnectedRelays != 0 {
+	if b := g.Status(9000, 5, commitTimes)[1]; b.Region != "b" || b.StalenessMS != 0 || b.DisconnectedRelays != 0 {
 		t.Errorf("%+v", b)
 	}
 }
 
 // The numbers of retained relays and commit times are bounded, and an evicted commit time counts as the oldest retained one.
-func TestWhatIsRememberedOfRegionsIsBounded(t *testing.T) {
+func TestRetainedRelaysAndCommitTimesAreBounded(t *testing.T) {
 	g := NewRegions()
-	for i := range maxRelaysKnown + 10 {
+	for i := range maxRetainedRelays + 10 {
 		g.Put(float64(i), fmt.Sprint("r", i), "a", Report{Servers: 1})
 	}
-	if n := len(g.relays); n != maxRelaysKnown || g.relays["r9"] != nil || g.relays["r10"] == nil {
+	if n := len(g.relays); n != maxRetainedRelays || g.relays["r9"] != nil || g.relays["r10"] == nil {
 		t.Errorf("%d relays are retained, or not the latest ones", n)
 	}
-	ages := &CommitTimes{}
-	for revision := uint64(1); revision <= maxAges+100; revision++ {
-		ages.Add(revision, float64(revision))
+	commitTimes := &CommitTimes{}
+	for revision := uint64(1); revision <= maxCommitTimes+100; revision++ {
+		commitTimes.Add(revision, float64(revision))
 	}
 	const now = 1e6
-	if age := ages.StalenessMS(now, 5); len(ages.at) != maxAges || age != now-101 {
-		t.Errorf("%d commit times, staleness %v", len(ages.at), age)
+	if staleness := commitTimes.StalenessMS(now, 5); len(commitTimes.timesMS) != maxCommitTimes || staleness != now-101 {
+		t.Errorf("%d commit times, staleness %v", len(commitTimes.timesMS), staleness)
 	}
-	if age := ages.StalenessMS(now, 200); age != now-201 {
-		t.Errorf("staleness %v", age)
+	if staleness := commitTimes.StalenessMS(now, 200); staleness != now-201 {
+		t.Errorf("staleness %v", staleness)
 	}
-	begun := &CommitTimes{}
-	begun.Add(100, now) // as after a snapshot: earlier commit times are unknown
-	if begun.StalenessMS(now+7, 60) != 7 || begun.StalenessMS(now+7, 100) != 0 {
+	afterSnapshot := &CommitTimes{}
+	afterSnapshot.Add(100, now) // as after a snapshot: earlier commit times are unknown
+	if afterSnapshot.StalenessMS(now+7, 60) != 7 || afterSnapshot.StalenessMS(now+7, 100) != 0 {
 		t.Error("a server behind the snapshot is not stale, or one at the snapshot is")
 	}
-	ages.Add(1, now)
-	if ages.StalenessMS(now, 1) != 0 || ages.StalenessMS(now+7, 0) != 7 {
+	commitTimes.Add(1, now)
+	if commitTimes.StalenessMS(now, 1) != 0 || commitTimes.StalenessMS(now+7, 0) != 7 {
 		t.Error("a revision that does not follow the last one does not clear the earlier times")
 	}
 }
--- a/internal/distribution/selector.go
+++ b/internal/distribution/selector.go
@@ -30,7 +30,7 @@
 		if _, _, err := net.SplitHostPort(r.Address); err != nil {
 			return fmt.Errorf("[%d].address: %w", i, err)
 		}
-		if first, twice := seen[r.Address]; twice {
+		if first, duplicate := seen[r.Address]; duplicate {
 			return fmt.Errorf("[%d].address: %s is listed in [%d] already", i, r.Address, first)
 		}
 		if r.Zone == "" {
@@ -43,106 +43,106 @@
 
 // Backoff and retry delays of a watcher, in milliseconds.
 const (
-	firstBackoff   = 250.0
-	maxBackoff     = 4000.0
-	maxCopyBackoff = 1000.0  // of a relay that looks for the store leader
-	maxRefusal     = 60000.0 // upper bound of the retry delay that a relay may ask for
-	awayFor        = 30000.0 // minimum time on a relay outside the nearest locality before selecting anew; jittered up to twice that
+	initialBackoffMS  = 250.0
+	maxBackoffMS      = 4000.0
+	maxStoreBackoffMS = 1000.0  // of a relay that looks for the store leader
+	maxRefusalDelayMS = 60000.0 // upper bound of the retry delay that a relay may ask for
+	minRemoteStayMS   = 30000.0 // minimum time on a more distant relay before selecting anew; jittered up to twice that
 )
 
 // Selector chooses the relay to watch: relays of the own zone first, then of the own region, then all others. The order among
 // equals is random for each selector, so that the watchers of a failed relay spread over the others. Between attempts it waits
 // with jittered exponential backoff, so that they do not all reconnect at once.
 type Selector struct {
-	rng    *rand.Rand
-	order  []Relay
-	place  Locality
-	next   int
-	tries  *backoff.Backoff
-	avoid  map[string]float64 // by address: time in milliseconds before which the relay must not be retried
-	target Relay
+	rng        *rand.Rand
+	candidates []Relay
+	locality   Locality
+	nextIndex  int
+	backoff    *backoff.Backoff
+	retryAtMS  map[string]float64 // by address: time in milliseconds before which the relay must not be retried
+	current    Relay
 }
 
-// NewSelector returns a selector over relays for a watcher at place.
-func NewSelector(relays []Relay, place Locality, seed uint64) *Selector {
-	return newSelector(relays, place, seed, maxBackoff)
+// NewSelector returns a selector over relays for a watcher at locality.
+func NewSelector(relays []Relay, locality Locality, seed uint64) *Selector {
+	return newSelector(relays, locality, seed, maxBackoffMS)
 }
 
-// NewCopySelector returns a relay's selector over the store replicas. Its maximum backoff is shorter than that of NewSelector:
+// NewStoreSelector returns a relay's selector over the store replicas. Its maximum backoff is shorter than that of NewSelector:
 // relays are few, and all watchers of a relay wait until it has found the leader.
-func NewCopySelector(copies []Relay, seed uint64) *Selector {
-	return newSelector(copies, Locality{}, seed, maxCopyBackoff)
+func NewStoreSelector(storeReplicas []Relay, seed uint64) *Selector {
+	return newSelector(storeReplicas, Locality{}, seed, maxStoreBackoffMS)
 }
 
-func newSelector(relays []Relay, place Locality, seed uint64, maxBackoff float64) *Selector {
-	s := &Selector{rng: rand.New(rand.NewPCG(seed, 5)), place: place, avoid: map[string]float64{}}
-	s.tries = backoff.New(firstBackoff, maxBackoff, s.rng)
-	s.order = slices.Clone(relays)
-	s.rng.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
-	slices.SortStableFunc(s.order, func(a, b Relay) int { return s.distance(a) - s.distance(b) })
+func newSelector(relays []Relay, locality Locality, seed uint64, backoffLimitMS float64) *Selector {
+	s := &Selector{rng: rand.New(rand.NewPCG(seed, 5)), locality: locality, retryAtMS: map[string]float64{}}
+	s.backoff = backoff.New(initialBackoffMS, backoffLimitMS, s.rng)
+	s.candidates = slices.Clone(relays)
+	s.rng.Shuffle(len(s.candidates), func(i, j int) { s.candidates[i], s.candidates[j] = s.candidates[j], s.candidates[i] })
+	slices.SortStableFunc(s.candidates, func(a, b Relay) int { return s.distance(a) - s.distance(b) })
 	return s
 }
 
 // distance returns 0 for the own zone, 1 for the own region and 2 for the rest.
 func (s *Selector) distance(r Relay) int {
 	switch {
-	case r.Zone == s.place.Zone:
+	case r.Zone == s.locality.Zone:
 		return 0
-	case r.Region != "" && r.Region == s.place.Region:
+	case r.Region != "" && r.Region == s.locality.Region:
 		return 1
 	}
 	return 2
 }
 
-// Next returns the relay to connect to now. If all relays have asked for a delay, ok is false and wait is the time in
-// milliseconds until the first of them may be retried.
-func (s *Selector) Next(now float64) (r Relay, wait float64, ok bool) {
-	if len(s.order) == 0 {
-		return r, maxBackoff, false
+// Next returns the relay to connect to now. If all relays have asked for a delay, ok is false and waitMS is the time
+// until the first of them may be retried.
+func (s *Selector) Next(nowMS float64) (r Relay, waitMS float64, ok bool) {
+	if len(s.candidates) == 0 {
+		return r, maxBackoffMS, false
 	}
-	soonest := -1.0
-	for i := range s.order {
-		r = s.order[(s.next+i)%len(s.order)]
-		until := s.avoid[r.Address]
-		if until <= now {
-			s.next = (s.next + i + 1) % len(s.order)
-			s.target = r
+	earliestMS := -1.0
+	for i := range s.candidates {
+		r = s.candidates[(s.nextIndex+i)%len(s.candidates)]
+		retryAtMS := s.retryAtMS[r.Address]
+		if retryAtMS <= nowMS {
+			s.nextIndex = (s.nextIndex + i + 1) % len(s.candidates)
+			s.current = r
 			return r, 0, true
 		}
-		if soonest < 0 || until < soonest {
-			soonest = until
+		if earliestMS < 0 || retryAtMS < earliestMS {
+			earliestMS = retryAtMS
 		}
 	}
-	return r, soonest - now, false
+	return r, earliestMS - nowMS, false
 }
 
 // Failed records that the relay could not be reached or that its connection ended. It returns the backoff before the next attempt,
 // in milliseconds.
-func (s *Selector) Failed() (wait float64) { return s.tries.Next() }
+func (s *Selector) Failed() (waitMS float64) { return s.backoff.Next() }
 
 // Refused records that the relay refused the watch, the delay that it asked for, and the alternatives that it gave by name or
 // address. The first alternative that may be tried now is the next choice. It returns the backoff before the next attempt, in
 // milliseconds.
-func (s *Selector) Refused(now, retryMs float64, elsewhere []string) (wait float64) {
-	s.avoid[s.target.Address] = now + min(max(retryMs, 0), maxRefusal)
-	for _, address := range elsewhere {
-		i := slices.IndexFunc(s.order, func(r Relay) bool { return r.Address == address || r.Name == address })
-		if i >= 0 && s.avoid[s.order[i].Address] <= now {
-			s.next = i
+func (s *Selector) Refused(nowMS, delayMS float64, alternatives []string) (waitMS float64) {
+	s.retryAtMS[s.current.Address] = nowMS + min(max(delayMS, 0), maxRefusalDelayMS)
+	for _, nameOrAddress := range alternatives {
+		i := slices.IndexFunc(s.candidates, func(r Relay) bool { return r.Address == nameOrAddress || r.Name == nameOrAddress })
+		if i >= 0 && s.retryAtMS[s.candidates[i].Address] <= nowMS {
+			s.nextIndex = i
 			break
 		}
 	}
 	return s.Failed()
 }
 
-// Served records that the relay serves. It returns after how many milliseconds to select anew if a nearer relay exists, or 0 to
-// stay connected.
-func (s *Selector) Served() (keepFor float64) {
-	s.next = 0
-	s.tries.Reset()
-	clear(s.avoid)
-	if s.distance(s.target) == 0 || len(s.order) == 0 || s.distance(s.order[0]) == s.distance(s.target) {
+// Served records that the relay serves. If a nearer relay exists, it returns the milliseconds after which to select anew; else it
+// returns 0, and the watcher stays connected.
+func (s *Selector) Served() (reselectAfterMS float64) {
+	s.nextIndex = 0
+	s.backoff.Reset()
+	clear(s.retryAtMS)
+	if s.distance(s.current) == 0 || len(s.candidates) == 0 || s.distance(s.candidates[0]) == s.distance(s.current) {
 		return 0
 	}
-	return awayFor * (1 + s.rng.Float64())
+	return minRemoteStayMS * (1 + s.rng.Float64())
 }
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -14,8 +14,8 @@
 	"puffinsaddle/internal/state"
 )
 
-// Copy is the store replica whose records an Origin serves.
-type Copy interface {
+// StoreReplica is the store replica whose records an Origin serves.
+type StoreReplica interface {
 	Office() (term uint64, leads bool)
 	Leader() string
 	Changed() <-chan struct{}
@@ -26,13 +26,13 @@
 var originLimits = distribution.Limits{Commits: 8192, Bytes: 16 << 20, Watchers: 256, Snapshots: 4}
 
 const (
-	leadLookMs  = 200.0 // interval at which leadership is checked
-	leadRetryMs = 200.0 // retry delay of a watcher refused by a replica that does not lead
+	leadershipPollMS = 200.0 // interval at which leadership is checked
+	refusalRetryMS   = 200.0 // retry delay asked for by a replica that does not lead and by a relay without configuration
 )
 
 // Origin serves relays at a store replica, as long as that replica leads.
 type Origin struct {
-	copy   Copy
+	store  StoreReplica
 	steady *clock.Clock
 	log    zerolog.Logger
 	server *configwatch.Server
@@ -41,22 +41,22 @@
 }
 
 // NewOrigin returns an Origin for a store replica; Run must be called for it to serve.
-func NewOrigin(c Copy, steady *clock.Clock, log zerolog.Logger, plant string) *Origin {
-	o := &Origin{copy: c, steady: steady, log: log}
-	o.server = configwatch.NewServer(configwatch.ServerOptions{Limits: originLimits, Source: o, Serves: o.serves, Steady: steady, Log: log, Seed: 1, Plant: plant})
+func NewOrigin(c StoreReplica, steady *clock.Clock, log zerolog.Logger, injectedBug string) *Origin {
+	o := &Origin{store: c, steady: steady, log: log}
+	o.server = configwatch.NewServer(configwatch.ServerOptions{Limits: originLimits, Source: o, Serves: o.checkWatch, Steady: steady, Log: log, Seed: 1, Plant: injectedBug})
 	return o
 }
 
-// serves refuses watchers that are not relays, and relays while this replica does not lead.
-func (o *Origin) serves(w configwatch.Watch) *configwatch.Refused {
+// checkWatch refuses watchers that are not relays, and relays while this replica does not lead.
+func (o *Origin) checkWatch(w configwatch.Watch) *configwatch.Refused {
 	if !w.Relay {
-		return &configwatch.Refused{RetryMs: 10 * leadRetryMs, Reason: "copies of the store serve relays alone"}
+		return &configwatch.Refused{RetryMs: 10 * refusalRetryMS, Reason: "copies of the store serve relays alone"}
 	}
-	if _, leads := o.copy.Office(); leads {
+	if _, leads := o.store.Office(); leads {
 		return nil
 	}
-	r := &configwatch.Refused{RetryMs: leadRetryMs, Reason: "this copy does not lead"}
-	if leader := o.copy.Leader(); leader != "" {
+	r := &configwatch.Refused{RetryMs: refusalRetryMS, Reason: "this copy does not lead"}
+	if leader := o.store.Leader(); leader != "" {
 		r.Elsewhere = []string{leader}
 	}
 	return r
@@ -64,7 +64,7 @@
 
 // Table returns a copy of the committed records and their revision.
 func (o *Origin) Table() (t *records.Table, revision uint64) {
-	o.copy.View(func(st *state.State, _ uint64) { t, revision = st.Records.Table().Clone(), st.Records.Revision() })
+	o.store.View(func(st *state.State, _ uint64) { t, revision = st.Records.Table().Clone(), st.Records.Revision() })
 	return t, revision
 }
 
@@ -82,17 +82,17 @@
 
 // Run publishes commits until the context ends.
 func (o *Origin) Run(ctx context.Context) {
-	led := false
+	wasLeader := false
 	for ctx.Err() == nil {
-		changed := o.copy.Changed()
+		changed := o.store.Changed()
 		o.publish()
-		_, leads := o.copy.Office()
-		if led && !leads {
+		_, isLeader := o.store.Office()
+		if wasLeader && !isLeader {
 			o.server.DropAll() // so that relays connect to the new leader
 		}
-		led = leads
+		wasLeader = isLeader
 		due := make(chan struct{})
-		t := o.steady.After(leadLookMs, func() { close(due) })
+		t := o.steady.After(leadershipPollMS, func() { close(due) })
 		select {
 		case <-changed:
 		case <-due:
@@ -105,8 +105,8 @@
 // publish publishes the commits since the last call.
 func (o *Origin) publish() {
 	var commits []records.Commit
-	var floor *distribution.Position
-	o.copy.View(func(st *state.State, _ uint64) {
+	var resetTo *distribution.Position
+	o.store.View(func(st *state.State, _ uint64) {
 		at := o.server.At()
 		since, err := st.Records.Since(at.Revision)
 		if err == nil && (len(since) > 0 && since[0].Before != at.Digest || len(since) == 0 && st.Records.Digest() != at.Digest) {
@@ -114,15 +114,15 @@
 		}
 		if err != nil { // the replica installed a snapshot
 			since, _ = st.Records.Since(st.Records.Floor())
-			floor = &distribution.Position{Revision: st.Records.Revision(), Digest: st.Records.Digest()}
+			resetTo = &distribution.Position{Revision: st.Records.Revision(), Digest: st.Records.Digest()}
 			if len(since) > 0 {
-				floor = &distribution.Position{Revision: st.Records.Floor(), Digest: since[0].Before}
+				resetTo = &distribution.Position{Revision: st.Records.Floor(), Digest: since[0].Before}
 			}
 		}
 		commits = slices.Clone(since)
 	})
-	if floor != nil {
-		o.server.Reset(*floor)
+	if resetTo != nil {
+		o.server.Reset(*resetTo)
 	}
 	for _, c := range commits {
 		if o.OnCommit != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -33,7 +33,7 @@
 	Seed           uint64
 	Steady         *clock.Clock
 	Log            zerolog.Logger
-	InjectedBug    string // an injected bug, for the lab; "": none
+	InjectedBug    string // one of distribution.InjectedBugs, for the lab; "": none
 
 	OnCommit   func(records.Commit)        // called for each applied commit; may be nil
 	OnSnapshot func(distribution.Position) // called for each applied snapshot; may be nil
@@ -42,11 +42,11 @@
 
 // Relay watches the store leader and serves the order servers of its zone.
 type Relay struct {
-	o       Options
-	ln      net.Listener
-	server  *configwatch.Server
-	client  *configwatch.Client
-	replica *replica.Replica
+	options  Options
+	listener net.Listener
+	server   *configwatch.Server
+	client   *configwatch.Client
+	replica  *replica.Replica
 }
 
 // follower is the relay's configuration replica, which reports on behalf of the relay's watchers.
@@ -66,59 +66,59 @@
 	if o.Limits == (distribution.Limits{}) {
 		o.Limits = distribution.DefaultLimits
 	}
-	r := &Relay{o: o, ln: o.Listener}
-	if r.ln == nil {
+	r := &Relay{options: o, listener: o.Listener}
+	if r.listener == nil {
 		var err error
-		if r.ln, err = net.Listen("tcp", o.Listen); err != nil {
+		if r.listener, err = net.Listen("tcp", o.Listen); err != nil {
 			return nil, fmt.Errorf("relay: %w", err)
 		}
 	}
-	r.server = configwatch.NewServer(configwatch.ServerOptions{Limits: o.Limits, Source: r, Serves: r.serves, Elsewhere: o.Elsewhere, Steady: o.Steady,
+	r.server = configwatch.NewServer(configwatch.ServerOptions{Limits: o.Limits, Source: r, Serves: r.checkWatch, Elsewhere: o.Elsewhere, Steady: o.Steady,
 		Log: o.Log, Seed: o.Seed, Plant: o.InjectedBug})
 	r.replica = replica.Open(replica.Options{Name: o.Name, Path: o.Path, Limits: records.Limits{Commits: o.Limits.Commits, Bytes: o.Limits.Bytes},
-		OnCommit: r.committed, OnSnapshot: r.adopted, OnReport: o.OnReport, Log: o.Log, InjectedBug: o.InjectedBug})
-	floor, commits := r.replica.Held()
-	r.server.Reset(floor)
+		OnCommit: r.publishCommit, OnSnapshot: r.resetServer, OnReport: o.OnReport, Log: o.Log, InjectedBug: o.InjectedBug})
+	start, commits := r.replica.RetainedCommits()
+	r.server.Reset(start)
 	for _, c := range commits {
 		if err := r.server.Publish(c); err != nil {
-			r.ln.Close()
+			r.listener.Close()
 			return nil, fmt.Errorf("relay: %w", err)
 		}
 	}
 	if o.OnSnapshot != nil {
 		o.OnSnapshot(r.replica.Position())
 	}
-	var copies []distribution.Relay
+	var storeReplicas []distribution.Relay
 	for _, id := range slices.Sorted(maps.Keys(o.StoreAddresses)) {
-		copies = append(copies, distribution.Relay{Name: id, Address: o.StoreAddresses[id]})
+		storeReplicas = append(storeReplicas, distribution.Relay{Name: id, Address: o.StoreAddresses[id]})
 	}
 	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, Relay: true, Region: o.Region, Preamble: []byte{store.ForWatches},
-		Selector: distribution.NewCopySelector(copies, o.Seed), Follower: follower{r.replica, r.server},
+		Selector: distribution.NewStoreSelector(storeReplicas, o.Seed), Follower: follower{r.replica, r.server},
 		Steady: o.Steady, Log: o.Log, Plant: o.InjectedBug})
 	return r, nil
 }
 
-// serves refuses watchers as long as the relay has no configuration at all.
-func (r *Relay) serves(configwatch.Watch) *configwatch.Refused {
+// checkWatch refuses watchers as long as the relay has no configuration at all.
+func (r *Relay) checkWatch(configwatch.Watch) *configwatch.Refused {
 	if r.replica.Position().Revision > 0 || r.client.Figures().Connected > 0 {
 		return nil
 	}
-	return &configwatch.Refused{RetryMs: leadRetryMs, Elsewhere: r.o.Elsewhere, Reason: "this relay has no configuration yet"}
+	return &configwatch.Refused{RetryMs: refusalRetryMS, Elsewhere: r.options.Elsewhere, Reason: "this relay has no configuration yet"}
 }
 
-// committed publishes a commit to the watchers. It is called in order, with the replica's lock held.
-func (r *Relay) committed(c records.Commit) {
-	if r.o.OnCommit != nil {
-		r.o.OnCommit(c)
+// publishCommit publishes a commit to the watchers. It is called in order, with the replica's lock held.
+func (r *Relay) publishCommit(c records.Commit) {
+	if r.options.OnCommit != nil {
+		r.options.OnCommit(c)
 	}
 	if err := r.server.Publish(c); err != nil {
-		r.o.Log.Error().Err(err).Msg("failed to publish commit to watchers")
+		r.options.Log.Error().Err(err).Msg("failed to publish commit to watchers")
 	}
 }
 
-func (r *Relay) adopted(p distribution.Position) {
-	if r.o.OnSnapshot != nil {
-		r.o.OnSnapshot(p)
+func (r *Relay) resetServer(p distribution.Position) {
+	if r.options.OnSnapshot != nil {
+		r.options.OnSnapshot(p)
 	}
 	r.server.Reset(p)
 }
@@ -127,7 +127,7 @@
 func (r *Relay) Table() (*records.Table, uint64) { return r.replica.Table() }
 
 // Addr returns the address that the relay listens on.
-func (r *Relay) Addr() string { return r.ln.Addr().String() }
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
 // Metrics are the metrics of a relay.
 type Metrics struct {
@@ -145,21 +145,21 @@
 // Run serves until the context ends.
 func (r *Relay) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		r.ln.Close()
+		r.listener.Close()
 		r.server.DropAll()
 	})
 	defer stop()
 	defer r.replica.Close()
 	go r.client.Run(ctx)
 	for {
-		conn, err := r.ln.Accept()
+		conn, err := r.listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			r.o.Log.Warn().Err(err).Msg("accept failed")
+			r.options.Log.Warn().Err(err).Msg("accept failed")
 			due := make(chan struct{})
-			r.o.Steady.After(acceptRetryMs, func() { close(due) })
+			r.options.Steady.After(acceptRetryMS, func() { close(due) })
 			<-due
 			continue
 		}
@@ -167,4 +167,4 @@
 	}
 }
 
-const acceptRetryMs = 50.0 // delay after a failed accept, for example when file descriptors are exhausted
+const acceptRetryMS = 50.0 // delay after a failed accept, for example when file descriptors are exhausted
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	rewriteAfter   = 8 << 20                // bytes of commits after the snapshot in the file, beyond which the file is rewritten
-	earlyReportFor = 300 * time.Millisecond // how long the injected bug reports a revision before applying it
+	maxCommitBytes   = 8 << 20                // bytes of commits after the snapshot in the file, beyond which the file is rewritten
+	earlyReportDelay = 300 * time.Millisecond // how long the injected bug reports a revision before applying it
 )
 
 // Options configure a replica.
@@ -32,36 +32,36 @@
 
 	// CheckRecord returns an error for a record that cannot be applied; nil: all can.
 	CheckRecord func(records.Put) error
-	// ApplySettings applies changed settings by name, with a nil value for a deleted one. If it returns an error, the settings applied
-	// before must stay in effect, and the error is reported until a later change applies. May be nil.
+	// ApplySettings applies changed settings by name, with a nil value for a deleted one. If it returns an error, the settings
+	// applied before must stay in effect, and the error is reported until a later change applies. May be nil.
 	ApplySettings func(settings map[string][]byte) error
 
-	// OnCommit is called for each commit after it is applied, and Adopted after a snapshot is applied; both may be nil.
+	// OnCommit is called for each commit after it is applied, and OnSnapshot after a snapshot is applied; both may be nil.
 	OnCommit   func(records.Commit)
 	OnSnapshot func(at distribution.Position)
 	// OnReport is called for each revision when it is first reported; may be nil.
 	OnReport func(revision uint64)
 
 	Log         zerolog.Logger
-	InjectedBug string // an injected bug, for the lab; "": none
+	InjectedBug string // one of distribution.InjectedBugs, for the lab; "": none
 }
 
 // Replica is a process's configuration replica. It implements configwatch.Follower.
 type Replica struct {
-	o Options
+	options Options
 
-	mu       sync.Mutex
-	set      *records.Set
-	file     *recordfile.File
-	rejected map[records.Key]distribution.Rejection
-	unfit    map[records.Key]distribution.Rejection // the part of rejected that the last failed Use added
-	early    uint64                                 // reported too early by an injected bug
-	reported uint64
+	mu                sync.Mutex
+	set               *records.Set
+	file              *recordfile.File
+	rejected          map[records.Key]distribution.Rejection
+	settingRejections map[records.Key]distribution.Rejection // the part of rejected that the last failed ApplySettings added
+	earlyRevision     uint64                                 // reported too early by an injected bug
+	reportedRevision  uint64
 }
 
 // Open loads the replica from its file, if there is one. A corrupt file is discarded.
 func Open(o Options) *Replica {
-	r := &Replica{o: o, set: records.NewSet(o.Limits), rejected: map[records.Key]distribution.Rejection{}}
+	r := &Replica{options: o, set: records.NewSet(o.Limits), rejected: map[records.Key]distribution.Rejection{}}
 	if o.Path == "" {
 		return r
 	}
@@ -70,10 +70,10 @@
 		err = r.load(content)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		r.o.Log.Error().Err(err).Msg("local configuration file is unreadable; discarding it and fetching a snapshot")
+		r.options.Log.Error().Err(err).Msg("local configuration file is unreadable; discarding it and fetching a snapshot")
 		r.set = records.NewSet(o.Limits)
 		if err := os.Remove(o.Path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			r.o.Log.Error().Err(err).Msg("could not remove the local configuration file")
+			r.options.Log.Error().Err(err).Msg("could not remove the local configuration file")
 		}
 	}
 	if r.file == nil {
@@ -90,17 +90,17 @@
 			return fmt.Errorf("%w: %v", recordfile.ErrSpoilt, err)
 		}
 	}
-	r.useAll()
-	r.o.Log.Info().Uint64("revision", r.set.Revision()).Int("records", r.set.Table().Len()).Int("commits", len(c.Commits)).
+	r.applyAll()
+	r.options.Log.Info().Uint64("revision", r.set.Revision()).Int("records", r.set.Table().Len()).Int("commits", len(c.Commits)).
 		Msg("applied configuration from the local file")
 	var err error
-	r.file, err = recordfile.Reopen(r.o.Path, c)
+	r.file, err = recordfile.Reopen(r.options.Path, c)
 	return err
 }
 
 // rewrite replaces the file with a snapshot of the current records. If that fails, the replica continues without a file.
 func (r *Replica) rewrite() {
-	if r.o.Path == "" {
+	if r.options.Path == "" {
 		return
 	}
 	if r.file != nil {
@@ -109,10 +109,10 @@
 	}
 	snapshot, err := records.NewSnapshot(r.set.Table(), r.set.Revision())
 	if err == nil {
-		r.file, err = recordfile.Write(r.o.Path, snapshot)
+		r.file, err = recordfile.Write(r.options.Path, snapshot)
 	}
 	if err != nil {
-		r.o.Log.Error().Err(err).Msg("could not write the local configuration file; continuing without it")
+		r.options.Log.Error().Err(err).Msg("could not write the local configuration file; continuing without it")
 	}
 }
 
@@ -132,48 +132,48 @@
 
 // Follow applies the next commit.
 func (r *Replica) Follow(c records.Commit) error {
-	if r.o.InjectedBug == distribution.BugEarlyReport {
+	if r.options.InjectedBug == distribution.BugEarlyReport {
 		r.mu.Lock()
-		r.early = c.Revision
+		r.earlyRevision = c.Revision
 		r.mu.Unlock()
-		time.Sleep(earlyReportFor)
+		time.Sleep(earlyReportDelay)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err := r.set.Follow(c); err != nil {
 		return err
 	}
-	r.use(c)
-	r.append(c)
-	if r.o.OnCommit != nil {
-		r.o.OnCommit(c)
+	r.applyCommit(c)
+	r.appendToFile(c)
+	if r.options.OnCommit != nil {
+		r.options.OnCommit(c)
 	}
 	return nil
 }
 
-func (r *Replica) append(c records.Commit) {
+func (r *Replica) appendToFile(c records.Commit) {
 	if r.file == nil {
 		return
 	}
 	if err := r.file.Append(c); err != nil {
-		r.o.Log.Error().Err(err).Msg("could not write the local configuration file; continuing without it")
+		r.options.Log.Error().Err(err).Msg("could not write the local configuration file; continuing without it")
 		r.file.Close()
 		r.file = nil
 		return
 	}
-	if r.file.Commits() > rewriteAfter {
+	if r.file.Commits() > maxCommitBytes {
 		r.rewrite()
 	}
 }
 
-// use checks the records of a commit and applies its settings. A record that fails the check is stored, since all replicas must
-// hold the same records, but it is not applied, and it is reported until it is replaced.
-func (r *Replica) use(c records.Commit) {
+// applyCommit checks the records of a commit and applies its settings. A record that fails the check is stored, since all replicas
+// must hold the same records, but it is not applied, and it is reported until it is replaced.
+func (r *Replica) applyCommit(c records.Commit) {
 	settings := map[string][]byte{}
 	for _, p := range c.Puts {
 		delete(r.rejected, p.Key)
-		if r.o.CheckRecord != nil {
-			if err := r.o.CheckRecord(p); err != nil {
+		if r.options.CheckRecord != nil {
+			if err := r.options.CheckRecord(p); err != nil {
 				r.reject(p.Key, c.Revision, err)
 				continue
 			}
@@ -188,50 +188,50 @@
 			settings[k.Name] = nil
 		}
 	}
-	r.useSettings(settings, c.Revision)
+	r.applySettings(settings, c.Revision)
 }
 
-// useSettings applies settings, all of them or none.
-func (r *Replica) useSettings(settings map[string][]byte, revision uint64) {
-	if len(settings) == 0 || r.o.ApplySettings == nil {
+// applySettings applies settings, all of them or none.
+func (r *Replica) applySettings(settings map[string][]byte, revision uint64) {
+	if len(settings) == 0 || r.options.ApplySettings == nil {
 		return
 	}
-	for k, made := range r.unfit {
-		if r.rejected[k] == made { // the check may have rejected another value since
+	for k, previous := range r.settingRejections {
+		if r.rejected[k] == previous { // the check may have rejected another value since
 			delete(r.rejected, k)
 		}
 	}
-	r.unfit = map[records.Key]distribution.Rejection{}
-	err := r.o.ApplySettings(settings)
+	r.settingRejections = map[records.Key]distribution.Rejection{}
+	err := r.options.ApplySettings(settings)
 	if err == nil {
 		return
 	}
 	for name := range settings {
 		k := records.Key{Kind: records.Setting, Name: name}
 		r.reject(k, revision, err)
-		r.unfit[k] = r.rejected[k]
+		r.settingRejections[k] = r.rejected[k]
 	}
 }
 
 func (r *Replica) reject(k records.Key, revision uint64, err error) {
-	r.o.Log.Error().Stringer("key", k).Uint64("revision", revision).Err(err).Msg("record rejected")
-	r.rejected[k] = distribution.Rejection{Server: r.o.Name, Key: k.String(), Revision: revision, Reason: err.Error()}
+	r.options.Log.Error().Stringer("key", k).Uint64("revision", revision).Err(err).Msg("record rejected")
+	r.rejected[k] = distribution.Rejection{Server: r.options.Name, Key: k.String(), Revision: revision, Reason: err.Error()}
 }
 
-// useAll checks all records and applies all settings, after a snapshot.
-func (r *Replica) useAll() {
+// applyAll checks all records and applies all settings, after a snapshot.
+func (r *Replica) applyAll() {
 	clear(r.rejected)
 	all := records.Commit{Revision: r.set.Revision()}
 	for record := range r.set.Table().All() {
-		if record.Kind == records.Setting || r.o.CheckRecord != nil {
+		if record.Kind == records.Setting || r.options.CheckRecord != nil {
 			all.Puts = append(all.Puts, records.Put{Key: record.Key, Value: record.Value})
 		}
 		if len(all.Puts) == records.MaxChangeKeys {
-			r.use(all)
+			r.applyCommit(all)
 			all.Puts = all.Puts[:0]
 		}
 	}
-	r.use(all)
+	r.applyCommit(all)
 }
 
 // Adopt replaces all records with those of a snapshot.
@@ -239,11 +239,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.set.Adopt(t, h.Revision)
-	r.useAll()
+	r.applyAll()
 	r.rewrite()
-	r.o.Log.Info().Uint64("revision", h.Revision).Int("records", h.Records).Int64("bytes", h.Bytes).Msg("applied configuration from a snapshot")
-	if r.o.OnSnapshot != nil {
-		r.o.OnSnapshot(r.position())
+	r.options.Log.Info().Uint64("revision", h.Revision).Int("records", h.Records).Int64("bytes", h.Bytes).Msg("applied configuration from a snapshot")
+	if r.options.OnSnapshot != nil {
+		r.options.OnSnapshot(r.position())
 	}
 	return nil
 }
@@ -252,12 +252,12 @@
 func (r *Replica) Discard(reason error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.o.Log.Error().Err(reason).Msg("local configuration was never committed; discarding it and fetching a snapshot")
-	r.set = records.NewSet(r.o.Limits)
+	r.options.Log.Error().Err(reason).Msg("local configuration was never committed; discarding it and fetching a snapshot")
+	r.set = records.NewSet(r.options.Limits)
 	if r.file != nil {
 		r.file.Close()
 		r.file = nil
-		os.Remove(r.o.Path)
+		os.Remove(r.options.Path)
 	}
 }
 
@@ -273,7 +273,7 @@
 func (r *Replica) Report() distribution.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	report := distribution.Report{Servers: 1, LowestRevision: max(r.set.Revision(), r.early), LowestServer: r.o.Name}
+	report := distribution.Report{Servers: 1, LowestRevision: max(r.set.Revision(), r.earlyRevision), LowestServer: r.options.Name}
 	if len(r.rejected) > 0 {
 		report.ServersRejecting = 1
 		for _, rejection := range r.rejected {
@@ -281,11 +281,11 @@
 		}
 		slices.SortFunc(report.Rejections, func(a, b distribution.Rejection) int { return strings.Compare(a.Key, b.Key) })
 	}
-	report.Check()
-	if r.o.OnReport != nil && report.LowestRevision > r.reported {
-		r.o.OnReport(report.LowestRevision)
+	report.Clamp()
+	if r.options.OnReport != nil && report.LowestRevision > r.reportedRevision {
+		r.options.OnReport(report.LowestRevision)
 	}
-	r.reported = report.LowestRevision
+	r.reportedRevision = report.LowestRevision
 	return report
 }
 
@@ -303,8 +303,8 @@
 	return r.set.Table().Clone(), r.set.Revision()
 }
 
-// Held returns the retained commits and the position before the first of them.
-func (r *Replica) Held() (floor distribution.Position, commits []records.Commit) {
+// RetainedCommits returns the retained commits and the position before the first of them.
+func (r *Replica) RetainedCommits() (start distribution.Position, commits []records.Commit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	commits, err := r.set.Since(r.set.Floor())
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -18,15 +18,17 @@
 	return records.Put{Key: records.Key{Kind: records.Setting, Name: name}, Value: []byte(value)}
 }
 
-// agreed makes the commits for the replicas of a test.
-type agreed struct {
+// commitSource makes the commits for the replicas of a test.
+type commitSource struct {
 	t   *testing.T
 	set *records.Set
 }
 
-func newAgreed(t *testing.T) *agreed { return &agreed{t, records.NewSet(records.DefaultLimits)} }
+func newCommitSource(t *testing.T) *commitSource {
+	return &commitSource{t, records.NewSet(records.DefaultLimits)}
+}
 
-func (a *agreed) change(c records.Change) records.Commit {
+func (a *commitSource) change(c records.Change) records.Commit {
 	a.t.Helper()
 	commit, err := a.set.Apply(c)
 	if err != nil {
@@ -35,12 +37,12 @@
 	return commit
 }
 
-func (a *agreed) put(name, value string) records.Commit {
+func (a *commitSource) put(name, value string) records.Commit {
 	a.t.Helper()
 	return a.change(records.Change{Puts: []records.Put{setting(name, value)}})
 }
 
-func (a *agreed) snapshot() (records.Header, *records.Table) {
+func (a *commitSource) snapshot() (records.Header, *records.Table) {
 	a.t.Helper()
 	s, err := records.NewSnapshot(a.set.Table(), a.set.Revision())
 	if err != nil {
@@ -53,10 +55,10 @@
 	return s.Header, table
 }
 
-// inForce holds the settings that a replica has applied.
-type inForce map[string]string
+// appliedSettings holds the settings that a replica has applied.
+type appliedSettings map[string]string
 
-func (f inForce) use(settings map[string][]byte) error {
+func (f appliedSettings) apply(settings map[string][]byte) error {
 	for name, value := range settings {
 		if value == nil {
 			delete(f, name)
@@ -67,7 +69,7 @@
 	return nil
 }
 
-func (f inForce) String() string { return fmt.Sprint(map[string]string(f)) }
+func (f appliedSettings) String() string { return fmt.Sprint(map[string]string(f)) }
 
 func follow(t *testing.T, r *Replica, commits ...records.Commit) {
 	t.Helper()
@@ -79,20 +81,20 @@
 }
 
 // A restarted replica applies the settings of its file before it connects to a relay, and continues from its revision.
-func TestRestartGoesOnFromTheDisk(t *testing.T) {
-	a, path := newAgreed(t), filepath.Join(t.TempDir(), "records")
+func TestRestartResumesFromDisk(t *testing.T) {
+	a, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
 	first := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
 	follow(t, first, a.put("a", "1"), a.put("b", "1"), a.put("a", "2"))
 	follow(t, first, a.change(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "b"}}}))
 	first.Close()
-	used := inForce{}
-	second := Open(Options{Name: "s", Path: path, ApplySettings: used.use, Log: zerolog.Nop()})
+	applied := appliedSettings{}
+	second := Open(Options{Name: "s", Path: path, ApplySettings: applied.apply, Log: zerolog.Nop()})
 	defer second.Close()
 	if p := second.Position(); p.Revision != 4 || p.Digest != a.set.Digest() {
 		t.Errorf("replica is at %+v", p)
 	}
-	if used.String() != "map[a:2]" {
-		t.Errorf("applied settings: %v", used)
+	if applied.String() != "map[a:2]" {
+		t.Errorf("applied settings: %v", applied)
 	}
 	follow(t, second, a.put("c", "1"))
 	if value, revision, ok := second.Get(records.Key{Kind: records.Setting, Name: "c"}); !ok || string(value) != "1" || revision != 5 {
@@ -101,8 +103,8 @@
 }
 
 // A corrupt file is discarded with a log line; the replica starts empty and writes a new file.
-func TestSpoiltCopyIsThrownAway(t *testing.T) {
-	a, path := newAgreed(t), filepath.Join(t.TempDir(), "records")
+func TestCorruptFileIsDiscarded(t *testing.T) {
+	a, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
 	first := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
 	follow(t, first, a.put("a", "1"))
 	h, table := a.snapshot()
@@ -135,9 +137,9 @@
 }
 
 // A commit that is not the next one, or whose digest differs, is rejected and changes nothing.
-func TestCommitsOutOfOrderChangeNothing(t *testing.T) {
-	a, used := newAgreed(t), inForce{}
-	r := Open(Options{Name: "s", ApplySettings: used.use, Log: zerolog.Nop()})
+func TestOutOfOrderCommitsAreRejected(t *testing.T) {
+	a, applied := newCommitSource(t), appliedSettings{}
+	r := Open(Options{Name: "s", ApplySettings: applied.apply, Log: zerolog.Nop()})
 	one, two, three := a.put("a", "1"), a.put("a", "2"), a.put("a", "3")
 	follow(t, r, one)
 	other := two
@@ -148,8 +150,8 @@
 		if !errors.As(err, &order) || order.Differ != (name == "other records") {
 			t.Errorf("%s: %v", name, err)
 		}
-		if r.Position().Revision != 1 || used["a"] != "1" {
-			t.Errorf("%s: at %+v, applied %v", name, r.Position(), used)
+		if r.Position().Revision != 1 || applied["a"] != "1" {
+			t.Errorf("%s: at %+v, applied %v", name, r.Position(), applied)
 		}
 	}
 	follow(t, r, two, three)
@@ -157,9 +159,9 @@
 
 // A record that fails the check is stored and reported, and the value applied before stays in effect, until the record is replaced
 // or deleted.
-func TestRefusedRecordsStayOutOfForce(t *testing.T) {
-	a, used := newAgreed(t), inForce{}
-	r := Open(Options{Name: "s", ApplySettings: used.use, Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
+func TestRejectedRecordsAreNotApplied(t *testing.T) {
+	a, applied := newCommitSource(t), appliedSettings{}
+	r := Open(Options{Name: "s", ApplySettings: applied.apply, Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
 		if string(p.Value) == "bad" {
 			return errors.New("value not allowed")
 		}
@@ -167,23 +169,23 @@
 	}})
 	follow(t, r, a.put("a", "1"), a.put("a", "bad"), a.put("b", "bad"))
 	report := r.Report()
-	if used["a"] != "1" || report.LowestRevision != 3 || report.ServersRejecting != 1 || len(report.Rejections) != 2 {
-		t.Errorf("applied %v, reported %+v", used, report)
+	if applied["a"] != "1" || report.LowestRevision != 3 || report.ServersRejecting != 1 || len(report.Rejections) != 2 {
+		t.Errorf("applied %v, reported %+v", applied, report)
 	}
 	if j := report.Rejections[0]; j.Key != "setting/a" || j.Revision != 2 || j.Reason != "value not allowed" || j.Server != "s" {
 		t.Errorf("%+v", j)
 	}
 	follow(t, r, a.put("a", "2"), a.change(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "b"}}}))
-	if report = r.Report(); used["a"] != "2" || report.ServersRejecting != 0 || len(report.Rejections) != 0 {
-		t.Errorf("applied %v, reported %+v", used, report)
+	if report = r.Report(); applied["a"] != "2" || report.ServersRejecting != 0 || len(report.Rejections) != 0 {
+		t.Errorf("applied %v, reported %+v", applied, report)
 	}
 }
 
 // Settings that are inconsistent with each other are reported with the reason, until a change makes them consistent.
-func TestSettingsThatDoNotFitAreReported(t *testing.T) {
-	a, all := newAgreed(t), inForce{}
+func TestInconsistentSettingsAreReported(t *testing.T) {
+	a, all := newCommitSource(t), appliedSettings{}
 	r := Open(Options{Name: "s", Log: zerolog.Nop(), ApplySettings: func(settings map[string][]byte) error {
-		all.use(settings)
+		all.apply(settings)
 		if all["a"] != all["b"] {
 			return errors.New("a and b differ")
 		}
@@ -201,15 +203,15 @@
 }
 
 // A value that fails the check stays reported, although the settings without it can be applied again.
-func TestRefusedValueStaysReportedWhereTheRestFits(t *testing.T) {
-	a, all := newAgreed(t), inForce{}
+func TestRejectedValueStaysReportedWhenOthersApply(t *testing.T) {
+	a, all := newCommitSource(t), appliedSettings{}
 	r := Open(Options{Name: "s", Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
 		if string(p.Value) == "bad" {
 			return errors.New("value not allowed")
 		}
 		return nil
 	}, ApplySettings: func(settings map[string][]byte) error {
-		all.use(settings)
+		all.apply(settings)
 		if all["b"] == "" {
 			return errors.New("b is missing")
 		}
@@ -224,14 +226,14 @@
 }
 
 // Records that were never committed are discarded with their file; the applied settings stay in effect until a snapshot arrives.
-func TestDiscardedRecordsStayInForceUntilASnapshot(t *testing.T) {
-	a, used, path := newAgreed(t), inForce{}, filepath.Join(t.TempDir(), "records")
-	r := Open(Options{Name: "s", Path: path, ApplySettings: used.use, Log: zerolog.Nop()})
+func TestDiscardKeepsAppliedSettingsUntilSnapshot(t *testing.T) {
+	a, applied, path := newCommitSource(t), appliedSettings{}, filepath.Join(t.TempDir(), "records")
+	r := Open(Options{Name: "s", Path: path, ApplySettings: applied.apply, Log: zerolog.Nop()})
 	defer r.Close()
 	follow(t, r, a.put("a", "1"))
 	r.Discard(errors.New("other records"))
-	if r.Position() != (distribution.Position{}) || used["a"] != "1" {
-		t.Errorf("at %+v, applied %v", r.Position(), used)
+	if r.Position() != (distribution.Position{}) || applied["a"] != "1" {
+		t.Errorf("at %+v, applied %v", r.Position(), applied)
 	}
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the file still exists: %v", err)
@@ -241,31 +243,31 @@
 	if err := r.Adopt(h, table); err != nil {
 		t.Fatal(err)
 	}
-	if r.Position().Revision != 2 || used["a"] != "2" {
-		t.Errorf("at %+v, applied %v", r.Position(), used)
+	if r.Position().Revision != 2 || applied["a"] != "2" {
+		t.Errorf("at %+v, applied %v", r.Position(), applied)
 	}
 }
 
-// The file is rewritten when the commits after its snapshot exceed rewriteAfter.
-func TestFileStaysBounded(t *testing.T) {
-	a, path := newAgreed(t), filepath.Join(t.TempDir(), "records")
+// The file is rewritten when the commits after its snapshot exceed maxCommitBytes.
+func TestFileSizeIsBounded(t *testing.T) {
+	a, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
 	r := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
 	large := string(bytes.Repeat([]byte("x"), records.MaxSetting-8))
-	const commits = 2*rewriteAfter/records.MaxSetting + 10
+	const commits = 2*maxCommitBytes/records.MaxSetting + 10
 	for i := range commits {
 		follow(t, r, a.put("a", fmt.Sprint(i, large)))
 		info, err := os.Stat(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if info.Size() > rewriteAfter+3*records.MaxSetting {
+		if info.Size() > maxCommitBytes+3*records.MaxSetting {
 			t.Fatalf("%d bytes after %d commits", info.Size(), i+1)
 		}
 	}
 	r.Close()
-	again := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
-	defer again.Close()
-	if p := again.Position(); p.Revision != commits || p.Digest != a.set.Digest() {
+	reopened := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
+	defer reopened.Close()
+	if p := reopened.Position(); p.Revision != commits || p.Digest != a.set.Digest() {
 		t.Errorf("replica is at %+v", p)
 	}
 }
