--- a/cmd/adapter/decode.go
+++ b/cmd/adapter/decode.go
@@ -152,7 +152,7 @@
 }
 
 var outcomes = [...]policy.Outcome{policy.OK, policy.Failed, policy.Full, policy.TimedOut,
-	policy.Unreached, policy.CutOff, policy.Cancelled, policy.Moot}
+	policy.Unreachable, policy.InvalidReply, policy.Cancelled, policy.NotRun}
 
 // event maps one event; nil stands for one that this wire's text does not know.
 func (l *link) event(kind string, f *config.Fields) policy.Event {
@@ -162,15 +162,15 @@
 		f.Need("priority")
 		original := f.ID("original")
 		return policy.Arrived{ID: f.ID("rid"), Class: f.Text("priority"), Tenant: f.Text("project"),
-			Caller: f.Integer("originPeer"), Size: f.Span("effort"), Waited: f.Span("backlogTime"), Left: f.Span("left"),
+			Caller: f.Integer("originPeer"), Size: f.Span("effort"), Waited: f.Span("backlogTime"), TimeLeft: f.Span("left"),
 			KB: f.Number("kb"), Rank: f.Number("place"), Key: f.Text("resource"), Write: f.Flag("isWrite"),
-			Resent: f.Flag("resent"), Original: original, Repeats: original != 0}
+			IsRetry: f.Flag("resent"), Original: original, HasOriginal: original != 0}
 	case "done":
 		f.Need("rid")
-		return policy.Finished{ID: f.ID("rid"), Outcome: outcome(f, "code"), Took: f.Span("spent")}
+		return policy.Finished{ID: f.ID("rid"), Outcome: outcome(f, "code"), Duration: f.Span("spent")}
 	case "returned":
 		f.Need("rid")
-		return policy.CallReturned{ID: f.ID("rid"), Outcome: outcome(f, "code"), Took: f.Span("spent")}
+		return policy.CallReturned{ID: f.ID("rid"), Outcome: outcome(f, "code"), Duration: f.Span("spent")}
 	case "lapsed":
 		f.Need("rid")
 		return policy.CallerGone{ID: f.ID("rid")}
@@ -179,7 +179,7 @@
 		return policy.CallNeeded{ID: f.ID("rid")}
 	case "retireSoon":
 		f.Need("left")
-		return policy.DrainNotice{Left: f.Span("left")}
+		return policy.DrainNotice{TimeLeft: f.Span("left")}
 	case "tickDue":
 		f.Need("ref")
 		var gauges []float64
@@ -190,7 +190,7 @@
 			}
 			gauges = append(gauges, x)
 		}
-		return policy.Woke{Token: f.Seed("ref"), Gauges: gauges}
+		return policy.TimerFired{Token: f.Seed("ref"), Gauges: gauges}
 	}
 	if !l.unknown[kind] && len(l.unknown) < 100 {
 		l.unknown[kind] = true
--- a/cmd/adapter/encode.go
+++ b/cmd/adapter/encode.go
@@ -36,19 +36,19 @@
 		b = open(b, "replay", a.ID)
 	case policy.Refuse:
 		b = open(b, "sayNo", a.ID)
-		if a.Pause > 0 {
-			b = span(b, `,"pause":`, a.Pause)
+		if a.RetryAfter > 0 {
+			b = span(b, `,"pause":`, a.RetryAfter)
 		}
 		if a.NoRetry {
 			b = append(b, `,"noRetry":true`...)
 		}
 	case policy.Fail:
 		b = open(b, "error", a.ID)
-	case policy.Remember:
-		b = span(open(b, "storeKey", a.ID), `,"span":`, a.Span)
-	case policy.Forget:
+	case policy.StoreKey:
+		b = span(open(b, "storeKey", a.ID), `,"span":`, a.TTL)
+	case policy.DeleteKey:
 		b = open(b, "erase", a.ID)
-	case policy.CallOut:
+	case policy.MakeCall:
 		b = span(open(b, "askBelow", a.ID), `,"maxWait":`, a.MaxWait)
 	case policy.SkipCall:
 		b = open(b, "doWithout", a.ID)
@@ -56,17 +56,17 @@
 		b = append(b, `{"fitness":{"shallow":`...)
 		b = strconv.AppendBool(b, a.Shallow)
 		b = append(b, `,"on":`...)
-		b = strconv.AppendBool(b, a.Good)
-	case policy.Advise:
+		b = strconv.AppendBool(b, a.Healthy)
+	case policy.SetHint:
 		b = append(b, `{"hintOut":{"x":`...)
 		b = strconv.AppendFloat(b, a.Value, 'f', -1, 64)
 	case policy.CloseIdle:
 		b = span(append(b, `{"idle":{`...), `"span":`, a.After)
-	case policy.WakeAt:
+	case policy.SetTimer:
 		b = span(append(b, `{"timer":{`...), `"at":`, a.At)
 		b = append(b, `,"ref":`...)
 		b = strconv.AppendUint(b, a.Token, 10)
-	case policy.Note:
+	case policy.LogLine:
 		b = appendText(append(b, `{"noteDown":{"line":`...), a.Text)
 	default:
 		panic(fmt.Sprintf("no wire form for %T", a))
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -97,7 +97,7 @@
 
 // watchFigures is what operators see of it.
 type watchFigures struct {
-	configwatch.ClientFigures
+	configwatch.ClientMetrics
 	Revision uint64              `json:"revision"`
 	Digest   string              `json:"digest"`
 	Records  int                 `json:"records"`
@@ -119,7 +119,7 @@
 		OnSnapshot: func(p distribution.Position) { traceInstalled(t, p) },
 		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
 	traceInstalled(t, w.replica.Position())
-	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Steady(), Log: log, Plant: plant, Follower: w.replica,
+	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Monotonic(), Log: log, InjectedBug: plant, Replica: w.replica,
 		Selector: distribution.NewSelector(d.Relays, distribution.Locality{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
 	return w, nil
 }
@@ -142,7 +142,7 @@
 		return err
 	}
 	if w.farm != nil && len(list) > 0 {
-		w.farm.Move(list)
+		w.farm.SetServers(list)
 	}
 	return nil
 }
@@ -164,7 +164,7 @@
 		return nil
 	}
 	p := w.replica.Position()
-	return &watchFigures{w.client.Figures(), p.Revision, p.Digest.String(), w.replica.RecordCount(), w.replica.Report()}
+	return &watchFigures{w.client.Metrics(), p.Revision, p.Digest.String(), w.replica.RecordCount(), w.replica.Report()}
 }
 
 // tracer is the trace of the process; nil: it is off.
@@ -198,7 +198,7 @@
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log := zerolog.New(out).With().Timestamp().Str("name", set.Name).Logger().Level(zerolog.InfoLevel)
-	steady := clock.Steady()
+	steady := clock.Monotonic()
 	var t *trace.Log
 	if file.Lab.Trace != "" {
 		if t, err = trace.Open(file.Lab.Trace, set.Name, steady); err != nil {
@@ -275,8 +275,8 @@
 // key is the record's, or an error that names the kind that there is not.
 func (k fileKey) key() (records.Key, error) {
 	var kind records.Kind
-	if err := kind.UnmarshalText([]byte(k.Kind)); err != nil || kind.MaxValue() == 0 {
-		return records.Key{}, fmt.Errorf("%w %q; there are %s, %s and %s", records.ErrKind, k.Kind, records.Route, records.Tenant, records.Setting)
+	if err := kind.UnmarshalText([]byte(k.Kind)); err != nil || kind.MaxValueBytes() == 0 {
+		return records.Key{}, fmt.Errorf("%w %q; there are %s, %s and %s", records.ErrUnknownKind, k.Kind, records.Route, records.Tenant, records.Setting)
 	}
 	return records.Key{Kind: kind, Name: k.Name}, nil
 }
@@ -327,14 +327,14 @@
 		return fmt.Errorf("%w: %v", errWrong, err)
 	}
 	return c.talk(func(ctx context.Context, client *session.Client, _ config.Duties) error {
-		r, err := client.Do(ctx, state.Command{Op: state.Change, Change: &change})
+		r, err := client.Do(ctx, state.Command{Op: state.OpChangeRecords, Change: &change})
 		if err != nil {
 			if errors.Is(err, session.ErrUnconfirmed) {
 				err = fmt.Errorf("%w; look at the revision before it is tried again", err)
 			}
 			return err
 		}
-		return c.told(out, map[string]uint64{"revision": r.N}, fmt.Sprintf("revision %d", r.N))
+		return c.told(out, map[string]uint64{"revision": r.Value}, fmt.Sprintf("revision %d", r.Value))
 	})
 }
 
@@ -346,7 +346,7 @@
 	return c.talk(func(ctx context.Context, client *session.Client, _ config.Duties) error {
 		var s distribution.Status
 		if err := client.Read(ctx, session.ReadConfig, &s); err != nil {
-			return session.ErrNotSent // to ask again changes nothing
+			return session.ErrNotExecuted // to ask again changes nothing
 		}
 		if c.JSON {
 			return json.NewEncoder(out).Encode(s)
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -46,8 +46,8 @@
 }
 
 // Room is the same in thousandths.
-func (a Allot) Room() allot.Room {
-	return allot.Room{Whole: int64(a.Whole * allot.Unit), Alone: int64(a.Alone * allot.Unit), Servers: a.Servers}
+func (a Allot) Room() allot.Capacity {
+	return allot.Capacity{Total: int64(a.Whole * allot.UnitsPerCall), ReservePerProcess: int64(a.Alone * allot.UnitsPerCall), MaxProcesses: a.Servers}
 }
 
 // Publish sets up the publisher.
@@ -63,7 +63,7 @@
 }
 
 // Plants are the bugs that the laboratory can plant.
-var Plants = slices.Concat(duty.Plants, admit.Plants, distribution.InjectedBugs)
+var Plants = slices.Concat(duty.InjectedBugs, admit.InjectedBugs, distribution.InjectedBugs)
 
 // Lab is set by the laboratory alone.
 type Lab struct {
@@ -90,9 +90,9 @@
 
 // Rules are the terms that both sides have to agree on.
 func (d Duties) Rules() duty.Rules {
-	r := duty.Rules{Bounds: duty.Bounds{Rate: d.Rate, Margin: d.Margin}, Renew: d.Renew, Cool: d.Cool, ColdWait: d.ColdWait, Presence: d.Presence}
+	r := duty.Rules{ClockBounds: duty.ClockBounds{MaxDrift: d.Rate, MarginMS: d.Margin}, RenewIntervalMS: d.Renew, CooldownMS: d.Cool, ColdWaitMS: d.ColdWait, PresenceTTLMS: d.Presence}
 	for _, t := range d.List {
-		r.Duties = append(r.Duties, duty.Terms{Name: t.Name, TTL: t.TTL})
+		r.Duties = append(r.Duties, duty.DutyRule{Name: t.Name, TTLMS: t.TTL})
 	}
 	return r
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -16,18 +16,18 @@
 	f.Need("classes")
 	s := policy.Settings{
 		Servers: int(f.Integer("servers")), Callers: int(x.Integer("callers")), Cores: int(x.Integer("nCores")),
-		MemoryKB: x.Number("heapKb"), EntryKB: x.Number("entryKb"), RunFactor: x.Number("runMemFactor"),
-		FreshFor: x.Span("freshFor"), JustStarted: x.Flag("justStarted"), Cold: rules.Span("cold"),
-		ColdShare: rules.Number("coldShare"), FallMultiple: rules.Number("fallMultiple"), FallSpan: rules.Span("fall"),
+		MemoryKB: x.Number("heapKb"), EntryKB: x.Number("entryKb"), RunMemoryFactor: x.Number("runMemFactor"),
+		SharedResultTTL: x.Span("freshFor"), JustStarted: x.Flag("justStarted"), WarmupPeriod: rules.Span("cold"),
+		ColdSpeedShare: rules.Number("coldShare"), MaxRunningPerCore: rules.Number("fallMultiple"), MaxRunningPeriod: rules.Span("fall"),
 		AnswerSlack: rules.Span("answerSlack"), DrainGrace: rules.Span("drainGrace"), Tick: f.Span("tick"),
-		PassesDeadline: x.Flag("passesDeadline"), BelowShare: x.Number("callsOut"), CallSpan: x.Span("callsOver"), Linger: x.Span("linger"), HintFor: x.Span("heardFor"), Idle: x.Span("idle"),
+		PassesDeadline: x.Flag("passesDeadline"), DownstreamShare: x.Number("callsOut"), CallPeriod: x.Span("callsOver"), AbandonedCallTime: x.Span("linger"), HintTTL: x.Span("heardFor"), IdleTimeout: x.Span("idle"),
 		OverShareWorth: f.Number("overShareWorth"), WorthByWork: f.Text("valueBy") == "work",
-		BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1,
+		BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnectionGauge: -1,
 	}
 	below := x.Text("downstream")
-	s.Below = below != "" && below != "none"
+	s.HasDownstream = below != "" && below != "none"
 	if limits.Flag("retryAfter") {
-		s.MaxPause = limits.Span("maxRetryAfter")
+		s.MaxRetryAfter = limits.Span("maxRetryAfter")
 	}
 	if c := f.Get("clients"); c != nil {
 		s.MarksRetry = f.Object("clients").Flag("marksRetry")
@@ -58,7 +58,7 @@
 		case "mem_used":
 			s.MemoryGauge = i
 		case "sockets":
-			s.ConnGauge = i
+			s.ConnectionGauge = i
 		}
 	}
 	calls, skips := x.List("callsByClass"), x.List("classSkipWorth")
--- a/internal/distribution/explore_test.go
+++ b/internal/distribution/explore_test.go
@@ -54,7 +54,7 @@
 	relays    [modelRelays]*Feed
 	snapshots [modelRelays]*Position // shared by the watchers of a relay; nil: not yet built
 
-	watcher        records.Marker
+	watcher        records.DigestFollower
 	connectedRelay int // relay that the watcher is connected to; -1: none
 	sentRevision   uint64
 	inFlight       []message
@@ -200,8 +200,8 @@
 	m.inFlight = m.inFlight[1:]
 	before := m.watcher.Revision
 	if first.snapshot != nil {
-		m.watcher = records.Marker(*first.snapshot)
-	} else if err := m.watcher.Follow(*first.commit); err != nil {
+		m.watcher = records.DigestFollower(*first.snapshot)
+	} else if err := m.watcher.ApplyCommit(*first.commit); err != nil {
 		return true, fmt.Errorf("the watcher rejects a commit: %w", err)
 	}
 	if m.watcher.Revision < before {
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -43,21 +43,21 @@
 // NewOrigin returns an Origin for a store replica; Run must be called for it to serve.
 func NewOrigin(c StoreReplica, steady *clock.Clock, log zerolog.Logger, injectedBug string) *Origin {
 	o := &Origin{store: c, steady: steady, log: log}
-	o.server = configwatch.NewServer(configwatch.ServerOptions{Limits: originLimits, Source: o, Serves: o.checkWatch, Steady: steady, Log: log, Seed: 1, Plant: injectedBug})
+	o.server = configwatch.NewServer(configwatch.ServerOptions{Limits: originLimits, Source: o, CheckWatch: o.checkWatch, Steady: steady, Log: log, Seed: 1, InjectedBug: injectedBug})
 	return o
 }
 
 // checkWatch refuses watchers that are not relays, and relays while this replica does not lead.
-func (o *Origin) checkWatch(w configwatch.Watch) *configwatch.Refused {
-	if !w.Relay {
-		return &configwatch.Refused{RetryMs: 10 * refusalRetryMS, Reason: "copies of the store serve relays alone"}
+func (o *Origin) checkWatch(w configwatch.Watch) *configwatch.Refusal {
+	if !w.IsRelay {
+		return &configwatch.Refusal{RetryMS: 10 * refusalRetryMS, Reason: "copies of the store serve relays alone"}
 	}
 	if _, leads := o.store.Office(); leads {
 		return nil
 	}
-	r := &configwatch.Refused{RetryMs: refusalRetryMS, Reason: "this copy does not lead"}
+	r := &configwatch.Refusal{RetryMS: refusalRetryMS, Reason: "this copy does not lead"}
 	if leader := o.store.Leader(); leader != "" {
-		r.Elsewhere = []string{leader}
+		r.AlternateAddresses = []string{leader}
 	}
 	return r
 }
@@ -72,7 +72,7 @@
 func (o *Origin) Serve(conn net.Conn) { o.server.Serve(conn) }
 
 // Metrics returns the metrics of the origin's server.
-func (o *Origin) Metrics() configwatch.Figures { return o.server.Figures() }
+func (o *Origin) Metrics() configwatch.Metrics { return o.server.Metrics() }
 
 // Status returns the progress of each region.
 func (o *Origin) Status() distribution.Status { return o.server.Status() }
@@ -88,7 +88,7 @@
 		o.publish()
 		_, isLeader := o.store.Office()
 		if wasLeader && !isLeader {
-			o.server.DropAll() // so that relays connect to the new leader
+			o.server.DisconnectAll() // so that relays connect to the new leader
 		}
 		wasLeader = isLeader
 		due := make(chan struct{})
@@ -107,16 +107,16 @@
 	var commits []records.Commit
 	var resetTo *distribution.Position
 	o.store.View(func(st *state.State, _ uint64) {
-		at := o.server.At()
-		since, err := st.Records.Since(at.Revision)
+		at := o.server.Position()
+		since, err := st.Records.CommitsSince(at.Revision)
 		if err == nil && (len(since) > 0 && since[0].Before != at.Digest || len(since) == 0 && st.Records.Digest() != at.Digest) {
 			err = records.ErrCompacted // the records already published were never committed
 		}
 		if err != nil { // the replica installed a snapshot
-			since, _ = st.Records.Since(st.Records.Floor())
+			since, _ = st.Records.CommitsSince(st.Records.OldestRevision())
 			resetTo = &distribution.Position{Revision: st.Records.Revision(), Digest: st.Records.Digest()}
 			if len(since) > 0 {
-				resetTo = &distribution.Position{Revision: st.Records.Floor(), Digest: since[0].Before}
+				resetTo = &distribution.Position{Revision: st.Records.OldestRevision(), Digest: since[0].Before}
 			}
 		}
 		commits = slices.Clone(since)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -73,9 +73,9 @@
 			return nil, fmt.Errorf("relay: %w", err)
 		}
 	}
-	r.server = configwatch.NewServer(configwatch.ServerOptions{Limits: o.Limits, Source: r, Serves: r.checkWatch, Elsewhere: o.Elsewhere, Steady: o.Steady,
-		Log: o.Log, Seed: o.Seed, Plant: o.InjectedBug})
-	r.replica = replica.Open(replica.Options{Name: o.Name, Path: o.Path, Limits: records.Limits{Commits: o.Limits.Commits, Bytes: o.Limits.Bytes},
+	r.server = configwatch.NewServer(configwatch.ServerOptions{Limits: o.Limits, Source: r, CheckWatch: r.checkWatch, AlternateAddresses: o.Elsewhere, Steady: o.Steady,
+		Log: o.Log, Seed: o.Seed, InjectedBug: o.InjectedBug})
+	r.replica = replica.Open(replica.Options{Name: o.Name, Path: o.Path, Limits: records.Limits{MaxCommits: o.Limits.Commits, MaxBytes: o.Limits.Bytes},
 		OnCommit: r.publishCommit, OnSnapshot: r.resetServer, OnReport: o.OnReport, Log: o.Log, InjectedBug: o.InjectedBug})
 	start, commits := r.replica.RetainedCommits()
 	r.server.Reset(start)
@@ -92,18 +92,18 @@
 	for _, id := range slices.Sorted(maps.Keys(o.StoreAddresses)) {
 		storeReplicas = append(storeReplicas, distribution.Relay{Name: id, Address: o.StoreAddresses[id]})
 	}
-	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, Relay: true, Region: o.Region, Preamble: []byte{store.ForWatches},
-		Selector: distribution.NewStoreSelector(storeReplicas, o.Seed), Follower: follower{r.replica, r.server},
-		Steady: o.Steady, Log: o.Log, Plant: o.InjectedBug})
+	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, IsRelay: true, Region: o.Region, Preamble: []byte{store.ForWatches},
+		Selector: distribution.NewStoreSelector(storeReplicas, o.Seed), Replica: follower{r.replica, r.server},
+		Steady: o.Steady, Log: o.Log, InjectedBug: o.InjectedBug})
 	return r, nil
 }
 
 // checkWatch refuses watchers as long as the relay has no configuration at all.
-func (r *Relay) checkWatch(configwatch.Watch) *configwatch.Refused {
-	if r.replica.Position().Revision > 0 || r.client.Figures().Connected > 0 {
+func (r *Relay) checkWatch(configwatch.Watch) *configwatch.Refusal {
+	if r.replica.Position().Revision > 0 || r.client.Metrics().Connections > 0 {
 		return nil
 	}
-	return &configwatch.Refused{RetryMs: refusalRetryMS, Elsewhere: r.options.Elsewhere, Reason: "this relay has no configuration yet"}
+	return &configwatch.Refusal{RetryMS: refusalRetryMS, AlternateAddresses: r.options.Elsewhere, Reason: "this relay has no configuration yet"}
 }
 
 // publishCommit publishes a commit to the watchers. It is called in order, with the replica's lock held.
@@ -131,22 +131,22 @@
 
 // Metrics are the metrics of a relay.
 type Metrics struct {
-	Serving  configwatch.Figures       `json:"serving"`
-	Watching configwatch.ClientFigures `json:"watching"`
+	Serving  configwatch.Metrics       `json:"serving"`
+	Watching configwatch.ClientMetrics `json:"watching"`
 	Records  int                       `json:"records"`
 	Report   distribution.Report       `json:"report"`
 }
 
 // Metrics returns the relay's current metrics.
 func (r *Relay) Metrics() Metrics {
-	return Metrics{r.server.Figures(), r.client.Figures(), r.replica.RecordCount(), r.server.Report()}
+	return Metrics{r.server.Metrics(), r.client.Metrics(), r.replica.RecordCount(), r.server.Report()}
 }
 
 // Run serves until the context ends.
 func (r *Relay) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		r.listener.Close()
-		r.server.DropAll()
+		r.server.DisconnectAll()
 	})
 	defer stop()
 	defer r.replica.Close()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -38,7 +38,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	c := records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Setting, Name: name}, Value: []byte(value)}}}
-	if r := e.state.Apply(state.Command{Op: state.Change, Change: &c}, 1); r.Error != "" {
+	if r := e.state.Apply(state.Command{Op: state.OpChangeRecords, Change: &c}, 1); r.Error != "" {
 		t.Fatal(r.Error)
 	}
 	e.notify()
@@ -103,7 +103,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { ln.Close() })
-		o := NewOrigin(fakeStoreReplica{e, id}, clock.Steady(), zerolog.Nop(), "")
+		o := NewOrigin(fakeStoreReplica{e, id}, clock.Monotonic(), zerolog.Nop(), "")
 		addresses[id], origins[id] = ln.Addr().String(), o
 		go o.Run(t.Context())
 		go func() {
@@ -136,7 +136,7 @@
 	t.Helper()
 	o.Listen = "127.0.0.1:0"
 	if o.Steady == nil {
-		o.Steady, o.Log = clock.Steady(), zerolog.Nop()
+		o.Steady, o.Log = clock.Monotonic(), zerolog.Nop()
 	}
 	r, err := Open(o)
 	if err != nil {
@@ -159,7 +159,7 @@
 // startServer starts a configuration replica that watches relays, as in an order server.
 func startServer(t *testing.T, name string, relays ...distribution.Relay) (*replica.Replica, *configwatch.Client) {
 	r := replica.Open(replica.Options{Name: name, Log: zerolog.Nop()})
-	c := configwatch.NewClient(configwatch.ClientOptions{Name: name, Follower: r, Steady: clock.Steady(), Log: zerolog.Nop(),
+	c := configwatch.NewClient(configwatch.ClientOptions{Name: name, Replica: r, Steady: clock.Monotonic(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector(relays, distribution.Locality{Zone: "z"}, 1)})
 	go c.Run(t.Context())
 	return r, c
@@ -226,14 +226,14 @@
 	second := startRelay(t, Options{Name: "relay", StoreAddresses: addresses, Path: path})
 	s, c := startServer(t, "s", second.descriptor())
 	waitFor(t, "the server is at the revision of the relay", func() bool { return s.Position() == e.position() })
-	if f := c.Figures(); f.Snapshots != 0 {
+	if f := c.Metrics(); f.Snapshots != 0 {
 		t.Errorf("the server took %d snapshots, though the relay's file has the commits", f.Snapshots)
 	}
-	before := second.client.Figures().Snapshots
+	before := second.client.Metrics().Snapshots
 	e.setLeader("a")
 	e.commitSetting(t, "k0", "2")
 	waitFor(t, "the change is applied", func() bool { return s.Position() == e.position() })
-	if n := second.client.Figures().Snapshots; n != before {
+	if n := second.client.Metrics().Snapshots; n != before {
 		t.Errorf("the relay took %d more snapshots, want none", n-before)
 	}
 }
@@ -251,7 +251,7 @@
 		t.Error("the relay without configuration refused no watcher")
 	}
 	r := replica.Open(replica.Options{Name: "direct", Log: zerolog.Nop()})
-	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.ForWatches}, Follower: r, Steady: clock.Steady(), Log: zerolog.Nop(),
+	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.ForWatches}, Replica: r, Steady: clock.Monotonic(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector([]distribution.Relay{{Name: "a", Address: addresses["a"]}}, distribution.Locality{}, 1)})
 	go c.Run(t.Context())
 	waitFor(t, "the store replica refuses an order server", func() bool { return origins["a"].Metrics().Refused > 0 })
@@ -271,8 +271,8 @@
 	waitFor(t, "the store replica has dropped its relay", func() bool { return origins["a"].Metrics().Watchers == 0 })
 	late, c2 := startServer(t, "late", r.descriptor())
 	waitFor(t, "another server is served", func() bool { return late.Position() == e.position() })
-	for _, f := range []configwatch.ClientFigures{c.Figures(), c2.Figures()} {
-		if f.Connected != 1 || f.Watching != r.Addr() {
+	for _, f := range []configwatch.ClientMetrics{c.Metrics(), c2.Metrics()} {
+		if f.Connections != 1 || f.RelayAddress != r.Addr() {
 			t.Errorf("%+v", f)
 		}
 	}
@@ -350,7 +350,7 @@
 	e.setLeader("nobody")
 	e.commitSetting(t, "k", "1")
 	w := &waitRecorder{}
-	r := startRelay(t, Options{Name: "relay", StoreAddresses: addresses, Seed: 1, Steady: clock.Steady().Apart(clockRate), Log: zerolog.New(w)})
+	r := startRelay(t, Options{Name: "relay", StoreAddresses: addresses, Seed: 1, Steady: clock.Monotonic().SetRate(clockRate), Log: zerolog.New(w)})
 	waitFor(t, "the relay was refused repeatedly", func() bool { return len(w.list()) >= minAttempts })
 	if longest := slices.Max(w.list()); longest > maxWaitMS {
 		t.Errorf("longest backoff is %v ms", longest)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -46,7 +46,7 @@
 	InjectedBug string // one of distribution.InjectedBugs, for the lab; "": none
 }
 
-// Replica is a process's configuration replica. It implements configwatch.Follower.
+// Replica is a process's configuration replica. It implements configwatch.Replica.
 type Replica struct {
 	options Options
 
@@ -84,10 +84,10 @@
 
 // load applies the content of a file and reopens the file for appending.
 func (r *Replica) load(c *recordfile.Content) error {
-	r.set.Adopt(c.Table, c.Revision)
+	r.set.ReplaceTable(c.Table, c.Revision)
 	for _, commit := range c.Commits {
-		if err := r.set.Follow(commit); err != nil {
-			return fmt.Errorf("%w: %v", recordfile.ErrSpoilt, err)
+		if err := r.set.ApplyCommit(commit); err != nil {
+			return fmt.Errorf("%w: %v", recordfile.ErrCorrupt, err)
 		}
 	}
 	r.applyAll()
@@ -140,7 +140,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := r.set.Follow(c); err != nil {
+	if err := r.set.ApplyCommit(c); err != nil {
 		return err
 	}
 	r.applyCommit(c)
@@ -161,7 +161,7 @@
 		r.file = nil
 		return
 	}
-	if r.file.Commits() > maxCommitBytes {
+	if r.file.CommitBytes() > maxCommitBytes {
 		r.rewrite()
 	}
 }
@@ -238,10 +238,10 @@
 func (r *Replica) Adopt(h records.Header, t *records.Table) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.set.Adopt(t, h.Revision)
+	r.set.ReplaceTable(t, h.Revision)
 	r.applyAll()
 	r.rewrite()
-	r.options.Log.Info().Uint64("revision", h.Revision).Int("records", h.Records).Int64("bytes", h.Bytes).Msg("applied configuration from a snapshot")
+	r.options.Log.Info().Uint64("revision", h.Revision).Int("records", h.RecordCount).Int64("bytes", h.CompressedBytes).Msg("applied configuration from a snapshot")
 	if r.options.OnSnapshot != nil {
 		r.options.OnSnapshot(r.position())
 	}
@@ -265,7 +265,7 @@
 func (r *Replica) Skip(c records.Commit) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.set.Adopt(r.set.Table(), c.Revision)
+	r.set.ReplaceTable(r.set.Table(), c.Revision)
 	return nil
 }
 
@@ -307,11 +307,11 @@
 func (r *Replica) RetainedCommits() (start distribution.Position, commits []records.Commit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	commits, err := r.set.Since(r.set.Floor())
+	commits, err := r.set.CommitsSince(r.set.OldestRevision())
 	if err != nil || len(commits) == 0 {
 		return r.position(), nil
 	}
-	return distribution.Position{Revision: r.set.Floor(), Digest: commits[0].Before}, slices.Clone(commits)
+	return distribution.Position{Revision: r.set.OldestRevision(), Digest: commits[0].Before}, slices.Clone(commits)
 }
 
 // RecordCount returns the number of stored records.
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -131,7 +131,7 @@
 	second.Close()
 	third := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
 	defer third.Close()
-	if third.Position() != distribution.Position(records.Marker{Revision: 1, Digest: a.set.Digest()}) {
+	if third.Position() != distribution.Position(records.DigestFollower{Revision: 1, Digest: a.set.Digest()}) {
 		t.Errorf("replica is at %+v", third.Position())
 	}
 }
@@ -146,8 +146,8 @@
 	other.Before = records.Digest{}
 	for name, c := range map[string]records.Commit{"a gap": three, "one twice": one, "other records": other} {
 		err := r.Follow(c)
-		var order *records.OrderError
-		if !errors.As(err, &order) || order.Differ != (name == "other records") {
+		var order *records.SequenceError
+		if !errors.As(err, &order) || order.DigestMismatch != (name == "other records") {
 			t.Errorf("%s: %v", name, err)
 		}
 		if r.Position().Revision != 1 || applied["a"] != "1" {
@@ -252,15 +252,15 @@
 func TestFileSizeIsBounded(t *testing.T) {
 	a, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
 	r := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
-	large := string(bytes.Repeat([]byte("x"), records.MaxSetting-8))
-	const commits = 2*maxCommitBytes/records.MaxSetting + 10
+	large := string(bytes.Repeat([]byte("x"), records.MaxSettingBytes-8))
+	const commits = 2*maxCommitBytes/records.MaxSettingBytes + 10
 	for i := range commits {
 		follow(t, r, a.put("a", fmt.Sprint(i, large)))
 		info, err := os.Stat(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if info.Size() > maxCommitBytes+3*records.MaxSetting {
+		if info.Size() > maxCommitBytes+3*records.MaxSettingBytes {
 			t.Fatalf("%d bytes after %d commits", info.Size(), i+1)
 		}
 	}
