--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -14,85 +14,85 @@
 	"puffinsaddle/internal/state"
 )
 
-// Copy is the copy of the store at which an Origin stands.
-type Copy interface {
+// StoreReplica is the store replica whose records an Origin serves.
+type StoreReplica interface {
 	Office() (term uint64, leads bool)
 	Leader() string
 	Changed() <-chan struct{}
 	View(look func(st *state.State, index uint64))
 }
 
-// originLimits are those of the copy that leads: it serves relays alone, so its watchers grow with zones, not with servers.
+// originLimits are the limits of an Origin. It serves relays only, so its watchers grow with the zones, not with the servers.
 var originLimits = distribution.Limits{Commits: 8192, Bytes: 16 << 20, Watchers: 256, Snapshots: 4}
 
 const (
-	leadLookMs  = 200.0 // between two looks at whether the copy leads
-	leadRetryMs = 200.0 // a relay that came to another copy comes back then, if it finds none
+	leadershipPollMS = 200.0 // interval at which leadership is checked
+	refusalRetryMS   = 200.0 // retry delay asked for by a replica that does not lead and by a relay without configuration
 )
 
-// Origin serves relays at a copy of the store.
+// Origin serves relays at a store replica, as long as that replica leads.
 type Origin struct {
-	copy   Copy
+	store  StoreReplica
 	steady *clock.Clock
 	log    zerolog.Logger
 	server *configwatch.Server
-	// Agreed is called for each commit that reached this copy; nil: nobody asks.
-	Agreed func(records.Commit)
+	// OnCommit is called for each commit that reaches this replica; may be nil.
+	OnCommit func(records.Commit)
 }
 
-// NewOrigin makes one; Run has to be called for it to serve.
-func NewOrigin(c Copy, steady *clock.Clock, log zerolog.Logger, plant string) *Origin {
-	o := &Origin{copy: c, steady: steady, log: log}
-	o.server = configwatch.NewServer(configwatch.ServerOptions{Limits: originLimits, Source: o, CheckWatch: o.serves, Steady: steady, Log: log, Seed: 1, InjectedBug: plant})
+// NewOrigin returns an Origin for a store replica; Run must be called for it to serve.
+func NewOrigin(c StoreReplica, steady *clock.Clock, log zerolog.Logger, injectedBug string) *Origin {
+	o := &Origin{store: c, steady: steady, log: log}
+	o.server = configwatch.NewServer(configwatch.ServerOptions{Limits: originLimits, Source: o, CheckWatch: o.checkWatch, Steady: steady, Log: log, Seed: 1, InjectedBug: injectedBug})
 	return o
 }
 
-// serves sends away who is no relay, and relays that came to a copy that does not lead.
-func (o *Origin) serves(w configwatch.Watch) *configwatch.Refusal {
+// checkWatch refuses watchers that are not relays, and relays while this replica does not lead.
+func (o *Origin) checkWatch(w configwatch.Watch) *configwatch.Refusal {
 	if !w.IsRelay {
-		return &configwatch.Refusal{RetryMS: 10 * leadRetryMs, Reason: "copies of the store serve relays alone"}
+		return &configwatch.Refusal{RetryMS: 10 * refusalRetryMS, Reason: "copies of the store serve relays alone"}
 	}
-	if _, leads := o.copy.Office(); leads {
+	if _, leads := o.store.Office(); leads {
 		return nil
 	}
-	r := &configwatch.Refusal{RetryMS: leadRetryMs, Reason: "this copy does not lead"}
-	if leader := o.copy.Leader(); leader != "" {
+	r := &configwatch.Refusal{RetryMS: refusalRetryMS, Reason: "this copy does not lead"}
+	if leader := o.store.Leader(); leader != "" {
 		r.AlternateAddresses = []string{leader}
 	}
 	return r
 }
 
-// Table is a copy of the agreed records.
+// Table returns a copy of the committed records and their revision.
 func (o *Origin) Table() (t *records.Table, revision uint64) {
-	o.copy.View(func(st *state.State, _ uint64) { t, revision = st.Records.Table().Clone(), st.Records.Revision() })
+	o.store.View(func(st *state.State, _ uint64) { t, revision = st.Records.Table().Clone(), st.Records.Revision() })
 	return t, revision
 }
 
-// Serve serves one relay to its end.
+// Serve serves the connection of one relay until it ends.
 func (o *Origin) Serve(conn net.Conn) { o.server.Serve(conn) }
 
-// Figures reads the counts.
-func (o *Origin) Figures() configwatch.Metrics { return o.server.Metrics() }
+// Metrics returns the metrics of the origin's server.
+func (o *Origin) Metrics() configwatch.Metrics { return o.server.Metrics() }
 
-// Status tells how far each region is.
+// Status returns the progress of each region.
 func (o *Origin) Status() distribution.Status { return o.server.Status() }
 
-// Report sums what the relays reported.
+// Report aggregates the reports of the relays.
 func (o *Origin) Report() distribution.Report { return o.server.Report() }
 
-// Run publishes what is agreed on until the context ends.
+// Run publishes commits until the context ends.
 func (o *Origin) Run(ctx context.Context) {
-	led := false
+	wasLeader := false
 	for ctx.Err() == nil {
-		changed := o.copy.Changed()
+		changed := o.store.Changed()
 		o.publish()
-		_, leads := o.copy.Office()
-		if led && !leads {
-			o.server.DisconnectAll() // relays look for the copy that leads
+		_, isLeader := o.store.Office()
+		if wasLeader && !isLeader {
+			o.server.DisconnectAll() // so that relays connect to the new leader
 		}
-		led = leads
+		wasLeader = isLeader
 		due := make(chan struct{})
-		t := o.steady.After(leadLookMs, func() { close(due) })
+		t := o.steady.After(leadershipPollMS, func() { close(due) })
 		select {
 		case <-changed:
 		case <-due:
@@ -102,34 +102,34 @@
 	}
 }
 
-// publish serves the commits that came since the last look.
+// publish publishes the commits since the last call.
 func (o *Origin) publish() {
 	var commits []records.Commit
-	var floor *distribution.Position
-	o.copy.View(func(st *state.State, _ uint64) {
+	var resetTo *distribution.Position
+	o.store.View(func(st *state.State, _ uint64) {
 		at := o.server.Position()
 		since, err := st.Records.CommitsSince(at.Revision)
 		if err == nil && (len(since) > 0 && since[0].Before != at.Digest || len(since) == 0 && st.Records.Digest() != at.Digest) {
-			err = records.ErrCompacted // the copy took other records than it had, and those were never agreed on
+			err = records.ErrCompacted // the records already published were never committed
 		}
-		if err != nil { // this copy took a snapshot
+		if err != nil { // the replica installed a snapshot
 			since, _ = st.Records.CommitsSince(st.Records.OldestRevision())
-			floor = &distribution.Position{Revision: st.Records.Revision(), Digest: st.Records.Digest()}
+			resetTo = &distribution.Position{Revision: st.Records.Revision(), Digest: st.Records.Digest()}
 			if len(since) > 0 {
-				floor = &distribution.Position{Revision: st.Records.OldestRevision(), Digest: since[0].Before}
+				resetTo = &distribution.Position{Revision: st.Records.OldestRevision(), Digest: since[0].Before}
 			}
 		}
 		commits = slices.Clone(since)
 	})
-	if floor != nil {
-		o.server.Reset(*floor)
+	if resetTo != nil {
+		o.server.Reset(*resetTo)
 	}
 	for _, c := range commits {
-		if o.Agreed != nil {
-			o.Agreed(c)
+		if o.OnCommit != nil {
+			o.OnCommit(c)
 		}
 		if err := o.server.Publish(c); err != nil {
-			o.log.Error().Err(err).Msg("commit not served")
+			o.log.Error().Err(err).Msg("failed to publish commit to watchers")
 			return
 		}
 	}
