--- a/cmd/adapter/decode.go
+++ b/cmd/adapter/decode.go
@@ -12,21 +12,21 @@
 	"puffinsaddle/policy"
 )
 
-// link maps the wire to instances of the module and back.
+// link holds the instances of the decision module and converts between them and the wire format.
 type link struct {
 	parser    fastjson.Parser
 	instances map[string]*policy.Instance
 	events    []policy.Event
 	buf       []byte
 	log       io.Writer
-	unknown   map[string]bool // unknown events already reported
+	unknown   map[string]bool // kinds of unknown events already logged
 }
 
 func newLink(log io.Writer) *link {
 	return &link{instances: map[string]*policy.Instance{}, log: log, unknown: map[string]bool{}}
 }
 
-// batch decides on one line of events and returns the line of the reply.
+// batch handles one line of events and returns the line of the reply, which is valid until the next call.
 func (l *link) batch(line []byte) ([]byte, error) {
 	if err := fastjson.ValidateBytes(line); err != nil {
 		return nil, fmt.Errorf("malformed JSON: %w", err)
@@ -60,6 +60,8 @@
 	return l.buf, nil
 }
 
+// part handles one instance's part of a batch and appends its actions to the reply. first tells whether the reply has no
+// part yet; the new value is returned.
 func (l *link) part(now time.Duration, f *config.Fields, first bool) (bool, error) {
 	f.Need("i")
 	f.Need("events")
@@ -140,7 +142,7 @@
 	return false, nil
 }
 
-// outcome reads how a run or a call ended.
+// outcome reads the outcome of an attempt or a downstream call.
 func outcome(f *config.Fields, key string) policy.Outcome {
 	f.Need(key)
 	n := f.Integer(key)
@@ -154,7 +156,7 @@
 var outcomes = [...]policy.Outcome{policy.OK, policy.Failed, policy.Full, policy.TimedOut,
 	policy.Unreached, policy.CutOff, policy.Cancelled, policy.Moot}
 
-// event maps one event; nil stands for one that this wire's text does not know.
+// event converts one event. It returns nil for an unknown kind, which is logged once.
 func (l *link) event(kind string, f *config.Fields) policy.Event {
 	switch kind {
 	case "req":
@@ -186,7 +188,7 @@
 		for _, v := range f.List("metrics") {
 			x, err := v.Float64()
 			if err != nil {
-				x = -1 // a gauge that is not told
+				x = -1 // the gauge has no value
 			}
 			gauges = append(gauges, x)
 		}
--- a/cmd/adapter/encode.go
+++ b/cmd/adapter/encode.go
@@ -9,12 +9,13 @@
 	"puffinsaddle/policy"
 )
 
+// appendText appends a JSON string.
 func appendText(b []byte, s string) []byte {
-	q, _ := json.Marshal(s) // a string always has a JSON form
+	q, _ := json.Marshal(s) // a string can always be encoded
 	return append(b, q...)
 }
 
-// open starts an action that names a request.
+// open appends the beginning of an action on a request, up to the request id.
 func open(b []byte, name string, id policy.ID) []byte {
 	b = append(b, `{"`...)
 	b = append(b, name...)
@@ -22,12 +23,13 @@
 	return strconv.AppendUint(b, uint64(id), 10)
 }
 
+// span appends a duration in nanoseconds after its key.
 func span(b []byte, key string, d time.Duration) []byte {
 	b = append(b, key...)
 	return strconv.AppendInt(b, int64(d), 10)
 }
 
-// appendAction writes one action in the wire's form.
+// appendAction appends one action in the wire format.
 func appendAction(b []byte, a policy.Action) []byte {
 	switch a := a.(type) {
 	case policy.Start:
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter speaks the bench's wire on standard input and output for the decision module.
+// Command adapter connects the decision module to the simulator: it reads batches of events as lines of JSON from
+// standard input and writes the module's actions to standard output.
 package main
 
 import (
@@ -16,7 +17,7 @@
 	}
 }
 
-// run answers each line of in with one line on out, until in ends.
+// run writes one line to out for each line of in, until in ends.
 func run(in io.Reader, out, log io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<16)
 	w := bufio.NewWriterSize(out, 1<<16)
@@ -42,7 +43,7 @@
 	}
 }
 
-// readLine reads a line of any length; the slice is good until the next call where the line is short.
+// readLine reads a line of any length. The slice is valid until the next call.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -53,11 +53,11 @@
 		t.Fatal(err)
 	}
 	if got := strings.Count(out, `{"begin":{"rid":5}}`); got != 2 {
-		t.Errorf("the new life has to know nothing of the old: %d starts in %q", got, out)
+		t.Errorf("a new instance must keep nothing of the old one: %d starts in %q", got, out)
 	}
 }
 
-// manyCallers opens a small machine in a large fleet.
+// manyCallers returns a line that enlists a small server in a large fleet, with an idle timeout.
 func manyCallers() string {
 	return strings.NewReplacer(`"callers":3`, `"callers":950,"idle":25000000000,"heardFor":1000000000`, `"nCores":6`, `"nCores":2`,
 		`"runMemFactor":4.0`, `"runMemFactor":15.0`, `"say":"none"`, `"say":"level"`, `"servers":12`, `"servers":280`).Replace(enlist)
@@ -70,10 +70,10 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(out, `{"idle":{"span":`) {
-		t.Errorf("no idle span in %q", out)
+		t.Errorf("no idle timeout in %q", out)
 	}
 	if out, _, _ = feed(t, enlist+request+tick); strings.Contains(out, `{"idle":{"span":`) {
-		t.Errorf("an idle span where the callers' own was not told: %q", out)
+		t.Errorf("an idle timeout where that of the callers is not set: %q", out)
 	}
 }
 
@@ -146,7 +146,8 @@
 	}
 }
 
-// sharedBelow is a server whose calls go to what all servers share, with credit and work that can be paused.
+// sharedBelow returns a line that enlists a server whose downstream is shared by all servers, with credit hints and
+// work that can be paused.
 func sharedBelow() string {
 	return strings.NewReplacer(`"downstream":"tier"`, `"downstream":"shared","callsOver":5000000000,"linger":200000000`,
 		`"callsOut":0.0`, `"callsOut":0.05`, `[0.3,0.0]`, `[0.0,0.0]`, `"halt":"none"`, `"halt":"pause"`,
@@ -172,11 +173,11 @@
 		}
 		runs, calls := strings.Count(out, "begin"), strings.Count(out, "askBelow")
 		if calls != runs || runs == 0 || (runs == 8) != c.all {
-			t.Errorf("want all of 8 runs to start: %v; %d calls for %d runs", c.all, calls, runs)
+			t.Errorf("all of 8 requests must start: %v; got %d calls for %d runs", c.all, calls, runs)
 		}
 	}
 	if _, _, err := feed(t, strings.Replace(enlist, `"halt":"none"`, `"halt":"maybe"`, 1)); err == nil {
-		t.Error("an unknown halt is no fault")
+		t.Error("an unknown halt is not an error")
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where configuration is read, checked and given defaults: the platform's
-// RELAY_ variables and JSON file, and the operator's file. Messages name the faulty key.
+// Package config reads, validates and completes all configuration: the platform's RELAY_ variables and JSON file,
+// and the operator's YAML file. Error messages name the faulty key.
 package config
 
 import (
@@ -14,42 +14,43 @@
 	"puffinsaddle/policy"
 )
 
-// Defaults, for what the platform's file leaves out.
+// Defaults for keys that the platform's file omits.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192.0
 	defaultSockets  = 1024
 	defaultStopMs   = 3000.0
 
-	spareSockets = 64 // descriptors for the executor, the vault, logs and the rest
+	spareSockets = 64 // descriptors reserved for the executor, the vault, logs and everything else
 
-	OperatorConns = 16 // calls of operators open at once
+	// OperatorConns is the maximum number of concurrent operator connections.
+	OperatorConns = 16
 
-	operatorFile = "PUFFINSADDLE_OPERATOR" // names the operator's file
-	laboratory   = "PUFFINSADDLE_LAB"      // set by the laboratory for what it starts
+	operatorFile = "PUFFINSADDLE_OPERATOR" // path of the operator's file
+	laboratory   = "PUFFINSADDLE_LAB"      // set by the lab for the processes that it starts
 )
 
-// Config is all that the program is told.
+// Config is the complete configuration of one process.
 type Config struct {
 	Name     string
-	Listen   string // where routers connect
-	Executor string // empty only where the operator's file names another runner
-	Members  string // empty: no reports
-	Vault    string // empty: nothing below to call
+	Listen   string // address for routers
+	Executor string // address; empty only where the operator's file configures another runner
+	Members  string // address of the membership service; empty: no reports
+	Vault    string // address; empty: there is no downstream
 	Seed     uint64
-	StopMs   float64 // from the notice to drain to the kill
+	StopMs   float64 // from the drain notice to the kill
 	Cores    float64
 	MemoryMB float64
-	Sockets  int
+	Sockets  int // limit on file descriptors
 	Settings policy.Settings
 	Operator Operator
 
-	OperatorListen string          // where operators call; empty: nowhere
-	keys           map[string]bool // of the file
-	Private        string          // a folder of this server's own; empty: none
+	OperatorListen string          // address for operators; empty: none
+	keys           map[string]bool // key paths present in the platform's file
+	Private        string          // a directory that only this server uses; empty: none
 }
 
-// Load reads the configuration that the environment names.
+// Load reads the configuration files that the environment names, and applies the environment's overrides.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("RELAY_CONFIG")
 	if path == "" {
@@ -63,7 +64,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	// The variables repeat the file; where they differ, what the process was started with counts.
+	// The variables repeat the file; where they differ, the environment takes precedence.
 	if v := getenv("RELAY_NAME"); v != "" {
 		c.Name = v
 	}
@@ -74,20 +75,20 @@
 		c.OperatorListen = v
 	}
 	c.Private = getenv("TMPDIR")
-	// Not under the platform's prefix: it may name a variable of its own so, with something else in it, and a
-	// program that takes that for its file's path never starts.
+	// This variable has no RELAY_ prefix: the platform could define one of the same name with another meaning, and
+	// the program would fail to start when it took that value for a path.
 	if v := getenv(operatorFile); v != "" {
 		if c.Operator, err = LoadOperator(v); err != nil {
 			return nil, err
 		}
-		if c.Operator.Lab != (Lab{}) && getenv(laboratory) == "" { // a file of the laboratory's that was left lying about
-			return nil, fmt.Errorf(`%s: "lab" is set, and this process is not the laboratory's (%s)`, v, laboratory)
+		if c.Operator.Lab != (Lab{}) && getenv(laboratory) == "" { // a leftover file of the lab
+			return nil, fmt.Errorf(`%s: "lab" is set, but this process was not started by the lab (%s is not set)`, v, laboratory)
 		}
 	}
 	return c, c.check()
 }
 
-// Parse reads the platform's JSON. Keys that it does not know are ignored: the platform may add some.
+// Parse reads the platform's JSON. Unknown keys are ignored, because the platform may add some.
 func Parse(text []byte) (*Config, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -136,7 +137,7 @@
 	return c, nil
 }
 
-// RouterSockets is how many descriptors connections of routers may use.
+// RouterSockets returns the number of descriptors available for router connections.
 func (c *Config) RouterSockets() int {
 	most := c.Sockets - min(spareSockets, c.Sockets/4)
 	if c.OperatorListen != "" {
@@ -175,9 +176,9 @@
 		return errors.New(`config: "stop_ms" must be 0 or more`)
 	}
 	if c.Listen != "" && c.RouterSockets() < c.Sockets/2 {
-		return errors.New("uwsgi.connections: takes descriptors that routers may need, who use half of limits.sockets")
+		return errors.New("uwsgi.connections: leaves less than half of limits.sockets for router connections")
 	}
-	// A probe of the module's own check, so that a faulty setting is named before anything listens.
+	// Runs the policy module's own validation, so that a faulty setting is reported before any listener opens.
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return fmt.Errorf(`config: "settings": %w`, err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -35,7 +35,7 @@
 		t.Errorf("read %+v", c)
 	}
 	if c.Operator.UWSGI.Listen != "" || c.Operator.Store.Listen != "" || c.Operator.Inventory.Path != "" {
-		t.Errorf("something of the operator's is on by default: %+v", c.Operator)
+		t.Errorf("operator settings are enabled by default: %+v", c.Operator)
 	}
 	c, err = load(t, good, "uwsgi:\n  listen: 127.0.0.1:3030\n  read_ms: 500\nstore: {listen: '127.0.0.1:0', dir: /tmp/x, peers: {n3: '127.0.0.1:1'}}\n", nil)
 	if err != nil || c.Operator.UWSGI.ReadMs != 500 || c.Operator.UWSGI.MaxBody != 64<<10 || c.Operator.Store.Dir != "/tmp/x" {
@@ -43,7 +43,7 @@
 	}
 }
 
-// The platform has a variable of that name, with an address in it; it is not our file.
+// The platform's RELAY_OPERATOR holds an address. It must not be read as the path of the operator's file.
 func TestPlatformVariablesAreNotTakenForOurs(t *testing.T) {
 	c, err := load(t, good, "", map[string]string{"RELAY_OPERATOR": "127.0.0.1:19000"})
 	if err != nil || c.OperatorListen != "127.0.0.1:19000" {
@@ -82,8 +82,8 @@
 		{"", "", "store: {listen: ':1', dir: x, election_ms: 10}", "store.election_ms must be from 100 to 60000, not 10"},
 		{"", "", "store: {listen: ':1', dir: x, election_ms: .nan}", "store.election_ms must be from 100 to 60000"},
 		{"", "", "store: {listen: ':1', dir: x, peers: {b: y}}", "store.peers.b"},
-		{"", "", "store: {listen: ':1', dir: x, peers: {a: 'a:1', b: 'b:1'}}", "store.peers names 2 nodes"},
-		{"", "", "store: {listen: ':1', dir: x, id: b, peers: {a: 'a:1'}}", "store.peers: b, this node's own id"},
+		{"", "", "store: {listen: ':1', dir: x, peers: {a: 'a:1', b: 'b:1'}}", "store.peers names 2 replicas"},
+		{"", "", "store: {listen: ':1', dir: x, id: b, peers: {a: 'a:1'}}", "store.peers: b, this replica's own id"},
 		{"", "", "inventory: {group: g}", "inventory.path"},
 	} {
 		if _, err := load(t, strings.Replace(good, c.old, c.new, 1), c.operator, nil); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// A file that comes after another has all of its keys, in every class; it may have more, and other classes.
+// A replacement configuration must have every key of the old one, in every class. It may have further keys and classes.
 func TestReplacingFileLacksNothing(t *testing.T) {
 	old, err := Parse([]byte(good))
 	if err != nil {
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -8,26 +8,26 @@
 	"puffinsaddle/internal/distribution"
 )
 
-// Distribution sets up an order server's watch of the configuration. Without relays it is off.
+// Distribution configures how an order server watches the records. It is disabled without relays.
 type Distribution struct {
 	Zone   string               `yaml:"zone"`
 	Region string               `yaml:"region"`
 	Relays []distribution.Relay `yaml:"relays"`
-	Path   string               `yaml:"path"` // of the copy on the server's own disk; empty: none is kept
+	Path   string               `yaml:"path"` // file of the configuration replica on the server's disk; empty: none
 }
 
-// Relay sets up the command relay.
+// Relay configures the command relay.
 type Relay struct {
 	Name      string            `yaml:"name"`
-	Region    string            `yaml:"region"` // where it stands, as operators see it
+	Region    string            `yaml:"region"` // location, as shown to operators
 	Listen    string            `yaml:"listen"`
-	Figures   string            `yaml:"figures"`   // an address that tells the relay's figures over HTTP; empty: none
-	Copies    map[string]string `yaml:"copies"`    // id and address of each copy of the store, as this relay reaches it
-	Elsewhere []string          `yaml:"elsewhere"` // relays, by name or address, that watchers may try where this one is full
-	Path      string            `yaml:"path"`      // of the copy on the relay's own disk; empty: none is kept
-	Watchers  int               `yaml:"watchers"`  // served at once
-	Snapshots int               `yaml:"snapshots"` // sent at once
-	MemoryMB  float64           `yaml:"memory_mb"` // from which the collector works harder; 0: no bound
+	Figures   string            `yaml:"figures"`   // address of the relay's HTTP metrics; empty: none
+	Copies    map[string]string `yaml:"copies"`    // store replicas: id to address, as this relay reaches it
+	Elsewhere []string          `yaml:"elsewhere"` // relays, by name or address, offered to watchers when this one is full
+	Path      string            `yaml:"path"`      // file of the configuration replica on the relay's disk; empty: none
+	Watchers  int               `yaml:"watchers"`  // maximum served concurrently
+	Snapshots int               `yaml:"snapshots"` // maximum sent concurrently
+	MemoryMB  float64           `yaml:"memory_mb"` // soft limit for the garbage collector; 0: none
 }
 
 var defaultRelay = Relay{Watchers: distribution.DefaultLimits.Watchers, Snapshots: distribution.DefaultLimits.Snapshots}
@@ -37,7 +37,7 @@
 func (d Distribution) check(o Operator) error {
 	if len(d.Relays) == 0 {
 		if d.Path != "" || d.Zone != "" {
-			return errors.New("distribution.relays is missing, and other keys of distribution are set")
+			return errors.New("distribution.relays is missing, but other keys of distribution are set")
 		}
 		return nil
 	}
@@ -45,7 +45,7 @@
 	case d.Zone == "":
 		return errors.New("distribution.zone is missing")
 	case o.Duties.Publish.Manifest != "":
-		return errors.New("distribution.relays is set, and so is duties.publish.manifest: settings can come one way only")
+		return errors.New("distribution.relays and duties.publish.manifest are both set: settings must have a single source")
 	}
 	if err := distribution.CheckRelays(d.Relays); err != nil {
 		return fmt.Errorf("distribution.relays%w", err)
@@ -53,13 +53,13 @@
 	return nil
 }
 
-// On tells whether the file sets a relay up.
+// On reports whether a relay is configured.
 func (r Relay) On() bool { return r.Listen != "" }
 
 func (r Relay) check() error {
 	if !r.On() {
 		if len(r.Copies) > 0 {
-			return errors.New("relay.listen is missing, and relay.copies is set")
+			return errors.New("relay.listen is missing, but relay.copies is set")
 		}
 		return nil
 	}
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -14,63 +14,64 @@
 	"puffinsaddle/internal/duty"
 )
 
-// Duties set up what one order server holds at a time. Without copies nothing is held.
+// Duties configures the tasks that one order server holds at a time. They are disabled without store replicas.
 type Duties struct {
-	Copies   map[string]string `yaml:"copies"`   // id and address of each copy of the store, as this server reaches it
-	Sessions int               `yaml:"sessions"` // at a copy: order servers that it serves at once
-	Renew    float64           `yaml:"renew_ms"`
-	Rate     float64           `yaml:"clock_rate"` // clocks run at 1 less and 1 more this part of true time, at worst
-	Margin   float64           `yaml:"margin_ms"`
-	Cool     float64           `yaml:"cool_ms"`
-	ColdWait float64           `yaml:"cold_wait_ms"`
-	Presence float64           `yaml:"presence_ms"`
+	Copies   map[string]string `yaml:"copies"`       // store replicas: id to address, as this server reaches it
+	Sessions int               `yaml:"sessions"`     // maximum number of order servers that one store replica serves
+	Renew    float64           `yaml:"renew_ms"`     // maximum interval between heartbeats, which renew leases
+	Rate     float64           `yaml:"clock_rate"`   // maximum clock drift: clocks run at 1-rate to 1+rate of true time
+	Margin   float64           `yaml:"margin_ms"`    // a holder stops this much before its lease ends
+	Cool     float64           `yaml:"cool_ms"`      // a server is no candidate for a duty this long after it lost it or gave it up
+	ColdWait float64           `yaml:"cold_wait_ms"` // a duty stays this long without a holder if only cold servers are candidates
+	Presence float64           `yaml:"presence_ms"`  // TTL of a server's presence
 	List     []Duty            `yaml:"list"`
 	Allot    Allot             `yaml:"allot"`
 	Publish  Publish           `yaml:"publish"`
 	Settle   Settle            `yaml:"settle"`
-	MarkMs   float64           `yaml:"mark_ms"` // duties without work of their own count one up so often
+	MarkMs   float64           `yaml:"mark_ms"` // interval at which a duty without a task of its own increments its counter
 }
 
-// Duty is one duty.
+// Duty is one duty and the TTL of its lease.
 type Duty struct {
 	Name string  `yaml:"name"`
 	TTL  float64 `yaml:"ttl_ms"`
 }
 
-// Allot sets up the allotter, whose duty has to be on the list. Without Whole the settings say what may be used below.
+// Allot configures the allotter, whose duty must be on the list. Without Whole, the settings determine each server's
+// downstream share.
 type Allot struct {
-	Whole   float64 `yaml:"whole"`   // calls in hand that may be below at once, of all servers
-	Alone   float64 `yaml:"alone"`   // that a server may have without a share
-	Servers int     `yaml:"servers"` // processes alive at once, replacements counted
+	Whole   float64 `yaml:"whole"`   // downstream calls in flight, over all servers
+	Alone   float64 `yaml:"alone"`   // calls that a server may have in flight without a share
+	Servers int     `yaml:"servers"` // processes alive at once, including replacements
 	EveryMs float64 `yaml:"every_ms"`
 }
 
-// Room is the same in thousandths.
+// Room returns the same limits in units of allot.Unit to one call.
 func (a Allot) Room() allot.Room {
 	return allot.Room{Whole: int64(a.Whole * allot.Unit), Alone: int64(a.Alone * allot.Unit), Servers: a.Servers}
 }
 
-// Publish sets up the publisher.
+// Publish configures the publisher.
 type Publish struct {
-	Manifest string  `yaml:"manifest"` // a file as sha256sum writes it; its files are published
+	Manifest string  `yaml:"manifest"` // a file in sha256sum's format; the files that it lists are published
 	EveryMs  float64 `yaml:"every_ms"`
 }
 
-// Settle sets up the settler.
+// Settle configures the settler, which resolves orphaned effects.
 type Settle struct {
-	KeepMs  float64 `yaml:"keep_ms"` // effects are remembered for so long, at least
+	KeepMs  float64 `yaml:"keep_ms"` // minimum retention period of effects
 	EveryMs float64 `yaml:"every_ms"`
 }
 
-// Plants are the bugs that the laboratory can plant.
+// Plants lists the bugs that the lab can inject.
 var Plants = slices.Concat(duty.Plants, admit.Plants, distribution.Plants)
 
-// Lab is set by the laboratory alone.
+// Lab holds the settings that only the lab may use.
 type Lab struct {
-	Trace string  `yaml:"trace"`      // a file for what the process believed and did
-	Rate  float64 `yaml:"clock_rate"` // of the process's clocks
-	Plant string  `yaml:"plant"`      // a planted bug
-	Calls bool    `yaml:"calls"`      // the operators' address takes the laboratory's calls
+	Trace string  `yaml:"trace"`      // file for the trace of what the process observed and did
+	Rate  float64 `yaml:"clock_rate"` // speed of the process's clocks relative to true time
+	Plant string  `yaml:"plant"`      // injected bug; empty: none
+	Calls bool    `yaml:"calls"`      // serve the lab's fault-injection calls on the operators' address
 }
 
 var defaultDuties = Duties{Sessions: 1024, Renew: 500, Rate: 0.1, Margin: 50, Cool: 5000, ColdWait: 10000, Presence: 3000, MarkMs: 1000,
@@ -82,13 +83,13 @@
 	settler     = "settler"
 	mostCopies  = 7
 	mostDuties  = 64
-	leastEffect = 60e3 // ms; callers wait less, so a try under an id that was forgotten can't come
+	leastEffect = 60e3 // callers wait for less time, so no attempt can arrive under a deleted id
 )
 
-// On tells whether duties are set up.
+// On reports whether duties are configured.
 func (d Duties) On() bool { return len(d.Copies) > 0 }
 
-// Rules are the terms that both sides have to agree on.
+// Rules returns the lease rules that servers and store replicas must agree on.
 func (d Duties) Rules() duty.Rules {
 	r := duty.Rules{Bounds: duty.Bounds{Rate: d.Rate, Margin: d.Margin}, Renew: d.Renew, Cool: d.Cool, ColdWait: d.ColdWait, Presence: d.Presence}
 	for _, t := range d.List {
@@ -104,7 +105,7 @@
 func (d Duties) check(st Store) error {
 	if !d.On() {
 		if len(d.List) > 0 {
-			return errors.New("duties.copies is missing, and duties.list is set")
+			return errors.New("duties.copies is missing, but duties.list is set")
 		}
 		return nil
 	}
@@ -120,7 +121,7 @@
 		}
 	}
 	if n := len(st.Peers); n > 0 && n != len(d.Copies) {
-		return fmt.Errorf("duties.copies names %d copies, and store.peers %d", len(d.Copies), n)
+		return fmt.Errorf("duties.copies names %d replicas, but store.peers %d", len(d.Copies), n)
 	}
 	if err := d.Rules().Check(); err != nil {
 		return fmt.Errorf("duties.%w", err)
@@ -128,7 +129,7 @@
 	positive := func(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
 	switch {
 	case len(d.List) > mostDuties:
-		return fmt.Errorf("duties.list has %d duties, %d at most", len(d.List), mostDuties)
+		return fmt.Errorf("duties.list has %d duties; the maximum is %d", len(d.List), mostDuties)
 	case d.Sessions < 1 || d.Sessions > 1<<16:
 		return fmt.Errorf("duties.sessions must be from 1 to %d", 1<<16)
 	case !(d.Presence > 0):
@@ -144,7 +145,7 @@
 	case !(d.Settle.KeepMs >= leastEffect) || math.IsInf(d.Settle.KeepMs, 0):
 		return fmt.Errorf("duties.settle.keep_ms must be %.0f or more", leastEffect)
 	case d.Publish.Manifest != "" && !d.has(publisher):
-		return errors.New("duties.list has no publisher, and duties.publish.manifest is set")
+		return errors.New("duties.list has no publisher, but duties.publish.manifest is set")
 	}
 	if a := d.Allot; a != (Allot{EveryMs: a.EveryMs}) {
 		if !positive(a.Whole) || !(a.Alone >= 0) || math.IsInf(a.Alone, 0) || a.Whole > 1e9 {
@@ -154,13 +155,13 @@
 			return fmt.Errorf("duties.allot.%w", err)
 		}
 		if !d.has(allotter) {
-			return errors.New("duties.list has no allotter, and duties.allot is set")
+			return errors.New("duties.list has no allotter, but duties.allot is set")
 		}
 	}
 	return nil
 }
 
-// Bounds of store.election_ms.
+// Bounds of store.election_ms, in milliseconds.
 const (
 	leastElection = 100
 	mostElection  = 60000
@@ -183,16 +184,16 @@
 		return fmt.Errorf("store.compare_ms must be above 0, not %v", st.CompareMs)
 	}
 	if len(st.Peers) == 0 {
-		return errors.New("store.peers is missing: a copy asks the others before it takes part")
+		return errors.New("store.peers is missing: a replica queries the others before it takes part")
 	}
 	if err := addresses("store.peers", st.Peers); err != nil {
 		return err
 	}
 	if n := len(st.Peers); n%2 == 0 {
-		return fmt.Errorf("store.peers names %d nodes: it takes an odd number, so that one more than half is as few as can be", n)
+		return fmt.Errorf("store.peers names %d replicas: the number must be odd, so that a majority is as small as possible", n)
 	}
 	if st.ID != "" && st.Peers[st.ID] == "" {
-		return fmt.Errorf("store.peers: %s, this node's own id, is missing", st.ID)
+		return fmt.Errorf("store.peers: %s, this replica's own id, is missing", st.ID)
 	}
 	if err := addresses("store.via", st.Via); err != nil {
 		return err
@@ -205,7 +206,7 @@
 	return nil
 }
 
-// addresses checks a list of addresses by id, each of which may stand once.
+// addresses checks addresses by id: each must have a port and be unique.
 func addresses(key string, of map[string]string) error {
 	first := map[string]string{}
 	for _, id := range slices.Sorted(maps.Keys(of)) {
@@ -214,17 +215,18 @@
 			return fmt.Errorf("%s.%s: %w", key, id, err)
 		}
 		if other, twice := first[at]; twice {
-			return fmt.Errorf("%s.%s: %s is the address of %s already", key, id, at, other)
+			return fmt.Errorf("%s.%s: %s is already the address of %s", key, id, at, other)
 		}
 		first[at] = id
 	}
 	return nil
 }
 
-// majority refuses a number of copies of which no majority outlives the loss of one, or that a cut can halve.
+// majority rejects a number of replicas that is too small to keep a majority after the loss of one, or even, so that a
+// network partition can split it into equal halves.
 func majority(key string, n int) error {
 	if n < 3 || n%2 == 0 || n > mostCopies {
-		return fmt.Errorf("%s names %d copies: only 3, 5 or 7 have a majority that outlives the loss of one", key, n)
+		return fmt.Errorf("%s names %d replicas: the number must be 3, 5 or 7, so that a majority survives the loss of one", key, n)
 	}
 	return nil
 }
@@ -234,7 +236,7 @@
 		return errors.New("lab.clock_rate must be from 0 to 10")
 	}
 	if l.Plant != "" && !slices.Contains(Plants, l.Plant) {
-		return fmt.Errorf("lab.plant: there is no %q", l.Plant)
+		return fmt.Errorf("lab.plant: unknown bug %q", l.Plant)
 	}
 	return nil
 }
--- a/internal/config/duties_test.go
+++ b/internal/config/duties_test.go
@@ -31,17 +31,17 @@
 		{`{name: allotter, ttl_ms: 3000}`, `{name: allotter, ttl_ms: .nan}`, "duties.list[0].ttl_ms must be above 0, not NaN"},
 		{`{name: allotter, ttl_ms: 3000}`, `{name: allotter, ttl_ms: 1000}`, "duties.list[0].ttl_ms of 1000 ms leaves a holder 850 ms"},
 		{`{name: allotter, ttl_ms: 3000}`, `{name: allotter, ttl: 3000}`, "field ttl not found"},
-		{`{name: allotter, ttl_ms: 3000}, `, ``, "duties.list has no allotter, and duties.allot is set"},
+		{`{name: allotter, ttl_ms: 3000}, `, ``, "duties.list has no allotter, but duties.allot is set"},
 		{`, {name: publisher, ttl_ms: 3000}`, ``, "duties.list has no publisher"},
 		{`whole: 40`, `whole: 10`, "duties.allot.alone: 1 for each of 20 servers is over the whole of 10"},
 		{`whole: 40`, `whole: .inf`, "duties.allot.whole must be above 0"},
 		{`servers: 20`, `servers: 0`, "duties.allot.servers must be 1 or more"},
 		{"  copies: {n1: \"127.0.0.1:7400\", n2: \"127.0.0.1:7401\", n3: \"127.0.0.1:7402\"}\n", "", "duties.copies is missing"},
-		{"n3: \"127.0.0.1:7402\"}\n  list", "n3: \"127.0.0.1:7401\"}\n  list", "duties.copies.n3: 127.0.0.1:7401 is the address of n2 already"},
-		{", n3: \"127.0.0.1:7402\"}\n  list", "}\n  list", "duties.copies names 2 copies: only 3, 5 or 7 have a majority"},
+		{"n3: \"127.0.0.1:7402\"}\n  list", "n3: \"127.0.0.1:7401\"}\n  list", "duties.copies.n3: 127.0.0.1:7401 is already the address of n2"},
+		{", n3: \"127.0.0.1:7402\"}\n  list", "}\n  list", "duties.copies names 2 replicas: the number must be 3, 5 or 7, so that a majority"},
 		{"n3: \"127.0.0.1:7402\"}\n  list", "n4: \"127.0.0.1:7402\"}\n  list", "duties.copies: n3 of store.peers is missing"},
 		{"n3: \"127.0.0.1:7402\"}\n  list", "n3: nowhere}\n  list", "duties.copies.n3: address nowhere"},
-		{"n3: \"127.0.0.1:7402\"}}\n", "n3: \"127.0.0.1:7401\"}}\n", "store.peers.n3: 127.0.0.1:7401 is the address of n2 already"},
+		{"n3: \"127.0.0.1:7402\"}}\n", "n3: \"127.0.0.1:7401\"}}\n", "store.peers.n3: 127.0.0.1:7401 is already the address of n2"},
 		{"dir: x", "dir: x, via: {n9: \"127.0.0.1:1\"}", "store.via.n9: no such peer"},
 		{"  publish:", "  settle: {keep_ms: 5}\n  publish:", "duties.settle.keep_ms must be 60000 or more"},
 		{"  publish:", "  sessions: 0\n  publish:", "duties.sessions must be from 1"},
@@ -51,7 +51,7 @@
 	} {
 		text := strings.Replace(dutiesText, c.old, c.now, 1)
 		if text == dutiesText {
-			t.Fatalf("%q changes nothing", c.old)
+			t.Fatalf("replacing %q changes nothing", c.old)
 		}
 		if _, err := ParseOperator([]byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %s", c.now, err, c.want)
@@ -59,7 +59,7 @@
 	}
 }
 
-// A file that the laboratory wrote, with a planted bug in it, is no operator's.
+// A file of the lab, which may inject a bug, must not be accepted by a process that the lab did not start.
 func TestLaboratoryFilesAreRefusedElsewhere(t *testing.T) {
 	file := "lab: {plant: unfenced}\n"
 	if _, err := load(t, good, file, nil); err == nil || !strings.Contains(err.Error(), `"lab" is set`) {
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -10,20 +10,21 @@
 	"puffinsaddle/policy"
 )
 
-// Fields reads the members of one object and keeps the first fault.
+// Fields reads the members of one JSON object and keeps the first error.
 type Fields struct {
 	V    *fastjson.Value
-	What string // names the object in messages
-	Err  error  // the first fault
+	What string // name of the object in error messages
+	Err  error  // the first error
 }
 
+// Fail records an error about a member, unless there is one already.
 func (f *Fields) Fail(key, why string) {
 	if f.Err == nil {
 		f.Err = fmt.Errorf("%s: %q %s", f.What, key, why)
 	}
 }
 
-// Get returns a member, or nil where it is absent or null.
+// Get returns a member, or nil if it is absent or null.
 func (f *Fields) Get(key string) *fastjson.Value {
 	v := f.V.Get(key)
 	if v == nil || v.Type() == fastjson.TypeNull {
@@ -32,12 +33,14 @@
 	return v
 }
 
+// Need records an error if the member is absent or null.
 func (f *Fields) Need(key string) {
 	if f.Get(key) == nil {
 		f.Fail(key, "is missing")
 	}
 }
 
+// Integer returns a whole number, or 0 if the member is absent.
 func (f *Fields) Integer(key string) int64 {
 	v := f.Get(key)
 	if v == nil {
@@ -50,6 +53,7 @@
 	return n
 }
 
+// Number returns a finite number, or 0 if the member is absent.
 func (f *Fields) Number(key string) float64 {
 	v := f.Get(key)
 	if v == nil {
@@ -62,9 +66,10 @@
 	return n
 }
 
+// Span returns a duration that is given in nanoseconds, or 0 if the member is absent.
 func (f *Fields) Span(key string) time.Duration { return time.Duration(f.Integer(key)) }
 
-// Text takes a string; the number 0 stands for none.
+// Text returns a string, or "" if the member is absent or the number 0.
 func (f *Fields) Text(key string) string {
 	v := f.Get(key)
 	if v == nil {
@@ -80,6 +85,7 @@
 	return string(b)
 }
 
+// Flag returns a boolean, or false if the member is absent.
 func (f *Fields) Flag(key string) bool {
 	v := f.Get(key)
 	if v == nil {
@@ -92,6 +98,7 @@
 	return b
 }
 
+// ID returns a request id, or 0 if the member is absent.
 func (f *Fields) ID(key string) policy.ID {
 	n := f.Integer(key)
 	if n < 0 || n > math.MaxUint32 {
@@ -100,6 +107,7 @@
 	return policy.ID(n)
 }
 
+// List returns the items of an array, or nil if the member is absent.
 func (f *Fields) List(key string) []*fastjson.Value {
 	v := f.Get(key)
 	if v == nil {
@@ -112,6 +120,7 @@
 	return a
 }
 
+// Object returns the Fields of a nested object, which must be present.
 func (f *Fields) Object(key string) *Fields {
 	v := f.Get(key)
 	if v == nil {
@@ -123,7 +132,7 @@
 	return &Fields{V: v, What: f.What + "." + key}
 }
 
-// Seed takes any whole number, of either sign.
+// Seed returns 64 bits from a whole number of either sign, or 0 if the member is absent.
 func (f *Fields) Seed(key string) uint64 {
 	v := f.Get(key)
 	if v == nil {
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -7,8 +7,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// Replaces tells whether the file may come after the one in force: it must have every key of that. Guards against a
-// file that lost a part and would put defaults into force while requests are open.
+// Replaces returns an error unless this configuration has every key of old, the one in force. A truncated file would
+// otherwise replace settings with defaults while requests are in flight.
 func (c *Config) Replaces(old *Config) error {
 	var gone []string
 	for k := range old.keys {
@@ -23,7 +23,7 @@
 	return fmt.Errorf("config: %q is missing, and the file in force has it", gone[0])
 }
 
-// keysOf lists the paths of all members. Of an array's objects it lists what all of them have.
+// keysOf collects the paths of all members of v that are not null. For an array it collects the paths that every item has.
 func keysOf(v *fastjson.Value, path string, into map[string]bool) {
 	switch v.Type() {
 	case fastjson.TypeObject:
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -10,7 +10,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Operator is what an operator's file under deploy/ adds. All of it is off on the platform.
+// Operator is the content of an operator's file, as in deploy/. On the platform there is none, and all of it is disabled.
 type Operator struct {
 	UWSGI     UWSGI     `yaml:"uwsgi"`
 	Store     Store     `yaml:"store"`
@@ -21,40 +21,40 @@
 	Distribution Distribution `yaml:"distribution"`
 	Relay        Relay        `yaml:"relay"`
 
-	Text []byte `yaml:"-"` // the file, as it is kept in the store
+	Text []byte `yaml:"-"` // the file's content, which is kept in the store
 }
 
-// Store sets up the replicated store. Without it nothing is kept and effects are remembered in memory.
+// Store configures the replicated store. Without it no state is kept on disk and the effect log is in memory.
 type Store struct {
-	ID        string            `yaml:"id"`     // empty: the program's name
-	Listen    string            `yaml:"listen"` // empty: no store
-	Dir       string            `yaml:"dir"`
-	Peers     map[string]string `yaml:"peers"`       // id and address of each node, this one included
-	Via       map[string]string `yaml:"via"`         // by id: another address at which this node reaches that one
-	CompareMs float64           `yaml:"compare_ms"`  // between two parts of the state that copies compare
-	Election  float64           `yaml:"election_ms"` // a leader that is not heard for so long, up to twice that, is replaced
-	Strict    bool              `yaml:"strict"`      // more of the others have to be heard before this node takes part
+	ID        string            `yaml:"id"`          // empty: the server's name
+	Listen    string            `yaml:"listen"`      // address; empty: no store
+	Dir       string            `yaml:"dir"`         // data directory
+	Peers     map[string]string `yaml:"peers"`       // id to address of every replica, including this one
+	Via       map[string]string `yaml:"via"`         // by id: address at which this replica reaches that one instead
+	CompareMs float64           `yaml:"compare_ms"`  // interval between comparisons of parts of the state among replicas
+	Election  float64           `yaml:"election_ms"` // a leader not heard from for this time, up to twice this time, is replaced
+	Strict    bool              `yaml:"strict"`      // more of the other replicas must respond before this one takes part
 }
 
-// Inventory names the hosts of the site.
+// Inventory configures the list of the site's hosts.
 type Inventory struct {
 	Path  string `yaml:"path"`  // a .csv, .yml or .yaml file; empty: none
 	Group string `yaml:"group"` // hosts of this group join uwsgi.servers
-	Port  int    `yaml:"port"`  // of hosts that tell none
+	Port  int    `yaml:"port"`  // of hosts without a port of their own
 }
 
-// UWSGI sets up the second front and the runner that sends requests on to uwsgi servers.
+// UWSGI configures the uwsgi front and the runner that forwards requests to uwsgi servers.
 type UWSGI struct {
-	Listen    string   `yaml:"listen"`      // empty: no front
-	Servers   []string `yaml:"servers"`     // uwsgi servers that run the requests; none: the executor does
-	MaxBody   int      `yaml:"max_body"`    // largest body of a request, in bytes
-	MaxResult int      `yaml:"max_result"`  // largest answer of a server, in bytes
-	ReadMs    float64  `yaml:"read_ms"`     // a caller has so long to send its request
-	Conns     int      `yaml:"connections"` // connections open at once
-	KB        float64  `yaml:"kb"`          // memory booked for a request that does not tell
+	Listen    string   `yaml:"listen"`      // address; empty: no front
+	Servers   []string `yaml:"servers"`     // uwsgi servers that run the requests; none: the executor runs them
+	MaxBody   int      `yaml:"max_body"`    // of a request, in bytes
+	MaxResult int      `yaml:"max_result"`  // of a server's response, in bytes
+	ReadMs    float64  `yaml:"read_ms"`     // timeout for reading a request
+	Conns     int      `yaml:"connections"` // maximum number of open connections
+	KB        float64  `yaml:"kb"`          // memory reserved for a request that states none
 }
 
-// LoadOperator reads an operator's file; here a key that is not known is a slip of the pen.
+// LoadOperator reads an operator's file. Unknown keys are errors.
 func LoadOperator(path string) (Operator, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return o, nil
 }
 
-// ParseOperator reads, checks and completes an operator's file.
+// ParseOperator parses and validates the text of an operator's file and fills in defaults.
 func ParseOperator(text []byte) (Operator, error) {
 	o := Operator{Text: text, Inventory: Inventory{Port: 3031}, Duties: defaultDuties, Relay: defaultRelay, Store: Store{CompareMs: 1000, Election: 500}, UWSGI: UWSGI{MaxBody: 64 << 10, MaxResult: 1 << 20, ReadMs: 2000, Conns: 128, KB: 24}}
 	d := yaml.NewDecoder(bytes.NewReader(text))
@@ -103,7 +103,7 @@
 	}
 	switch {
 	case o.Inventory.Path == "" && o.Inventory.Group != "":
-		return o, errors.New("inventory.path is missing, and inventory.group is set")
+		return o, errors.New("inventory.path is missing, but inventory.group is set")
 	case o.Inventory.Port < 1 || o.Inventory.Port > 65535:
 		return o, errors.New("inventory.port must be from 1 to 65535")
 	case u.MaxBody < 0 || u.MaxBody > 16<<20:
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,7 +10,7 @@
 	"puffinsaddle/policy"
 )
 
-// Settings maps the settings of one start, as the simulator and the platform hand them out.
+// Settings converts the settings object f of the simulator or the platform. The first error is recorded in top.
 func Settings(f, top *Fields) policy.Settings {
 	x, rules, limits := f.Object("extra"), f.Object("rules"), f.Object("limits")
 	f.Need("classes")
@@ -32,7 +32,7 @@
 	if c := f.Get("clients"); c != nil {
 		s.MarksRetry = f.Object("clients").Flag("marksRetry")
 	}
-	switch x.Text("halt") { // work is never stopped, but a word that nobody knows is a fault
+	switch x.Text("halt") { // running requests are never stopped, but an unknown value is an error
 	case "", "none", "drop", "pause":
 	default:
 		x.Fail("halt", "is not known")
@@ -91,7 +91,7 @@
 	}
 	k := policy.Class{Name: c.Text("name"), Aim: c.Span("aim"), AimStretch: c.Number("aimStretch"), Deadline: c.Span("deadline"),
 		Worth: c.Number("worth"), LateValue: c.Number("lateValue"), KeyTTL: c.Span("keyTtl")}
-	// The executor's lines are of words: a name with a space or an end of line would be other words there.
+	// The executor's protocol separates words by spaces and ends lines, so a name with white space would be misread.
 	if k.Name == "" || strings.ContainsFunc(k.Name, func(r rune) bool { return unicode.IsSpace(r) || unicode.IsControl(r) }) {
 		c.Fail("name", "is not one word")
 	}
@@ -100,7 +100,7 @@
 	case "keyed":
 		k.Safety = policy.Keyed
 		if c.Need("keyTtl"); k.KeyTTL <= 0 {
-			c.Fail("keyTtl", "must be above 0 where tries are tied by a key")
+			c.Fail("keyTtl", "must be above 0 where idempotency is keyed")
 		}
 	case "unsafe":
 		k.Safety = policy.Unsafe
--- a/internal/inventory/csv.go
+++ b/internal/inventory/csv.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// ParseCSV reads a table with a header. Its columns are name, address, port, groups (parted by ;) and any
-// number of var_NAME; only name has to be there.
+// ParseCSV parses a table with a header. Its columns are name, address, port, groups (separated by semicolons) and any
+// number of var_NAME columns. Only name is required.
 func ParseCSV(path string, text []byte) (*Inventory, error) {
 	r := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(text, []byte("\ufeff"))))
 	r.TrimLeadingSpace = true
@@ -29,7 +29,7 @@
 			return nil, fmt.Errorf("%s:%d: unknown column %q", path, line, c)
 		}
 		if columns[c] {
-			return nil, fmt.Errorf("%s:%d: column %q stands twice", path, line, c)
+			return nil, fmt.Errorf("%s:%d: duplicate column %q", path, line, c)
 		}
 		columns[c] = true
 	}
@@ -43,7 +43,7 @@
 			return finish(hosts), nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", path, err) // names the line
+			return nil, fmt.Errorf("%s: %w", path, err) // err contains the line
 		}
 		line, _ := r.FieldPos(0)
 		h, err := rowHost(header, row)
@@ -82,7 +82,7 @@
 		}
 	}
 	if h.Name == "" {
-		return nil, errors.New("a host without a name")
+		return nil, errors.New("the host has no name")
 	}
 	if h.Address == "" {
 		return h, checkAddress(h.Name)
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory reads the hosts of a site as configuration tools keep them: an Ansible-style YAML file
-// (all, children, hosts, vars) or a CSV file with a header. Both give the same model.
+// Package inventory reads the hosts of a site from an Ansible-style YAML file (all, children, hosts, vars) or from a
+// CSV file with a header. Both formats have the same model.
 package inventory
 
 import (
@@ -13,21 +13,21 @@
 	"strings"
 )
 
-// Host is one machine.
+// Host is one machine of the site.
 type Host struct {
 	Name    string            `json:"name"`
-	Address string            `json:"address"` // an IP address or a host name; the name where none is told
+	Address string            `json:"address"` // an IP address or a host name; defaults to Name
 	Port    int               `json:"port,omitempty"`
-	Groups  []string          `json:"groups,omitempty"` // sorted; those that contain its groups included
+	Groups  []string          `json:"groups,omitempty"` // sorted, including the groups that contain its groups
 	Vars    map[string]string `json:"vars,omitempty"`
 }
 
-// Inventory is all hosts, in order of their names.
+// Inventory holds all hosts, sorted by name.
 type Inventory struct {
 	Hosts []*Host `json:"hosts"`
 }
 
-// Load reads a file; its ending tells the format.
+// Load reads a file, whose extension determines the format.
 func Load(path string) (*Inventory, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of a file; the ending of its name tells the format, and messages name it.
+// Parse parses the text of a file. The extension of path determines the format, and errors contain path.
 func Parse(path string, text []byte) (*Inventory, error) {
 	switch strings.ToLower(filepath.Ext(path)) {
 	case ".csv":
@@ -44,10 +44,10 @@
 	case ".yml", ".yaml":
 		return ParseYAML(path, text)
 	}
-	return nil, fmt.Errorf("inventory: %s: neither .csv nor .yml nor .yaml", path)
+	return nil, fmt.Errorf("inventory: %s: the extension must be .csv, .yml or .yaml", path)
 }
 
-// Group lists the hosts of a group; all is the group of all.
+// Group returns the hosts of a group. The group all contains every host.
 func (v *Inventory) Group(name string) []*Host {
 	var in []*Host
 	for _, h := range v.Hosts {
@@ -64,7 +64,7 @@
 	return in
 }
 
-// Endpoint is the host's address with its port, or with a given one where it has none.
+// Endpoint returns the host's address with its port, or with the given one if it has none.
 func (h *Host) Endpoint(port int) string {
 	if h.Port > 0 {
 		port = h.Port
@@ -72,7 +72,7 @@
 	return net.JoinHostPort(h.Address, strconv.Itoa(port))
 }
 
-// finish sorts what was read, so that the same hosts give the same inventory.
+// finish returns the inventory of the hosts, sorted so that equal hosts give equal inventories.
 func finish(hosts map[string]*Host) *Inventory {
 	v := &Inventory{}
 	for _, h := range hosts {
@@ -88,7 +88,7 @@
 
 var label = regexp.MustCompile(`^[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?$`)
 
-// checkAddress takes IP addresses and host names. What looks like an IPv4 address has to be one.
+// checkAddress accepts IP addresses and host names. A name of numeric parts only must be a valid IPv4 address.
 func checkAddress(s string) error {
 	if net.ParseIP(s) != nil {
 		return nil
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -55,7 +55,7 @@
 func TestFaultsNameTheirPlace(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"name,colour\nx,red\n", `i:1: unknown column "colour"`},
-		{"name,name\n", `i:1: column "name" stands twice`},
+		{"name,name\n", `i:1: duplicate column "name"`},
 		{"address\n", `i:1: no column "name"`},
 		{"name,address\na,10.0.0.1\nb,10.0.0.2\na,10.0.0.3\n", `i:4: duplicate host "a", first in line 2`},
 		{"name,address\na,10.0.0.300\n", `i:2: column "address": bad address "10.0.0.300"`},
@@ -68,7 +68,7 @@
 		{"all:\n  hosts:\n    a: {ansible_host: 1.2.3}\n", `i:3: host "a": bad address "1.2.3"`},
 		{"all:\n  hosts:\n    a: {ansible_port: x}\n", `i:3: host "a": bad port "x"`},
 		{"all:\n  hosts: [a]\n", `i:2: the hosts of group "all" must be a mapping`},
-		{"all:\n  children:\n    all: {}\n", `i:3: group "all" lies within itself`},
+		{"all:\n  children:\n    all: {}\n", `i:3: group "all" contains itself`},
 		{"all: {\n", "i: yaml"},
 	} {
 		parse := ParseCSV
--- a/internal/inventory/yaml.go
+++ b/internal/inventory/yaml.go
@@ -8,15 +8,15 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// The variables that tell where a host is.
+// Variables that hold a host's address and port.
 const (
 	varHost = "ansible_host"
 	varPort = "ansible_port"
 )
 
-// ParseYAML reads groups of hosts: at the top all, and in each group hosts, vars and children. A host may be in
-// several groups. Its own variables come before those of its groups, a group's before those of the groups round
-// it; where two say the same of one host on the same level, the later in the file counts, as Ansible has it.
+// ParseYAML parses groups of hosts: the top-level group is all, and each group may have hosts, vars and children. A
+// host may be in several groups. Its own variables override those of its groups, and a group's override those of the
+// groups that contain it. On the same level the later one in the file takes precedence, as in Ansible.
 func ParseYAML(path string, text []byte) (*Inventory, error) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
@@ -47,7 +47,7 @@
 type parser struct {
 	path  string
 	hosts map[string]*Host
-	own   map[string]map[string]string // variables given at the host itself
+	own   map[string]map[string]string // variables set at the host itself
 	lines map[string]int
 }
 
@@ -56,7 +56,7 @@
 	value *yaml.Node
 }
 
-// pairs lists the members of a mapping, which has no key twice.
+// pairs returns the members of a mapping. A duplicate key is an error.
 func (p *parser) pairs(n *yaml.Node, what string) ([]pair, error) {
 	if n.Kind == yaml.AliasNode {
 		n = n.Alias
@@ -80,10 +80,10 @@
 	return out, nil
 }
 
-// group reads one group; vars are those of the groups round it, whose names are in the way.
+// group reads one group. way holds the names of the groups that contain it, and vars their variables.
 func (p *parser) group(name, n *yaml.Node, way []string, vars map[string]string) error {
 	if slices.Contains(way, name.Value) {
-		return fmt.Errorf("%s:%d: group %q lies within itself", p.path, name.Line, name.Value)
+		return fmt.Errorf("%s:%d: group %q contains itself", p.path, name.Line, name.Value)
 	}
 	way = append(slices.Clone(way), name.Value)
 	members, err := p.pairs(n, fmt.Sprintf("group %q", name.Value))
@@ -148,10 +148,10 @@
 		h = &Host{Name: name, Vars: map[string]string{}}
 		p.hosts[name], p.own[name], p.lines[name] = h, map[string]string{}, m.key.Line
 	}
-	// A host may be listed in many groups, but two addresses are two hosts of one name.
+	// A host may be listed in several groups, but different addresses mean two hosts of the same name.
 	for _, k := range []string{varHost, varPort} {
 		if a, b := p.own[name][k], own[k]; a != "" && b != "" && a != b {
-			return fmt.Errorf("%s:%d: duplicate host %q: %s is %q here and %q before, in line %d", p.path, m.key.Line, name, k, b, a, p.lines[name])
+			return fmt.Errorf("%s:%d: duplicate host %q: %s is %q here and %q in line %d", p.path, m.key.Line, name, k, b, a, p.lines[name])
 		}
 	}
 	maps.Copy(p.own[name], own)
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// vars reads variables; what is no plain value is kept as YAML text.
+// vars reads variables. A value that is not a scalar is kept as YAML text.
 func (p *parser) vars(n *yaml.Node, what string) (map[string]string, error) {
 	members, err := p.pairs(n, what)
 	if err != nil {
@@ -189,7 +189,7 @@
 	return vars, nil
 }
 
-// place moves the variables that tell where a host is.
+// place sets the host's address and port from its variables, and removes these.
 func (p *parser) place(h *Host) error {
 	h.Address = h.Name
 	if v := h.Vars[varHost]; v != "" {
