--- a/cmd/adapter/decode.go
+++ b/cmd/adapter/decode.go
@@ -38,10 +38,10 @@
 	if v.Type() != fastjson.TypeObject {
 		return nil, errors.New("a batch must be an object")
 	}
-	f := &config.Fields{V: v, What: "batch"}
-	f.Need("simTime")
-	f.Need("parts")
-	now := f.Span("simTime")
+	f := &config.Fields{Value: v, Name: "batch"}
+	f.Require("simTime")
+	f.Require("parts")
+	now := f.Duration("simTime")
 	parts := f.List("parts")
 	if f.Err != nil {
 		return nil, f.Err
@@ -52,7 +52,7 @@
 		if p.Type() != fastjson.TypeObject {
 			return nil, errors.New("batch: a part is not an object")
 		}
-		if first, err = l.part(now, &config.Fields{V: p, What: "part"}, first); err != nil {
+		if first, err = l.part(now, &config.Fields{Value: p, Name: "part"}, first); err != nil {
 			return nil, err
 		}
 	}
@@ -63,8 +63,8 @@
 // part handles one instance's part of a batch and appends its actions to the reply. first tells whether the reply has no
 // part yet; the new value is returned.
 func (l *link) part(now time.Duration, f *config.Fields, first bool) (bool, error) {
-	f.Need("i")
-	f.Need("events")
+	f.Require("i")
+	f.Require("events")
 	name := f.Text("i")
 	events := f.List("events")
 	if f.Err != nil {
@@ -83,12 +83,12 @@
 		if body.Type() != fastjson.TypeObject {
 			return first, fmt.Errorf("%s: %s is not an object", name, kind)
 		}
-		e := &config.Fields{V: body, What: kind}
+		e := &config.Fields{Value: body, Name: kind}
 		switch kind {
 		case "enlist":
-			e.Need("prng")
+			e.Require("prng")
 			seed := e.Seed("prng")
-			set := config.Settings(e.Object("settings"), e)
+			set := config.ParseSettings(e.Object("settings"), e)
 			if e.Err != nil {
 				return first, e.Err
 			}
@@ -144,7 +144,7 @@
 
 // outcome reads the outcome of an attempt or a downstream call.
 func outcome(f *config.Fields, key string) policy.Outcome {
-	f.Need(key)
+	f.Require(key)
 	n := f.Integer(key)
 	if n < 0 || n >= int64(len(outcomes)) {
 		f.Fail(key, "is not an outcome")
@@ -160,30 +160,30 @@
 func (l *link) event(kind string, f *config.Fields) policy.Event {
 	switch kind {
 	case "req":
-		f.Need("rid")
-		f.Need("priority")
+		f.Require("rid")
+		f.Require("priority")
 		original := f.ID("original")
 		return policy.Arrived{ID: f.ID("rid"), Class: f.Text("priority"), Tenant: f.Text("project"),
-			Caller: f.Integer("originPeer"), Size: f.Span("effort"), Waited: f.Span("backlogTime"), Left: f.Span("left"),
-			KB: f.Number("kb"), Rank: f.Number("place"), Key: f.Text("resource"), Write: f.Flag("isWrite"),
-			Resent: f.Flag("resent"), Original: original, Repeats: original != 0}
+			Caller: f.Integer("originPeer"), Size: f.Duration("effort"), Waited: f.Duration("backlogTime"), Left: f.Duration("left"),
+			KB: f.Number("kb"), Rank: f.Number("place"), Key: f.Text("resource"), Write: f.Bool("isWrite"),
+			Resent: f.Bool("resent"), Original: original, Repeats: original != 0}
 	case "done":
-		f.Need("rid")
-		return policy.Finished{ID: f.ID("rid"), Outcome: outcome(f, "code"), Took: f.Span("spent")}
+		f.Require("rid")
+		return policy.Finished{ID: f.ID("rid"), Outcome: outcome(f, "code"), Took: f.Duration("spent")}
 	case "returned":
-		f.Need("rid")
-		return policy.CallReturned{ID: f.ID("rid"), Outcome: outcome(f, "code"), Took: f.Span("spent")}
+		f.Require("rid")
+		return policy.CallReturned{ID: f.ID("rid"), Outcome: outcome(f, "code"), Took: f.Duration("spent")}
 	case "lapsed":
-		f.Need("rid")
+		f.Require("rid")
 		return policy.CallerGone{ID: f.ID("rid")}
 	case "stalledOnCall":
-		f.Need("rid")
+		f.Require("rid")
 		return policy.CallNeeded{ID: f.ID("rid")}
 	case "retireSoon":
-		f.Need("left")
-		return policy.DrainNotice{Left: f.Span("left")}
+		f.Require("left")
+		return policy.DrainNotice{Left: f.Duration("left")}
 	case "tickDue":
-		f.Need("ref")
+		f.Require("ref")
 		var gauges []float64
 		for _, v := range f.List("metrics") {
 			x, err := v.Float64()
--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -134,7 +134,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %v", errWrong, err)
 	}
-	if !o.Duties.On() {
+	if !o.Duties.Enabled() {
 		return fmt.Errorf("%w: %s: duties.copies is missing", errWrong, w.Operator)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), operatorsWait)
@@ -146,7 +146,7 @@
 	rules := o.Duties.Rules()
 	rules.Duties, rules.Presence = nil, 0 // an operator stands for nothing
 	linked := make(chan struct{}, 1)
-	c := session.NewClient(session.Options{Me: "operator#" + hex.EncodeToString(b[:]), Copies: o.Duties.Copies, Rules: rules,
+	c := session.NewClient(session.Options{Me: "operator#" + hex.EncodeToString(b[:]), Copies: o.Duties.Replicas, Rules: rules,
 		Seed: uint64(b[0]), Steady: clock.Steady(), Log: zerolog.Nop(), On: func(e any) {
 			if _, ok := e.(session.Linked); ok {
 				select {
@@ -190,7 +190,7 @@
 
 func rows(d session.Duties, set config.Duties) (all []row) {
 	for _, t := range set.List {
-		r := row{Duty: t.Name, TTL: t.TTL, Frozen: d.Table.Frozen[t.Name], Marks: d.Marks[t.Name], Fenced: d.Stale[t.Name]}
+		r := row{Duty: t.Name, TTL: t.TTLMS, Frozen: d.Table.Frozen[t.Name], Marks: d.Marks[t.Name], Fenced: d.Stale[t.Name]}
 		if l := d.Table.Leases[t.Name]; l != nil {
 			r.Holder, r.Epoch, r.Yield = l.Holder, l.Epoch, l.Yield
 		}
--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -83,15 +83,15 @@
 // newDuties makes the parts; nothing is sent yet. nil: the operator's file has none.
 func newDuties(cfg *config.Config, clk *clock.Clock, log zerolog.Logger) (*duties, error) {
 	d := cfg.Operator.Duties
-	if !d.On() {
+	if !d.Enabled() {
 		return nil, nil
 	}
 	var b [8]byte
 	if _, err := crand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	h := &duties{cfg: cfg, me: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, steady: clock.Steady().Apart(cfg.Operator.Lab.Rate), log: log}
-	if path := cfg.Operator.Lab.Trace; path != "" {
+	h := &duties{cfg: cfg, me: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, steady: clock.Steady().Apart(cfg.Operator.Lab.ClockRate), log: log}
+	if path := cfg.Operator.Lab.TracePath; path != "" {
 		t, err := trace.Open(path, h.me, h.steady)
 		if err != nil {
 			return nil, err
@@ -99,23 +99,23 @@
 		h.trace = t
 		t.Add(trace.Event{What: trace.Up}, 0)
 	}
-	plant := cfg.Operator.Lab.Plant
+	plant := cfg.Operator.Lab.InjectedBug
 	h.keeper = &work.Keeper{Steady: h.steady, Log: log, Trace: h.trace, Check: h.check}
-	h.client = session.NewClient(session.Options{Me: h.me, Copies: d.Copies, Rules: d.Rules(), Seed: cfg.Seed ^ uint64(b[0])<<8 ^ uint64(b[1]),
+	h.client = session.NewClient(session.Options{Me: h.me, Copies: d.Replicas, Rules: d.Rules(), Seed: cfg.Seed ^ uint64(b[0])<<8 ^ uint64(b[1]),
 		Steady: h.steady, Log: log, Plant: plant, On: h.keeper.On, Need: h.need})
 	k := h.keeper
 	k.Works = map[string]work.Work{}
 	for _, t := range d.List {
-		k.Works[t.Name] = k.Marks(d.MarkMs)
+		k.Works[t.Name] = k.Marks(d.MarkIntervalMS)
 	}
-	if d.Allot.Whole > 0 {
-		k.Works[work.Allotter] = k.Allots(d.Allot.EveryMs, d.Allot.Room(), plant)
+	if d.Allocation.Total > 0 {
+		k.Works[work.Allotter] = k.Allots(d.Allocation.IntervalMS, d.Allocation.Capacity(), plant)
 	}
 	if d.Publish.Manifest != "" {
-		k.Works[work.Publisher] = k.Publishes(d.Publish.EveryMs, d.Publish.Manifest, h.check)
+		k.Works[work.Publisher] = k.Publishes(d.Publish.IntervalMS, d.Publish.Manifest, h.check)
 	}
 	if _, on := k.Works[work.Settler]; on {
-		k.Works[work.Settler] = k.Settles(d.Settle.EveryMs, d.Settle.KeepMs, d.Rate, h.steady)
+		k.Works[work.Settler] = k.Settles(d.Resolution.IntervalMS, d.Resolution.RetentionMS, d.MaxDrift, h.steady)
 	}
 	return h, nil
 }
@@ -127,12 +127,12 @@
 	}
 	h.copy = copy
 	d := h.cfg.Operator.Duties
-	g := &duty.Grantor{Rules: d.Rules(), Seed: 1, Most: d.Allot.Servers, Plant: h.cfg.Operator.Lab.Plant}
-	h.sessions = session.NewServer(copy, g, d.Sessions, h.steady, h.log)
+	g := &duty.Grantor{Rules: d.Rules(), Seed: 1, Most: d.Allocation.MaxProcesses, Plant: h.cfg.Operator.Lab.InjectedBug}
+	h.sessions = session.NewServer(copy, g, d.MaxSessions, h.steady, h.log)
 	h.sessions.CheckChange = func(c records.Change) error { return checkChange(copy, c) }
 	h.sessions.Led = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
 	copy.ServeSessions(h.sessions.Serve)
-	h.origin = relay.NewOrigin(copy, h.steady, h.log, h.cfg.Operator.Lab.Plant)
+	h.origin = relay.NewOrigin(copy, h.steady, h.log, h.cfg.Operator.Lab.InjectedBug)
 	h.origin.Agreed = func(c records.Commit) {
 		h.trace.Add(trace.Event{What: trace.Agreed, N: c.Revision, Text: c.After.String()}, 0)
 	}
@@ -148,8 +148,8 @@
 		return
 	}
 	h.core.Store(c)
-	if a := h.cfg.Operator.Duties.Allot; a.Whole > 0 {
-		alone := a.Room().Alone
+	if a := h.cfg.Operator.Duties.Allocation; a.Total > 0 {
+		alone := a.Capacity().Alone
 		c.Divide(func() float64 { return float64(alone+h.client.Share()) / allot.Unit })
 		h.keeper.Below = func(_ int64, used func()) { c.Then(used) }
 	}
@@ -171,7 +171,7 @@
 		return 0
 	}
 	want := c.Below()*needMore + needLeast
-	return max(int64(want*allot.Unit)-h.cfg.Operator.Duties.Allot.Room().Alone, 0)
+	return max(int64(want*allot.Unit)-h.cfg.Operator.Duties.Allocation.Capacity().Alone, 0)
 }
 
 // look puts the client into the mode that the server is in, now and then.
@@ -309,7 +309,7 @@
 
 // calls are the laboratory's, on the operators' address.
 func (h *duties) calls() map[string]http.HandlerFunc {
-	if h == nil || !h.cfg.Operator.Lab.Calls {
+	if h == nil || !h.cfg.Operator.Lab.FaultCalls {
 		return nil
 	}
 	return map[string]http.HandlerFunc{"PUT /-/lab/jump": func(w http.ResponseWriter, r *http.Request) {
@@ -378,7 +378,7 @@
 			return nil, errors.New("inventory.group is set, and no inventory is published")
 		}
 		for _, host := range hosts.Group(o.Inventory.Group) {
-			list = append(list, host.Endpoint(o.Inventory.Port))
+			list = append(list, host.Endpoint(o.Inventory.DefaultPort))
 		}
 		if len(list) == 0 {
 			return nil, fmt.Errorf("inventory.group: no host is in %q", o.Inventory.Group)
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -111,8 +111,8 @@
 		return nil, nil
 	}
 	w := &watch{farm: farm, log: log, settings: map[string][]byte{}}
-	plant := cfg.Operator.Lab.Plant
-	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.Path, Check: records.CheckValue, Use: w.use, Log: log, Plant: plant,
+	plant := cfg.Operator.Lab.InjectedBug
+	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.ReplicaPath, Check: records.CheckValue, Use: w.use, Log: log, Plant: plant,
 		Committed: func(c records.Commit) {
 			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
@@ -187,30 +187,30 @@
 		return fmt.Errorf("%w: %v", errWrong, err)
 	}
 	set := file.Relay
-	if !set.On() {
+	if !set.Enabled() {
 		return fmt.Errorf("%w: %s: relay.listen is missing", errWrong, c.Operator)
 	}
 	if file.Lab != (config.Lab{}) && os.Getenv("PUFFINSADDLE_LAB") == "" {
 		return fmt.Errorf("%w: %s: \"lab\" is set, and this process is not the laboratory's (PUFFINSADDLE_LAB)", errWrong, c.Operator)
 	}
-	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(set.MemoryMB * memoryPart * (1 << 20)))
+	if set.MemoryLimitMB > 0 {
+		debug.SetMemoryLimit(int64(set.MemoryLimitMB * memoryPart * (1 << 20)))
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log := zerolog.New(out).With().Timestamp().Str("name", set.Name).Logger().Level(zerolog.InfoLevel)
 	steady := clock.Steady()
 	var t *trace.Log
-	if file.Lab.Trace != "" {
-		if t, err = trace.Open(file.Lab.Trace, set.Name, steady); err != nil {
+	if file.Lab.TracePath != "" {
+		if t, err = trace.Open(file.Lab.TracePath, set.Name, steady); err != nil {
 			return err
 		}
 		defer t.Close()
 		t.Add(trace.Event{What: trace.Up}, 0)
 	}
 	limits := distribution.DefaultLimits
-	limits.Watchers, limits.Snapshots = set.Watchers, set.Snapshots
-	r, err := relay.Open(relay.Options{Name: set.Name, Region: set.Region, Listen: set.Listen, Copies: set.Copies, Elsewhere: set.Elsewhere, Path: set.Path, Limits: limits,
-		Seed: seedOf(set.Name), Steady: steady, Log: log, Plant: file.Lab.Plant,
+	limits.Watchers, limits.Snapshots = set.MaxWatchers, set.MaxSnapshots
+	r, err := relay.Open(relay.Options{Name: set.Name, Region: set.Region, Listen: set.Listen, Copies: set.Replicas, Elsewhere: set.Alternatives, Path: set.ReplicaPath, Limits: limits,
+		Seed: seedOf(set.Name), Steady: steady, Log: log, Plant: file.Lab.InjectedBug,
 		Committed: func(c records.Commit) {
 			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
@@ -221,8 +221,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if set.Figures != "" {
-		if err := serveFigures(ctx, set.Figures, r); err != nil {
+	if set.MetricsListen != "" {
+		if err := serveFigures(ctx, set.MetricsListen, r); err != nil {
 			return err
 		}
 	}
--- a/cmd/puffinsaddle/store.go
+++ b/cmd/puffinsaddle/store.go
@@ -152,8 +152,8 @@
 	if len(o.Store.Peers) > 0 {
 		return o.Store.Peers, nil
 	}
-	if len(o.Duties.Copies) > 0 {
-		return o.Duties.Copies, nil
+	if len(o.Duties.Replicas) > 0 {
+		return o.Duties.Replicas, nil
 	}
 	return nil, fmt.Errorf("%w: %s: neither store.peers nor duties.copies is set", errWrong, w.Operator)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,8 +23,8 @@
 
 	spareSockets = 64 // descriptors reserved for the executor, the vault, logs and everything else
 
-	// OperatorConns is the maximum number of concurrent operator connections.
-	OperatorConns = 16
+	// MaxOperatorConnections is the maximum number of concurrent operator connections.
+	MaxOperatorConnections = 16
 
 	operatorFile = "PUFFINSADDLE_OPERATOR" // path of the operator's file
 	laboratory   = "PUFFINSADDLE_LAB"      // set by the lab for the processes that it starts
@@ -32,22 +32,22 @@
 
 // Config is the complete configuration of one process.
 type Config struct {
-	Name     string
-	Listen   string // address for routers
-	Executor string // address; empty only where the operator's file configures another runner
-	Members  string // address of the membership service; empty: no reports
-	Vault    string // address; empty: there is no downstream
-	Seed     uint64
-	StopMs   float64 // from the drain notice to the kill
-	Cores    float64
-	MemoryMB float64
-	Sockets  int // limit on file descriptors
-	Settings policy.Settings
-	Operator Operator
+	Name          string
+	Listen        string // address for routers
+	Executor      string // address; empty only where the operator's file configures another runner
+	Members       string // address of the membership service; empty: no reports
+	Vault         string // address; empty: there is no downstream
+	Seed          uint64
+	StopTimeoutMS float64 // from the drain notice to the kill
+	Cores         float64
+	MemoryMB      float64
+	Sockets       int // limit on file descriptors
+	Settings      policy.Settings
+	Operator      Operator
 
 	OperatorListen string          // address for operators; empty: none
 	keys           map[string]bool // key paths present in the platform's file
-	Private        string          // a directory that only this server uses; empty: none
+	PrivateDir     string          // a directory that only this server uses; empty: none
 }
 
 // Load reads the configuration files that the environment names, and applies the environment's overrides.
@@ -74,7 +74,7 @@
 	if v := getenv("RELAY_OPERATOR"); v != "" {
 		c.OperatorListen = v
 	}
-	c.Private = getenv("TMPDIR")
+	c.PrivateDir = getenv("TMPDIR")
 	// This variable has no RELAY_ prefix: the platform could define one of the same name with another meaning, and
 	// the program would fail to start when it took that value for a path.
 	if v := getenv(operatorFile); v != "" {
@@ -97,15 +97,15 @@
 	if v.Type() != fastjson.TypeObject {
 		return nil, errors.New("must be a JSON object")
 	}
-	f := &Fields{V: v, What: "config"}
-	f.Need("settings")
+	f := &Fields{Value: v, Name: "config"}
+	f.Require("settings")
 	c := &Config{
 		Name: f.Text("name"), Listen: f.Text("listen"), Executor: f.Text("executor"), Members: f.Text("members"), OperatorListen: f.Text("operator"), keys: map[string]bool{},
-		Vault: f.Text("vault"), StopMs: f.Number("stop_ms"), Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
+		Vault: f.Text("vault"), StopTimeoutMS: f.Number("stop_ms"), Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
 	}
 	keysOf(v, "", c.keys)
 	if f.Get("stop_ms") == nil {
-		c.StopMs = defaultStopMs
+		c.StopTimeoutMS = defaultStopMs
 	}
 	if seed := f.Text("seed"); seed != "" {
 		if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
@@ -130,21 +130,21 @@
 	if f.Err != nil {
 		return nil, f.Err
 	}
-	c.Settings = Settings(f.Object("settings"), f)
+	c.Settings = ParseSettings(f.Object("settings"), f)
 	if f.Err != nil {
 		return nil, f.Err
 	}
 	return c, nil
 }
 
-// RouterSockets returns the number of descriptors available for router connections.
-func (c *Config) RouterSockets() int {
+// MaxRouterConnections returns the number of descriptors available for router connections.
+func (c *Config) MaxRouterConnections() int {
 	most := c.Sockets - min(spareSockets, c.Sockets/4)
 	if c.OperatorListen != "" {
-		most -= OperatorConns + 1
+		most -= MaxOperatorConnections + 1
 	}
 	if c.Operator.UWSGI.Listen != "" {
-		most -= 2 * c.Operator.UWSGI.Conns
+		most -= 2 * c.Operator.UWSGI.MaxConnections
 	}
 	return most
 }
@@ -172,10 +172,10 @@
 		return errors.New(`config: "limits.memory_mb" must be 16 or more`)
 	case c.Sockets < 32:
 		return errors.New(`config: "limits.sockets" must be 32 or more`)
-	case !(c.StopMs >= 0):
+	case !(c.StopTimeoutMS >= 0):
 		return errors.New(`config: "stop_ms" must be 0 or more`)
 	}
-	if c.Listen != "" && c.RouterSockets() < c.Sockets/2 {
+	if c.Listen != "" && c.MaxRouterConnections() < c.Sockets/2 {
 		return errors.New("uwsgi.connections: leaves less than half of limits.sockets for router connections")
 	}
 	// Runs the policy module's own validation, so that a faulty setting is reported before any listener opens.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,14 +31,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n9" || c.Seed != 0x8c1f30d27a5be964 || c.StopMs != 3200 || c.Sockets != 1024 || c.Settings.Cores != 6 {
+	if c.Name != "n9" || c.Seed != 0x8c1f30d27a5be964 || c.StopTimeoutMS != 3200 || c.Sockets != 1024 || c.Settings.Cores != 6 {
 		t.Errorf("read %+v", c)
 	}
 	if c.Operator.UWSGI.Listen != "" || c.Operator.Store.Listen != "" || c.Operator.Inventory.Path != "" {
 		t.Errorf("operator settings are enabled by default: %+v", c.Operator)
 	}
 	c, err = load(t, good, "uwsgi:\n  listen: 127.0.0.1:3030\n  read_ms: 500\nstore: {listen: '127.0.0.1:0', dir: /tmp/x, peers: {n3: '127.0.0.1:1'}}\n", nil)
-	if err != nil || c.Operator.UWSGI.ReadMs != 500 || c.Operator.UWSGI.MaxBody != 64<<10 || c.Operator.Store.Dir != "/tmp/x" {
+	if err != nil || c.Operator.UWSGI.ReadTimeoutMS != 500 || c.Operator.UWSGI.MaxBodyBytes != 64<<10 || c.Operator.Store.Dir != "/tmp/x" {
 		t.Errorf("read %+v, %v", c, err)
 	}
 }
@@ -114,7 +114,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := now.Replaces(old); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
+		if err := now.CheckReplaces(old); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s -> %s: %v, want %s", c.old, c.new, err, c.want)
 		}
 	}
--- a/internal/config/duties_test.go
+++ b/internal/config/duties_test.go
@@ -16,10 +16,10 @@
 
 func TestDutiesAreOffUnlessSet(t *testing.T) {
 	o, err := ParseOperator(nil)
-	if err != nil || o.Duties.On() {
-		t.Fatalf("%v %v", o.Duties.On(), err)
+	if err != nil || o.Duties.Enabled() {
+		t.Fatalf("%v %v", o.Duties.Enabled(), err)
 	}
-	if o, err = ParseOperator([]byte(dutiesText)); err != nil || !o.Duties.On() || o.Duties.Allot.Room().Pool() != 20000 {
+	if o, err = ParseOperator([]byte(dutiesText)); err != nil || !o.Duties.Enabled() || o.Duties.Allocation.Capacity().Pool() != 20000 {
 		t.Fatalf("%+v %v", o.Duties, err)
 	}
 }
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -12,29 +12,29 @@
 
 // Fields reads the members of one JSON object and keeps the first error.
 type Fields struct {
-	V    *fastjson.Value
-	What string // name of the object in error messages
-	Err  error  // the first error
+	Value *fastjson.Value
+	Name  string // name of the object in error messages
+	Err   error  // the first error
 }
 
 // Fail records an error about a member, unless there is one already.
 func (f *Fields) Fail(key, why string) {
 	if f.Err == nil {
-		f.Err = fmt.Errorf("%s: %q %s", f.What, key, why)
+		f.Err = fmt.Errorf("%s: %q %s", f.Name, key, why)
 	}
 }
 
 // Get returns a member, or nil if it is absent or null.
 func (f *Fields) Get(key string) *fastjson.Value {
-	v := f.V.Get(key)
+	v := f.Value.Get(key)
 	if v == nil || v.Type() == fastjson.TypeNull {
 		return nil
 	}
 	return v
 }
 
-// Need records an error if the member is absent or null.
-func (f *Fields) Need(key string) {
+// Require records an error if the member is absent or null.
+func (f *Fields) Require(key string) {
 	if f.Get(key) == nil {
 		f.Fail(key, "is missing")
 	}
@@ -66,8 +66,8 @@
 	return n
 }
 
-// Span returns a duration that is given in nanoseconds, or 0 if the member is absent.
-func (f *Fields) Span(key string) time.Duration { return time.Duration(f.Integer(key)) }
+// Duration returns a duration that is given in nanoseconds, or 0 if the member is absent.
+func (f *Fields) Duration(key string) time.Duration { return time.Duration(f.Integer(key)) }
 
 // Text returns a string, or "" if the member is absent or the number 0.
 func (f *Fields) Text(key string) string {
@@ -85,8 +85,8 @@
 	return string(b)
 }
 
-// Flag returns a boolean, or false if the member is absent.
-func (f *Fields) Flag(key string) bool {
+// Bool returns a boolean, or false if the member is absent.
+func (f *Fields) Bool(key string) bool {
 	v := f.Get(key)
 	if v == nil {
 		return false
@@ -129,7 +129,7 @@
 	} else if v.Type() != fastjson.TypeObject {
 		f.Fail(key, "is not an object")
 	}
-	return &Fields{V: v, What: f.What + "." + key}
+	return &Fields{Value: v, Name: f.Name + "." + key}
 }
 
 // Seed returns 64 bits from a whole number of either sign, or 0 if the member is absent.
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -7,9 +7,9 @@
 	"github.com/valyala/fastjson"
 )
 
-// Replaces returns an error unless this configuration has every key of old, the one in force. A truncated file would
+// CheckReplaces returns an error unless this configuration has every key of old, the one in force. A truncated file would
 // otherwise replace settings with defaults while requests are in flight.
-func (c *Config) Replaces(old *Config) error {
+func (c *Config) CheckReplaces(old *Config) error {
 	var gone []string
 	for k := range old.keys {
 		if !c.keys[k] {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -26,32 +26,32 @@
 
 // Store configures the replicated store. Without it no state is kept on disk and the effect log is in memory.
 type Store struct {
-	ID        string            `yaml:"id"`          // empty: the server's name
-	Listen    string            `yaml:"listen"`      // address; empty: no store
-	Dir       string            `yaml:"dir"`         // data directory
-	Peers     map[string]string `yaml:"peers"`       // id to address of every replica, including this one
-	Via       map[string]string `yaml:"via"`         // by id: address at which this replica reaches that one instead
-	CompareMs float64           `yaml:"compare_ms"`  // interval between comparisons of parts of the state among replicas
-	Election  float64           `yaml:"election_ms"` // a leader not heard from for this time, up to twice this time, is replaced
-	Strict    bool              `yaml:"strict"`      // more of the other replicas must respond before this one takes part
+	ID                string            `yaml:"id"`          // empty: the server's name
+	Listen            string            `yaml:"listen"`      // address; empty: no store
+	Dir               string            `yaml:"dir"`         // data directory
+	Peers             map[string]string `yaml:"peers"`       // id to address of every replica, including this one
+	AddressOverrides  map[string]string `yaml:"via"`         // by id: address at which this replica reaches that one instead
+	CompareIntervalMS float64           `yaml:"compare_ms"`  // interval between comparisons of parts of the state among replicas
+	ElectionTimeoutMS float64           `yaml:"election_ms"` // a leader not heard from for this time, up to twice this time, is replaced
+	Strict            bool              `yaml:"strict"`      // more of the other replicas must respond before this one takes part
 }
 
 // Inventory configures the list of the site's hosts.
 type Inventory struct {
-	Path  string `yaml:"path"`  // a .csv, .yml or .yaml file; empty: none
-	Group string `yaml:"group"` // hosts of this group join uwsgi.servers
-	Port  int    `yaml:"port"`  // of hosts without a port of their own
+	Path        string `yaml:"path"`  // a .csv, .yml or .yaml file; empty: none
+	Group       string `yaml:"group"` // hosts of this group join uwsgi.servers
+	DefaultPort int    `yaml:"port"`  // of hosts without a port of their own
 }
 
 // UWSGI configures the uwsgi front and the runner that forwards requests to uwsgi servers.
 type UWSGI struct {
-	Listen    string   `yaml:"listen"`      // address; empty: no front
-	Servers   []string `yaml:"servers"`     // uwsgi servers that run the requests; none: the executor runs them
-	MaxBody   int      `yaml:"max_body"`    // of a request, in bytes
-	MaxResult int      `yaml:"max_result"`  // of a server's response, in bytes
-	ReadMs    float64  `yaml:"read_ms"`     // timeout for reading a request
-	Conns     int      `yaml:"connections"` // maximum number of open connections
-	KB        float64  `yaml:"kb"`          // memory reserved for a request that states none
+	Listen           string   `yaml:"listen"`      // address; empty: no front
+	Servers          []string `yaml:"servers"`     // uwsgi servers that run the requests; none: the executor runs them
+	MaxBodyBytes     int      `yaml:"max_body"`    // of a request, in bytes
+	MaxResultBytes   int      `yaml:"max_result"`  // of a server's response, in bytes
+	ReadTimeoutMS    float64  `yaml:"read_ms"`     // timeout for reading a request
+	MaxConnections   int      `yaml:"connections"` // maximum number of open connections
+	DefaultRequestKB float64  `yaml:"kb"`          // memory reserved for a request that states none
 }
 
 // LoadOperator reads an operator's file. Unknown keys are errors.
@@ -69,7 +69,7 @@
 
 // ParseOperator parses and validates the text of an operator's file and fills in defaults.
 func ParseOperator(text []byte) (Operator, error) {
-	o := Operator{Text: text, Inventory: Inventory{Port: 3031}, Duties: defaultDuties, Relay: defaultRelay, Store: Store{CompareMs: 1000, Election: 500}, UWSGI: UWSGI{MaxBody: 64 << 10, MaxResult: 1 << 20, ReadMs: 2000, Conns: 128, KB: 24}}
+	o := Operator{Text: text, Inventory: Inventory{DefaultPort: 3031}, Duties: defaultDuties, Relay: defaultRelay, Store: Store{CompareIntervalMS: 1000, ElectionTimeoutMS: 500}, UWSGI: UWSGI{MaxBodyBytes: 64 << 10, MaxResultBytes: 1 << 20, ReadTimeoutMS: 2000, MaxConnections: 128, DefaultRequestKB: 24}}
 	d := yaml.NewDecoder(bytes.NewReader(text))
 	d.KnownFields(true)
 	if err := d.Decode(&o); err != nil && len(bytes.TrimSpace(text)) > 0 {
@@ -104,17 +104,17 @@
 	switch {
 	case o.Inventory.Path == "" && o.Inventory.Group != "":
 		return o, errors.New("inventory.path is missing, but inventory.group is set")
-	case o.Inventory.Port < 1 || o.Inventory.Port > 65535:
+	case o.Inventory.DefaultPort < 1 || o.Inventory.DefaultPort > 65535:
 		return o, errors.New("inventory.port must be from 1 to 65535")
-	case u.MaxBody < 0 || u.MaxBody > 16<<20:
+	case u.MaxBodyBytes < 0 || u.MaxBodyBytes > 16<<20:
 		return o, errors.New("uwsgi.max_body must be from 0 to 16 MiB")
-	case u.MaxResult < 1024 || u.MaxResult > 16<<20:
+	case u.MaxResultBytes < 1024 || u.MaxResultBytes > 16<<20:
 		return o, errors.New("uwsgi.max_result must be from 1 KiB to 16 MiB")
-	case !(u.ReadMs > 0):
+	case !(u.ReadTimeoutMS > 0):
 		return o, errors.New("uwsgi.read_ms must be above 0")
-	case u.Conns < 1:
+	case u.MaxConnections < 1:
 		return o, errors.New("uwsgi.connections must be 1 or more")
-	case !(u.KB > 0):
+	case !(u.DefaultRequestKB > 0):
 		return o, errors.New("uwsgi.kb must be above 0")
 	}
 	return o, nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,27 +10,27 @@
 	"puffinsaddle/policy"
 )
 
-// Settings converts the settings object f of the simulator or the platform. The first error is recorded in top.
-func Settings(f, top *Fields) policy.Settings {
+// ParseSettings converts the settings object f of the simulator or the platform. The first error is recorded in top.
+func ParseSettings(f, top *Fields) policy.Settings {
 	x, rules, limits := f.Object("extra"), f.Object("rules"), f.Object("limits")
-	f.Need("classes")
+	f.Require("classes")
 	s := policy.Settings{
 		Servers: int(f.Integer("servers")), Callers: int(x.Integer("callers")), Cores: int(x.Integer("nCores")),
 		MemoryKB: x.Number("heapKb"), EntryKB: x.Number("entryKb"), RunFactor: x.Number("runMemFactor"),
-		FreshFor: x.Span("freshFor"), JustStarted: x.Flag("justStarted"), Cold: rules.Span("cold"),
-		ColdShare: rules.Number("coldShare"), FallMultiple: rules.Number("fallMultiple"), FallSpan: rules.Span("fall"),
-		AnswerSlack: rules.Span("answerSlack"), DrainGrace: rules.Span("drainGrace"), Tick: f.Span("tick"),
-		PassesDeadline: x.Flag("passesDeadline"), BelowShare: x.Number("callsOut"), CallSpan: x.Span("callsOver"), Linger: x.Span("linger"), HintFor: x.Span("heardFor"), Idle: x.Span("idle"),
+		FreshFor: x.Duration("freshFor"), JustStarted: x.Bool("justStarted"), Cold: rules.Duration("cold"),
+		ColdShare: rules.Number("coldShare"), FallMultiple: rules.Number("fallMultiple"), FallSpan: rules.Duration("fall"),
+		AnswerSlack: rules.Duration("answerSlack"), DrainGrace: rules.Duration("drainGrace"), Tick: f.Duration("tick"),
+		PassesDeadline: x.Bool("passesDeadline"), BelowShare: x.Number("callsOut"), CallSpan: x.Duration("callsOver"), Linger: x.Duration("linger"), HintFor: x.Duration("heardFor"), Idle: x.Duration("idle"),
 		OverShareWorth: f.Number("overShareWorth"), WorthByWork: f.Text("valueBy") == "work",
 		BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1,
 	}
 	below := x.Text("downstream")
 	s.Below = below != "" && below != "none"
-	if limits.Flag("retryAfter") {
-		s.MaxPause = limits.Span("maxRetryAfter")
+	if limits.Bool("retryAfter") {
+		s.MaxPause = limits.Duration("maxRetryAfter")
 	}
 	if c := f.Get("clients"); c != nil {
-		s.MarksRetry = f.Object("clients").Flag("marksRetry")
+		s.MarksRetry = f.Object("clients").Bool("marksRetry")
 	}
 	switch x.Text("halt") { // running requests are never stopped, but an unknown value is an error
 	case "", "none", "drop", "pause":
@@ -63,15 +63,15 @@
 	}
 	calls, skips := x.List("callsByClass"), x.List("classSkipWorth")
 	for i, v := range f.List("classes") {
-		c := &Fields{V: v, What: fmt.Sprintf("%s.classes[%d]", f.What, i)}
+		c := &Fields{Value: v, Name: fmt.Sprintf("%s.classes[%d]", f.Name, i)}
 		s.Classes = append(s.Classes, class(c, i, calls, skips))
 		if f.Err == nil {
 			f.Err = c.Err
 		}
 	}
 	for i, v := range f.List("tenants") {
-		t := &Fields{V: v, What: fmt.Sprintf("%s.tenants[%d]", f.What, i)}
-		t.Need("name")
+		t := &Fields{Value: v, Name: fmt.Sprintf("%s.tenants[%d]", f.Name, i)}
+		t.Require("name")
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Text("name"), Quota: t.Number("quotaPerS"), Share: t.Number("share")})
 		if f.Err == nil {
 			f.Err = t.Err
@@ -87,10 +87,10 @@
 
 func class(c *Fields, i int, calls, skips []*fastjson.Value) policy.Class {
 	for _, key := range []string{"name", "aim", "deadline", "worth", "idempotency"} {
-		c.Need(key)
+		c.Require(key)
 	}
-	k := policy.Class{Name: c.Text("name"), Aim: c.Span("aim"), AimStretch: c.Number("aimStretch"), Deadline: c.Span("deadline"),
-		Worth: c.Number("worth"), LateValue: c.Number("lateValue"), KeyTTL: c.Span("keyTtl")}
+	k := policy.Class{Name: c.Text("name"), Aim: c.Duration("aim"), AimStretch: c.Number("aimStretch"), Deadline: c.Duration("deadline"),
+		Worth: c.Number("worth"), LateValue: c.Number("lateValue"), KeyTTL: c.Duration("keyTtl")}
 	// The executor's protocol separates words by spaces and ends lines, so a name with white space would be misread.
 	if k.Name == "" || strings.ContainsFunc(k.Name, func(r rune) bool { return unicode.IsSpace(r) || unicode.IsControl(r) }) {
 		c.Fail("name", "is not one word")
@@ -99,7 +99,7 @@
 	case "safe":
 	case "keyed":
 		k.Safety = policy.Keyed
-		if c.Need("keyTtl"); k.KeyTTL <= 0 {
+		if c.Require("keyTtl"); k.KeyTTL <= 0 {
 			c.Fail("keyTtl", "must be above 0 where idempotency is keyed")
 		}
 	case "unsafe":
--- a/internal/net/fronts_test.go
+++ b/internal/net/fronts_test.go
@@ -92,7 +92,7 @@
 		mu.Unlock()
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfor %s", 4+len(body), body)
 	})
-	set := config.UWSGI{Servers: []string{"127.0.0.1:1", at}, MaxResult: 4096}
+	set := config.UWSGI{Servers: []string{"127.0.0.1:1", at}, MaxResultBytes: 4096}
 	h := build(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
 	h.core.Up(false)
 	byRESP, byUWSGI := mixed(h)
@@ -105,7 +105,7 @@
 func TestBrokenServerIsNotTriedAgain(t *testing.T) {
 	var heard atomic.Int32
 	broken := func(conn net.Conn, _ map[string]string, _ string) { heard.Add(1) }
-	set := config.UWSGI{Servers: []string{uwsgiServer(t, broken), uwsgiServer(t, broken)}, MaxResult: 4096}
+	set := config.UWSGI{Servers: []string{uwsgiServer(t, broken), uwsgiServer(t, broken)}, MaxResultBytes: 4096}
 	h := build(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
 	h.core.Up(false)
 	if status, _, _ := h.gateway(packet("b", "ORDER_CLASS", "book-delivery"), false).answers(); status != http.StatusBadGateway {
@@ -119,7 +119,7 @@
 // Whatever is no packet gets one answer: cut short, malformed, too large, too slow.
 func TestWhatIsNoPacketGetsOneAnswer(t *testing.T) {
 	h := build(t, newIdleRunner(t), nil, config.UWSGI{}, nil)
-	slow := build(t, newIdleRunner(t), nil, config.UWSGI{ReadMs: 20}, nil)
+	slow := build(t, newIdleRunner(t), nil, config.UWSGI{ReadTimeoutMS: 20}, nil)
 	whole := packet("body", "ORDER_CLASS", "book-delivery")
 	for _, c := range []struct {
 		name, bytes string
@@ -203,5 +203,5 @@
 }
 
 func newIdleRunner(t *testing.T) *uwsgi.Runner {
-	return uwsgi.NewRunner(config.UWSGI{Servers: []string{"127.0.0.1:1"}, MaxResult: 4096}, clock.System(), zerolog.Nop())
+	return uwsgi.NewRunner(config.UWSGI{Servers: []string{"127.0.0.1:1"}, MaxResultBytes: 4096}, clock.System(), zerolog.Nop())
 }
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -73,10 +73,10 @@
 	ln, err := accept.Listen("127.0.0.1:0", zerolog.Nop())
 	must(t, err)
 	h.resp = respfront.New(ln, 64, c, clk, zerolog.Nop())
-	set.Conns, set.KB = 64, 10
-	set.MaxBody, set.MaxResult = 4096, 4096
-	if set.ReadMs == 0 {
-		set.ReadMs = 1e6
+	set.MaxConnections, set.DefaultRequestKB = 64, 10
+	set.MaxBodyBytes, set.MaxResultBytes = 4096, 4096
+	if set.ReadTimeoutMS == 0 {
+		set.ReadTimeoutMS = 1e6
 	}
 	ln, err = accept.Listen("127.0.0.1:0", zerolog.Nop())
 	must(t, err)
--- a/internal/net/uwsgi/front.go
+++ b/internal/net/uwsgi/front.go
@@ -57,8 +57,8 @@
 	f.ln.Serve(func(conn net.Conn) {
 		f.mu.Lock()
 		open := len(f.conns)
-		full := open >= f.set.Conns
-		if open >= 2*f.set.Conns { // even those to be turned away hold a descriptor each for a while
+		full := open >= f.set.MaxConnections
+		if open >= 2*f.set.MaxConnections { // even those to be turned away hold a descriptor each for a while
 			f.mu.Unlock()
 			conn.Close()
 			return
@@ -124,11 +124,11 @@
 	f.mu.Lock()
 	limit := time.Now()
 	if !f.shutAll {
-		limit = limit.Add(clock.Duration(f.set.ReadMs))
+		limit = limit.Add(clock.Duration(f.set.ReadTimeoutMS))
 	}
 	conn.SetReadDeadline(limit)
 	f.mu.Unlock()
-	p, err := readPacket(conn, f.set.MaxBody)
+	p, err := readPacket(conn, f.set.MaxBodyBytes)
 	if err == io.EOF {
 		return // nothing was sent
 	}
@@ -178,7 +178,7 @@
 // request reads the variables of a packet.
 func (f *Front) request(p *packet, reached float64) (*core.Request, error) {
 	v := p.vars
-	q := &core.Request{ID: v[varID], Class: v[varClass], At: reached, Retry: v[varRetry] == "1", KB: f.set.KB,
+	q := &core.Request{ID: v[varID], Class: v[varClass], At: reached, Retry: v[varRetry] == "1", KB: f.set.DefaultRequestKB,
 		Rank: midRank, Key: v[varKey], Once: v[varOnce], For: v[varFor], Body: p.body}
 	if q.Class == "" {
 		at := v["PATH_INFO"]
--- a/internal/net/uwsgi/runner.go
+++ b/internal/net/uwsgi/runner.go
@@ -33,7 +33,7 @@
 
 // NewRunner makes a runner behind the core.
 func NewRunner(set config.UWSGI, clk *clock.Clock, log zerolog.Logger) *Runner {
-	r := &Runner{mostResult: set.MaxResult, clock: clk, log: log}
+	r := &Runner{mostResult: set.MaxResultBytes, clock: clk, log: log}
 	r.Move(set.Servers)
 	return r
 }
