--- a/cmd/adapter/decode.go
+++ b/cmd/adapter/decode.go
@@ -12,22 +12,22 @@
 	"puffinsaddle/policy"
 )
 
-// link holds the instances of the decision module and converts between them and the wire format.
-type link struct {
-	parser    fastjson.Parser
-	instances map[string]*policy.Instance
-	events    []policy.Event
-	buf       []byte
-	log       io.Writer
-	unknown   map[string]bool // kinds of unknown events already logged
+// adapter holds the instances of the decision module and converts between them and the wire format.
+type adapter struct {
+	parser       fastjson.Parser
+	instances    map[string]*policy.Instance
+	events       []policy.Event
+	buf          []byte
+	log          io.Writer
+	unknownKinds map[string]bool // kinds of unknown events already logged
 }
 
-func newLink(log io.Writer) *link {
-	return &link{instances: map[string]*policy.Instance{}, log: log, unknown: map[string]bool{}}
+func newAdapter(log io.Writer) *adapter {
+	return &adapter{instances: map[string]*policy.Instance{}, log: log, unknownKinds: map[string]bool{}}
 }
 
-// batch handles one line of events and returns the line of the reply, which is valid until the next call.
-func (l *link) batch(line []byte) ([]byte, error) {
+// handleBatch handles one line of events and returns the line of the reply, which is valid until the next call.
+func (l *adapter) handleBatch(line []byte) ([]byte, error) {
 	if err := fastjson.ValidateBytes(line); err != nil {
 		return nil, fmt.Errorf("malformed JSON: %w", err)
 	}
@@ -52,7 +52,7 @@
 		if p.Type() != fastjson.TypeObject {
 			return nil, errors.New("batch: a part is not an object")
 		}
-		if first, err = l.part(now, &config.Fields{Value: p, Name: "part"}, first); err != nil {
+		if first, err = l.handlePart(now, &config.Fields{Value: p, Name: "part"}, first); err != nil {
 			return nil, err
 		}
 	}
@@ -60,9 +60,9 @@
 	return l.buf, nil
 }
 
-// part handles one instance's part of a batch and appends its actions to the reply. first tells whether the reply has no
-// part yet; the new value is returned.
-func (l *link) part(now time.Duration, f *config.Fields, first bool) (bool, error) {
+// handlePart handles one instance's part of a batch and appends its actions to the reply. first tells whether
+// the reply has no part yet; the new value is returned.
+func (l *adapter) handlePart(now time.Duration, f *config.Fields, first bool) (bool, error) {
 	f.Require("i")
 	f.Require("events")
 	name := f.Text("i")
@@ -88,11 +88,11 @@
 		case "enlist":
 			e.Require("prng")
 			seed := e.Seed("prng")
-			set := config.ParseSettings(e.Object("settings"), e)
+			settings := config.ParseSettings(e.Object("settings"), e)
 			if e.Err != nil {
 				return first, e.Err
 			}
-			n, err := policy.New(set, seed)
+			n, err := policy.New(settings, seed)
 			if err != nil {
 				return first, fmt.Errorf("enlist: %w", err)
 			}
@@ -110,7 +110,7 @@
 			return first, fmt.Errorf("%s: %s for an instance that was not enlisted", name, kind)
 		}
 		known = true
-		ev := l.event(kind, e)
+		ev := l.decodeEvent(kind, e)
 		if e.Err != nil {
 			return first, e.Err
 		}
@@ -142,22 +142,22 @@
 	return false, nil
 }
 
-// outcome reads the outcome of an attempt or a downstream call.
-func outcome(f *config.Fields, key string) policy.Outcome {
+// decodeOutcome reads the outcome of an attempt or a downstream call.
+func decodeOutcome(f *config.Fields, key string) policy.Outcome {
 	f.Require(key)
 	n := f.Integer(key)
-	if n < 0 || n >= int64(len(outcomes)) {
+	if n < 0 || n >= int64(len(outcomeCodes)) {
 		f.Fail(key, "is not an outcome")
 		return policy.Failed
 	}
-	return outcomes[n]
+	return outcomeCodes[n]
 }
 
-var outcomes = [...]policy.Outcome{policy.OK, policy.Failed, policy.Full, policy.TimedOut,
+var outcomeCodes = [...]policy.Outcome{policy.OK, policy.Failed, policy.Full, policy.TimedOut,
 	policy.Unreached, policy.CutOff, policy.Cancelled, policy.Moot}
 
-// event converts one event. It returns nil for an unknown kind, which is logged once.
-func (l *link) event(kind string, f *config.Fields) policy.Event {
+// decodeEvent converts one event. It returns nil for an unknown kind; the first 100 of these are logged, once each.
+func (l *adapter) decodeEvent(kind string, f *config.Fields) policy.Event {
 	switch kind {
 	case "req":
 		f.Require("rid")
@@ -169,10 +169,10 @@
 			Resent: f.Bool("resent"), Original: original, Repeats: original != 0}
 	case "done":
 		f.Require("rid")
-		return policy.Finished{ID: f.ID("rid"), Outcome: outcome(f, "code"), Took: f.Duration("spent")}
+		return policy.Finished{ID: f.ID("rid"), Outcome: decodeOutcome(f, "code"), Took: f.Duration("spent")}
 	case "returned":
 		f.Require("rid")
-		return policy.CallReturned{ID: f.ID("rid"), Outcome: outcome(f, "code"), Took: f.Duration("spent")}
+		return policy.CallReturned{ID: f.ID("rid"), Outcome: decodeOutcome(f, "code"), Took: f.Duration("spent")}
 	case "lapsed":
 		f.Require("rid")
 		return policy.CallerGone{ID: f.ID("rid")}
@@ -194,8 +194,8 @@
 		}
 		return policy.Woke{Token: f.Seed("ref"), Gauges: gauges}
 	}
-	if !l.unknown[kind] && len(l.unknown) < 100 {
-		l.unknown[kind] = true
+	if !l.unknownKinds[kind] && len(l.unknownKinds) < 100 {
+		l.unknownKinds[kind] = true
 		fmt.Fprintf(l.log, "adapter: unknown event %q is skipped\n", kind)
 	}
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,18 +16,18 @@
 
 // Defaults for keys that the platform's file omits.
 const (
-	defaultCores    = 1.0
-	defaultMemoryMB = 192.0
-	defaultSockets  = 1024
-	defaultStopMs   = 3000.0
+	defaultCores         = 1.0
+	defaultMemoryMB      = 192.0
+	defaultSockets       = 1024
+	defaultStopTimeoutMS = 3000.0
 
-	spareSockets = 64 // descriptors reserved for the executor, the vault, logs and everything else
+	reservedSockets = 64 // descriptors reserved for the executor, the vault, logs and everything else
 
 	// MaxOperatorConnections is the maximum number of concurrent operator connections.
 	MaxOperatorConnections = 16
 
-	operatorFile = "PUFFINSADDLE_OPERATOR" // path of the operator's file
-	laboratory   = "PUFFINSADDLE_LAB"      // set by the lab for the processes that it starts
+	operatorFileEnv = "PUFFINSADDLE_OPERATOR" // path of the operator's file
+	labEnv          = "PUFFINSADDLE_LAB"      // set by the lab for the processes that it starts
 )
 
 // Config is the complete configuration of one process.
@@ -77,12 +77,12 @@
 	c.PrivateDir = getenv("TMPDIR")
 	// This variable has no RELAY_ prefix: the platform could define one of the same name with another meaning, and
 	// the program would fail to start when it took that value for a path.
-	if v := getenv(operatorFile); v != "" {
+	if v := getenv(operatorFileEnv); v != "" {
 		if c.Operator, err = LoadOperator(v); err != nil {
 			return nil, err
 		}
-		if c.Operator.Lab != (Lab{}) && getenv(laboratory) == "" { // a leftover file of the lab
-			return nil, fmt.Errorf(`%s: "lab" is set, but this process was not started by the lab (%s is not set)`, v, laboratory)
+		if c.Operator.Lab != (Lab{}) && getenv(labEnv) == "" { // a leftover file of the lab
+			return nil, fmt.Errorf(`%s: "lab" is set, but this process was not started by the lab (%s is not set)`, v, labEnv)
 		}
 	}
 	return c, c.check()
@@ -100,12 +100,14 @@
 	f := &Fields{Value: v, Name: "config"}
 	f.Require("settings")
 	c := &Config{
-		Name: f.Text("name"), Listen: f.Text("listen"), Executor: f.Text("executor"), Members: f.Text("members"), OperatorListen: f.Text("operator"), keys: map[string]bool{},
-		Vault: f.Text("vault"), StopTimeoutMS: f.Number("stop_ms"), Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
+		Name: f.Text("name"), Listen: f.Text("listen"), Executor: f.Text("executor"), Members: f.Text("members"),
+		OperatorListen: f.Text("operator"), keys: map[string]bool{},
+		Vault: f.Text("vault"), StopTimeoutMS: f.Number("stop_ms"), Cores: defaultCores, MemoryMB: defaultMemoryMB,
+		Sockets: defaultSockets,
 	}
-	keysOf(v, "", c.keys)
+	collectKeys(v, "", c.keys)
 	if f.Get("stop_ms") == nil {
-		c.StopTimeoutMS = defaultStopMs
+		c.StopTimeoutMS = defaultStopTimeoutMS
 	}
 	if seed := f.Text("seed"); seed != "" {
 		if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
@@ -139,29 +141,32 @@
 
 // MaxRouterConnections returns the number of descriptors available for router connections.
 func (c *Config) MaxRouterConnections() int {
-	most := c.Sockets - min(spareSockets, c.Sockets/4)
+	available := c.Sockets - min(reservedSockets, c.Sockets/4)
 	if c.OperatorListen != "" {
-		most -= MaxOperatorConnections + 1
+		available -= MaxOperatorConnections + 1
 	}
 	if c.Operator.UWSGI.Listen != "" {
-		most -= 2 * c.Operator.UWSGI.MaxConnections
+		available -= 2 * c.Operator.UWSGI.MaxConnections
 	}
-	return most
+	return available
 }
 
 func (c *Config) check() error {
 	if c.Name == "" {
 		return errors.New(`config: "name" is missing`)
 	}
-	addresses := []struct{ key, at string }{{"listen", c.Listen}, {"members", c.Members}, {"vault", c.Vault}, {"executor", c.Executor}, {"operator", c.OperatorListen}}
+	addresses := []struct{ key, address string }{
+		{"listen", c.Listen}, {"members", c.Members}, {"vault", c.Vault}, {"executor", c.Executor}, {"operator", c.OperatorListen},
+	}
 	for _, a := range addresses {
-		if a.at == "" {
-			if a.key == "listen" && c.Operator.UWSGI.Listen == "" || a.key == "executor" && len(c.Operator.UWSGI.Servers) == 0 && c.Operator.Inventory.Group == "" {
+		if a.address == "" {
+			if a.key == "listen" && c.Operator.UWSGI.Listen == "" ||
+				a.key == "executor" && len(c.Operator.UWSGI.Servers) == 0 && c.Operator.Inventory.Group == "" {
 				return fmt.Errorf("config: %q is missing", a.key)
 			}
 			continue
 		}
-		if _, _, err := net.SplitHostPort(a.at); err != nil {
+		if _, _, err := net.SplitHostPort(a.address); err != nil {
 			return fmt.Errorf("config: %q is not an address with a port: %w", a.key, err)
 		}
 	}
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -32,7 +32,7 @@
 
 var defaultRelay = Relay{MaxWatchers: distribution.DefaultLimits.Watchers, MaxSnapshots: distribution.DefaultLimits.Snapshots}
 
-const maxWatchers = 1 << 16
+const watcherLimit = 1 << 16
 
 func (d Distribution) check(o Operator) error {
 	if len(d.Relays) == 0 {
@@ -71,7 +71,7 @@
 			return fmt.Errorf("relay.figures: %w", err)
 		}
 	}
-	if err := addresses("relay.copies", r.Replicas); err != nil {
+	if err := checkAddresses("relay.copies", r.Replicas); err != nil {
 		return err
 	}
 	switch {
@@ -79,8 +79,8 @@
 		return errors.New("relay.name is missing")
 	case len(r.Replicas) == 0:
 		return errors.New("relay.copies is missing")
-	case r.MaxWatchers < 1 || r.MaxWatchers > maxWatchers:
-		return fmt.Errorf("relay.watchers must be from 1 to %d, not %d", maxWatchers, r.MaxWatchers)
+	case r.MaxWatchers < 1 || r.MaxWatchers > watcherLimit:
+		return fmt.Errorf("relay.watchers must be from 1 to %d, not %d", watcherLimit, r.MaxWatchers)
 	case r.MaxSnapshots < 1 || r.MaxSnapshots > r.MaxWatchers:
 		return fmt.Errorf("relay.snapshots must be from 1 to relay.watchers, not %d", r.MaxSnapshots)
 	case !(r.MemoryLimitMB >= 0):
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -21,9 +21,9 @@
 	RenewIntervalMS float64           `yaml:"renew_ms"`     // maximum interval between heartbeats, which renew leases
 	MaxDrift        float64           `yaml:"clock_rate"`   // maximum clock drift: clocks run at 1-rate to 1+rate of true time
 	MarginMS        float64           `yaml:"margin_ms"`    // a holder stops this much before its lease ends
-	CooldownMS      float64           `yaml:"cool_ms"`      // a server is no candidate for a duty this long after it lost it or gave it up
-	ColdWaitMS      float64           `yaml:"cold_wait_ms"` // a duty stays this long without a holder if only cold servers are candidates
-	PresenceTTLMS   float64           `yaml:"presence_ms"`  // TTLMS of a server's presence
+	CooldownMS      float64           `yaml:"cool_ms"`      // wait before candidacy for a duty that was lost or given up
+	ColdWaitMS      float64           `yaml:"cold_wait_ms"` // wait for a warm candidate before a cold one is accepted
+	PresenceTTLMS   float64           `yaml:"presence_ms"`  // lifetime of a server's presence
 	List            []Duty            `yaml:"list"`
 	Allocation      Allocation        `yaml:"allot"`
 	Publish         Publish           `yaml:"publish"`
@@ -31,14 +31,14 @@
 	MarkIntervalMS  float64           `yaml:"mark_ms"` // interval at which a duty without a task of its own increments its counter
 }
 
-// Duty is one duty and the TTLMS of its lease.
+// Duty is one duty, with the lifetime of its lease.
 type Duty struct {
 	Name  string  `yaml:"name"`
 	TTLMS float64 `yaml:"ttl_ms"`
 }
 
-// Allocation configures the allotter, whose duty must be on the list. Without Whole, the settings determine each server's
-// downstream share.
+// Allocation configures the allotter, whose duty must be on the list. Without Total, the policy settings
+// determine each server's downstream share.
 type Allocation struct {
 	Total             float64 `yaml:"whole"`   // downstream calls in flight, over all servers
 	ReservePerProcess float64 `yaml:"alone"`   // calls that a server may have in flight without a share
@@ -74,16 +74,20 @@
 	FaultCalls  bool    `yaml:"calls"`      // serve the lab's fault-injection calls on the operators' address
 }
 
-var defaultDuties = Duties{MaxSessions: 1024, RenewIntervalMS: 500, MaxDrift: 0.1, MarginMS: 50, CooldownMS: 5000, ColdWaitMS: 10000, PresenceTTLMS: 3000, MarkIntervalMS: 1000,
-	Allocation: Allocation{IntervalMS: 500}, Publish: Publish{IntervalMS: 1000}, Resolution: Resolution{RetentionMS: 600e3, IntervalMS: 1000}}
+var defaultDuties = Duties{
+	MaxSessions: 1024, RenewIntervalMS: 500, MaxDrift: 0.1, MarginMS: 50, CooldownMS: 5000, ColdWaitMS: 10000, PresenceTTLMS: 3000,
+	MarkIntervalMS: 1000,
+	Allocation:     Allocation{IntervalMS: 500}, Publish: Publish{IntervalMS: 1000},
+	Resolution: Resolution{RetentionMS: 600e3, IntervalMS: 1000},
+}
 
 const (
-	allotter    = "allotter"
-	publisher   = "publisher"
-	settler     = "settler"
-	mostCopies  = 7
-	mostDuties  = 64
-	leastEffect = 60e3 // callers wait for less time, so no attempt can arrive under a deleted id
+	allotterDuty         = "allotter"
+	publisherDuty        = "publisher"
+	settlerDuty          = "settler"
+	maxReplicas          = 7
+	maxDuties            = 64
+	minEffectRetentionMS = 60e3 // callers wait for less time, so no attempt can arrive under a deleted id
 )
 
 // Enabled reports whether duties are configured.
@@ -91,14 +95,17 @@
 
 // Rules returns the lease rules that servers and store replicas must agree on.
 func (d Duties) Rules() duty.Rules {
-	r := duty.Rules{Bounds: duty.Bounds{Rate: d.MaxDrift, Margin: d.MarginMS}, Renew: d.RenewIntervalMS, Cool: d.CooldownMS, ColdWait: d.ColdWaitMS, Presence: d.PresenceTTLMS}
+	r := duty.Rules{
+		Bounds: duty.Bounds{Rate: d.MaxDrift, Margin: d.MarginMS},
+		Renew:  d.RenewIntervalMS, Cool: d.CooldownMS, ColdWait: d.ColdWaitMS, Presence: d.PresenceTTLMS,
+	}
 	for _, t := range d.List {
 		r.Duties = append(r.Duties, duty.Terms{Name: t.Name, TTL: t.TTLMS})
 	}
 	return r
 }
 
-func (d Duties) has(name string) bool {
+func (d Duties) hasDuty(name string) bool {
 	return slices.ContainsFunc(d.List, func(t Duty) bool { return t.Name == name })
 }
 
@@ -109,10 +116,10 @@
 		}
 		return nil
 	}
-	if err := addresses("duties.copies", d.Replicas); err != nil {
+	if err := checkAddresses("duties.copies", d.Replicas); err != nil {
 		return err
 	}
-	if err := majority("duties.copies", len(d.Replicas)); err != nil {
+	if err := checkReplicaCount("duties.copies", len(d.Replicas)); err != nil {
 		return err
 	}
 	for id := range st.Peers {
@@ -126,35 +133,36 @@
 	if err := d.Rules().Check(); err != nil {
 		return fmt.Errorf("duties.%w", err)
 	}
-	positive := func(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
+	positiveFinite := func(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
 	switch {
-	case len(d.List) > mostDuties:
-		return fmt.Errorf("duties.list has %d duties; the maximum is %d", len(d.List), mostDuties)
+	case len(d.List) > maxDuties:
+		return fmt.Errorf("duties.list has %d duties; the maximum is %d", len(d.List), maxDuties)
 	case d.MaxSessions < 1 || d.MaxSessions > 1<<16:
 		return fmt.Errorf("duties.sessions must be from 1 to %d", 1<<16)
 	case !(d.PresenceTTLMS > 0):
 		return errors.New("duties.presence_ms must be above 0")
-	case !positive(d.MarkIntervalMS):
+	case !positiveFinite(d.MarkIntervalMS):
 		return errors.New("duties.mark_ms must be above 0")
-	case !positive(d.Allocation.IntervalMS):
+	case !positiveFinite(d.Allocation.IntervalMS):
 		return errors.New("duties.allot.every_ms must be above 0")
-	case !positive(d.Publish.IntervalMS):
+	case !positiveFinite(d.Publish.IntervalMS):
 		return errors.New("duties.publish.every_ms must be above 0")
-	case !positive(d.Resolution.IntervalMS):
+	case !positiveFinite(d.Resolution.IntervalMS):
 		return errors.New("duties.settle.every_ms must be above 0")
-	case !(d.Resolution.RetentionMS >= leastEffect) || math.IsInf(d.Resolution.RetentionMS, 0):
-		return fmt.Errorf("duties.settle.keep_ms must be %.0f or more", leastEffect)
-	case d.Publish.Manifest != "" && !d.has(publisher):
+	case !(d.Resolution.RetentionMS >= minEffectRetentionMS) || math.IsInf(d.Resolution.RetentionMS, 0):
+		return fmt.Errorf("duties.settle.keep_ms must be %.0f or more", minEffectRetentionMS)
+	case d.Publish.Manifest != "" && !d.hasDuty(publisherDuty):
 		return errors.New("duties.list has no publisher, but duties.publish.manifest is set")
 	}
 	if a := d.Allocation; a != (Allocation{IntervalMS: a.IntervalMS}) {
-		if !positive(a.Total) || !(a.ReservePerProcess >= 0) || math.IsInf(a.ReservePerProcess, 0) || a.Total > 1e9 {
-			return fmt.Errorf("duties.allot.whole must be above 0 and duties.allot.alone 0 or more, not %v and %v", a.Total, a.ReservePerProcess)
+		if !positiveFinite(a.Total) || !(a.ReservePerProcess >= 0) || math.IsInf(a.ReservePerProcess, 0) || a.Total > 1e9 {
+			return fmt.Errorf("duties.allot.whole must be above 0 and duties.allot.alone 0 or more, not %v and %v",
+				a.Total, a.ReservePerProcess)
 		}
 		if err := a.Capacity().Check(); err != nil {
 			return fmt.Errorf("duties.allot.%w", err)
 		}
-		if !d.has(allotter) {
+		if !d.hasDuty(allotterDuty) {
 			return errors.New("duties.list has no allotter, but duties.allot is set")
 		}
 	}
@@ -163,8 +171,8 @@
 
 // Bounds of store.election_ms, in milliseconds.
 const (
-	leastElection = 100
-	mostElection  = 60000
+	minElectionTimeoutMS = 100
+	maxElectionTimeoutMS = 60000
 )
 
 func (st Store) check() error {
@@ -177,8 +185,9 @@
 	if st.Dir == "" {
 		return errors.New("store.dir is missing")
 	}
-	if !(st.ElectionTimeoutMS >= leastElection && st.ElectionTimeoutMS <= mostElection) {
-		return fmt.Errorf("store.election_ms must be from %d to %d, not %v", leastElection, mostElection, st.ElectionTimeoutMS)
+	if !(st.ElectionTimeoutMS >= minElectionTimeoutMS && st.ElectionTimeoutMS <= maxElectionTimeoutMS) {
+		return fmt.Errorf("store.election_ms must be from %d to %d, not %v",
+			minElectionTimeoutMS, maxElectionTimeoutMS, st.ElectionTimeoutMS)
 	}
 	if !(st.CompareIntervalMS > 0) || math.IsInf(st.CompareIntervalMS, 0) {
 		return fmt.Errorf("store.compare_ms must be above 0, not %v", st.CompareIntervalMS)
@@ -186,7 +195,7 @@
 	if len(st.Peers) == 0 {
 		return errors.New("store.peers is missing: a replica queries the others before it takes part")
 	}
-	if err := addresses("store.peers", st.Peers); err != nil {
+	if err := checkAddresses("store.peers", st.Peers); err != nil {
 		return err
 	}
 	if n := len(st.Peers); n%2 == 0 {
@@ -195,7 +204,7 @@
 	if st.ID != "" && st.Peers[st.ID] == "" {
 		return fmt.Errorf("store.peers: %s, this replica's own id, is missing", st.ID)
 	}
-	if err := addresses("store.via", st.AddressOverrides); err != nil {
+	if err := checkAddresses("store.via", st.AddressOverrides); err != nil {
 		return err
 	}
 	for _, id := range slices.Sorted(maps.Keys(st.AddressOverrides)) {
@@ -206,26 +215,26 @@
 	return nil
 }
 
-// addresses checks addresses by id: each must have a port and be unique.
-func addresses(key string, of map[string]string) error {
-	first := map[string]string{}
-	for _, id := range slices.Sorted(maps.Keys(of)) {
-		at := of[id]
-		if _, _, err := net.SplitHostPort(at); err != nil {
+// checkAddresses checks addresses by id: each must have a port and be unique.
+func checkAddresses(key string, byID map[string]string) error {
+	idByAddress := map[string]string{}
+	for _, id := range slices.Sorted(maps.Keys(byID)) {
+		address := byID[id]
+		if _, _, err := net.SplitHostPort(address); err != nil {
 			return fmt.Errorf("%s.%s: %w", key, id, err)
 		}
-		if other, twice := first[at]; twice {
-			return fmt.Errorf("%s.%s: %s is already the address of %s", key, id, at, other)
+		if otherID, duplicate := idByAddress[address]; duplicate {
+			return fmt.Errorf("%s.%s: %s is already the address of %s", key, id, address, otherID)
 		}
-		first[at] = id
+		idByAddress[address] = id
 	}
 	return nil
 }
 
-// majority rejects a number of replicas that is too small to keep a majority after the loss of one, or even, so that a
-// network partition can split it into equal halves.
-func majority(key string, n int) error {
-	if n < 3 || n%2 == 0 || n > mostCopies {
+// checkReplicaCount rejects a number of replicas that is too small to keep a majority after the loss of one, or that is
+// even, so that a network partition can split it into equal halves.
+func checkReplicaCount(key string, n int) error {
+	if n < 3 || n%2 == 0 || n > maxReplicas {
 		return fmt.Errorf("%s names %d replicas: the number must be 3, 5 or 7, so that a majority survives the loss of one", key, n)
 	}
 	return nil
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -18,9 +18,9 @@
 }
 
 // Fail records an error about a member, unless there is one already.
-func (f *Fields) Fail(key, why string) {
+func (f *Fields) Fail(key, problem string) {
 	if f.Err == nil {
-		f.Err = fmt.Errorf("%s: %q %s", f.Name, key, why)
+		f.Err = fmt.Errorf("%s: %q %s", f.Name, key, problem)
 	}
 }
 
@@ -69,7 +69,7 @@
 // Duration returns a duration that is given in nanoseconds, or 0 if the member is absent.
 func (f *Fields) Duration(key string) time.Duration { return time.Duration(f.Integer(key)) }
 
-// Text returns a string, or "" if the member is absent or the number 0.
+// Text returns a string, or "" if the member is absent or is the number 0.
 func (f *Fields) Text(key string) string {
 	v := f.Get(key)
 	if v == nil {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -32,7 +32,7 @@
 	Peers             map[string]string `yaml:"peers"`       // id to address of every replica, including this one
 	AddressOverrides  map[string]string `yaml:"via"`         // by id: address at which this replica reaches that one instead
 	CompareIntervalMS float64           `yaml:"compare_ms"`  // interval between comparisons of parts of the state among replicas
-	ElectionTimeoutMS float64           `yaml:"election_ms"` // a leader not heard from for this time, up to twice this time, is replaced
+	ElectionTimeoutMS float64           `yaml:"election_ms"` // time without the leader, or up to twice it, until an election
 	Strict            bool              `yaml:"strict"`      // more of the other replicas must respond before this one takes part
 }
 
@@ -47,8 +47,8 @@
 type UWSGI struct {
 	Listen           string   `yaml:"listen"`      // address; empty: no front
 	Servers          []string `yaml:"servers"`     // uwsgi servers that run the requests; none: the executor runs them
-	MaxBodyBytes     int      `yaml:"max_body"`    // of a request, in bytes
-	MaxResultBytes   int      `yaml:"max_result"`  // of a server's response, in bytes
+	MaxBodyBytes     int      `yaml:"max_body"`    // of a request
+	MaxResultBytes   int      `yaml:"max_result"`  // of a server's response
 	ReadTimeoutMS    float64  `yaml:"read_ms"`     // timeout for reading a request
 	MaxConnections   int      `yaml:"connections"` // maximum number of open connections
 	DefaultRequestKB float64  `yaml:"kb"`          // memory reserved for a request that states none
@@ -58,7 +58,7 @@
 func LoadOperator(path string) (Operator, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Operator{}, fmt.Errorf("%s: %w", operatorFile, err)
+		return Operator{}, fmt.Errorf("%s: %w", operatorFileEnv, err)
 	}
 	o, err := ParseOperator(text)
 	if err != nil {
@@ -69,7 +69,11 @@
 
 // ParseOperator parses and validates the text of an operator's file and fills in defaults.
 func ParseOperator(text []byte) (Operator, error) {
-	o := Operator{Text: text, Inventory: Inventory{DefaultPort: 3031}, Duties: defaultDuties, Relay: defaultRelay, Store: Store{CompareIntervalMS: 1000, ElectionTimeoutMS: 500}, UWSGI: UWSGI{MaxBodyBytes: 64 << 10, MaxResultBytes: 1 << 20, ReadTimeoutMS: 2000, MaxConnections: 128, DefaultRequestKB: 24}}
+	o := Operator{
+		Text: text, Inventory: Inventory{DefaultPort: 3031}, Duties: defaultDuties, Relay: defaultRelay,
+		Store: Store{CompareIntervalMS: 1000, ElectionTimeoutMS: 500},
+		UWSGI: UWSGI{MaxBodyBytes: 64 << 10, MaxResultBytes: 1 << 20, ReadTimeoutMS: 2000, MaxConnections: 128, DefaultRequestKB: 24},
+	}
 	d := yaml.NewDecoder(bytes.NewReader(text))
 	d.KnownFields(true)
 	if err := d.Decode(&o); err != nil && len(bytes.TrimSpace(text)) > 0 {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,33 +11,34 @@
 )
 
 // ParseSettings converts the settings object f of the simulator or the platform. The first error is recorded in top.
-func ParseSettings(f, top *Fields) policy.Settings {
-	x, rules, limits := f.Object("extra"), f.Object("rules"), f.Object("limits")
+func ParseSettings(f, parent *Fields) policy.Settings {
+	extra, rules, limits := f.Object("extra"), f.Object("rules"), f.Object("limits")
 	f.Require("classes")
 	s := policy.Settings{
-		Servers: int(f.Integer("servers")), Callers: int(x.Integer("callers")), Cores: int(x.Integer("nCores")),
-		MemoryKB: x.Number("heapKb"), EntryKB: x.Number("entryKb"), RunFactor: x.Number("runMemFactor"),
-		FreshFor: x.Duration("freshFor"), JustStarted: x.Bool("justStarted"), Cold: rules.Duration("cold"),
+		Servers: int(f.Integer("servers")), Callers: int(extra.Integer("callers")), Cores: int(extra.Integer("nCores")),
+		MemoryKB: extra.Number("heapKb"), EntryKB: extra.Number("entryKb"), RunFactor: extra.Number("runMemFactor"),
+		FreshFor: extra.Duration("freshFor"), JustStarted: extra.Bool("justStarted"), Cold: rules.Duration("cold"),
 		ColdShare: rules.Number("coldShare"), FallMultiple: rules.Number("fallMultiple"), FallSpan: rules.Duration("fall"),
 		AnswerSlack: rules.Duration("answerSlack"), DrainGrace: rules.Duration("drainGrace"), Tick: f.Duration("tick"),
-		PassesDeadline: x.Bool("passesDeadline"), BelowShare: x.Number("callsOut"), CallSpan: x.Duration("callsOver"), Linger: x.Duration("linger"), HintFor: x.Duration("heardFor"), Idle: x.Duration("idle"),
+		PassesDeadline: extra.Bool("passesDeadline"), BelowShare: extra.Number("callsOut"), CallSpan: extra.Duration("callsOver"),
+		Linger: extra.Duration("linger"), HintFor: extra.Duration("heardFor"), Idle: extra.Duration("idle"),
 		OverShareWorth: f.Number("overShareWorth"), WorthByWork: f.Text("valueBy") == "work",
 		BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1,
 	}
-	below := x.Text("downstream")
-	s.Below = below != "" && below != "none"
+	downstream := extra.Text("downstream")
+	s.Below = downstream != "" && downstream != "none"
 	if limits.Bool("retryAfter") {
 		s.MaxPause = limits.Duration("maxRetryAfter")
 	}
 	if c := f.Get("clients"); c != nil {
 		s.MarksRetry = f.Object("clients").Bool("marksRetry")
 	}
-	switch x.Text("halt") { // running requests are never stopped, but an unknown value is an error
+	switch extra.Text("halt") { // running requests are never stopped, but an unknown value is an error
 	case "", "none", "drop", "pause":
 	default:
-		x.Fail("halt", "is not known")
+		extra.Fail("halt", "is not known")
 	}
-	switch say := x.Text("say"); say {
+	switch hint := extra.Text("say"); hint {
 	case "", "none":
 	case "level":
 		s.Hint = policy.HintLevel
@@ -46,9 +47,9 @@
 	case "weight":
 		s.Hint = policy.HintWeight
 	default:
-		x.Fail("say", "is not known")
+		extra.Fail("say", "is not known")
 	}
-	for i, v := range x.List("gauges") {
+	for i, v := range extra.List("gauges") {
 		b, _ := v.StringBytes()
 		switch string(b) {
 		case "cpu_busy":
@@ -61,10 +62,10 @@
 			s.ConnGauge = i
 		}
 	}
-	calls, skips := x.List("callsByClass"), x.List("classSkipWorth")
+	makesCalls, skipWorths := extra.List("callsByClass"), extra.List("classSkipWorth")
 	for i, v := range f.List("classes") {
 		c := &Fields{Value: v, Name: fmt.Sprintf("%s.classes[%d]", f.Name, i)}
-		s.Classes = append(s.Classes, class(c, i, calls, skips))
+		s.Classes = append(s.Classes, parseClass(c, i, makesCalls, skipWorths))
 		if f.Err == nil {
 			f.Err = c.Err
 		}
@@ -77,21 +78,21 @@
 			f.Err = t.Err
 		}
 	}
-	for _, g := range []*Fields{f, x, rules, limits} {
-		if top.Err == nil {
-			top.Err = g.Err
+	for _, g := range []*Fields{f, extra, rules, limits} {
+		if parent.Err == nil {
+			parent.Err = g.Err
 		}
 	}
 	return s
 }
 
-func class(c *Fields, i int, calls, skips []*fastjson.Value) policy.Class {
+func parseClass(c *Fields, i int, makesCalls, skipWorths []*fastjson.Value) policy.Class {
 	for _, key := range []string{"name", "aim", "deadline", "worth", "idempotency"} {
 		c.Require(key)
 	}
-	k := policy.Class{Name: c.Text("name"), Aim: c.Duration("aim"), AimStretch: c.Number("aimStretch"), Deadline: c.Duration("deadline"),
-		Worth: c.Number("worth"), LateValue: c.Number("lateValue"), KeyTTL: c.Duration("keyTtl")}
-	// The executor's protocol separates words by spaces and ends lines, so a name with white space would be misread.
+	k := policy.Class{Name: c.Text("name"), Aim: c.Duration("aim"), AimStretch: c.Number("aimStretch"),
+		Deadline: c.Duration("deadline"), Worth: c.Number("worth"), LateValue: c.Number("lateValue"), KeyTTL: c.Duration("keyTtl")}
+	// The executor's protocol consists of lines of words, so white space in a name would change the meaning of a line.
 	if k.Name == "" || strings.ContainsFunc(k.Name, func(r rune) bool { return unicode.IsSpace(r) || unicode.IsControl(r) }) {
 		c.Fail("name", "is not one word")
 	}
@@ -107,11 +108,11 @@
 	default:
 		c.Fail("idempotency", "is not known")
 	}
-	if i < len(calls) {
-		k.Calls = calls[i].Type() == fastjson.TypeTrue
+	if i < len(makesCalls) {
+		k.Calls = makesCalls[i].Type() == fastjson.TypeTrue
 	}
-	if i < len(skips) {
-		k.SkipWorth, _ = skips[i].Float64()
+	if i < len(skipWorths) {
+		k.SkipWorth, _ = skipWorths[i].Float64()
 	}
 	return k
 }
