--- a/cmd/adapter/decode.go
+++ b/cmd/adapter/decode.go
@@ -154,7 +154,7 @@
 }
 
 var outcomeCodes = [...]policy.Outcome{policy.OK, policy.Failed, policy.Full, policy.TimedOut,
-	policy.Unreached, policy.CutOff, policy.Cancelled, policy.Moot}
+	policy.Unreachable, policy.InvalidReply, policy.Cancelled, policy.NotRun}
 
 // decodeEvent converts one event. It returns nil for an unknown kind; the first 100 of these are logged, once each.
 func (l *adapter) decodeEvent(kind string, f *config.Fields) policy.Event {
@@ -164,15 +164,15 @@
 		f.Require("priority")
 		original := f.ID("original")
 		return policy.Arrived{ID: f.ID("rid"), Class: f.Text("priority"), Tenant: f.Text("project"),
-			Caller: f.Integer("originPeer"), Size: f.Duration("effort"), Waited: f.Duration("backlogTime"), Left: f.Duration("left"),
+			Caller: f.Integer("originPeer"), Size: f.Duration("effort"), Waited: f.Duration("backlogTime"), TimeLeft: f.Duration("left"),
 			KB: f.Number("kb"), Rank: f.Number("place"), Key: f.Text("resource"), Write: f.Bool("isWrite"),
-			Resent: f.Bool("resent"), Original: original, Repeats: original != 0}
+			IsRetry: f.Bool("resent"), Original: original, HasOriginal: original != 0}
 	case "done":
 		f.Require("rid")
-		return policy.Finished{ID: f.ID("rid"), Outcome: decodeOutcome(f, "code"), Took: f.Duration("spent")}
+		return policy.Finished{ID: f.ID("rid"), Outcome: decodeOutcome(f, "code"), Duration: f.Duration("spent")}
 	case "returned":
 		f.Require("rid")
-		return policy.CallReturned{ID: f.ID("rid"), Outcome: decodeOutcome(f, "code"), Took: f.Duration("spent")}
+		return policy.CallReturned{ID: f.ID("rid"), Outcome: decodeOutcome(f, "code"), Duration: f.Duration("spent")}
 	case "lapsed":
 		f.Require("rid")
 		return policy.CallerGone{ID: f.ID("rid")}
@@ -181,7 +181,7 @@
 		return policy.CallNeeded{ID: f.ID("rid")}
 	case "retireSoon":
 		f.Require("left")
-		return policy.DrainNotice{Left: f.Duration("left")}
+		return policy.DrainNotice{TimeLeft: f.Duration("left")}
 	case "tickDue":
 		f.Require("ref")
 		var gauges []float64
@@ -192,7 +192,7 @@
 			}
 			gauges = append(gauges, x)
 		}
-		return policy.Woke{Token: f.Seed("ref"), Gauges: gauges}
+		return policy.TimerFired{Token: f.Seed("ref"), Gauges: gauges}
 	}
 	if !l.unknownKinds[kind] && len(l.unknownKinds) < 100 {
 		l.unknownKinds[kind] = true
--- a/cmd/adapter/encode.go
+++ b/cmd/adapter/encode.go
@@ -38,19 +38,19 @@
 		b = appendRequestAction(b, "replay", a.ID)
 	case policy.Refuse:
 		b = appendRequestAction(b, "sayNo", a.ID)
-		if a.Pause > 0 {
-			b = appendDuration(b, `,"pause":`, a.Pause)
+		if a.RetryAfter > 0 {
+			b = appendDuration(b, `,"pause":`, a.RetryAfter)
 		}
 		if a.NoRetry {
 			b = append(b, `,"noRetry":true`...)
 		}
 	case policy.Fail:
 		b = appendRequestAction(b, "error", a.ID)
-	case policy.Remember:
-		b = appendDuration(appendRequestAction(b, "storeKey", a.ID), `,"span":`, a.Span)
-	case policy.Forget:
+	case policy.StoreKey:
+		b = appendDuration(appendRequestAction(b, "storeKey", a.ID), `,"span":`, a.TTL)
+	case policy.DeleteKey:
 		b = appendRequestAction(b, "erase", a.ID)
-	case policy.CallOut:
+	case policy.MakeCall:
 		b = appendDuration(appendRequestAction(b, "askBelow", a.ID), `,"maxWait":`, a.MaxWait)
 	case policy.SkipCall:
 		b = appendRequestAction(b, "doWithout", a.ID)
@@ -58,17 +58,17 @@
 		b = append(b, `{"fitness":{"shallow":`...)
 		b = strconv.AppendBool(b, a.Shallow)
 		b = append(b, `,"on":`...)
-		b = strconv.AppendBool(b, a.Good)
-	case policy.Advise:
+		b = strconv.AppendBool(b, a.Healthy)
+	case policy.SetHint:
 		b = append(b, `{"hintOut":{"x":`...)
 		b = strconv.AppendFloat(b, a.Value, 'f', -1, 64)
 	case policy.CloseIdle:
 		b = appendDuration(append(b, `{"idle":{`...), `"span":`, a.After)
-	case policy.WakeAt:
+	case policy.SetTimer:
 		b = appendDuration(append(b, `{"timer":{`...), `"at":`, a.At)
 		b = append(b, `,"ref":`...)
 		b = strconv.AppendUint(b, a.Token, 10)
-	case policy.Note:
+	case policy.LogLine:
 		b = appendText(append(b, `{"noteDown":{"line":`...), a.Text)
 	default:
 		panic(fmt.Sprintf("no wire form for %T", a))
--- a/cmd/puffinsaddle/main.go
+++ b/cmd/puffinsaddle/main.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	var ledger core.Ledger // nil: effects are remembered in memory
+	var ledger core.EffectLog // nil: effects are remembered in memory
 	if state != nil {
 		defer state.Close()
 		ledger = state
@@ -136,7 +136,7 @@
 	if cfg.Executor != "" {
 		link = executor.New(cfg.Executor, log, func(cold, another bool) {
 			if another {
-				c.Anew(cold)
+				c.RunnerReplaced(cold)
 			}
 			rise(cold)
 		})
@@ -153,7 +153,7 @@
 	}
 	calls := vault.New(cfg.Vault, clk)
 	c = core.New(clk, log, cfg.Settings, cfg.Seed, runner, calls, ledger)
-	c.Room(int(cfg.MemoryMB * keyedPart * (1 << 20)))
+	c.SetKeyTableBytes(int(cfg.MemoryMB * keyedPart * (1 << 20)))
 	held.serve(ctx, c, farm)
 	watch, err := newWatch(cfg, held.tracer(), farm, log)
 	if err != nil {
@@ -174,7 +174,7 @@
 			go f.Serve()
 		}
 		if given.path != "" {
-			if offer, err = handover.New(given.path, sockets, func() []byte { return handOn(c, log) }, c.TakeBack, log); err != nil {
+			if offer, err = handover.New(given.path, sockets, func() []byte { return handOn(c, log) }, c.ResumeKeyedAttempts, log); err != nil {
 				note(log, err) // then this process can't be replaced while it runs
 			} else {
 				log.Info().Msg("may be replaced")
@@ -190,19 +190,19 @@
 	var files sync.Mutex
 	if cfg.OperatorListen != "" {
 		ops, err := operator.Listen(cfg.OperatorListen, config.MaxOperatorConnections, operator.Calls{Ready: func() bool { return ready.Load() && c.Ready() }, Drain: func(away bool) {
-			c.Away(away)
+			c.ForceUnhealthy(away)
 			held.away(away)
 		}, Figures: func() any {
 			files.Lock()
 			defer files.Unlock()
 			return struct {
-				core.Figures
+				core.Metrics
 				Applied  int           `json:"config_applied"`
 				Rejected int           `json:"config_rejected"`
 				Duties   *holding      `json:"duties,omitempty"`
 				Store    *store.Status `json:"store,omitempty"`
 				Records  *watchFigures `json:"records,omitempty"`
-			}{c.Figures(), applied, rejected, held.figures(), storeStatus(state), watch.figures()}
+			}{c.Metrics(), applied, rejected, held.figures(), storeStatus(state), watch.figures()}
 		}, More: held.calls()}, log)
 		if err != nil {
 			return err
@@ -213,8 +213,8 @@
 	}
 	up := make(chan struct{}, 1)
 	rise = func(cold bool) {
-		c.Up(cold)
-		held.up(cold, clock.Millis(cfg.Settings.Cold))
+		c.RunnerStarted(cold)
+		held.up(cold, clock.Millis(cfg.Settings.WarmupPeriod))
 		select {
 		case up <- struct{}{}:
 		default:
@@ -242,9 +242,9 @@
 				ok := reload(load, inForce, log, func(now *config.Config) {
 					inForce = now
 					if link != nil && now.Executor != "" {
-						link.Move(now.Executor)
+						link.SetAddress(now.Executor)
 					}
-					calls.Move(now.Vault)
+					calls.SetAddress(now.Vault)
 					reporter.Move(now.Members)
 					c.Adopt(now.Settings)
 				})
@@ -260,7 +260,7 @@
 				log.Info().Msg("replaced")
 				held.drain()
 				go func() {
-					c.Yield(s.at, all...)
+					c.YieldToSuccessor(s.at, all...)
 					held.leave()
 					close(left)
 				}()
@@ -273,7 +273,7 @@
 					go func() { note(log, state.Set(drainMark+cfg.Name, []byte("draining"))) }() // the drain waits for no quorum
 				}
 				go func() {
-					c.Leave(s.at, cfg.StopTimeoutMS, all...)
+					c.Shutdown(s.at, cfg.StopTimeoutMS, all...)
 					held.leave()
 					close(left)
 				}()
@@ -403,7 +403,7 @@
 
 // handOn is what a successor has to know of the keyed requests that ran here.
 func handOn(c *core.Core, log zerolog.Logger) []byte {
-	text, err := json.Marshal(c.HandOn())
+	text, err := json.Marshal(c.ExportKeyedAttempts())
 	note(log, err) // it has no number that is none, so there is none
 	return text
 }
@@ -414,17 +414,17 @@
 	if tie == nil {
 		return
 	}
-	var ties []core.Tie
+	var ties []core.KeyedAttempt
 	text, told := handover.Serving(tie)
 	if told && json.Unmarshal(text, &ties) == nil {
-		c.Inherit(ties)
+		c.ImportKeyedAttempts(ties)
 		return
 	}
 	log.Warn().Msg("the process before this one does not tell what it ran")
-	c.HandOn()
+	c.ExportKeyedAttempts()
 	go func() {
 		handover.Gone(tie)
-		c.TakeBack()
+		c.ResumeKeyedAttempts()
 	}()
 }
 
--- a/cmd/puffinsaddle/store.go
+++ b/cmd/puffinsaddle/store.go
@@ -116,7 +116,7 @@
 				fmt.Fprintf(t, "%s\t%s\tnot reached\t-\t-\t-\t-\t-\t%s\n", a.ID, a.At, a.Error)
 				continue
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%s\t%s\n", a.ID, a.At, a.Phase, a.Votes, a.Leads, a.Mark.Last, a.Applied, behind(a.ID, all), orDash(a.Why))
+			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%s\t%s\n", a.ID, a.At, a.Phase, a.Votes, a.Leads, a.Mark.LastIndex, a.Applied, behind(a.ID, all), orDash(a.Why))
 		}
 		if err := t.Flush(); err != nil {
 			return err
@@ -237,7 +237,7 @@
 		return err
 	}
 	return c.told(out, r, fmt.Sprintf("%s begins the set anew, for the %d. time, with entry %d of term %d as the last; start it first, then the others",
-		o.ID, r.Mark.Set, r.Mark.Last, r.Mark.Term))
+		o.ID, r.Mark.ClusterGeneration, r.Mark.LastIndex, r.Mark.Term))
 }
 
 // Run checks a folder.
@@ -251,10 +251,10 @@
 			return err
 		}
 	} else {
-		fmt.Fprintf(out, "%s: format %d, folder %s, opened %d times\n", r.Dir, r.Format, r.Mark.Folder, r.Mark.Life)
+		fmt.Fprintf(out, "%s: format %d, folder %s, opened %d times\n", r.Dir, r.Format, r.Mark.DirectoryID, r.Mark.OpenCount)
 		fmt.Fprintf(out, "entries %d to %d, %d bytes, term %d, %d snapshots\n", r.First, r.Last, r.Bytes, r.Term, len(r.Snapshots))
 		if !r.Votes {
-			fmt.Fprintf(out, "joined as of entry %d, and has no vote yet\n", r.Mark.Joined)
+			fmt.Fprintf(out, "joined as of entry %d, and has no vote yet\n", r.Mark.JoinIndex)
 		}
 		for _, a := range r.Aside {
 			fmt.Fprintln(out, "set aside:", a)
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -46,9 +46,9 @@
 	IntervalMS        float64 `yaml:"every_ms"`
 }
 
-// Capacity returns the same limits in units of allot.Unit to one call.
-func (a Allocation) Capacity() allot.Room {
-	return allot.Room{Whole: int64(a.Total * allot.Unit), Alone: int64(a.ReservePerProcess * allot.Unit), Servers: a.MaxProcesses}
+// Capacity returns the same limits in units of allot.UnitsPerCall to one call.
+func (a Allocation) Capacity() allot.Capacity {
+	return allot.Capacity{Total: int64(a.Total * allot.UnitsPerCall), ReservePerProcess: int64(a.ReservePerProcess * allot.UnitsPerCall), MaxProcesses: a.MaxProcesses}
 }
 
 // Publish configures the publisher.
@@ -64,7 +64,7 @@
 }
 
 // InjectedBugs lists the bugs that the lab can inject.
-var InjectedBugs = slices.Concat(duty.Plants, admit.Plants, distribution.Plants)
+var InjectedBugs = slices.Concat(duty.InjectedBugs, admit.InjectedBugs, distribution.InjectedBugs)
 
 // Lab holds the settings that only the lab may use.
 type Lab struct {
@@ -96,11 +96,11 @@
 // Rules returns the lease rules that servers and store replicas must agree on.
 func (d Duties) Rules() duty.Rules {
 	r := duty.Rules{
-		Bounds: duty.Bounds{Rate: d.MaxDrift, Margin: d.MarginMS},
-		Renew:  d.RenewIntervalMS, Cool: d.CooldownMS, ColdWait: d.ColdWaitMS, Presence: d.PresenceTTLMS,
+		ClockBounds:     duty.ClockBounds{MaxDrift: d.MaxDrift, MarginMS: d.MarginMS},
+		RenewIntervalMS: d.RenewIntervalMS, CooldownMS: d.CooldownMS, ColdWaitMS: d.ColdWaitMS, PresenceTTLMS: d.PresenceTTLMS,
 	}
 	for _, t := range d.List {
-		r.Duties = append(r.Duties, duty.Terms{Name: t.Name, TTL: t.TTLMS})
+		r.Duties = append(r.Duties, duty.DutyRule{Name: t.Name, TTLMS: t.TTLMS})
 	}
 	return r
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -16,19 +16,19 @@
 	f.Require("classes")
 	s := policy.Settings{
 		Servers: int(f.Integer("servers")), Callers: int(extra.Integer("callers")), Cores: int(extra.Integer("nCores")),
-		MemoryKB: extra.Number("heapKb"), EntryKB: extra.Number("entryKb"), RunFactor: extra.Number("runMemFactor"),
-		FreshFor: extra.Duration("freshFor"), JustStarted: extra.Bool("justStarted"), Cold: rules.Duration("cold"),
-		ColdShare: rules.Number("coldShare"), FallMultiple: rules.Number("fallMultiple"), FallSpan: rules.Duration("fall"),
+		MemoryKB: extra.Number("heapKb"), EntryKB: extra.Number("entryKb"), RunMemoryFactor: extra.Number("runMemFactor"),
+		SharedResultTTL: extra.Duration("freshFor"), JustStarted: extra.Bool("justStarted"), WarmupPeriod: rules.Duration("cold"),
+		ColdSpeedShare: rules.Number("coldShare"), MaxRunningPerCore: rules.Number("fallMultiple"), MaxRunningPeriod: rules.Duration("fall"),
 		AnswerSlack: rules.Duration("answerSlack"), DrainGrace: rules.Duration("drainGrace"), Tick: f.Duration("tick"),
-		PassesDeadline: extra.Bool("passesDeadline"), BelowShare: extra.Number("callsOut"), CallSpan: extra.Duration("callsOver"),
-		Linger: extra.Duration("linger"), HintFor: extra.Duration("heardFor"), Idle: extra.Duration("idle"),
+		PassesDeadline: extra.Bool("passesDeadline"), DownstreamShare: extra.Number("callsOut"), CallPeriod: extra.Duration("callsOver"),
+		AbandonedCallTime: extra.Duration("linger"), HintTTL: extra.Duration("heardFor"), IdleTimeout: extra.Duration("idle"),
 		OverShareWorth: f.Number("overShareWorth"), WorthByWork: f.Text("valueBy") == "work",
-		BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1,
+		BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnectionGauge: -1,
 	}
 	downstream := extra.Text("downstream")
-	s.Below = downstream != "" && downstream != "none"
+	s.HasDownstream = downstream != "" && downstream != "none"
 	if limits.Bool("retryAfter") {
-		s.MaxPause = limits.Duration("maxRetryAfter")
+		s.MaxRetryAfter = limits.Duration("maxRetryAfter")
 	}
 	if c := f.Get("clients"); c != nil {
 		s.MarksRetry = f.Object("clients").Bool("marksRetry")
@@ -59,7 +59,7 @@
 		case "mem_used":
 			s.MemoryGauge = i
 		case "sockets":
-			s.ConnGauge = i
+			s.ConnectionGauge = i
 		}
 	}
 	makesCalls, skipWorths := extra.List("callsByClass"), extra.List("classSkipWorth")
--- a/internal/net/fronts_test.go
+++ b/internal/net/fronts_test.go
@@ -94,7 +94,7 @@
 	})
 	set := config.UWSGI{Servers: []string{"127.0.0.1:1", at}, MaxResultBytes: 4096}
 	h := build(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
-	h.core.Up(false)
+	h.core.RunnerStarted(false)
 	byRESP, byUWSGI := mixed(h)
 	mu.Lock()
 	defer mu.Unlock()
@@ -107,7 +107,7 @@
 	broken := func(conn net.Conn, _ map[string]string, _ string) { heard.Add(1) }
 	set := config.UWSGI{Servers: []string{uwsgiServer(t, broken), uwsgiServer(t, broken)}, MaxResultBytes: 4096}
 	h := build(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
-	h.core.Up(false)
+	h.core.RunnerStarted(false)
 	if status, _, _ := h.gateway(packet("b", "ORDER_CLASS", "book-delivery"), false).answers(); status != http.StatusBadGateway {
 		t.Errorf("status %d, want 502", status)
 	}
@@ -153,7 +153,7 @@
 	x.want("EXEC", id(1))
 	half := h.gateway(packet("b", "ORDER_CLASS", "book-delivery")[:20], false)
 	left := make(chan struct{})
-	go func() { h.core.Leave(clock.System().Now(), 1500, h.resp, h.uw); close(left) }()
+	go func() { h.core.Shutdown(clock.System().Now(), 1500, h.resp, h.uw); close(left) }()
 	p.want("0", "closing")
 	booking := h.gateway(packet("c", "ORDER_CLASS", "book-delivery", "ORDER_ID", id(3)), false)
 	x.want("EXEC", id(3))
--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -116,7 +116,7 @@
 		return h, nil, err
 	}
 	own := r.folder.Mark()
-	return Backup{Kind: backupKind, Format: backupFormat, Name: own.Name, Times: own.Set, From: s.o.ID, Index: m.Index, Term: m.Term,
+	return Backup{Kind: backupKind, Format: backupFormat, Name: own.ClusterName, Times: own.ClusterGeneration, From: s.o.ID, Index: m.Index, Term: m.Term,
 		Bytes: n, SHA256: hex.EncodeToString(sum.Sum(nil))}, text, nil
 }
 
@@ -164,7 +164,7 @@
 		_, err = f.Write(append(head, '\n'))
 	}
 	if err == nil {
-		_, err = io.Copy(f, r.Rest(deadlines{conn}))
+		_, err = io.Copy(f, r.Remainder(deadlines{conn}))
 	}
 	if err == nil {
 		err = f.Sync()
@@ -236,7 +236,7 @@
 	if h, err = ReadBackup(backup, &text); err != nil {
 		return h, err
 	}
-	if _, err := state.Read(text.Bytes()); err != nil {
+	if _, err := state.ReadSnapshot(text.Bytes()); err != nil {
 		return h, fmt.Errorf("%w: %v", ErrBackup, err)
 	}
 	proc, err := disk.Draw()
--- a/internal/store/disk/disk_test.go
+++ b/internal/store/disk/disk_test.go
@@ -56,7 +56,7 @@
 	if err := f.Set([]byte("LastVoteCand"), []byte("127.0.0.1:1")); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Remember(map[string]admit.Mark{"b": {Folder: "x", Life: 2, Last: 7}}); err != nil {
+	if err := f.Remember(map[string]admit.DirectoryState{"b": {DirectoryID: "x", OpenCount: 2, LastIndex: 7}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Close(); err != nil {
@@ -69,17 +69,17 @@
 	dir := filled(t, 50)
 	f := folder(t, dir, "q")
 	m := f.Mark()
-	if m.Life != 2 || m.Last != 50 || m.Term != 9 || m.Proc != "q" || m.Folder == "" || f.Fresh() || !f.Votes() {
+	if m.OpenCount != 2 || m.LastIndex != 50 || m.Term != 9 || m.ProcessID != "q" || m.DirectoryID == "" || f.Fresh() || !f.Votes() {
 		t.Errorf("%+v", m)
 	}
-	if marks, err := f.Marks(); err != nil || marks["b"].Last != 7 {
+	if marks, err := f.Marks(); err != nil || marks["b"].LastIndex != 7 {
 		t.Errorf("%+v %v", marks, err)
 	}
-	if err := f.Join(admit.Mark{Joined: 40, Set: 2, Name: "n"}); err != nil || f.Votes() {
+	if err := f.Join(admit.DirectoryState{JoinIndex: 40, ClusterGeneration: 2, ClusterName: "n"}); err != nil || f.Votes() {
 		t.Errorf("joined: %v", err)
 	}
 	f.Close()
-	if f = folder(t, dir, "r"); f.Votes() || f.Mark().Joined != 40 || f.Mark().Set != 2 || f.Mark().Name != "n" || f.Mark().Folder != m.Folder {
+	if f = folder(t, dir, "r"); f.Votes() || f.Mark().JoinIndex != 40 || f.Mark().ClusterGeneration != 2 || f.Mark().ClusterName != "n" || f.Mark().DirectoryID != m.DirectoryID {
 		t.Errorf("a learner that starts again: %+v", f.Mark())
 	}
 	if err := f.Voter(); err != nil {
@@ -94,7 +94,7 @@
 	}
 	f.Close()
 	r, err := Verify(dir)
-	if err != nil || r.Damage != "" || r.Entries != 50 || r.Mark.Life != 4 || r.Remembers["b"].Life != 2 {
+	if err != nil || r.Damage != "" || r.Entries != 50 || r.Mark.OpenCount != 4 || r.Remembers["b"].OpenCount != 2 {
 		t.Errorf("%+v %v", r, err)
 	}
 	n := 0
@@ -232,7 +232,7 @@
 		t.Errorf("%v", err)
 	}
 	f := folder(t, dir, "p")
-	if m := f.Mark(); m.Last != 600 || m.Term != 31 || m.Life != 1 {
+	if m := f.Mark(); m.LastIndex != 600 || m.Term != 31 || m.OpenCount != 1 {
 		t.Errorf("%+v", m)
 	}
 	var e raft.Log
@@ -329,7 +329,7 @@
 			t.Fatal(err)
 		}
 		f.Close()
-		if f = folder(t, dir, "p"); f.Mark().Last != 30 {
+		if f = folder(t, dir, "p"); f.Mark().LastIndex != 30 {
 			t.Errorf("%+v", f.Mark())
 		}
 		f.Close()
--- a/internal/store/disk/folder.go
+++ b/internal/store/disk/folder.go
@@ -51,7 +51,7 @@
 	Dir  string
 	Snap *raft.FileSnapshotStore
 
-	mark        admit.Mark
+	mark        admit.DirectoryState
 	votes, sole bool
 }
 
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	f.mark.Proc = proc
+	f.mark.ProcessID = proc
 	name, err := f.get(folderKey)
 	if errors.Is(err, ErrNotFound) {
 		var drawn string
@@ -96,12 +96,12 @@
 	if err != nil {
 		return err
 	}
-	f.mark.Folder = string(name)
+	f.mark.DirectoryID = string(name)
 	if name, err = f.get(nameKey); err != nil && !errors.Is(err, ErrNotFound) {
 		return err
 	}
-	f.mark.Name = string(name)
-	for key, into := range map[string]*uint64{lifeKey: &f.mark.Life, joinedKey: &f.mark.Joined, setKey: &f.mark.Set, "CurrentTerm": &f.mark.Term} {
+	f.mark.ClusterName = string(name)
+	for key, into := range map[string]*uint64{lifeKey: &f.mark.OpenCount, joinedKey: &f.mark.JoinIndex, setKey: &f.mark.ClusterGeneration, "CurrentTerm": &f.mark.Term} {
 		if *into, err = f.number(key); err != nil {
 			return err
 		}
@@ -115,37 +115,37 @@
 		return err
 	}
 	f.sole = sole == 1
-	f.votes = f.mark.Joined == 0 || votes == 1
-	if f.mark.Last, err = f.LastIndex(); err != nil {
+	f.votes = f.mark.JoinIndex == 0 || votes == 1
+	if f.mark.LastIndex, err = f.LastIndex(); err != nil {
 		return err
 	}
-	f.mark.Last = max(f.mark.Last, at)
-	f.mark.Life++
-	return f.putNumber(lifeKey, f.mark.Life)
+	f.mark.LastIndex = max(f.mark.LastIndex, at)
+	f.mark.OpenCount++
+	return f.putNumber(lifeKey, f.mark.OpenCount)
 }
 
 // Mark is what the folder had when it was opened.
-func (f *Folder) Mark() admit.Mark { return f.mark }
+func (f *Folder) Mark() admit.DirectoryState { return f.mark }
 
 // Fresh tells whether raft never wrote anything to it.
-func (f *Folder) Fresh() bool { return f.mark.Last == 0 && f.mark.Term == 0 }
+func (f *Folder) Fresh() bool { return f.mark.LastIndex == 0 && f.mark.Term == 0 }
 
 // Votes tells whether the copy may vote with it: it began with its set, or was given the vote since it joined.
 func (f *Folder) Votes() bool { return f.votes }
 
 // Join notes that the copy joined without a vote, as of a position, and in which set.
-func (f *Folder) Join(m admit.Mark) error {
-	err := f.putAll(map[string][]byte{joinedKey: number(m.Joined), setKey: number(m.Set), nameKey: []byte(m.Name)})
+func (f *Folder) Join(m admit.DirectoryState) error {
+	err := f.putAll(map[string][]byte{joinedKey: number(m.JoinIndex), setKey: number(m.ClusterGeneration), nameKey: []byte(m.ClusterName)})
 	if err != nil {
 		return err
 	}
-	f.mark.Joined, f.mark.Set, f.mark.Name, f.votes = m.Joined, m.Set, m.Name, false
+	f.mark.JoinIndex, f.mark.ClusterGeneration, f.mark.ClusterName, f.votes = m.JoinIndex, m.ClusterGeneration, m.ClusterName, false
 	return nil
 }
 
 // Named notes the name of the set that is about to begin.
 func (f *Folder) Named(name string) error {
-	f.mark.Name = name
+	f.mark.ClusterName = name
 	return f.put(nameKey, []byte(name))
 }
 
@@ -154,12 +154,12 @@
 
 // Anew notes that operators begin a set with this folder: its own anew, or another under a new name.
 func (f *Folder) Anew(name string) error {
-	err := f.putAll(map[string][]byte{setKey: number(f.mark.Set + 1), soleKey: number(1), votesKey: number(1), nameKey: []byte(name)})
+	err := f.putAll(map[string][]byte{setKey: number(f.mark.ClusterGeneration + 1), soleKey: number(1), votesKey: number(1), nameKey: []byte(name)})
 	if err != nil {
 		return err
 	}
-	f.mark.Set++
-	f.mark.Name = name
+	f.mark.ClusterGeneration++
+	f.mark.ClusterName = name
 	f.sole, f.votes = true, true
 	return nil
 }
@@ -177,7 +177,7 @@
 func (f *Folder) Voter() error { return f.putNumber(votesKey, 1) }
 
 // Marks reads what the folder remembers of other copies.
-func (f *Folder) Marks() (map[string]admit.Mark, error) {
+func (f *Folder) Marks() (map[string]admit.DirectoryState, error) {
 	b, err := f.get(marksKey)
 	if errors.Is(err, ErrNotFound) {
 		return nil, nil
@@ -185,12 +185,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var m map[string]admit.Mark
+	var m map[string]admit.DirectoryState
 	return m, json.Unmarshal(b, &m)
 }
 
 // Remember writes it.
-func (f *Folder) Remember(m map[string]admit.Mark) error {
+func (f *Folder) Remember(m map[string]admit.DirectoryState) error {
 	b, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -265,14 +265,14 @@
 // Report is what a look at a folder found, for operators.
 type Report struct {
 	Found
-	Dir       string                `json:"dir"`
-	Format    int                   `json:"format"`
-	Mark      admit.Mark            `json:"mark"`
-	Votes     bool                  `json:"votes"`
-	Snapshots []Snapshot            `json:"snapshots"`
-	Remembers map[string]admit.Mark `json:"remembers"` // of other copies
-	Aside     []string              `json:"aside,omitempty"`
-	Damage    string                `json:"damage,omitempty"`
+	Dir       string                          `json:"dir"`
+	Format    int                             `json:"format"`
+	Mark      admit.DirectoryState            `json:"mark"`
+	Votes     bool                            `json:"votes"`
+	Snapshots []Snapshot                      `json:"snapshots"`
+	Remembers map[string]admit.DirectoryState `json:"remembers"` // of other copies
+	Aside     []string                        `json:"aside,omitempty"`
+	Damage    string                          `json:"damage,omitempty"`
 }
 
 // Snapshot is one of a folder's.
@@ -316,16 +316,16 @@
 	}
 	f := &Folder{Log: l}
 	if name, err := l.get(folderKey); err == nil {
-		r.Mark.Folder = string(name)
+		r.Mark.DirectoryID = string(name)
 	}
-	r.Mark.Life, _ = l.number(lifeKey)
-	r.Mark.Joined, _ = l.number(joinedKey)
-	r.Mark.Set, _ = l.number(setKey)
+	r.Mark.OpenCount, _ = l.number(lifeKey)
+	r.Mark.JoinIndex, _ = l.number(joinedKey)
+	r.Mark.ClusterGeneration, _ = l.number(setKey)
 	if name, err := l.get(nameKey); err == nil {
-		r.Mark.Name = string(name)
+		r.Mark.ClusterName = string(name)
 	}
 	votes, _ := l.number(votesKey)
-	r.Mark.Term, r.Mark.Last, r.Votes = r.Found.Term, r.Found.Last, r.Mark.Joined == 0 || votes == 1
+	r.Mark.Term, r.Mark.LastIndex, r.Votes = r.Found.Term, r.Found.Last, r.Mark.JoinIndex == 0 || votes == 1
 	if r.Remembers, err = f.Marks(); err != nil {
 		return damaged(err)
 	}
@@ -347,7 +347,7 @@
 	if err != nil {
 		return damaged(err)
 	}
-	r.Mark.Last = max(r.Mark.Last, last)
+	r.Mark.LastIndex = max(r.Mark.LastIndex, last)
 	return r, nil
 }
 
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -37,8 +37,8 @@
 		r.Error = err.Error()
 	} else {
 		r = m.state.Apply(c, l.Term)
-		if c.Op == state.Compare {
-			m.digest = admit.Digest{At: l.Index, Part: c.Seq, Sum: r.N}
+		if c.Op == state.OpCompareDigests {
+			m.digest = admit.Digest{Index: l.Index, Partition: c.Seq, Sum: r.Value}
 		}
 	}
 	m.index = l.Index
@@ -61,7 +61,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state, m.index, m.digest = state.New(), 0, admit.Digest{}
-	m.state.Plant = m.plant
+	m.state.InjectedBug = m.plant
 	m.tell()
 }
 
@@ -71,13 +71,13 @@
 }
 
 // kept is a copy of the state that is being written.
-type kept struct{ *state.Kept }
+type kept struct{ *state.Snapshot }
 
 // Snapshot copies the state, so that it can be written while commands go on.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return kept{m.state.Keep()}, nil
+	return kept{m.state.Snapshot()}, nil
 }
 
 // Restore takes the state of a snapshot in place of its own.
@@ -87,13 +87,13 @@
 	if err != nil {
 		return err
 	}
-	s, err := state.Read(b)
+	s, err := state.ReadSnapshot(b)
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.Plant = m.plant
+	s.InjectedBug = m.plant
 	m.state = s
 	m.tell()
 	return nil
@@ -101,7 +101,7 @@
 
 // Persist writes a snapshot.
 func (k kept) Persist(sink raft.SnapshotSink) error {
-	if err := json.NewEncoder(sink).Encode(k.Kept); err != nil {
+	if err := json.NewEncoder(sink).Encode(k.Snapshot); err != nil {
 		sink.Cancel()
 		return err
 	}
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -100,13 +100,13 @@
 		if frame.Send(conn, c, mostClaim) != nil {
 			return
 		}
-		var w admit.Word
+		var w admit.Response
 		if r.Next(&w) != nil || w.From != id {
 			return
 		}
 		s.mu.Lock()
-		if s.seeker.Claim.Folder == c.Folder && s.seeker.Rejoin == c.Rejoin { // else it is a word on another claim
-			s.seeker.Take(w)
+		if s.seeker.Claim.DirectoryID == c.DirectoryID && s.seeker.RejoinReason == c.RejoinReason { // else it is a word on another claim
+			s.seeker.AddResponse(w)
 		}
 		s.mu.Unlock()
 		s.wake()
@@ -125,7 +125,7 @@
 func (s *Store) claim() admit.Claim {
 	if r := s.now.Load(); r != nil {
 		// The term first: a position that is told with an earlier term was there in it.
-		s.seeker.Term, s.seeker.Last = r.raft.CurrentTerm(), r.raft.LastIndex()
+		s.seeker.Term, s.seeker.LastIndex = r.raft.CurrentTerm(), r.raft.LastIndex()
 		s.seeker.Digest = s.machine.looked()
 	}
 	return s.seeker.Claim
@@ -150,10 +150,10 @@
 func (s *Store) turn() {
 	s.mu.Lock()
 	phase := s.phase
-	s.seeker.Waited = s.o.Steady.Now() > s.began+hearFor
+	s.seeker.WaitElapsed = s.o.Steady.Now() > s.began+hearFor
 	d, why := s.seeker.Decide()
-	joined := s.seeker.JoinedAt()
-	if phase == PhaseSeeks && d == admit.Wait && s.why != why {
+	joined := s.seeker.JoinedState()
+	if phase == PhaseSeeks && d == admit.DecisionWait && s.why != why {
 		s.tell(PhaseSeeks, why)
 	}
 	s.mu.Unlock()
@@ -163,21 +163,21 @@
 	runs := phase == PhaseRuns
 	var err error
 	switch {
-	case d == admit.Leave:
+	case d == admit.DecisionStop:
 		err = errors.Join(errors.New(why), s.stop(false))
-	case d == admit.Rejoin:
+	case d == admit.DecisionRequestRejoin:
 		if err = s.stop(false); err == nil {
 			s.ask(why)
 		}
-	case d == admit.Renew:
+	case d == admit.DecisionResetDirectory:
 		err = s.renew(joined)
-	case d == admit.Start && !runs:
+	case d == admit.DecisionStart && !runs:
 		err = s.start(nil)
-	case d == admit.Begin && !runs:
+	case d == admit.DecisionBootstrap && !runs:
 		s.mu.Lock()
-		s.witness.Know(s.seeker.Folders())
-		f, name := s.folder, s.seeker.NewName()
-		s.seeker.Name = name
+		s.witness.RememberDirectories(s.seeker.PeerDirectories())
+		f, name := s.folder, s.seeker.NewClusterName()
+		s.seeker.ClusterName = name
 		s.mu.Unlock()
 		if err = s.remember(); err == nil {
 			err = f.Named(name)
@@ -197,13 +197,13 @@
 func (s *Store) ask(why string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seeker.Rejoin, s.seeker.Runs = why, false
-	s.seeker.Forget()
+	s.seeker.RejoinReason, s.seeker.Running = why, false
+	s.seeker.ClearResponses()
 	s.tell(PhaseAsks, why)
 }
 
 // renew sets the folder aside and begins with an empty one, without a vote.
-func (s *Store) renew(joined admit.Mark) error {
+func (s *Store) renew(joined admit.DirectoryState) error {
 	s.mu.Lock()
 	f := s.folder
 	s.mu.Unlock()
@@ -221,7 +221,7 @@
 	if err = errors.Join(damage, err); err != nil {
 		return err
 	}
-	s.o.Events.Warn().Str("copy", s.o.ID).Str("aside", to).Uint64("joined", joined.Joined).Msg("joins anew with an empty folder")
+	s.o.Events.Warn().Str("copy", s.o.ID).Str("aside", to).Uint64("joined", joined.JoinIndex).Msg("joins anew with an empty folder")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tell(PhaseSeeks, "joined anew, without a vote")
@@ -246,7 +246,7 @@
 // given notes that the node was given its vote: it has carried out all up to where it joined without one, and still its
 // latest configuration has it as a voter, so that came later.
 func (s *Store) given(r *running) {
-	joined := r.folder.Mark().Joined
+	joined := r.folder.Mark().JoinIndex
 	if r.votes.Load() || r.raft.AppliedIndex() <= joined {
 		return
 	}
@@ -272,14 +272,14 @@
 		if string(m.ID) == s.o.ID {
 			continue
 		}
-		if c, live := s.witness.Latest(string(m.ID), now); live && c.Runs {
+		if c, live := s.witness.LatestClaim(string(m.ID), now); live && c.Running {
 			of[string(m.ID)] = c.Digest
-			late = late || c.Digest.At != mine.At
+			late = late || c.Digest.Index != mine.Index
 		}
 	}
-	odd, split := admit.Differ(mine.At, of, voters)
+	odd, split := admit.FindDivergent(mine.Index, of, voters)
 	for _, id := range odd {
-		s.witness.Suspect(id)
+		s.witness.MarkDivergent(id)
 	}
 	due := now >= s.compareAt && !late || now >= s.compareAt+compareWait
 	if due {
@@ -288,10 +288,10 @@
 	part := s.part
 	s.mu.Unlock()
 	if split && !s.halted.Swap(true) {
-		s.o.Events.Error().Uint64("at", mine.At).Uint64("part", mine.Part).Msg("copies differ and no majority has one state: no effect is begun any more")
+		s.o.Events.Error().Uint64("at", mine.Index).Uint64("part", mine.Partition).Msg("copies differ and no majority has one state: no effect is begun any more")
 	}
 	for _, id := range odd {
-		s.o.Events.Error().Str("copy", id).Uint64("at", mine.At).Uint64("part", mine.Part).Msg("differs from a majority")
+		s.o.Events.Error().Str("copy", id).Uint64("at", mine.Index).Uint64("part", mine.Partition).Msg("differs from a majority")
 		if id == s.o.ID {
 			if err := s.stop(true); err == nil {
 				s.ask("the state of this copy differs from that of a majority")
@@ -302,14 +302,14 @@
 		}
 	}
 	if due {
-		s.Propose(state.Command{Op: state.Compare, Seq: part}) // nobody waits for it: the claims tell what came of it
+		s.Propose(state.Command{Op: state.OpCompareDigests, Seq: part}) // nobody waits for it: the claims tell what came of it
 	}
 }
 
 // lead takes the vote from who asks to be joined anew, and gives it to who has caught up.
 func (s *Store) lead(r *running) {
 	s.mu.Lock()
-	asks := s.witness.Asks(s.o.Steady.Now())
+	asks := s.witness.RejoinRequests(s.o.Steady.Now())
 	s.mu.Unlock()
 	for _, m := range r.raft.GetConfiguration().Configuration().Servers {
 		id := string(m.ID)
@@ -342,7 +342,7 @@
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.witness.Gone(id, no)
+		s.witness.ConnectionClosed(id, no)
 	}()
 	r := frame.NewReader(conn, claimIdle, mostClaim)
 	for s.ctx.Err() == nil {
@@ -353,7 +353,7 @@
 		if id == "" {
 			id = c.ID
 		}
-		if c.ID != id || s.o.Peers[c.ID] == "" || c.ID == s.o.ID || len(c.Folder)+len(c.Proc)+len(c.Name) > 96 {
+		if c.ID != id || s.o.Peers[c.ID] == "" || c.ID == s.o.ID || len(c.DirectoryID)+len(c.ProcessID)+len(c.ClusterName) > 96 {
 			return // no copy that we know
 		}
 		w, err := s.hear(no, c)
@@ -363,20 +363,20 @@
 	}
 }
 
-func (s *Store) hear(conn uint64, c admit.Claim) (admit.Word, error) {
+func (s *Store) hear(conn uint64, c admit.Claim) (admit.Response, error) {
 	v, m, r := s.view(c.ID)
 	_, leads := s.Office()
 	s.mu.Lock()
-	w, keep := s.witness.Hear(s.o.Steady.Now(), conn, c, v)
+	w, keep := s.witness.HandleClaim(s.o.Steady.Now(), conn, c, v)
 	s.dirty = s.dirty || !keep
-	learns := leads && v.Of[c.ID] != (admit.Member{}) && !m.Votes && w.Verdict != admit.Elsewhere && w.Verdict != admit.Stranger
-	if learns && w.Verdict == admit.Good && c.Rejoin == "" {
+	learns := leads && v.Members[c.ID] != (admit.Member{}) && !m.Voter && w.Verdict != admit.VerdictOtherAddress && w.Verdict != admit.VerdictOtherCluster
+	if learns && w.Verdict == admit.VerdictAccepted && c.RejoinReason == "" {
 		l := s.learners[c.ID]
 		if l == nil {
 			l = &admit.Learner{}
 			s.learners[c.ID] = l
 		}
-		if l.Report(c, v.Last) {
+		if l.Report(c, v.LastIndex) {
 			s.promote[c.ID] = true
 		}
 	} else {
@@ -390,10 +390,10 @@
 		}
 	}
 	s.wake()
-	if learns && c.Rejoin != "" {
+	if learns && c.RejoinReason != "" {
 		// Only what is agreed on counts: an entry that comes after proves that the loss of its vote was.
 		if err := r.raft.Barrier(writeFor).Error(); err == nil {
-			w.Joined = v.Last
+			w.JoinIndex = v.LastIndex
 		}
 	}
 	return w, nil
@@ -405,16 +405,16 @@
 	if r == nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return admit.View{Begun: s.folder == nil || !s.seeker.Fresh || s.seeker.Joined > 0, Last: s.seeker.Last, Folder: s.seeker.Folder, Set: s.seeker.Set, Name: s.seeker.Name}, m, nil
+		return admit.View{Bootstrapped: s.folder == nil || !s.seeker.Fresh || s.seeker.JoinIndex > 0, LastIndex: s.seeker.LastIndex, DirectoryID: s.seeker.DirectoryID, ClusterGeneration: s.seeker.ClusterGeneration, ClusterName: s.seeker.ClusterName}, m, nil
 	}
 	own := r.folder.Mark()
-	v.Folder, v.Set, v.Name = own.Folder, own.Set, own.Name
-	v.Last = r.raft.LastIndex() // before the configuration: a vote that is given after this look has a later position
-	v.Begun, v.Of = v.Last > 0, map[string]admit.Member{}
+	v.DirectoryID, v.ClusterGeneration, v.ClusterName = own.DirectoryID, own.ClusterGeneration, own.ClusterName
+	v.LastIndex = r.raft.LastIndex() // before the configuration: a vote that is given after this look has a later position
+	v.Bootstrapped, v.Members = v.LastIndex > 0, map[string]admit.Member{}
 	for _, c := range r.raft.GetConfiguration().Configuration().Servers {
-		v.Of[string(c.ID)] = admit.Member{Addr: string(c.Address), Votes: c.Suffrage == raft.Voter}
+		v.Members[string(c.ID)] = admit.Member{Addr: string(c.Address), Voter: c.Suffrage == raft.Voter}
 	}
-	return v, v.Of[id], r
+	return v, v.Members[id], r
 }
 
 // keep writes what is remembered of others, where it has grown.
@@ -431,7 +431,7 @@
 	s.keeping.Lock()
 	defer s.keeping.Unlock()
 	s.mu.Lock()
-	f, marks := s.folder, maps.Clone(s.witness.Marks)
+	f, marks := s.folder, maps.Clone(s.witness.Directories)
 	s.dirty = false
 	s.mu.Unlock()
 	if f == nil {
@@ -442,17 +442,17 @@
 
 // Status tells how a copy is.
 type Status struct {
-	ID      string     `json:"id"`
-	Addr    string     `json:"addr"`
-	Phase   string     `json:"phase"`
-	Why     string     `json:"why,omitempty"`
-	Leader  string     `json:"leader,omitempty"` // as far as this copy knows
-	Leads   bool       `json:"leads"`
-	Votes   bool       `json:"votes"`
-	Applied uint64     `json:"applied"`
-	Halted  bool       `json:"halted,omitempty"` // copies differ without a majority: no effect is begun
-	Mark    admit.Mark `json:"mark"`
-	Members []Member   `json:"members,omitempty"`
+	ID      string               `json:"id"`
+	Addr    string               `json:"addr"`
+	Phase   string               `json:"phase"`
+	Why     string               `json:"why,omitempty"`
+	Leader  string               `json:"leader,omitempty"` // as far as this copy knows
+	Leads   bool                 `json:"leads"`
+	Votes   bool                 `json:"votes"`
+	Applied uint64               `json:"applied"`
+	Halted  bool                 `json:"halted,omitempty"` // copies differ without a majority: no effect is begun
+	Mark    admit.DirectoryState `json:"mark"`
+	Members []Member             `json:"members,omitempty"`
 }
 
 // Member is what a copy knows of one of its set.
@@ -476,15 +476,15 @@
 	now := s.o.Steady.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st.Phase, st.Why, st.Mark, st.Halted = s.phase, s.why, s.claim().Mark, s.halted.Load()
+	st.Phase, st.Why, st.Mark, st.Halted = s.phase, s.why, s.claim().DirectoryState, s.halted.Load()
 	st.Mark.Term = max(st.Mark.Term, term)
-	for _, id := range slices.Sorted(maps.Keys(v.Of)) {
-		m := Member{ID: id, Addr: v.Of[id].Addr, Votes: v.Of[id].Votes, Alive: id == s.o.ID, Last: v.Last}
+	for _, id := range slices.Sorted(maps.Keys(v.Members)) {
+		m := Member{ID: id, Addr: v.Members[id].Addr, Votes: v.Members[id].Voter, Alive: id == s.o.ID, Last: v.LastIndex}
 		if id != s.o.ID {
 			var c admit.Claim
-			c, m.Alive = s.witness.Latest(id, now)
-			m.Last = c.Last
-			m.Behind = max(v.Last, c.Last) - c.Last
+			c, m.Alive = s.witness.LatestClaim(id, now)
+			m.Last = c.LastIndex
+			m.Behind = max(v.LastIndex, c.LastIndex) - c.LastIndex
 		}
 		st.Members = append(st.Members, m)
 	}
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -154,7 +154,7 @@
 	s.write("a", "k")
 	for _, id := range []string{"a", "b", "c"} {
 		s.has(id, "k")
-		if st := s.up[id].Status(); st.Mark.Joined != 0 || len(s.aside(id)) > 0 {
+		if st := s.up[id].Status(); st.Mark.JoinIndex != 0 || len(s.aside(id)) > 0 {
 			t.Errorf("%s joined anew: %+v", id, st)
 		}
 	}
@@ -219,8 +219,8 @@
 			s.stop("c")
 			spoil(t, s, old)
 			s.start("c")
-			st := s.is("c", "want it back with its vote", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 })
-			if st.Mark.Life != 1 || len(s.aside("c")) == 0 {
+			st := s.is("c", "want it back with its vote", func(st Status) bool { return votes(st) && st.Mark.JoinIndex > 0 })
+			if st.Mark.OpenCount != 1 || len(s.aside("c")) == 0 {
 				t.Errorf("%+v, set aside %q", st, s.aside("c"))
 			}
 			s.has("c", append(keys, "before")...)
@@ -255,7 +255,7 @@
 		t.Errorf("%+v", st)
 	}
 	s.start("b")
-	s.is("c", "want it back", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 })
+	s.is("c", "want it back", func(st Status) bool { return votes(st) && st.Mark.JoinIndex > 0 })
 	s.has("c", "k")
 }
 
@@ -275,7 +275,7 @@
 	s.stop("b", "c")
 	o := Options{ID: "a", Dir: s.dirs["a"], Peers: maps.Clone(s.peers)}
 	r, err := Resolve(o)
-	if err != nil || r.Mark.Set != 1 {
+	if err != nil || r.Mark.ClusterGeneration != 1 {
 		t.Fatalf("%+v %v", r, err)
 	}
 	s.start("a")
@@ -283,7 +283,7 @@
 	s.write("a", "anew")
 	s.start("b", "c") // they hold more, and are a majority of what was
 	for _, id := range []string{"b", "c"} {
-		s.is(id, "want it joined anew", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 && st.Mark.Set == 1 })
+		s.is(id, "want it joined anew", func(st Status) bool { return votes(st) && st.Mark.JoinIndex > 0 && st.Mark.ClusterGeneration == 1 })
 		s.has(id, "k", "anew")
 		if _, there := s.up[id].Get("only b and c"); there {
 			t.Errorf("%s has what was given up", id)
@@ -370,7 +370,7 @@
 	if st.Phase != PhaseSeeks || len(n.aside("c")) > 0 {
 		t.Errorf("%+v", st)
 	}
-	if a, b := n.up["a"].Status().Mark.Name, n.up["b"].Status().Mark.Name; a != b || a == h.Name {
+	if a, b := n.up["a"].Status().Mark.ClusterName, n.up["b"].Status().Mark.ClusterName; a != b || a == h.Name {
 		t.Errorf("sets %q, %q; the old one is %q", a, b, h.Name)
 	}
 	n.write("b", "anew")
@@ -412,11 +412,11 @@
 		if odd == "" {
 			t.Fatal("nobody leads")
 		}
-		before := s.up[odd].Status().Mark.Joined
+		before := s.up[odd].Status().Mark.JoinIndex
 		if s.up[odd].Spoil(uint64(round+3)) == "" {
 			t.Fatal("nothing was spoilt")
 		}
-		s.is(odd, "want it joined anew", func(st Status) bool { return votes(st) && st.Mark.Joined > before })
+		s.is(odd, "want it joined anew", func(st Status) bool { return votes(st) && st.Mark.JoinIndex > before })
 		s.has(odd, "k")
 		s.all("a", "b", "c")
 	}
@@ -591,8 +591,8 @@
 	n := s.up["a"]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.witness.Marks) != 2 || n.witness.Marks["b"].Folder == "f" || n.witness.Marks["c"].Folder == "f" {
-		t.Errorf("%+v", n.witness.Marks)
+	if len(n.witness.Directories) != 2 || n.witness.Directories["b"].DirectoryID == "f" || n.witness.Directories["c"].DirectoryID == "f" {
+		t.Errorf("%+v", n.witness.Directories)
 	}
 }
 
--- a/internal/store/rates_test.go
+++ b/internal/store/rates_test.go
@@ -138,10 +138,10 @@
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
 			measureRate(b, float64(rate), func(lead *Store, i int) error {
 				id := fmt.Sprintf("%016x", i)
-				if err := proposed(lead, state.Command{Op: state.Begin, Key: id}); err != nil {
+				if err := proposed(lead, state.Command{Op: state.OpBeginEffect, Key: id}); err != nil {
 					return err
 				}
-				return proposed(lead, state.Command{Op: state.End, IDs: []string{id}})
+				return proposed(lead, state.Command{Op: state.OpEndEffects, EffectIDs: []string{id}})
 			})
 		})
 	}
@@ -157,7 +157,7 @@
 					c.Puts = append(c.Puts, records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i%1000*3+k)},
 						Value: fmt.Appendf(nil, `{"share":0.0000025,"limit":%d.5}`, i%500)})
 				}
-				return proposed(lead, state.Command{Op: state.Change, Change: &c})
+				return proposed(lead, state.Command{Op: state.OpChangeRecords, Change: &c})
 			})
 		})
 	}
@@ -170,9 +170,9 @@
 			measureRate(b, float64(rate), func(lead *Store, i int) error {
 				term, _ := lead.Office()
 				who := fmt.Sprintf("os-%04d#%016x", i%4300, i)
-				name := duty.PresenceOf(who)
-				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: who, TTL: 3000, Term: term}
-				if err := proposed(lead, state.Command{Op: state.Orders, Orders: []duty.Order{grant}}); err != nil {
+				name := duty.PresenceName(who)
+				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: who, TTLMS: 3000, Term: term}
+				if err := proposed(lead, state.Command{Op: state.OpLeaseOrders, Orders: []duty.Order{grant}}); err != nil {
 					return err
 				}
 				epoch := uint64(0)
@@ -181,8 +181,8 @@
 						epoch = l.Epoch
 					}
 				})
-				lapse := duty.Order{Kind: duty.Lapse, Name: name, Holder: who, Epoch: epoch, Term: term}
-				return proposed(lead, state.Command{Op: state.Orders, Orders: []duty.Order{lapse}})
+				lapse := duty.Order{Kind: duty.Expire, Name: name, Holder: who, Epoch: epoch, Term: term}
+				return proposed(lead, state.Command{Op: state.OpLeaseOrders, Orders: []duty.Order{lapse}})
 			})
 		})
 	}
--- a/internal/store/resolve.go
+++ b/internal/store/resolve.go
@@ -29,10 +29,10 @@
 		return report, err
 	case report.Damage != "":
 		return report, errors.New(report.Damage)
-	case report.Mark.Last == 0:
+	case report.Mark.LastIndex == 0:
 		return report, fmt.Errorf("store: %s holds nothing to begin with", o.Dir)
 	case !report.Votes:
-		return report, fmt.Errorf("store: %s joined as of entry %d and had not caught up: choose a copy with a vote", o.Dir, report.Mark.Joined)
+		return report, fmt.Errorf("store: %s joined as of entry %d and had not caught up: choose a copy with a vote", o.Dir, report.Mark.JoinIndex)
 	}
 	proc, err := disk.Draw()
 	if err != nil {
@@ -48,7 +48,7 @@
 		return report, fmt.Errorf("store: %w", err)
 	}
 	// Last, so that an end in the middle leaves a folder that is still the set's, and the command can be given again.
-	if err := f.Anew(report.Mark.Name); err != nil {
+	if err := f.Anew(report.Mark.ClusterName); err != nil {
 		return report, err
 	}
 	report.Mark = f.Mark()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -48,7 +48,7 @@
 	Dir      string
 	Peers    map[string]string // id and address of each node, this one included; none: Start has to tell them, and nobody is asked
 	Via      map[string]string // addresses of peers that this node reaches elsewhere, and where
-	Strict   bool              // more of the others have to be heard before this node takes part: admit.Seeker
+	Strict   bool              // more of the others have to be heard before this node takes part: admit.Joiner
 	Log      io.Writer         // raft's
 	Events   zerolog.Logger
 	Steady   *clock.Clock // nil: the system's
@@ -90,8 +90,8 @@
 
 	mu        sync.Mutex
 	folder    *disk.Folder // nil: what stands there is damaged
-	seeker    admit.Seeker
-	witness   *admit.Witness
+	seeker    admit.Joiner
+	witness   *admit.Verifier
 	learners  map[string]*admit.Learner
 	promote   map[string]bool // learners that have caught up
 	phase     string
@@ -119,7 +119,7 @@
 		o.Log = io.Discard
 	}
 	if o.Steady == nil {
-		o.Steady = clock.Steady()
+		o.Steady = clock.Monotonic()
 	}
 	if o.CompareMs == 0 {
 		o.CompareMs = compareEach
@@ -140,9 +140,9 @@
 	s := &Store{o: o, proc: proc, machine: newMachine(), kick: make(chan struct{}, 1), learners: map[string]*admit.Learner{},
 		promote: map[string]bool{}, phase: PhaseSeeks, news: make(chan struct{})}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.machine.watch, s.machine.plant, s.machine.state.Plant = o.Watch, o.Plant, o.Plant
+	s.machine.watch, s.machine.plant, s.machine.state.InjectedBug = o.Watch, o.Plant, o.Plant
 	s.layer = newLayer(ln, map[byte]func(net.Conn){forWrites: s.serveWrite, forClaims: s.serveClaims, forStatus: s.serveStatus, forBackup: s.serveBackup}, o.Via)
-	damage, err := s.open(admit.Mark{})
+	damage, err := s.open(admit.DirectoryState{})
 	if err == nil && damage != nil && len(o.Peers) < 2 {
 		err = damage // nobody to build it anew from
 	}
@@ -167,7 +167,7 @@
 }
 
 // open opens the folder. A folder that is damaged is no error: the node asks to be joined anew.
-func (s *Store) open(joined admit.Mark) (damage error, err error) {
+func (s *Store) open(joined admit.DirectoryState) (damage error, err error) {
 	f, err := disk.OpenFolder(s.o.Dir, s.proc, s.o.Log, disk.Options{Fail: s.failed})
 	if bad := (*disk.Damage)(nil); errors.As(err, &bad) {
 		damage, err = bad, nil
@@ -175,9 +175,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var marks map[string]admit.Mark
+	var marks map[string]admit.DirectoryState
 	if f != nil {
-		if joined.Joined > 0 {
+		if joined.JoinIndex > 0 {
 			err = f.Join(joined)
 		}
 		if err == nil {
@@ -192,21 +192,21 @@
 	defer s.mu.Unlock()
 	s.folder = f
 	if s.witness == nil || len(marks) > 0 {
-		s.witness = admit.NewWitness(s.o.ID, marks)
+		s.witness = admit.NewVerifier(s.o.ID, marks)
 	} else {
 		s.dirty = true // what was remembered goes into the new folder
 	}
-	s.seeker = admit.Seeker{Strict: s.o.Strict, Plant: s.o.Plant}
+	s.seeker = admit.Joiner{Strict: s.o.Strict, InjectedBug: s.o.Plant}
 	s.seeker.ID, s.seeker.Addr = s.o.ID, s.o.Peers[s.o.ID]
 	for id := range s.o.Peers {
 		if id != s.o.ID {
-			s.seeker.Others = append(s.seeker.Others, id)
+			s.seeker.Peers = append(s.seeker.Peers, id)
 		}
 	}
 	if f != nil {
-		s.seeker.Mark, s.seeker.Fresh, s.seeker.Sole = f.Mark(), f.Fresh(), f.Sole()
+		s.seeker.DirectoryState, s.seeker.Fresh, s.seeker.SoleVoter = f.Mark(), f.Fresh(), f.Sole()
 	} else {
-		s.seeker.Proc, s.seeker.Rejoin = s.proc, damage.Error()
+		s.seeker.ProcessID, s.seeker.RejoinReason = s.proc, damage.Error()
 		s.tell(PhaseAsks, damage.Error())
 	}
 	return damage, nil
@@ -219,10 +219,10 @@
 	s.mu.Unlock()
 	r := &running{folder: f}
 	r.votes.Store(f.Votes())
-	lane := s.layer.open(f.Mark().Name)
+	lane := s.layer.open(f.Mark().ClusterName)
 	r.trans = raft.NewNetworkTransport(lane, 3, writeFor, s.o.Log)
 	r.gate = newGate(r.trans, r.votes.Load)
-	fresh := f.Fresh() && f.Mark().Joined == 0
+	fresh := f.Fresh() && f.Mark().JoinIndex == 0
 	var err error
 	if r.raft, err = raft.NewRaft(s.o.raft(), s.machine, f, f, f.Snap, r.gate); err != nil {
 		r.gate.Close()
@@ -238,8 +238,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seeker.Fresh, s.seeker.Runs = false, true
-	s.seeker.Forget()
+	s.seeker.Fresh, s.seeker.Running = false, true
+	s.seeker.ClearResponses()
 	s.tell(PhaseRuns, "")
 	return nil
 }
@@ -314,19 +314,19 @@
 
 // Set writes a key.
 func (s *Store) Set(key string, value []byte) error {
-	_, err := s.write(state.Command{Op: state.Set, Key: key, Value: value})
+	_, err := s.write(state.Command{Op: state.OpSet, Key: key, Value: value})
 	return err
 }
 
 // Delete removes a key.
 func (s *Store) Delete(key string) error {
-	_, err := s.write(state.Command{Op: state.Delete, Key: key})
+	_, err := s.write(state.Command{Op: state.OpDelete, Key: key})
 	return err
 }
 
 // Begin records that an effect begins; false: it is recorded already.
 func (s *Store) Begin(id string) (bool, error) {
-	return s.write(state.Command{Op: state.Begin, Key: id})
+	return s.write(state.Command{Op: state.OpBeginEffect, Key: id})
 }
 
 // Snapshot writes the state to the node's folder now.
@@ -358,7 +358,7 @@
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
-	return err == nil && r.Fresh, err
+	return err == nil && r.WasAbsent, err
 }
 
 func (s *Store) forward(c state.Command) (r state.Result, err error) {
@@ -383,7 +383,7 @@
 	if err != nil || a.Error != "" {
 		return r, fmt.Errorf("%w: %v %s", ErrNoQuorum, err, a.Error)
 	}
-	return state.Result{Fresh: a.Fresh, Error: a.Refused}, nil
+	return state.Result{WasAbsent: a.Fresh, Error: a.Refused}, nil
 }
 
 func (s *Store) apply(c state.Command) (state.Result, error) { return s.Propose(c)() }
@@ -393,7 +393,7 @@
 // one goroutine proposes them.
 func (s *Store) Propose(c state.Command) func() (state.Result, error) {
 	b, err := json.Marshal(c)
-	if err == nil && c.Op == state.Begin && s.halted.Load() {
+	if err == nil && c.Op == state.OpBeginEffect && s.halted.Load() {
 		err = ErrDiffer
 	}
 	if err != nil {
@@ -495,7 +495,7 @@
 		return
 	}
 	r, err := s.apply(c)
-	a := answer{Fresh: r.Fresh, Refused: r.Error}
+	a := answer{Fresh: r.WasAbsent, Refused: r.Error}
 	if err != nil {
 		a.Error = err.Error()
 	}
