--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -28,21 +28,21 @@
 const (
 	backupKind   = "puffinsaddle backup"
 	backupFormat = 1
-	mostHeader   = 4 << 10
-	mostBackup   = 4 << 30 // bytes of a state
-	pieceFor     = 10 * time.Second
+	mostHeader   = 4 << 10          // bytes
+	mostBackup   = 4 << 30          // bytes of uncompressed state
+	pieceFor     = 10 * time.Second // for one read or write of the compressed state
 )
 
-// ErrBackup is the error of a backup that is not whole.
-var ErrBackup = errors.New("store: no whole backup")
+// ErrBackup reports a backup that is truncated, corrupt or of an unsupported format.
+var ErrBackup = errors.New("store: invalid backup")
 
-// Backup is the first line of a backup, as JSON; behind it stands the state, compressed.
+// Backup is the header of a backup: its first line, as JSON. The state follows, compressed with zstd.
 type Backup struct {
 	Kind   string `json:"kind"`
 	Format int    `json:"format"`
-	Name   string `json:"set"`   // of the set that it is of
-	Times  uint64 `json:"times"` // that operators had begun it anew
-	From   string `json:"from"`
+	Name   string `json:"set"`   // of the cluster that was backed up
+	Times  uint64 `json:"times"` // how often operators had recovered that cluster
+	From   string `json:"from"`  // id of the node that served it
 	Index  uint64 `json:"index"`
 	Term   uint64 `json:"term"`
 	Bytes  int64  `json:"bytes"`  // of the state
@@ -50,7 +50,7 @@
 	Error  string `json:"error,omitempty"`
 }
 
-// serveBackup sends the whole state as of one position, which holds all that was agreed on before it was asked for.
+// serveBackup sends the complete state at one log index, which includes everything committed before the request.
 func (s *Store) serveBackup(conn net.Conn) {
 	defer conn.Close()
 	h, text, err := s.point()
@@ -66,12 +66,12 @@
 	if err != nil {
 		return
 	}
-	if _, err = io.Copy(z, text); err == nil { // else it is cut short, which whoever reads it finds
+	if _, err = io.Copy(z, text); err == nil { // otherwise the stream is truncated, which the reader detects
 		z.Close()
 	}
 }
 
-// deadlines gives each piece a time to be written or read in. Guards against a peer that stalls.
+// deadlines sets a deadline for each read and write. Guards against a stalled peer.
 type deadlines struct{ net.Conn }
 
 func (d deadlines) Write(b []byte) (int, error) {
@@ -84,11 +84,11 @@
 	return d.Conn.Read(b)
 }
 
-// point makes a snapshot, and opens it.
+// point takes a snapshot and opens it; only the leader does so.
 func (s *Store) point() (h Backup, text io.ReadCloser, err error) {
 	r := s.now.Load()
 	if _, leads := s.Office(); r == nil || !leads {
-		return h, nil, fmt.Errorf("store: %s does not lead, but %q", s.o.ID, s.Leader())
+		return h, nil, fmt.Errorf("store: %s is not the leader; the leader is %q", s.o.ID, s.Leader())
 	}
 	if err := s.Prove()(); err != nil {
 		return h, nil, fmt.Errorf("%w: %v", ErrNoQuorum, err)
@@ -101,7 +101,7 @@
 		return h, nil, err
 	}
 	if len(all) == 0 {
-		return h, nil, errors.New("store: nothing was agreed on yet")
+		return h, nil, errors.New("store: there is nothing to back up: no entry is committed yet")
 	}
 	sum, n := sha256.New(), int64(0)
 	m, text, err := r.folder.Snap.Open(all[0].ID)
@@ -120,12 +120,13 @@
 		Bytes: n, SHA256: hex.EncodeToString(sum.Sum(nil))}, text, nil
 }
 
-// Save asks the nodes at these addresses for a backup and writes it to a file, which stands only once it is whole.
+// Save requests a backup from the nodes at these addresses and writes it to a file. The file appears at path only after the
+// backup was received completely and verified.
 func Save(ctx context.Context, peers map[string]string, path string) (h Backup, err error) {
 	if _, err := os.Stat(path); err == nil {
-		return h, fmt.Errorf("store: %s is there already", path)
+		return h, fmt.Errorf("store: %s exists already", path)
 	}
-	why := errors.New("store: no node is named")
+	why := errors.New("store: no node is given")
 	for _, id := range slices.Sorted(maps.Keys(peers)) {
 		if h, err = saveFrom(ctx, peers[id], path); err == nil {
 			return h, nil
@@ -181,25 +182,25 @@
 	return h, os.Rename(f.Name(), path)
 }
 
-// ReadBackup reads a backup and writes its state; an error tells that what was written is not whole.
+// ReadBackup reads and verifies a backup and writes its state to a writer. On an error, the written state is not usable.
 func ReadBackup(r io.Reader, to io.Writer) (h Backup, err error) {
 	in := bufio.NewReaderSize(r, mostHeader)
 	line, err := in.ReadSlice('\n')
 	if err != nil {
-		return h, fmt.Errorf("%w: its first line: %v", ErrBackup, err)
+		return h, fmt.Errorf("%w: header: %v", ErrBackup, err)
 	}
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&h); err != nil {
-		return h, fmt.Errorf("%w: its first line: %v", ErrBackup, err)
+		return h, fmt.Errorf("%w: header: %v", ErrBackup, err)
 	}
 	switch {
 	case h.Kind != backupKind:
-		return h, fmt.Errorf("%w: its kind is %q", ErrBackup, h.Kind)
+		return h, fmt.Errorf("%w: kind is %q", ErrBackup, h.Kind)
 	case h.Format != backupFormat:
-		return h, fmt.Errorf("%w: its format is %d, this build reads %d", ErrBackup, h.Format, backupFormat)
+		return h, fmt.Errorf("%w: format is %d, this build reads %d", ErrBackup, h.Format, backupFormat)
 	case h.Bytes <= 0 || h.Bytes > mostBackup || h.Index == 0 || h.Term == 0:
-		return h, fmt.Errorf("%w: %d bytes as of entry %d in term %d", ErrBackup, h.Bytes, h.Index, h.Term)
+		return h, fmt.Errorf("%w: header with %d bytes at log index %d in term %d", ErrBackup, h.Bytes, h.Index, h.Term)
 	}
 	z, err := zstd.NewReader(in, zstd.WithDecoderConcurrency(1))
 	if err != nil {
@@ -212,16 +213,16 @@
 	case err != nil:
 		return h, fmt.Errorf("%w: after %d of %d bytes: %v", ErrBackup, n, h.Bytes, err)
 	case n != h.Bytes:
-		return h, fmt.Errorf("%w: it has %d bytes, not %d", ErrBackup, n, h.Bytes)
+		return h, fmt.Errorf("%w: the state has %d bytes, want %d", ErrBackup, n, h.Bytes)
 	case hex.EncodeToString(sum.Sum(nil)) != h.SHA256:
-		return h, fmt.Errorf("%w: its digest is not the one that it tells", ErrBackup)
+		return h, fmt.Errorf("%w: the SHA-256 digest of the state does not match the header", ErrBackup)
 	}
 	return h, nil
 }
 
-// Restore makes a node's folder from a backup. The folder begins a set of its own, with a name that no other has, so no copy of
-// the set that the backup is of is taken for one of this; the other nodes join it with empty folders. Nothing is made where the
-// backup is not whole.
+// Restore creates a node's data directory from a backup. The directory starts a new cluster with a unique name, so replicas of
+// the cluster that was backed up are not accepted as members; the other nodes join with empty directories. Nothing is created
+// if the backup is invalid.
 func Restore(o Options, backup io.Reader) (h Backup, err error) {
 	if o.Log == nil {
 		o.Log = io.Discard
@@ -230,7 +231,7 @@
 		return h, fmt.Errorf("store: %s is not among its own peers", o.ID)
 	}
 	if _, err := os.Stat(filepath.Join(o.Dir, disk.File)); err == nil {
-		return h, fmt.Errorf("store: %s holds a copy already", o.Dir)
+		return h, fmt.Errorf("store: %s holds a replica already", o.Dir)
 	}
 	var text bytes.Buffer
 	if h, err = ReadBackup(backup, &text); err != nil {
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -1,6 +1,6 @@
-// Package disk keeps a copy's log and its few words of lasting state in a bolt file, each record with a checksum. What is
-// damaged is told with its place and never read as data. After a write that failed nothing more is written or read: a copy that
-// went on could lose what it acknowledged.
+// Package disk keeps a replica's raft log and its few persistent values in a bolt file, each record with a checksum. Corrupt
+// records are reported with their location and never returned as data. After a failed write nothing more is written or read: a
+// replica that continued could lose entries that it acknowledged.
 package disk
 
 import (
@@ -23,36 +23,36 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Format is that of the folders that this build writes. Format 1 had no checksums; its folders are taken over at their first
-// opening.
+// Format is the version of the data directory format that this build writes. Format 1 had no checksums; its directories are
+// migrated when they are first opened.
 const Format = 2
 
-// File is the name of the bolt file in a copy's folder.
+// File is the name of the bolt file in a replica's data directory.
 const File = "raft.db"
 
-// ErrStopped is the error of everything after a write that failed, or damage that was met.
+// ErrStopped is returned by every operation after a failed write or after corruption was found.
 var ErrStopped = errors.New("disk: stopped")
 
-// ErrNotFound is the error of a value that was never written, in raft's words.
+// ErrNotFound reports a value that was never written; raft matches its text.
 var ErrNotFound = errors.New("not found")
 
-// ErrNewer tells that a folder was written by a later build.
-var ErrNewer = errors.New("disk: a later build wrote it")
+// ErrNewer reports a directory in a format of a later build.
+var ErrNewer = errors.New("disk: written by a later build")
 
-// Damage tells of a record that is not what was written.
+// Damage reports data that is not what was written.
 type Damage struct {
 	Path  string
-	Place string // such as: entry 17
+	Place string // such as "entry 17"
 	Why   string
 }
 
 func (d *Damage) Error() string {
-	return fmt.Sprintf("disk: %s: %s is damaged: %s", d.Path, d.Place, d.Why)
+	return fmt.Sprintf("disk: %s: %s is corrupt: %s", d.Path, d.Place, d.Why)
 }
 
 const (
-	lockFor   = time.Second // another process may be about to let go of the file
-	batch     = 256         // records that are taken over from an earlier format at once
+	lockFor   = time.Second // another process may be about to release the file
+	batch     = 256         // records migrated from an earlier format in one transaction
 	formatKey = "format"
 )
 
@@ -60,45 +60,48 @@
 	table = crc32.MakeTable(crc32.Castagnoli)
 	magic = []byte("pufc")
 
-	// Buckets, and the form of an entry, are those of hashicorp/raft-boltdb, which the build before used.
+	// The buckets and the encoding of an entry are those of hashicorp/raft-boltdb, which format 1 used.
 	logs   = []byte("logs")
 	values = []byte("conf")
 	form   = earlier()
 )
 
+// earlier returns the msgpack encoding of entries that hashicorp/raft-boltdb uses.
 func earlier() *codec.MsgpackHandle {
 	h := &codec.MsgpackHandle{}
 	h.TimeNotBuiltin = true
 	return h
 }
 
-const trailer = 8 // magic and checksum
+const trailer = 8 // bytes of magic and checksum
 
-// sum is the checksum of a record with its place, so that one that stands elsewhere is damage too.
+// sum returns the checksum of a record including its bucket and key, so that a record found under another key is corrupt too.
 func sum(bucket, key, text []byte) uint32 {
 	c := crc32.Update(0, table, bucket)
 	c = crc32.Update(c, table, key)
 	return crc32.Update(c, table, text)
 }
 
+// seal returns a record with its checksum appended.
 func seal(bucket, key, text []byte) []byte {
 	b := append(make([]byte, 0, len(text)+trailer), text...)
 	return binary.BigEndian.AppendUint32(append(b, magic...), sum(bucket, key, text))
 }
 
-// unseal parts a record from its checksum and compares.
+// unseal verifies the checksum of a record and returns the record without it.
 func (l *Log) unseal(bucket, key, b []byte) ([]byte, error) {
 	n := len(b) - trailer
 	if n < 0 || !bytes.Equal(b[n:n+len(magic)], magic) {
-		return nil, &Damage{l.path, place(bucket, key), "it has no checksum"}
+		return nil, &Damage{l.path, place(bucket, key), "no checksum"}
 	}
 	want := binary.BigEndian.Uint32(b[n+len(magic):])
 	if got := sum(bucket, key, b[:n]); got != want {
-		return nil, &Damage{l.path, place(bucket, key), fmt.Sprintf("its checksum is %08x, not %08x", got, want)}
+		return nil, &Damage{l.path, place(bucket, key), fmt.Sprintf("checksum is %08x, want %08x", got, want)}
 	}
 	return b[:n], nil
 }
 
+// place describes the location of a record for messages.
 func place(bucket, key []byte) string {
 	if bytes.Equal(bucket, logs) && len(key) == 8 {
 		return fmt.Sprintf("entry %d", binary.BigEndian.Uint64(key))
@@ -106,9 +109,10 @@
 	return fmt.Sprintf("%q", key)
 }
 
+// number encodes n as 8 bytes, big-endian.
 func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// Log is raft's log and stable store.
+// Log is raft's log store and stable store.
 type Log struct {
 	db   *bbolt.DB
 	path string
@@ -117,18 +121,18 @@
 	stopped error
 	fail    func(error)
 	running atomic.Bool
-	fault   atomic.Pointer[func(op string) error] // a failing disk, for tests
+	fault   atomic.Pointer[func(op string) error] // set by tests to make operations fail
 }
 
-// Options set up a Log.
+// Options configure a Log.
 type Options struct {
-	Fail func(error) // called once, on a goroutine of its own, when the log stops; nil: nobody asks
+	Fail func(error) // optional; called once, on its own goroutine, when the log stops after an error
 }
 
-// Open opens the bolt file of a folder, or makes it, and checks every record.
+// Open opens the bolt file of a data directory, or creates it, and checks every record.
 func Open(dir string, o Options) (*Log, error) {
 	l := &Log{path: filepath.Join(dir, File), fail: o.Fail}
-	if info, err := os.Stat(l.path); err == nil && info.Size() > 0 { // a later build's is not to be touched
+	if info, err := os.Stat(l.path); err == nil && info.Size() > 0 { // a file of a later build must not be modified
 		if err := l.open(true); err != nil {
 			return nil, err
 		}
@@ -156,8 +160,8 @@
 		return err
 	}
 	return guard(l.path, "the file", func() (err error) {
-		// The list of free pages is not kept but found anew at each opening: no checksum guards it, and a wrong one would
-		// let later writes destroy earlier ones.
+		// The list of free pages is not stored but rebuilt at each opening: it has no checksum, and a corrupt list would let
+		// later writes overwrite earlier ones.
 		l.db, err = bbolt.Open(l.path, 0o600, &bbolt.Options{Timeout: lockFor, ReadOnly: readOnly, NoFreelistSync: true})
 		if err != nil {
 			return opening(l.path, err)
@@ -178,19 +182,19 @@
 	})
 }
 
-// opening sorts the errors of opening a bolt file.
+// opening classifies an error of opening a bolt file.
 func opening(path string, err error) error {
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
 		return fmt.Errorf("disk: %s is open in another process", path)
 	case errors.Is(err, bolterrors.ErrInvalid), errors.Is(err, bolterrors.ErrChecksum), errors.Is(err, bolterrors.ErrVersionMismatch):
-		return &Damage{path, "the file's head", err.Error()}
+		return &Damage{path, "the file header", err.Error()}
 	}
 	return err
 }
 
-// guard turns a panic over pages that make no sense into damage. A page that lies outside of the file is a fault of memory,
-// which would end the process; it is turned into a panic for as long.
+// guard runs do and turns a panic over corrupt pages into a Damage error. Reading a page beyond the end of the mapped file is a
+// memory fault, which would end the process; within do it panics instead.
 func guard(path, place string, do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -201,8 +205,8 @@
 	return do()
 }
 
-// takeOver gives every record of an earlier format its checksum. It may be cut off at any point and goes on at the next
-// opening.
+// takeOver migrates a file of an earlier format: it adds the checksum to every record. It may be interrupted at any point and
+// continues at the next opening.
 func (l *Log) takeOver() error {
 	return guard(l.path, "the file", func() error {
 		have, err := l.format()
@@ -222,7 +226,7 @@
 	})
 }
 
-// takeOverSome takes some records over and tells where the rest begins; nil: there is none.
+// takeOverSome migrates one batch of records and returns the key at which the rest begins; nil: none are left.
 func (l *Log) takeOverSome(name, from []byte) (rest []byte, err error) {
 	err = l.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(name)
@@ -231,7 +235,7 @@
 		c := bucket.Cursor()
 		k, v := c.Seek(from)
 		for ; k != nil && len(some) < batch; k, v = c.Next() {
-			if _, err := l.unseal(name, k, v); err != nil { // a record that was not taken over yet
+			if _, err := l.unseal(name, k, v); err != nil { // not migrated yet
 				some = append(some, record{bytes.Clone(k), seal(name, k, v)})
 			}
 		}
@@ -246,7 +250,7 @@
 	return rest, err
 }
 
-// format is that of the folder; 1 where nothing is told.
+// format returns the format of the directory; 1 if none is recorded.
 func (l *Log) format() (int, error) {
 	v, err := l.get(formatKey)
 	if errors.Is(err, ErrNotFound) {
@@ -264,16 +268,16 @@
 	return int(v[0]), err
 }
 
-// Found is what a look at all records found.
+// Found summarizes the records of a log.
 type Found struct {
-	First   uint64 `json:"first"`
-	Last    uint64 `json:"last"`
+	First   uint64 `json:"first"` // log index
+	Last    uint64 `json:"last"`  // log index
 	Entries int    `json:"entries"`
 	Bytes   int64  `json:"bytes"` // of the entries' data
-	Term    uint64 `json:"term"`  // the latest known
+	Term    uint64 `json:"term"`  // raft's current term
 }
 
-// check reads every record.
+// check reads and verifies every record.
 func (l *Log) check() (f Found, err error) {
 	err = guard(l.path, "the file", func() error {
 		return l.db.View(func(tx *bbolt.Tx) error {
@@ -285,9 +289,9 @@
 				}
 				switch {
 				case before.Index > 0 && e.Index != before.Index+1:
-					return &Damage{l.path, fmt.Sprintf("entry %d", before.Index+1), "it is missing"}
+					return &Damage{l.path, fmt.Sprintf("entry %d", before.Index+1), "missing"}
 				case e.Term < before.Term:
-					return &Damage{l.path, place(logs, k), fmt.Sprintf("its term is %d, after %d", e.Term, before.Term)}
+					return &Damage{l.path, place(logs, k), fmt.Sprintf("term is %d, after term %d", e.Term, before.Term)}
 				}
 				if f.First == 0 {
 					f.First = e.Index
@@ -313,7 +317,7 @@
 	return f, err
 }
 
-// decode reads one entry and checks it.
+// decode verifies and decodes one entry.
 func (l *Log) decode(key, v []byte, into *raft.Log) error {
 	text, err := l.unseal(logs, key, v)
 	if err != nil {
@@ -323,7 +327,7 @@
 		return &Damage{l.path, place(logs, key), err.Error()}
 	}
 	if !bytes.Equal(number(into.Index), key) {
-		return &Damage{l.path, place(logs, key), fmt.Sprintf("entry %d stands there", into.Index)}
+		return &Damage{l.path, place(logs, key), fmt.Sprintf("it holds entry %d", into.Index)}
 	}
 	return nil
 }
@@ -343,7 +347,7 @@
 	err = l.db.View(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(values)
 		if bucket == nil {
-			return ErrNotFound // a file that was made and not begun
+			return ErrNotFound // the file was created but not initialized
 		}
 		v := bucket.Get([]byte(key))
 		if v == nil {
@@ -371,15 +375,15 @@
 		return 0, err
 	}
 	if len(v) != 8 {
-		return 0, &Damage{l.path, fmt.Sprintf("%q", key), fmt.Sprintf("%d bytes, not 8", len(v))}
+		return 0, &Damage{l.path, fmt.Sprintf("%q", key), fmt.Sprintf("%d bytes, want 8", len(v))}
 	}
 	return binary.BigEndian.Uint64(v), nil
 }
 
-// Run tells that raft runs on it: from now on a goroutine of raft's that would panic over an error ends instead.
+// Run notes that raft uses the log: from now on a raft goroutine that would panic over an error exits instead.
 func (l *Log) Run() { l.running.Store(true) }
 
-// Stopped is why nothing is read or written any more; nil: it is.
+// Stopped returns the error that stopped the log, or nil.
 func (l *Log) Stopped() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -404,7 +408,7 @@
 	}
 }
 
-// do carries an operation out, and stops all that follow where it fails for more than a record that is not there.
+// do executes an operation. If it fails for any reason other than a missing record, all further operations fail.
 func (l *Log) do(op string, do func() error) error {
 	if why := l.Stopped(); why != nil {
 		return fmt.Errorf("%w: %w", ErrStopped, why)
@@ -423,8 +427,8 @@
 	return err
 }
 
-// must is do for where raft panics over an error: its goroutine ends in place of the process, and whoever was told by Fail
-// ends the rest. Nothing that raft would do next can then rest on what was not read or written.
+// must is do for operations over whose errors raft panics. Instead of the process only raft's goroutine exits, and the callback
+// Fail shuts down the rest. Raft therefore never continues on data that was not read or written.
 func (l *Log) must(op string, do func() error) error {
 	err := l.do(op, do)
 	if err != nil && l.running.Load() && !errors.Is(err, raft.ErrLogNotFound) && !errors.Is(err, ErrNotFound) {
@@ -433,10 +437,10 @@
 	return err
 }
 
-// FirstIndex is the position of the first entry; 0: there is none.
+// FirstIndex returns the index of the first entry; 0: there is none.
 func (l *Log) FirstIndex() (uint64, error) { return l.end((*bbolt.Cursor).First) }
 
-// LastIndex is the position of the last entry; 0: there is none.
+// LastIndex returns the index of the last entry; 0: there is none.
 func (l *Log) LastIndex() (uint64, error) { return l.end((*bbolt.Cursor).Last) }
 
 func (l *Log) end(seek func(*bbolt.Cursor) (k, v []byte)) (n uint64, err error) {
@@ -459,7 +463,7 @@
 // StoreLog writes an entry.
 func (l *Log) StoreLog(e *raft.Log) error { return l.StoreLogs([]*raft.Log{e}) }
 
-// StoreLogs writes entries, all or none of them.
+// StoreLogs writes entries atomically.
 func (l *Log) StoreLogs(all []*raft.Log) error {
 	return l.do("write", func() error {
 		return l.db.Update(func(tx *bbolt.Tx) error {
@@ -480,7 +484,7 @@
 	})
 }
 
-// DeleteRange deletes entries, the last one included.
+// DeleteRange deletes the entries from first to last, both included.
 func (l *Log) DeleteRange(first, last uint64) error {
 	return l.do("write", func() error {
 		return l.db.Update(func(tx *bbolt.Tx) error {
@@ -495,19 +499,19 @@
 	})
 }
 
-// Set writes a value of raft's.
+// Set writes a raft value.
 func (l *Log) Set(key, v []byte) error {
 	return l.must("write", func() error { return l.write(string(key), v) })
 }
 
-// put writes a value of our own, on a goroutine that is none of raft's.
+// put writes a value of this package; it must not be called on a raft goroutine.
 func (l *Log) put(key string, v []byte) error {
 	return l.do("write", func() error { return l.write(key, v) })
 }
 
 func (l *Log) putNumber(key string, n uint64) error { return l.put(key, number(n)) }
 
-// putAll writes values of our own, all or none.
+// putAll writes values of this package atomically.
 func (l *Log) putAll(of map[string][]byte) error {
 	return l.do("write", func() error {
 		return l.db.Update(func(tx *bbolt.Tx) error {
@@ -527,15 +531,15 @@
 	return v, err
 }
 
-// SetUint64 writes a number.
+// SetUint64 writes a number as a raft value.
 func (l *Log) SetUint64(key []byte, n uint64) error { return l.Set(key, number(n)) }
 
-// GetUint64 reads a number.
+// GetUint64 reads a number written by SetUint64.
 func (l *Log) GetUint64(key []byte) (n uint64, err error) {
 	err = l.do("read", func() (err error) {
 		v, err := l.get(string(key))
 		if err == nil && len(v) != 8 {
-			err = &Damage{l.path, fmt.Sprintf("%q", key), fmt.Sprintf("%d bytes, not 8", len(v))}
+			err = &Damage{l.path, fmt.Sprintf("%q", key), fmt.Sprintf("%d bytes, want 8", len(v))}
 		}
 		if err == nil {
 			n = binary.BigEndian.Uint64(v)
--- a/internal/store/disk/disk_test.go
+++ b/internal/store/disk/disk_test.go
@@ -38,7 +38,7 @@
 	return f
 }
 
-// filled makes a folder with entries and what raft keeps beside them.
+// filled creates a data directory with n entries and the values that raft stores with them.
 func filled(t *testing.T, n uint64) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -76,21 +76,21 @@
 		t.Errorf("%+v %v", marks, err)
 	}
 	if err := f.Join(admit.Mark{Joined: 40, Set: 2, Name: "n"}); err != nil || f.Votes() {
-		t.Errorf("joined: %v", err)
+		t.Errorf("join as a non-voter: %v", err)
 	}
 	f.Close()
 	if f = folder(t, dir, "r"); f.Votes() || f.Mark().Joined != 40 || f.Mark().Set != 2 || f.Mark().Name != "n" || f.Mark().Folder != m.Folder {
-		t.Errorf("a learner that starts again: %+v", f.Mark())
+		t.Errorf("non-voter after a restart: %+v", f.Mark())
 	}
 	if err := f.Voter(); err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
 	if f = folder(t, dir, "s"); !f.Votes() {
-		t.Error("a vote is forgotten")
+		t.Error("the replica is no voter after a restart")
 	}
 	if _, err := OpenFolder(dir, "t", io.Discard, Options{}); err == nil || !strings.Contains(err.Error(), "open in another process") {
-		t.Errorf("a folder that is open: %v", err)
+		t.Errorf("opening an open directory: %v", err)
 	}
 	f.Close()
 	r, err := Verify(dir)
@@ -103,8 +103,8 @@
 	}
 }
 
-// Any one bit of the file is spoilt: that is told, or changes nothing that is read, or the log ends earlier, which whoever
-// remembers how far it went finds.
+// Flips single bits of the file. Each flip must be reported as corruption, have no effect on the data read, or leave a shorter
+// log, which peers detect since they remember its last index.
 func TestNoSpoiltBitIsReadAsData(t *testing.T) {
 	dir := filled(t, 50)
 	path := filepath.Join(dir, File)
@@ -154,7 +154,7 @@
 		for i := first; i > 0 && i <= last; i++ {
 			var e raft.Log
 			if err := l.GetLog(i, &e); err != nil || !bytes.Equal(e.Data, want[i]) || e.Index != i || e.Term != 1+i/20 {
-				t.Errorf("byte %d bit %d: entry %d is read as %q of term %d: %v", at, bit, i, e.Data, e.Term, err)
+				t.Errorf("byte %d bit %d: entry %d is read as %q in term %d: %v", at, bit, i, e.Data, e.Term, err)
 			}
 		}
 		if term, err := l.GetUint64([]byte("CurrentTerm")); err == nil && term != 9 {
@@ -168,9 +168,9 @@
 		l.Close()
 	}
 	if told == 0 || same == 0 {
-		t.Errorf("%d told, %d without an effect, %d shorter", told, same, shorter)
+		t.Errorf("%d reported, %d without effect, %d with a shorter log; want some of the first two", told, same, shorter)
 	}
-	t.Logf("%d told, %d without an effect, %d with a shorter log", told, same, shorter)
+	t.Logf("%d reported, %d without effect, %d with a shorter log", told, same, shorter)
 }
 
 func TestFileThatIsCutShortIsDamage(t *testing.T) {
@@ -191,8 +191,8 @@
 	}
 }
 
-// A folder of the build before, without checksums, is taken over, also where that was cut off in the middle; one of a later
-// build is turned down and left alone.
+// A directory in format 1, without checksums, is migrated, also after an earlier migration was interrupted. A directory of a
+// later format is rejected and left unmodified.
 func TestFormats(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, File)
@@ -211,7 +211,7 @@
 				return err
 			}
 			key := number(e.Index)
-			if e.Index <= 300 { // it got so far once
+			if e.Index <= 300 { // migrated before the interruption
 				text = seal(logs, key, text)
 			}
 			if err := log.Put(key, text); err != nil {
@@ -254,11 +254,11 @@
 		t.Errorf("%v", err)
 	}
 	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(before, after) {
-		t.Errorf("a later build's folder was changed: %v", err)
+		t.Errorf("a directory of a later format was modified: %v", err)
 	}
 }
 
-// After a write that failed nothing is written or read any more, and whoever has to know is told once.
+// After a failed write the log must neither write nor read, and must call Fail exactly once.
 func TestFailedWriteStopsTheLog(t *testing.T) {
 	failed := make(chan error, 10)
 	l, err := Open(t.TempDir(), Options{Fail: func(err error) { failed <- err }})
@@ -284,7 +284,7 @@
 	var e raft.Log
 	for what, err := range map[string]error{"a write": l.StoreLogs(entries(6, 7)), "a read": l.GetLog(1, &e), "a value": l.Set([]byte("k"), nil)} {
 		if !errors.Is(err, ErrStopped) || !errors.Is(err, full) {
-			t.Errorf("%s after it: %v", what, err)
+			t.Errorf("%s after the failed write: %v", what, err)
 		}
 	}
 	select {
@@ -293,9 +293,9 @@
 			t.Error(err)
 		}
 	case <-time.After(patience):
-		t.Fatal("nobody was told")
+		t.Fatal("Fail was not called")
 	}
-	// raft panics where its term can't be written; the goroutine that would ends instead.
+	// raft panics if its term can't be written; its goroutine must exit instead.
 	l.Run()
 	after := make(chan string, 1)
 	go func() {
@@ -304,18 +304,18 @@
 		after <- "went on"
 	}()
 	if got := <-after; got != "ended" {
-		t.Errorf("the goroutine %s", got)
+		t.Errorf("the goroutine %s, want ended", got)
 	}
 	if len(failed) > 0 {
-		t.Error("told twice")
+		t.Error("Fail was called twice")
 	}
 }
 
 func TestSnapshotsAreChecked(t *testing.T) {
 	for name, spoil := range map[string]func(dir string) error{
-		"a bit of its text":   func(dir string) error { return flip(filepath.Join(dir, "state.bin")) },
-		"its description":     func(dir string) error { return os.WriteFile(filepath.Join(dir, "meta.json"), []byte("{"), 0o600) },
-		"its text is missing": func(dir string) error { return os.Remove(filepath.Join(dir, "state.bin")) },
+		"flipped bit in the state": func(dir string) error { return flip(filepath.Join(dir, "state.bin")) },
+		"invalid metadata":         func(dir string) error { return os.WriteFile(filepath.Join(dir, "meta.json"), []byte("{"), 0o600) },
+		"missing state file":       func(dir string) error { return os.Remove(filepath.Join(dir, "state.bin")) },
 	} {
 		dir := filled(t, 10)
 		f := folder(t, dir, "p")
--- a/internal/store/disk/folder.go
+++ b/internal/store/disk/folder.go
@@ -20,32 +20,32 @@
 	"puffinsaddle/internal/admit"
 )
 
-// What a folder tells of itself.
+// Keys of what a data directory records of itself and of its peers.
 const (
-	folderKey = "folder" // drawn when it was made
-	lifeKey   = "life"   // how often it was opened
-	joinedKey = "joined" // the position as of which it joined without a vote
-	votesKey  = "votes"  // 1: it was given the vote since
-	setKey    = "set"    // how often operators began the set anew
-	nameKey   = "name"   // of the set
-	soleKey   = "sole"   // 1: they did so with this folder, and nobody else has got a vote since
-	marksKey  = "marks"  // what it remembers of other copies
+	folderKey = "folder" // random id, drawn when the directory was created
+	lifeKey   = "life"   // how often the directory was opened
+	joinedKey = "joined" // log index as of which the replica joined as a non-voter
+	votesKey  = "votes"  // 1: the replica became a voter since it joined
+	setKey    = "set"    // how often operators recovered the cluster
+	nameKey   = "name"   // of the cluster
+	soleKey   = "sole"   // 1: operators recovered it with this directory, and it is still the only voter
+	marksKey  = "marks"  // directory states of other replicas
 )
 
 const (
-	setAside     = "aside-" // folders of what was set aside
-	keepAside    = 2
+	setAside     = "aside-" // prefix of the quarantine directories
+	keepAside    = 2        // quarantine directories
 	snapshotsDir = "snapshots"
 )
 
-// Draw draws a name that no other process or folder has.
+// Draw returns a random id, unique to one process, directory or cluster.
 func Draw() (string, error) {
 	var b [8]byte
 	_, err := crand.Read(b[:])
 	return hex.EncodeToString(b[:]), err
 }
 
-// Folder is a copy's folder: its log, and what it tells of itself.
+// Folder is a replica's data directory: its log, its snapshots and what it records of itself.
 type Folder struct {
 	*Log
 	Dir  string
@@ -55,8 +55,8 @@
 	votes, sole bool
 }
 
-// OpenFolder opens a copy's folder, or makes it; proc is drawn at the start of the process. Where a record or a snapshot is
-// damaged the error is a Damage, and nothing in the folder was changed that tells of it.
+// OpenFolder opens a replica's data directory, or creates it; proc is the random id of the process. If a record or a snapshot is
+// corrupt, the error is a Damage, and the evidence in the directory is unchanged.
 func OpenFolder(dir, proc string, log io.Writer, o Options) (*Folder, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
@@ -77,9 +77,9 @@
 	return f, nil
 }
 
-const keepSnapshots = 2
+const keepSnapshots = 2 // per data directory
 
-// know reads what the folder tells of itself, and notes that it was opened once more.
+// know loads what the directory records of itself, and increments its open count.
 func (f *Folder) know(proc string) error {
 	at, err := checkSnapshots(f.Dir, f.Snap)
 	if err != nil {
@@ -124,16 +124,17 @@
 	return f.putNumber(lifeKey, f.mark.Life)
 }
 
-// Mark is what the folder had when it was opened.
+// Mark returns the state of the directory when it was opened.
 func (f *Folder) Mark() admit.Mark { return f.mark }
 
-// Fresh tells whether raft never wrote anything to it.
+// Fresh reports whether raft never wrote anything to the directory.
 func (f *Folder) Fresh() bool { return f.mark.Last == 0 && f.mark.Term == 0 }
 
-// Votes tells whether the copy may vote with it: it began with its set, or was given the vote since it joined.
+// Votes reports whether the replica may vote with this directory: it was there when the cluster was bootstrapped, or has become
+// a voter since it joined.
 func (f *Folder) Votes() bool { return f.votes }
 
-// Join notes that the copy joined without a vote, as of a position, and in which set.
+// Join records that the replica joined a cluster as a non-voter, as of a log index.
 func (f *Folder) Join(m admit.Mark) error {
 	err := f.putAll(map[string][]byte{joinedKey: number(m.Joined), setKey: number(m.Set), nameKey: []byte(m.Name)})
 	if err != nil {
@@ -143,16 +144,16 @@
 	return nil
 }
 
-// Named notes the name of the set that is about to begin.
+// Named records the name of the cluster that is about to be bootstrapped.
 func (f *Folder) Named(name string) error {
 	f.mark.Name = name
 	return f.put(nameKey, []byte(name))
 }
 
-// Sole tells whether operators began the set anew with this folder, and nobody else has got a vote since.
+// Sole reports whether operators recovered the cluster with this directory and its replica is still the only voter.
 func (f *Folder) Sole() bool { return f.sole }
 
-// Anew notes that operators begin a set with this folder: its own anew, or another under a new name.
+// Anew records that operators start a cluster from this directory: they recover its own, or create one with a new name.
 func (f *Folder) Anew(name string) error {
 	err := f.putAll(map[string][]byte{setKey: number(f.mark.Set + 1), soleKey: number(1), votesKey: number(1), nameKey: []byte(name)})
 	if err != nil {
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// Shared notes that somebody else is about to get a vote.
+// Shared records that another replica is about to become a voter.
 func (f *Folder) Shared() error {
 	if !f.sole {
 		return nil
@@ -173,10 +174,10 @@
 	return f.putNumber(soleKey, 0)
 }
 
-// Voter notes that the copy was given the vote.
+// Voter records that the replica has become a voter.
 func (f *Folder) Voter() error { return f.putNumber(votesKey, 1) }
 
-// Marks reads what the folder remembers of other copies.
+// Marks reads the recorded directory states of other replicas.
 func (f *Folder) Marks() (map[string]admit.Mark, error) {
 	b, err := f.get(marksKey)
 	if errors.Is(err, ErrNotFound) {
@@ -189,7 +190,7 @@
 	return m, json.Unmarshal(b, &m)
 }
 
-// Remember writes it.
+// Remember records the directory states of other replicas.
 func (f *Folder) Remember(m map[string]admit.Mark) error {
 	b, err := json.Marshal(m)
 	if err != nil {
@@ -198,7 +199,7 @@
 	return f.put(marksKey, b)
 }
 
-// checkSnapshots reads every snapshot, whose checksums the library looks at, and tells the position of the latest.
+// checkSnapshots opens every snapshot, whereupon the raft library verifies its checksum, and returns the index of the latest.
 func checkSnapshots(dir string, snap *raft.FileSnapshotStore) (last uint64, err error) {
 	all, err := snap.List()
 	if err != nil {
@@ -217,17 +218,17 @@
 	if err != nil {
 		return 0, err
 	}
-	for _, n := range names { // one whose own description can't be read is not listed
+	for _, n := range names { // a snapshot with unreadable metadata is not listed
 		if n.IsDir() && !strings.HasSuffix(n.Name(), ".tmp") && !slices.ContainsFunc(all, func(m *raft.SnapshotMeta) bool { return m.ID == n.Name() }) &&
 			len(all) < keepSnapshots {
-			return 0, &Damage{filepath.Join(dir, snapshotsDir, n.Name()), "the snapshot", "its description can't be read"}
+			return 0, &Damage{filepath.Join(dir, snapshotsDir, n.Name()), "the snapshot", "its metadata can't be read"}
 		}
 	}
 	return last, nil
 }
 
-// SetAside moves what a folder holds into a folder of its own below it, as evidence, and tells where. The oldest beyond two
-// are deleted.
+// SetAside quarantines the contents of a data directory: it moves them into a new subdirectory for later inspection, and returns
+// its path. Only the two newest quarantine directories are kept.
 func SetAside(dir string) (string, error) {
 	names, err := os.ReadDir(dir)
 	if err != nil {
@@ -262,7 +263,7 @@
 	return to, nil
 }
 
-// Report is what a look at a folder found, for operators.
+// Report describes the contents of a data directory, for operators.
 type Report struct {
 	Found
 	Dir       string                `json:"dir"`
@@ -270,12 +271,12 @@
 	Mark      admit.Mark            `json:"mark"`
 	Votes     bool                  `json:"votes"`
 	Snapshots []Snapshot            `json:"snapshots"`
-	Remembers map[string]admit.Mark `json:"remembers"` // of other copies
+	Remembers map[string]admit.Mark `json:"remembers"` // directory states of other replicas
 	Aside     []string              `json:"aside,omitempty"`
 	Damage    string                `json:"damage,omitempty"`
 }
 
-// Snapshot is one of a folder's.
+// Snapshot describes one snapshot in a data directory.
 type Snapshot struct {
 	ID    string `json:"id"`
 	Index uint64 `json:"index"`
@@ -283,8 +284,8 @@
 	Bytes int64  `json:"bytes"`
 }
 
-// Verify looks at all records of a folder that no process has open, and changes nothing. The error is one of reading the
-// folder at all; what is damaged stands in the report.
+// Verify checks all records and snapshots of a data directory that no process has open, and modifies nothing. Corruption is
+// described in the report; an error means that the directory could not be checked.
 func Verify(dir string) (r Report, err error) {
 	r.Dir = dir
 	path := filepath.Join(dir, File)
@@ -309,7 +310,7 @@
 		return damaged(err)
 	}
 	if r.Format < Format {
-		return r, fmt.Errorf("disk: %s has format %d, without checksums: it is taken over when a copy opens it", path, r.Format)
+		return r, fmt.Errorf("disk: %s has format %d, without checksums: it is migrated when a replica opens it", path, r.Format)
 	}
 	if r.Found, err = l.check(); err != nil {
 		return damaged(err)
@@ -351,7 +352,7 @@
 	return r, nil
 }
 
-// Entries calls look for the entries of a folder from one position to another, as far as they are whole.
+// Entries calls look for the entries of a data directory from index from to index to, and stops at the first corrupt one.
 func Entries(dir string, from, to uint64, look func(*raft.Log)) error {
 	l := &Log{path: filepath.Join(dir, File)}
 	if _, err := os.Stat(l.path); err != nil {
--- a/internal/store/disk/pages.go
+++ b/internal/store/disk/pages.go
@@ -10,40 +10,41 @@
 	"os"
 )
 
-// The form of a bolt file, as far as it takes to see that every page which is in use makes sense. The library itself trusts its
-// pages: one that does not make sense is a panic, partly on goroutines of its own where nobody can catch it, or a fault of
-// memory. Numbers are in the machine's own order, as the library writes them.
+// Layout of a bolt file, as far as needed to validate every page in use; sizes are in bytes. The library itself trusts its pages:
+// an invalid one causes a panic, partly on its own goroutines where it can't be recovered, or a memory fault. Numbers are in the
+// machine's native byte order, as the library writes them.
 const (
-	pageHead    = 16 // id, flags, count, overflow
+	pageHead    = 16 // id, flags, count and overflow
 	elementSize = 16
-	metaSize    = 56 // before its checksum
+	metaSize    = 56 // without its checksum
 	metaMagic   = 0xED0CDAED
 	metaVersion = 2
 	branchPage  = 0x01
 	leafPage    = 0x02
 	metaPage    = 0x04
 	bucketLeaf  = 0x01
-	deepest     = 64
+	deepest     = 64 // levels of nested pages and buckets
 	mostPage    = 1 << 16
 )
 
 var native = binary.NativeEndian
 
-// pages walks through a bolt file.
+// pages validates the page tree of a bolt file.
 type pages struct {
 	path  string
 	f     io.ReaderAt
-	size  int64 // of a page
-	end   uint64
+	size  int64  // of a page
+	end   uint64 // number of pages
 	seen  map[uint64]bool
 	bytes int64 // of the file
 }
 
+// bad returns the Damage error of a page.
 func (p *pages) bad(id uint64, format string, a ...any) error {
 	return &Damage{p.path, fmt.Sprintf("page %d", id), fmt.Sprintf(format, a...)}
 }
 
-// checkPages looks at all pages of a bolt file that are in use. A file of no bytes was never begun.
+// checkPages validates all pages in use of a bolt file. An empty file has not been initialized and is valid.
 func checkPages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -66,13 +67,13 @@
 		return err
 	}
 	if p.end > uint64(p.bytes/p.size) {
-		return &Damage{path, "the file", fmt.Sprintf("it is cut short: %d bytes, for %d pages of %d", p.bytes, p.end, p.size)}
+		return &Damage{path, "the file", fmt.Sprintf("truncated: %d bytes, want %d pages of %d bytes", p.bytes, p.end, p.size)}
 	}
 	_, err = p.page(root, nil, nil, deepest)
 	return err
 }
 
-// meta reads the later of the two heads that is whole.
+// meta reads the newer valid meta page of the two.
 func (p *pages) meta() (root uint64, err error) {
 	latest := uint64(0)
 	found := false
@@ -95,24 +96,25 @@
 		p.size, root, p.end = int64(size), native.Uint64(m[16:]), native.Uint64(m[40:])
 	}
 	try(0)
-	for size := int64(512); size <= mostPage; size *= 2 { // the first head may be the one that is spoilt
+	for size := int64(512); size <= mostPage; size *= 2 { // the corrupt meta page may be the first one
 		if p.size == 0 || p.size == size {
 			try(size)
 		}
 	}
 	if !found {
-		return 0, &Damage{p.path, "the file's head", "neither of its two copies is whole"}
+		return 0, &Damage{p.path, "the file header", "neither of its two meta pages is valid"}
 	}
 	return root, nil
 }
 
-// page looks at a page and all below it, whose keys have to lie from one on and before another; it returns the last key.
+// page validates a page and all of its descendants, whose keys have to be at least from and less than before. It returns the
+// last key.
 func (p *pages) page(id uint64, from, before []byte, deep int) (last []byte, err error) {
 	if deep == 0 {
-		return nil, p.bad(id, "it lies too deep")
+		return nil, p.bad(id, "it is nested too deeply")
 	}
 	if id < 2 || id >= p.end {
-		return nil, p.bad(id, "there are %d", p.end)
+		return nil, p.bad(id, "only %d pages exist", p.end)
 	}
 	head := make([]byte, pageHead)
 	if _, err := p.f.ReadAt(head, int64(id)*p.size); err != nil {
@@ -120,14 +122,14 @@
 	}
 	more := uint64(native.Uint32(head[12:]))
 	if got := native.Uint64(head); got != id {
-		return nil, p.bad(id, "it says that it is page %d", got)
+		return nil, p.bad(id, "its header is that of page %d", got)
 	}
 	if more >= p.end-id {
-		return nil, p.bad(id, "it goes on for %d pages, and there are %d", more, p.end)
+		return nil, p.bad(id, "it has %d overflow pages, only %d pages exist", more, p.end)
 	}
 	for k := id; k <= id+more; k++ {
 		if p.seen[k] {
-			return nil, p.bad(k, "it is used twice")
+			return nil, p.bad(k, "it is referenced twice")
 		}
 		p.seen[k] = true
 	}
@@ -138,11 +140,11 @@
 	return p.elements(id, b, from, before, deep)
 }
 
-// elements looks at those of a page, or of one that lies within another.
+// elements validates the elements of a page, or of a bucket's inline page.
 func (p *pages) elements(id uint64, b, from, before []byte, deep int) (last []byte, err error) {
 	flags, count := native.Uint16(b[8:]), int(native.Uint16(b[10:]))
 	if flags != branchPage && flags != leafPage || flags == branchPage && count == 0 {
-		return nil, p.bad(id, "its kind is %#x, with %d elements", flags, count)
+		return nil, p.bad(id, "its type is %#x, with %d elements", flags, count)
 	}
 	if pageHead+count*elementSize > len(b) {
 		return nil, p.bad(id, "it has %d elements in %d bytes", count, len(b))
@@ -161,7 +163,7 @@
 		}
 		k, ok := cut(at, pos, n)
 		if !ok || n == 0 {
-			return nil, p.bad(id, "the key of element %d lies outside", i)
+			return nil, p.bad(id, "the key of element %d is out of bounds", i)
 		}
 		return k, nil
 	}
@@ -190,7 +192,7 @@
 		pos, n := uint64(native.Uint32(b[at+4:])), uint64(native.Uint32(b[at+8:]))
 		v, ok := cut(at, pos+n, uint64(native.Uint32(b[at+12:])))
 		if !ok {
-			return nil, p.bad(id, "the value of element %d lies outside", i)
+			return nil, p.bad(id, "the value of element %d is out of bounds", i)
 		}
 		switch native.Uint32(b[at:]) {
 		case 0:
@@ -199,16 +201,16 @@
 				return nil, err
 			}
 		default:
-			return nil, p.bad(id, "the kind of element %d is unknown", i)
+			return nil, p.bad(id, "the type of element %d is unknown", i)
 		}
 	}
 	return last, nil
 }
 
-// bucket looks at a bucket's pages, or at the one that lies within its own record where it is small.
+// bucket validates the pages of a bucket; those of a small bucket are a single inline page within its record.
 func (p *pages) bucket(id uint64, v []byte, deep int) error {
 	if len(v) < 16 {
-		return p.bad(id, "a bucket has %d bytes", len(v))
+		return p.bad(id, "a bucket header has %d bytes", len(v))
 	}
 	if root := native.Uint64(v); root != 0 {
 		_, err := p.page(root, nil, nil, deep-1)
@@ -216,7 +218,7 @@
 	}
 	within := v[16:]
 	if len(within) < pageHead || native.Uint16(within[8:]) != leafPage {
-		return p.bad(id, "a bucket within it makes no sense")
+		return p.bad(id, "an inline bucket is invalid")
 	}
 	_, err := p.elements(id, within, nil, nil, deep-1)
 	return err
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -11,13 +11,13 @@
 	"puffinsaddle/internal/state"
 )
 
-// machine hands the log's entries to the replicated state, one at a time.
+// machine is raft's state machine: it applies committed log entries to the replicated state, one at a time.
 type machine struct {
 	mu      sync.Mutex
 	state   *state.State
-	index   uint64 // of the last entry that was applied
+	index   uint64 // of the last applied entry
 	changed chan struct{}
-	watch   func(index, term uint64, c state.Command, r state.Result) // called for each entry, in order; nil: nobody
+	watch   func(index, term uint64, c state.Command, r state.Result) // optional; called for each entry, in log order
 	plant   string
 	digest  admit.Digest
 }
@@ -26,7 +26,7 @@
 	return &machine{state: state.New(), changed: make(chan struct{})}
 }
 
-// Apply carries out a command that the cluster has agreed on; it returns a state.Result.
+// Apply executes a committed command and returns a state.Result.
 func (m *machine) Apply(l *raft.Log) any {
 	var c state.Command
 	var r state.Result
@@ -49,14 +49,14 @@
 	return r
 }
 
-// looked is what the last look at a part of the state came to.
+// looked returns the digest computed by the latest Compare command.
 func (m *machine) looked() admit.Digest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.digest
 }
 
-// clear forgets all: the folder that it came from is not used any more.
+// clear resets the state machine when its data directory is replaced by an empty one.
 func (m *machine) clear() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,17 +70,17 @@
 	m.changed = make(chan struct{})
 }
 
-// kept is a copy of the state that is being written.
+// kept is a point-in-time copy of the state that raft writes to a snapshot.
 type kept struct{ *state.Kept }
 
-// Snapshot copies the state, so that it can be written while commands go on.
+// Snapshot copies the state so that it can be persisted while further commands are applied.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return kept{m.state.Keep()}, nil
 }
 
-// Restore takes the state of a snapshot in place of its own.
+// Restore replaces the state with that of a snapshot.
 func (m *machine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	b, err := io.ReadAll(r)
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Persist writes a snapshot.
+// Persist writes the snapshot to sink as JSON.
 func (k kept) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(k.Kept); err != nil {
 		sink.Cancel()
@@ -108,5 +108,5 @@
 	return sink.Close()
 }
 
-// Release has nothing to free.
+// Release implements raft.FSMSnapshot; there is nothing to free.
 func (kept) Release() {}
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -7,10 +7,11 @@
 	"github.com/hashicorp/raft"
 )
 
-var errNoVote = errors.New("store: this copy has no vote yet")
+var errNoVote = errors.New("store: this replica is not a voter yet")
 
-// gate is raft's transport of a copy that may not have its vote yet. raft itself goes by the latest configuration that it has
-// read, and a copy that joined anew reads old ones first: those in which it had the vote that it has forgotten.
+// gate is a raft transport that blocks voting RPCs in both directions while the replica is not a voter. raft itself goes by
+// the latest configuration it has read, and a rejoined replica first replays old configurations, in which it was a voter
+// although it has lost the votes it cast then.
 type gate struct {
 	*raft.NetworkTransport
 	votes func() bool
@@ -44,7 +45,7 @@
 	}
 }
 
-// forVoters is an empty answer to what is asked of voters alone; nil: it is asked of all.
+// forVoters returns an empty response of the matching type for RPCs that only voters may handle, and nil for all others.
 func forVoters(command any) any {
 	header := raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax}
 	switch command.(type) {
@@ -58,10 +59,10 @@
 	return nil
 }
 
-// Consumer is what others ask.
+// Consumer returns the channel of incoming RPCs that passed the filter.
 func (g *gate) Consumer() <-chan raft.RPC { return g.rpcs }
 
-// RequestVote asks for a vote; a copy without one asks nobody, so it never takes part in an election.
+// RequestVote requests a vote from a peer. A non-voter sends no such request, so it never takes part in an election.
 func (g *gate) RequestVote(id raft.ServerID, at raft.ServerAddress, in *raft.RequestVoteRequest, out *raft.RequestVoteResponse) error {
 	if !g.votes() {
 		return errNoVote
@@ -69,7 +70,7 @@
 	return g.NetworkTransport.RequestVote(id, at, in, out)
 }
 
-// RequestPreVote asks whether there would be one.
+// RequestPreVote asks a peer whether it would grant a vote; a non-voter sends no such request.
 func (g *gate) RequestPreVote(id raft.ServerID, at raft.ServerAddress, in *raft.RequestPreVoteRequest, out *raft.RequestPreVoteResponse) error {
 	if !g.votes() {
 		return errNoVote
@@ -77,7 +78,7 @@
 	return g.NetworkTransport.RequestPreVote(id, at, in, out)
 }
 
-// Close ends the transport and its lane.
+// Close closes the transport and its stream layer.
 func (g *gate) Close() error {
 	g.once.Do(func() { close(g.over) })
 	return g.NetworkTransport.Close()
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -18,34 +18,34 @@
 )
 
 const (
-	reportEvery = 250.0           // ms between two claims to each of the others, and between two looks of the leader
-	wordFor     = 3 * time.Second // the answer to a claim may take so long: a leader proves its office first
-	claimIdle   = 5 * time.Second // a connection of claims that says nothing is ended
+	reportEvery = 250.0           // ms between two claims to each peer, and between two passes of the decision loop
+	wordFor     = 3 * time.Second // for the response to a claim; a leader first confirms its leadership
+	claimIdle   = 5 * time.Second // an idle claim connection is closed after this
 	mostClaim   = 4 << 10         // bytes
-	mostClaims  = 64              // connections of claims served at once
-	mostStatus  = 64 << 10
-	changeFor   = 2 * time.Second // a change of the set has so long to be written
-	hearFor     = 500.0           // ms in which all who are there are heard, before fewer do
-	compareEach = 1000.0          // ms between two parts of the state that copies compare, at least,
-	compareWait = 2000.0          // and so many more for a copy that does not say what it made of one
+	mostClaims  = 64              // claim connections served at once
+	mostStatus  = 64 << 10        // bytes
+	changeFor   = 2 * time.Second // for a membership change to be written
+	hearFor     = 500.0           // ms to wait for responses of all peers before fewer suffice
+	compareEach = 1000.0          // ms, default of Options.CompareMs
+	compareWait = 2000.0          // ms more to wait for a replica that has not reported its digest
 )
 
-// Phases of a node.
+// Phases of a node, as they appear in Status.
 const (
-	PhaseSeeks   = "seeks"   // asks the others whether it may take part with its folder
-	PhaseAsks    = "asks"    // asks to be joined anew
-	PhaseRuns    = "runs"    // takes part
-	PhaseStopped = "stopped" // does not, and will not before the process is started again
+	PhaseSeeks   = "seeks"   // waits for its peers to accept its data directory
+	PhaseAsks    = "asks"    // requests to rejoin
+	PhaseRuns    = "runs"    // participates in raft
+	PhaseStopped = "stopped" // does not participate until the process is restarted
 )
 
-// tell notes a phase and why; the lock is held.
+// tell sets the phase and its reason. The caller holds s.mu.
 func (s *Store) tell(phase, why string) {
 	if s.phase != phase || s.why != why {
 		e := s.o.Events.Info()
 		if phase == PhaseAsks || phase == PhaseStopped {
 			e = s.o.Events.Error()
 		}
-		e.Str("copy", s.o.ID).Str("phase", phase).Str("why", why).Msg("copy of the store")
+		e.Str("copy", s.o.ID).Str("phase", phase).Str("why", why).Msg("store replica changed phase")
 	}
 	if s.o.Told != nil && s.phase != phase {
 		s.o.Told(phase, why)
@@ -55,7 +55,7 @@
 	s.news = make(chan struct{})
 }
 
-// seek begins to make claims and to decide by the answers.
+// seek starts sending claims to all peers, and the loop that decides on their responses.
 func (s *Store) seek() {
 	for id, at := range s.o.Peers {
 		if id != s.o.ID {
@@ -65,7 +65,7 @@
 	go s.decide()
 }
 
-// pause waits for a while of the steady clock, or for what comes first: news, or the node's end.
+// pause waits for ms on the steady clock, until news is closed or receives, or until the node is closed.
 func (s *Store) pause(ms float64, news <-chan struct{}) {
 	late := make(chan struct{})
 	t := s.o.Steady.After(ms, func() { close(late) })
@@ -77,7 +77,7 @@
 	}
 }
 
-// report makes claims to one of the others for as long as the node lives.
+// report sends claims to one peer until the node is closed.
 func (s *Store) report(id, at string) {
 	for s.ctx.Err() == nil {
 		if conn, err := s.layer.dial(at, forClaims, writeFor); err == nil {
@@ -90,6 +90,7 @@
 	}
 }
 
+// tellOf sends claims over one connection and passes the responses to the joiner.
 func (s *Store) tellOf(conn net.Conn, id string) {
 	r := frame.NewReader(conn, wordFor, mostClaim)
 	for s.ctx.Err() == nil {
@@ -105,7 +106,7 @@
 			return
 		}
 		s.mu.Lock()
-		if s.seeker.Claim.Folder == c.Folder && s.seeker.Rejoin == c.Rejoin { // else it is a word on another claim
+		if s.seeker.Claim.Folder == c.Folder && s.seeker.Rejoin == c.Rejoin { // otherwise the response belongs to an earlier claim
 			s.seeker.Take(w)
 		}
 		s.mu.Unlock()
@@ -121,17 +122,18 @@
 	}
 }
 
-// claim is what the node says of itself now; the lock is held.
+// claim returns the node's current claim. The caller holds s.mu.
 func (s *Store) claim() admit.Claim {
 	if r := s.now.Load(); r != nil {
-		// The term first: a position that is told with an earlier term was there in it.
+		// The term is read first: an index reported with an earlier term already existed in that term.
 		s.seeker.Term, s.seeker.Last = r.raft.CurrentTerm(), r.raft.LastIndex()
 		s.seeker.Digest = s.machine.looked()
 	}
 	return s.seeker.Claim
 }
 
-// decide takes the node's part up, or ends it, by what the others say; and as the leader it looks after the others.
+// decide starts or stops the node's participation according to its peers' responses. On the leader it also manages which
+// replicas are voters, and compares their state.
 func (s *Store) decide() {
 	for s.ctx.Err() == nil {
 		s.turn()
@@ -147,6 +149,7 @@
 	}
 }
 
+// turn makes one decision on the peers' responses and carries it out.
 func (s *Store) turn() {
 	s.mu.Lock()
 	phase := s.phase
@@ -193,7 +196,7 @@
 	}
 }
 
-// ask notes that the node asks to be joined anew.
+// ask makes the node request to rejoin.
 func (s *Store) ask(why string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,7 +205,7 @@
 	s.tell(PhaseAsks, why)
 }
 
-// renew sets the folder aside and begins with an empty one, without a vote.
+// renew quarantines the data directory and continues with an empty one, as a non-voter.
 func (s *Store) renew(joined admit.Mark) error {
 	s.mu.Lock()
 	f := s.folder
@@ -221,14 +224,15 @@
 	if err = errors.Join(damage, err); err != nil {
 		return err
 	}
-	s.o.Events.Warn().Str("copy", s.o.ID).Str("aside", to).Uint64("joined", joined.Joined).Msg("joins anew with an empty folder")
+	s.o.Events.Warn().Str("copy", s.o.ID).Str("aside", to).Uint64("joined", joined.Joined).Msg("rejoins with an empty data directory")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tell(PhaseSeeks, "joined anew, without a vote")
+	s.tell(PhaseSeeks, "rejoined as a non-voter")
 	return nil
 }
 
-// failed is told by the disk when it stops.
+// failed is called when the disk log stops after an error. After corruption a node with peers
+// requests to rejoin; after any other error it stops.
 func (s *Store) failed(why error) {
 	err := s.stop(false)
 	if s.ctx.Err() != nil {
@@ -243,8 +247,8 @@
 	s.tell(PhaseStopped, errors.Join(why, err).Error())
 }
 
-// given notes that the node was given its vote: it has carried out all up to where it joined without one, and still its
-// latest configuration has it as a voter, so that came later.
+// given records that the node has become a voter again: it has applied all entries up to its join index, and its latest
+// configuration lists it as a voter, so that configuration was written after it joined.
 func (s *Store) given(r *running) {
 	joined := r.folder.Mark().Joined
 	if r.votes.Load() || r.raft.AppliedIndex() <= joined {
@@ -253,12 +257,13 @@
 	for _, m := range r.raft.GetConfiguration().Configuration().Servers {
 		if string(m.ID) == s.o.ID && m.Suffrage == raft.Voter && r.folder.Voter() == nil {
 			r.votes.Store(true)
-			s.o.Events.Info().Str("copy", s.o.ID).Uint64("joined", joined).Msg("has caught up, and its vote")
+			s.o.Events.Info().Str("copy", s.o.ID).Uint64("joined", joined).Msg("caught up and is a voter again")
 		}
 	}
 }
 
-// compare has all copies look at a part of their state now and then, and compares what they made of the one before.
+// compare makes all replicas compute a digest of one partition of their state at intervals, and compares the digests of the
+// previous partition.
 func (s *Store) compare(r *running) {
 	now := s.o.Steady.Now()
 	s.mu.Lock()
@@ -288,13 +293,13 @@
 	part := s.part
 	s.mu.Unlock()
 	if split && !s.halted.Swap(true) {
-		s.o.Events.Error().Uint64("at", mine.At).Uint64("part", mine.Part).Msg("copies differ and no majority has one state: no effect is begun any more")
+		s.o.Events.Error().Uint64("at", mine.At).Uint64("part", mine.Part).Msg("replicas differ and no state has a majority: no further effects are begun")
 	}
 	for _, id := range odd {
-		s.o.Events.Error().Str("copy", id).Uint64("at", mine.At).Uint64("part", mine.Part).Msg("differs from a majority")
+		s.o.Events.Error().Str("copy", id).Uint64("at", mine.At).Uint64("part", mine.Part).Msg("replica state differs from the majority")
 		if id == s.o.ID {
 			if err := s.stop(true); err == nil {
-				s.ask("the state of this copy differs from that of a majority")
+				s.ask("the state of this replica differs from that of a majority")
 			} else {
 				s.failed(err)
 			}
@@ -302,11 +307,11 @@
 		}
 	}
 	if due {
-		s.Propose(state.Command{Op: state.Compare, Seq: part}) // nobody waits for it: the claims tell what came of it
+		s.Propose(state.Command{Op: state.Compare, Seq: part}) // the result is not awaited: claims carry the digests
 	}
 }
 
-// lead takes the vote from who asks to be joined anew, and gives it to who has caught up.
+// lead demotes voters that request to rejoin, and promotes non-voters that have caught up.
 func (s *Store) lead(r *running) {
 	s.mu.Lock()
 	asks := s.witness.Asks(s.o.Steady.Now())
@@ -317,7 +322,7 @@
 		case id == s.o.ID:
 		case m.Suffrage == raft.Voter && slices.Contains(asks, id):
 			err := r.raft.DemoteVoter(m.ID, 0, changeFor).Error()
-			s.o.Events.Warn().Str("copy", id).Err(err).Msg("loses its vote until it has caught up")
+			s.o.Events.Warn().Str("copy", id).Err(err).Msg("demoted to non-voter until it has caught up")
 		case m.Suffrage != raft.Voter:
 			s.mu.Lock()
 			ready := s.promote[id]
@@ -325,13 +330,13 @@
 			s.mu.Unlock()
 			if ready && r.folder.Shared() == nil {
 				err := r.raft.AddVoter(m.ID, m.Address, 0, changeFor).Error()
-				s.o.Events.Info().Str("copy", id).Err(err).Msg("has caught up and gets its vote")
+				s.o.Events.Info().Str("copy", id).Err(err).Msg("caught up and promoted to voter")
 			}
 		}
 	}
 }
 
-// serveClaims hears one of the others.
+// serveClaims answers the claims of one peer.
 func (s *Store) serveClaims(conn net.Conn) {
 	defer conn.Close()
 	defer s.claims.Add(-1)
@@ -354,7 +359,7 @@
 			id = c.ID
 		}
 		if c.ID != id || s.o.Peers[c.ID] == "" || c.ID == s.o.ID || len(c.Folder)+len(c.Proc)+len(c.Name) > 96 {
-			return // no copy that we know
+			return // not one of this node's peers
 		}
 		w, err := s.hear(no, c)
 		if err != nil || frame.Send(conn, w, mostClaim) != nil {
@@ -363,6 +368,7 @@
 	}
 }
 
+// hear verifies a claim and, on the leader, tracks how far a non-voter has caught up.
 func (s *Store) hear(conn uint64, c admit.Claim) (admit.Word, error) {
 	v, m, r := s.view(c.ID)
 	_, leads := s.Office()
@@ -391,7 +397,7 @@
 	}
 	s.wake()
 	if learns && c.Rejoin != "" {
-		// Only what is agreed on counts: an entry that comes after proves that the loss of its vote was.
+		// Only committed changes count: a later committed entry proves that the demotion is committed.
 		if err := r.raft.Barrier(writeFor).Error(); err == nil {
 			w.Joined = v.Last
 		}
@@ -399,7 +405,7 @@
 	return w, nil
 }
 
-// view is what this node knows of the set, and of one id in it.
+// view returns what this node knows of the cluster, and of the member with the given id.
 func (s *Store) view(id string) (v admit.View, m admit.Member, r *running) {
 	r = s.now.Load()
 	if r == nil {
@@ -409,7 +415,7 @@
 	}
 	own := r.folder.Mark()
 	v.Folder, v.Set, v.Name = own.Folder, own.Set, own.Name
-	v.Last = r.raft.LastIndex() // before the configuration: a vote that is given after this look has a later position
+	v.Last = r.raft.LastIndex() // read before the configuration: any later promotion to voter has a higher index
 	v.Begun, v.Of = v.Last > 0, map[string]admit.Member{}
 	for _, c := range r.raft.GetConfiguration().Configuration().Servers {
 		v.Of[string(c.ID)] = admit.Member{Addr: string(c.Address), Votes: c.Suffrage == raft.Voter}
@@ -417,7 +423,7 @@
 	return v, v.Of[id], r
 }
 
-// keep writes what is remembered of others, where it has grown.
+// keep saves the known peers if they have changed.
 func (s *Store) keep() {
 	s.mu.Lock()
 	dirty := s.dirty
@@ -427,6 +433,7 @@
 	}
 }
 
+// remember writes the known peers to the data directory.
 func (s *Store) remember() error {
 	s.keeping.Lock()
 	defer s.keeping.Unlock()
@@ -435,37 +442,37 @@
 	s.dirty = false
 	s.mu.Unlock()
 	if f == nil {
-		return nil // it has no vote, and nothing that it says counts without a folder that remembers
+		return nil // not a voter, and its responses do not count without a directory that records them
 	}
 	return f.Remember(marks)
 }
 
-// Status tells how a copy is.
+// Status describes a replica.
 type Status struct {
 	ID      string     `json:"id"`
 	Addr    string     `json:"addr"`
 	Phase   string     `json:"phase"`
 	Why     string     `json:"why,omitempty"`
-	Leader  string     `json:"leader,omitempty"` // as far as this copy knows
+	Leader  string     `json:"leader,omitempty"` // as this replica knows it
 	Leads   bool       `json:"leads"`
 	Votes   bool       `json:"votes"`
 	Applied uint64     `json:"applied"`
-	Halted  bool       `json:"halted,omitempty"` // copies differ without a majority: no effect is begun
+	Halted  bool       `json:"halted,omitempty"` // replicas differ and no state has a majority: no effect is begun
 	Mark    admit.Mark `json:"mark"`
 	Members []Member   `json:"members,omitempty"`
 }
 
-// Member is what a copy knows of one of its set.
+// Member is what a replica knows of one member of its cluster.
 type Member struct {
 	ID     string `json:"id"`
 	Addr   string `json:"addr"`
 	Votes  bool   `json:"votes"`
-	Alive  bool   `json:"alive"`            // it made a claim of late
-	Last   uint64 `json:"last"`             // its last entry, as it said
-	Behind uint64 `json:"behind,omitempty"` // entries that it lacks of this copy's
+	Alive  bool   `json:"alive"`            // it sent a claim recently
+	Last   uint64 `json:"last"`             // index of its last entry, as it reported
+	Behind uint64 `json:"behind,omitempty"` // entries of this replica that it lacks
 }
 
-// Status looks at the node.
+// Status returns the node's current status.
 func (s *Store) Status() Status {
 	v, _, r := s.view(s.o.ID)
 	term, leads := s.Office()
@@ -496,7 +503,7 @@
 	frame.Send(conn, s.Status(), mostStatus)
 }
 
-// Ask asks the copy at an address how it is.
+// Ask requests the status of the replica at an address.
 func Ask(ctx context.Context, at string) (st Status, err error) {
 	d := net.Dialer{Timeout: writeFor}
 	conn, err := d.DialContext(ctx, "tcp", at)
@@ -510,7 +517,7 @@
 		err = frame.NewReader(conn, wordFor, mostStatus).Next(&st)
 	}
 	if err != nil {
-		return st, fmt.Errorf("store: %s does not tell how it is: %w", at, err)
+		return st, fmt.Errorf("store: status of %s: %w", at, err)
 	}
 	return st, nil
 }
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -20,7 +20,7 @@
 	"puffinsaddle/internal/store/disk"
 )
 
-// site is a set of nodes on ports of the system's choice.
+// site is a cluster of nodes on free ports.
 type site struct {
 	t     *testing.T
 	peers map[string]string
@@ -34,7 +34,7 @@
 
 func newSite(t *testing.T, ids ...string) *site {
 	s := &site{t: t, peers: map[string]string{}, dirs: map[string]string{}, up: map[string]*Store{}}
-	// An address of its own: a port that a node leaves for a moment must not be given to some other connection.
+	// Each cluster has a loopback address of its own: a port that a stopped node releases must not be taken by another connection.
 	host := fmt.Sprintf("127.%d.%d.%d", 32+os.Getpid()%64, os.Getpid()/64%250+1, sites.Add(1))
 	var open []net.Listener
 	for _, id := range ids {
@@ -77,7 +77,7 @@
 	}
 }
 
-// is waits until a node's status is as wanted.
+// is waits until a node's status satisfies want.
 func (s *site) is(id, what string, want func(Status) bool) Status {
 	s.t.Helper()
 	late := time.Now().Add(patience)
@@ -98,7 +98,7 @@
 
 func votes(st Status) bool { return st.Phase == PhaseRuns && st.Votes && st.Leader != "" }
 
-// all waits until all nodes vote.
+// all waits until all of these nodes are voters.
 func (s *site) all(ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
@@ -111,7 +111,7 @@
 	set(s.t, s.up[id], key, "v")
 }
 
-// has waits until a node has a key.
+// has waits until a node has all of these keys.
 func (s *site) has(id string, keys ...string) {
 	s.t.Helper()
 	for _, k := range keys {
@@ -119,6 +119,7 @@
 	}
 }
 
+// copy copies a node's data directory.
 func (s *site) copy(id, to string) {
 	s.t.Helper()
 	if err := os.CopyFS(to, os.DirFS(s.dirs[id])); err != nil {
@@ -126,7 +127,7 @@
 	}
 }
 
-// put puts a copy of a folder in the place of a node's own.
+// put replaces a node's data directory by a copy of another.
 func (s *site) put(id, from string) {
 	s.t.Helper()
 	if err := os.RemoveAll(s.dirs[id]); err != nil {
@@ -137,6 +138,7 @@
 	}
 }
 
+// aside lists a node's quarantine directories.
 func (s *site) aside(id string) []string {
 	got, _ := filepath.Glob(filepath.Join(s.dirs[id], "aside-*"))
 	return got
@@ -147,7 +149,7 @@
 	s.start("a", "b")
 	s.is("a", "want it to wait for c", func(st Status) bool { return strings.Contains(st.Why, "1 of 2") && st.Phase == PhaseSeeks })
 	if err := s.up["a"].Set("k", nil); !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("a write before there is a set: %v", err)
+		t.Errorf("write before the cluster is bootstrapped: %v", err)
 	}
 	s.start("c")
 	s.all("a", "b", "c")
@@ -155,7 +157,7 @@
 	for _, id := range []string{"a", "b", "c"} {
 		s.has(id, "k")
 		if st := s.up[id].Status(); st.Mark.Joined != 0 || len(s.aside(id)) > 0 {
-			t.Errorf("%s joined anew: %+v", id, st)
+			t.Errorf("%s rejoined: %+v", id, st)
 		}
 	}
 	st, err := Ask(t.Context(), s.peers["b"])
@@ -163,36 +165,37 @@
 		t.Errorf("%+v %v", st, err)
 	}
 	s.stop("b")
-	s.start("b") // a plain restart
+	s.start("b") // an ordinary restart
 	s.all("b")
 	if got := s.aside("b"); len(got) > 0 {
-		t.Errorf("set aside after a plain restart: %q", got)
+		t.Errorf("quarantined after an ordinary restart: %q", got)
 	}
 }
 
-// A folder that forgot something, whatever it is, has no vote until its copy has all of it again; what it held is kept.
+// A replica whose data directory has lost state in any way must not vote until it has caught up again, and its old directory must
+// be quarantined.
 func TestCopyWithoutItsPastJoinsAnew(t *testing.T) {
 	for name, spoil := range map[string]func(t *testing.T, s *site, old string){
 		"older":   func(_ *testing.T, s *site, old string) { s.put("c", old) },
 		"emptied": func(_ *testing.T, s *site, _ string) { s.put("c", t.TempDir()) },
-		"another's": func(_ *testing.T, s *site, _ string) {
+		"of another replica": func(_ *testing.T, s *site, _ string) {
 			s.stop("b")
 			s.put("c", s.dirs["b"])
 			s.start("b")
 		},
-		"spoilt": func(t *testing.T, s *site, _ string) {
+		"corrupt": func(t *testing.T, s *site, _ string) {
 			path := filepath.Join(s.dirs["c"], disk.File)
 			b, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			// An entry's text, and what is left of it in pages that are not in use any more.
+			// The data of an entry, and its remains in unused pages.
 			b = bytes.ReplaceAll(b, []byte("after-3"), []byte("after-7"))
 			if err := os.WriteFile(path, b, 0o600); err != nil {
 				t.Fatal(err)
 			}
 		},
-		"cut short": func(t *testing.T, s *site, _ string) {
+		"truncated": func(t *testing.T, s *site, _ string) {
 			if err := os.Truncate(filepath.Join(s.dirs["c"], disk.File), 9000); err != nil {
 				t.Fatal(err)
 			}
@@ -219,23 +222,23 @@
 			s.stop("c")
 			spoil(t, s, old)
 			s.start("c")
-			st := s.is("c", "want it back with its vote", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 })
+			st := s.is("c", "want it to be a voter again", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 })
 			if st.Mark.Life != 1 || len(s.aside("c")) == 0 {
-				t.Errorf("%+v, set aside %q", st, s.aside("c"))
+				t.Errorf("%+v, quarantined %q", st, s.aside("c"))
 			}
 			s.has("c", append(keys, "before")...)
-			s.stop("a") // c is needed for a majority now, and has its vote
+			s.stop("a") // c is needed for a majority now, and is a voter
 			s.write("c", "with c")
 			s.has("b", "with c")
 			s.stop("c")
-			s.start("c") // a plain restart of a copy that once joined anew
+			s.start("c") // an ordinary restart of a replica that has rejoined once
 			s.all("c")
 			s.write("c", "again")
 		})
 	}
 }
 
-// All restart at once, one of them with an older folder: what was agreed on without it is not undone.
+// All replicas restart at once, one of them with an outdated directory: committed writes that it lacks must not be lost.
 func TestAllRestartAtOnceOneWithAnOlderFolder(t *testing.T) {
 	s := newSite(t, "a", "b", "c")
 	s.start("a", "b", "c")
@@ -249,18 +252,18 @@
 	s.has("c", "k")
 	s.stop("a", "b", "c")
 	s.put("c", old)
-	s.start("c", "a") // b stays away: a and c are a majority, and c lacks what it had
-	s.is("c", "want it to ask", func(st Status) bool { return st.Phase == PhaseAsks && strings.Contains(st.Why, "a: the folder of c") })
+	s.start("c", "a") // without b: a and c are a majority, but c has lost a committed write
+	s.is("c", "want it to request to rejoin", func(st Status) bool { return st.Phase == PhaseAsks && strings.Contains(st.Why, "a: the folder of c") })
 	if st := s.up["c"].Status(); st.Votes {
 		t.Errorf("%+v", st)
 	}
 	s.start("b")
-	s.is("c", "want it back", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 })
+	s.is("c", "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 })
 	s.has("c", "k")
 }
 
-// Two of three copies are gone for good. Operators begin the set anew with the third; what comes back of the others, newer or
-// older, has to join anew.
+// Two of three replicas are permanently lost and operators recover the cluster from the third. When the others return, they have
+// to rejoin, whether their logs are longer or not.
 func TestOperatorsBeginTheSetAnew(t *testing.T) {
 	s := newSite(t, "a", "b", "c")
 	s.start("a", "b", "c")
@@ -281,21 +284,21 @@
 	s.start("a")
 	s.all("a") // alone
 	s.write("a", "anew")
-	s.start("b", "c") // they hold more, and are a majority of what was
+	s.start("b", "c") // they have more entries, and were a majority of the old cluster
 	for _, id := range []string{"b", "c"} {
-		s.is(id, "want it joined anew", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 && st.Mark.Set == 1 })
+		s.is(id, "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 && st.Mark.Set == 1 })
 		s.has(id, "k", "anew")
 		if _, there := s.up[id].Get("only b and c"); there {
-			t.Errorf("%s has what was given up", id)
+			t.Errorf("%s has an entry that the recovery discarded", id)
 		}
 	}
 	s.stop("b")
 	s.stop("a")
-	s.start("b") // a plain set again, in which one alone can do nothing
+	s.start("b") // an ordinary cluster again, in which a single replica has no quorum
 	s.all("b")
 	s.stop("c")
 	if err := s.up["b"].Set("x", nil); !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("one of three: %v", err)
+		t.Errorf("write on one of three: %v", err)
 	}
 	s.start("a")
 	s.all("a")
@@ -316,8 +319,8 @@
 	}
 }
 
-// A backup is one point; it begins a new set, whose nodes have nothing to do with those of the old one, also where an old folder
-// comes to one of them.
+// A backup holds the state at one log index. A cluster restored from it is separate from the old one: a node with a directory of
+// the old cluster must not join it.
 func TestBackupBeginsASetOfItsOwn(t *testing.T) {
 	s := newSite(t, "a", "b", "c")
 	s.start("a", "b", "c")
@@ -329,8 +332,8 @@
 		t.Fatal(err)
 	}
 	s.write("a", "after")
-	if _, err := Save(t.Context(), s.peers, path); err == nil || !strings.Contains(err.Error(), "there already") {
-		t.Errorf("written over: %v", err)
+	if _, err := Save(t.Context(), s.peers, path); err == nil || !strings.Contains(err.Error(), "exists already") {
+		t.Errorf("existing backup overwritten: %v", err)
 	}
 	n := newSite(t, "a", "b", "c")
 	whole, err := os.ReadFile(path)
@@ -340,45 +343,45 @@
 	spoilt := bytes.Clone(whole)
 	spoilt[len(spoilt)-9] ^= 1
 	other := bytes.Replace(whole, []byte(h.SHA256[:8]), []byte("00000000"), 1)
-	for name, b := range map[string][]byte{"empty": nil, "cut short": whole[:len(whole)-5], "a spoilt bit": spoilt, "another's digest": other,
-		"another kind": []byte("{}\n"), "an unknown key": bytes.Replace(whole, []byte(`"format"`), []byte(`"formal"`), 1),
-		"a later format": bytes.Replace(whole, []byte(`"format":1`), []byte(`"format":2`), 1), "no line": bytes.Repeat([]byte("x"), 1<<16)} {
+	for name, b := range map[string][]byte{"empty": nil, "truncated": whole[:len(whole)-5], "flipped bit": spoilt, "wrong digest": other,
+		"wrong kind": []byte("{}\n"), "unknown header key": bytes.Replace(whole, []byte(`"format"`), []byte(`"formal"`), 1),
+		"later format": bytes.Replace(whole, []byte(`"format":1`), []byte(`"format":2`), 1), "no end of the header": bytes.Repeat([]byte("x"), 1<<16)} {
 		o := Options{ID: "a", Dir: filepath.Join(t.TempDir(), "new"), Peers: n.peers}
 		if _, err := Restore(o, bytes.NewReader(b)); !errors.Is(err, ErrBackup) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if _, err := os.Stat(o.Dir); err == nil {
-			t.Errorf("%s: a folder was made", name)
+			t.Errorf("%s: a directory was created", name)
 		}
 	}
 	o := Options{ID: "a", Dir: n.dirs["a"], Peers: n.peers}
 	if _, err := Restore(o, bytes.NewReader(whole)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Restore(o, bytes.NewReader(whole)); err == nil || !strings.Contains(err.Error(), "holds a copy already") {
-		t.Errorf("restored over a copy: %v", err)
+	if _, err := Restore(o, bytes.NewReader(whole)); err == nil || !strings.Contains(err.Error(), "holds a replica already") {
+		t.Errorf("restored over an existing replica: %v", err)
 	}
 	s.stop("c")
-	n.put("c", s.dirs["c"]) // of the old set
+	n.put("c", s.dirs["c"]) // of the old cluster
 	n.start("a", "b", "c")
 	n.all("a", "b")
 	n.has("b", "before")
 	if _, there := n.up["b"].Get("after"); there {
-		t.Error("more than the backup held")
+		t.Error("the restored cluster has a write made after the backup")
 	}
-	st := n.is("c", "want it kept out", func(st Status) bool { return strings.Contains(st.Why, "belongs to set "+h.Name) })
+	st := n.is("c", "want it to be rejected", func(st Status) bool { return strings.Contains(st.Why, "belongs to set "+h.Name) })
 	if st.Phase != PhaseSeeks || len(n.aside("c")) > 0 {
 		t.Errorf("%+v", st)
 	}
 	if a, b := n.up["a"].Status().Mark.Name, n.up["b"].Status().Mark.Name; a != b || a == h.Name {
-		t.Errorf("sets %q, %q; the old one is %q", a, b, h.Name)
+		t.Errorf("clusters %q, %q; the old one is %q", a, b, h.Name)
 	}
 	n.write("b", "anew")
 	n.has("a", "anew")
 }
 
-// A bit of what a copy holds in memory is spoilt, of a follower and of the leader: the copies find which one differs, and it is
-// built anew.
+// A bit flips in the memory of a replica, once of a follower and once of the leader. The comparison of digests must identify that
+// replica, and it is rebuilt from the others.
 func TestCopyThatDiffersIsBuiltAnew(t *testing.T) {
 	s := newSite(t, "a", "b", "c")
 	s.compare = 1
@@ -388,7 +391,7 @@
 		for {
 			fresh, err := s.up["a"].Begin(fmt.Sprint("e", i))
 			if err == nil && !fresh {
-				t.Fatal("begun before")
+				t.Fatal("the effect is already begun")
 			}
 			if err == nil {
 				break
@@ -410,27 +413,27 @@
 			}
 		}
 		if odd == "" {
-			t.Fatal("nobody leads")
+			t.Fatal("no replica with the wanted role")
 		}
 		before := s.up[odd].Status().Mark.Joined
 		if s.up[odd].Spoil(uint64(round+3)) == "" {
-			t.Fatal("nothing was spoilt")
+			t.Fatal("no effect to corrupt")
 		}
-		s.is(odd, "want it joined anew", func(st Status) bool { return votes(st) && st.Mark.Joined > before })
+		s.is(odd, "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Mark.Joined > before })
 		s.has(odd, "k")
 		s.all("a", "b", "c")
 	}
 	for id, n := range s.up {
 		if fresh, err := n.Begin("e7"); fresh || err != nil {
-			t.Errorf("%s: an effect begins twice: %v %v", id, fresh, err)
+			t.Errorf("%s: effect begun twice: %v %v", id, fresh, err)
 		}
 		if n.Status().Halted {
-			t.Errorf("%s is halted", id)
+			t.Errorf("%s has halted effects", id)
 		}
 	}
 }
 
-// Three copies with three states: nobody can tell which is right, so no effect begins any more; all else goes on.
+// Three replicas have three different states, so the correct one can't be determined: no effect may begin, other writes continue.
 func TestNoEffectBeginsWhereNoMajorityHasOneState(t *testing.T) {
 	s := newSite(t, "a", "b", "c")
 	s.compare = 1
@@ -444,7 +447,7 @@
 	for _, id := range []string{"a", "b", "c"} {
 		s.has(id, "k")
 	}
-	for _, n := range s.up { // held, so that no two compare in between
+	for _, n := range s.up { // locked, so that no digest is computed until all states differ
 		n.machine.mu.Lock()
 	}
 	for i, id := range []string{"a", "b", "c"} {
@@ -453,16 +456,16 @@
 	for _, n := range s.up {
 		n.machine.mu.Unlock()
 	}
-	s.is(lead.o.ID, "want it halted", func(st Status) bool { return st.Halted })
+	s.is(lead.o.ID, "want it to halt effects", func(st Status) bool { return st.Halted })
 	if _, err := lead.Begin("f"); !errors.Is(err, ErrDiffer) {
-		t.Errorf("an effect begins: %v", err)
+		t.Errorf("effect begun without a majority state: %v", err)
 	}
 	if err := lead.Set("other", []byte("v")); err != nil {
-		t.Errorf("all else stops: %v", err)
+		t.Errorf("other write refused: %v", err)
 	}
 }
 
-// A disk that fails stops its copy and no more; what was acknowledged is with the others.
+// A failed disk must stop only its own replica; acknowledged writes are kept by the others.
 func TestFullDiskStopsItsCopyAlone(t *testing.T) {
 	s := newSite(t, "a", "b", "c")
 	s.start("a", "b", "c")
@@ -470,7 +473,7 @@
 	s.write("a", "k")
 	leader := s.up["a"].Status().Leader
 	s.up[leader].failed(errors.New("no space left on device"))
-	st := s.is(leader, "want it stopped", func(st Status) bool { return st.Phase == PhaseStopped })
+	st := s.is(leader, "want it to stop", func(st Status) bool { return st.Phase == PhaseStopped })
 	if !strings.Contains(st.Why, "no space left") {
 		t.Errorf("%+v", st)
 	}
@@ -481,11 +484,11 @@
 		}
 	}
 	if err := s.up[leader].Set("x", nil); !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("a write at the copy that stopped: %v", err)
+		t.Errorf("write on the stopped replica: %v", err)
 	}
 }
 
-// A second process under an id that is alive waits, whatever folder it has, and gets neither vote nor folder.
+// A second process with the id of a live replica must wait, whatever its directory, and must not participate.
 func TestSecondProcessOfAnIDWaits(t *testing.T) {
 	s := newSite(t, "a", "b", "c")
 	s.start("a", "b", "c")
@@ -503,17 +506,17 @@
 	}
 	defer twin.Close()
 	s.up["twin"] = twin
-	s.is("twin", "want it to be told", func(st Status) bool { return strings.Contains(st.Why, "of c is alive") && st.Phase == PhaseSeeks })
+	s.is("twin", "want it to be rejected as a duplicate", func(st Status) bool { return strings.Contains(st.Why, "of c is alive") && st.Phase == PhaseSeeks })
 	delete(s.up, "twin")
 	s.stop("c")
 	s.up["twin"] = twin
-	s.is("twin", "want it to be told of the other address", func(st Status) bool { return strings.Contains(st.Why, "c is at") })
+	s.is("twin", "want it to be rejected for its address", func(st Status) bool { return strings.Contains(st.Why, "c is at") })
 	delete(s.up, "twin")
 	s.start("c")
 	s.all("c")
 }
 
-// A copy without a vote gives none and asks for none.
+// A non-voter must neither grant nor request votes, and entries of another cluster must not reach it.
 func TestGateKeepsTheVoteBack(t *testing.T) {
 	node := func(set string, vote bool) (*gate, *lane) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -532,13 +535,13 @@
 	learner, lane := node("set", false)
 	at := raft.ServerAddress(lane.Addr().String())
 	if err := voter.RequestVote("l", at, &raft.RequestVoteRequest{Term: 1}, &raft.RequestVoteResponse{}); err == nil || !strings.Contains(err.Error(), errNoVote.Error()) {
-		t.Errorf("a vote was asked for: %v", err)
+		t.Errorf("vote request to a non-voter: %v", err)
 	}
 	if err := voter.RequestPreVote("l", at, &raft.RequestPreVoteRequest{Term: 1}, &raft.RequestPreVoteResponse{}); err == nil || !strings.Contains(err.Error(), errNoVote.Error()) {
-		t.Errorf("it was asked whether there would be one: %v", err)
+		t.Errorf("pre-vote request to a non-voter: %v", err)
 	}
 	if err := learner.RequestVote("v", at, &raft.RequestVoteRequest{Term: 1}, &raft.RequestVoteResponse{}); !errors.Is(err, errNoVote) {
-		t.Errorf("it asks for a vote: %v", err)
+		t.Errorf("vote request of a non-voter: %v", err)
 	}
 	go func() {
 		rpc := <-learner.Consumer()
@@ -546,14 +549,14 @@
 	}()
 	var got raft.AppendEntriesResponse
 	if err := voter.AppendEntries("l", at, &raft.AppendEntriesRequest{Term: 1}, &got); err != nil || got.LastLog != 7 {
-		t.Errorf("entries do not get through: %+v %v", got, err)
+		t.Errorf("entries to a non-voter: %+v %v", got, err)
 	}
 	if err := stranger.AppendEntries("l", at, &raft.AppendEntriesRequest{Term: 9}, &got); err == nil {
-		t.Error("entries of another set get through")
+		t.Error("entries of another cluster were accepted")
 	}
 }
 
-// What no copy of ours would say ends its own connection and is not remembered.
+// Claims that no replica of this cluster would send must close their connection and must not be recorded.
 func TestMalformedClaimsAreNotHeard(t *testing.T) {
 	s := newSite(t, "a", "b", "c")
 	s.start("a", "b", "c")
@@ -562,15 +565,15 @@
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
 	for name, b := range map[string][]byte{
-		"no JSON":               message("{"),
-		"a huge length":         {0xff, 0xff, 0xff, 0xff},
-		"nobody's":              message("{}"),
-		"an unknown id's":       message(`{"id":"z","folder":"f","life":1}`),
-		"its own":               message(`{"id":"a","folder":"f","life":1}`),
-		"a name without end":    message(`{"id":"b","folder":"` + strings.Repeat("f", 100) + `"}`),
-		"an end in the middle":  message(`{"id":"b"}`)[:7],
-		"an unknown purpose":    nil,
-		"two ids in one breath": append(message(`{"id":"b","addr":"x","folder":"f","proc":"p"}`), message(`{"id":"c","addr":"x","folder":"f","proc":"p"}`)...),
+		"invalid JSON":              message("{"),
+		"huge length":               {0xff, 0xff, 0xff, 0xff},
+		"no id":                     message("{}"),
+		"unknown id":                message(`{"id":"z","folder":"f","life":1}`),
+		"id of the receiver":        message(`{"id":"a","folder":"f","life":1}`),
+		"oversized directory id":    message(`{"id":"b","folder":"` + strings.Repeat("f", 100) + `"}`),
+		"truncated message":         message(`{"id":"b"}`)[:7],
+		"unknown purpose":           nil,
+		"two ids on one connection": append(message(`{"id":"b","addr":"x","folder":"f","proc":"p"}`), message(`{"id":"c","addr":"x","folder":"f","proc":"p"}`)...),
 	} {
 		conn, err := net.Dial("tcp", s.peers["a"])
 		if err != nil {
@@ -584,7 +587,7 @@
 		conn.Write(append([]byte{purpose}, b...))
 		conn.(*net.TCPConn).CloseWrite()
 		if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s: the connection stands", name)
+			t.Errorf("%s: the connection stays open", name)
 		}
 		conn.Close()
 	}
@@ -596,12 +599,12 @@
 	}
 }
 
-// Who connects to a node and stalls, before it says what for or in the middle of that, is cut off.
+// Connections that stall before or while they state their purpose must be closed.
 func TestConnectionsThatStallAreEnded(t *testing.T) {
 	s := newSite(t, "a", "b", "c")
 	s.start("a", "b", "c")
 	s.all("a", "b", "c")
-	for name, b := range map[string][]byte{"says nothing": nil, "raft's, in its set's name": {forRaft, 16, 'x'}, "a claim's, in its length": {forClaims, 0, 0}} {
+	for name, b := range map[string][]byte{"no purpose": nil, "raft, within the cluster name": {forRaft, 16, 'x'}, "claim, within its length": {forClaims, 0, 0}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conn, err := net.Dial("tcp", s.peers["a"])
@@ -612,7 +615,7 @@
 			conn.SetDeadline(time.Now().Add(patience))
 			conn.Write(b)
 			if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Error("the connection stands")
+				t.Error("the connection stays open")
 			}
 		})
 	}
--- a/internal/store/layer.go
+++ b/internal/store/layer.go
@@ -10,57 +10,58 @@
 	"github.com/hashicorp/raft"
 )
 
-// The first byte of a connection tells what it is for.
+// The first byte of a connection states its purpose.
 const (
 	forRaft   = 'R'
-	forWrites = 'W' // writes sent on to the leader
-	forClaims = 'A' // what a copy says of its folder, before it takes part and while it does
-	forBackup = 'B' // the whole state at one position, from the copy that leads
-	forStatus = 'I' // one answer that tells how the copy is
+	forWrites = 'W' // writes forwarded to the leader
+	forClaims = 'A' // claims: the state of a replica's data directory, sent before and while it participates
+	forBackup = 'B' // the complete state at one log index, from the leader
+	forStatus = 'I' // one Status response
 
-	// ForSessions opens a session of an order server, which need not keep a copy.
+	// ForSessions opens a session of an order server, which need not run a store replica.
 	ForSessions = 'S'
-	// ForWatches opens a relay's watch of the configuration.
+	// ForWatches opens a relay's configuration watch.
 	ForWatches = 'C'
 )
 
+// helloFor is the time in which a new connection has to state its purpose.
 const helloFor = 2 * time.Second
 
-// layer carries raft's connections and all others over one listening socket, so that a node has one address.
+// layer multiplexes raft's connections and all others over one listening socket, so that a node has a single address.
 type layer struct {
 	net.Listener
-	serve map[byte]func(net.Conn) // by purpose; each closes its connection
-	via   map[string]string       // where this node reaches an address, if elsewhere
+	serve map[byte]func(net.Conn) // by purpose; each handler closes its connection
+	via   map[string]string       // by peer address: the address to dial in its place
 	done  chan struct{}
 	once  sync.Once
-	lane  atomic.Pointer[lane] // raft's; nil: none runs
+	lane  atomic.Pointer[lane] // nil while raft is not running
 
 	mu       sync.Mutex
-	sessions func(net.Conn) // nil: none are served
-	watches  func(net.Conn) // nil: none are served
+	sessions func(net.Conn) // nil: sessions are not served
+	watches  func(net.Conn) // nil: watches are not served
 }
 
 func newLayer(ln net.Listener, serve map[byte]func(net.Conn), via map[string]string) *layer {
 	return &layer{Listener: ln, serve: serve, via: via, done: make(chan struct{})}
 }
 
-// lane is what one raft after the other has of the socket.
+// lane is raft's stream layer over the shared socket; each raft instance of the process gets a new one.
 type lane struct {
 	*layer
-	name  string // of the set
+	name  string // of the cluster
 	conns chan net.Conn
 	over  chan struct{}
 	end   sync.Once
 }
 
-// open makes the lane of a raft that is about to run.
+// open creates the stream layer for a raft instance that is about to start.
 func (l *layer) open(name string) *lane {
 	n := &lane{layer: l, name: name, conns: make(chan net.Conn), over: make(chan struct{})}
 	l.lane.Store(n)
 	return n
 }
 
-// Accept hands raft its connections.
+// Accept returns the next incoming raft connection.
 func (n *lane) Accept() (net.Conn, error) {
 	select {
 	case c := <-n.conns:
@@ -71,14 +72,14 @@
 	return nil, net.ErrClosed
 }
 
-// Close ends the lane; the socket stays.
+// Close stops accepting raft connections; the shared socket stays open.
 func (n *lane) Close() error {
 	n.end.Do(func() { close(n.over) })
 	n.layer.lane.CompareAndSwap(n, nil)
 	return nil
 }
 
-// Dial opens one of raft's connections.
+// Dial opens a raft connection and sends the cluster name.
 func (n *lane) Dial(at raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	conn, err := n.dial(string(at), forRaft, timeout)
 	if err != nil {
@@ -91,8 +92,8 @@
 	return conn, nil
 }
 
-// same reads the name of the set that a connection of raft's is of. Guards against entries of another set, whose nodes were given
-// the same addresses: raft itself would take them.
+// same reads the cluster name at the start of a raft connection and compares it. Guards against entries from another cluster
+// whose nodes were configured with the same addresses: raft itself would accept them.
 func (n *lane) same(conn net.Conn) bool {
 	b := make([]byte, 256)
 	if _, err := io.ReadFull(conn, b[:1]); err != nil {
@@ -165,7 +166,7 @@
 	conn.Close()
 }
 
-// Close ends the listening.
+// Close closes the listening socket.
 func (l *layer) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return l.Listener.Close()
--- a/internal/store/rates_test.go
+++ b/internal/store/rates_test.go
@@ -17,9 +17,9 @@
 	"puffinsaddle/internal/state"
 )
 
-const rateFor = 3 * time.Second // of one point
+const rateFor = 3 * time.Second // measured at each rate
 
-// threeCopies is a set of three copies in this process, each with its log on the disk, and the one that leads.
+// threeCopies starts a cluster of three replicas in this process, each with its log on disk, and returns the leader.
 func threeCopies(b *testing.B) *Store {
 	b.Helper()
 	peers := map[string]string{}
@@ -45,11 +45,11 @@
 			}
 		}
 	}
-	b.Fatal("no copy leads")
+	b.Fatal("no replica became the leader")
 	return nil
 }
 
-// processorTime is what this process has used, in seconds.
+// processorTime returns the CPU time used by this process, in seconds.
 func processorTime(b *testing.B) float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -58,12 +58,12 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 }
 
-// diskBytes is what this process has had written to the disk, in bytes.
+// diskBytes returns the number of bytes that this process has caused to be written to disk.
 func diskBytes(b *testing.B) float64 {
 	const field = "write_bytes:"
 	text, err := os.ReadFile("/proc/self/io")
 	if err != nil {
-		b.Fatal("the kernel does not count what is written: ", err)
+		b.Fatal("the kernel does not report bytes written: ", err)
 	}
 	for line := range strings.Lines(string(text)) {
 		if number, ok := strings.CutPrefix(line, field); ok {
@@ -78,8 +78,8 @@
 	return 0
 }
 
-// measureRate has entries written at a rate, at times drawn ahead, and tells what three copies take of processor time and disk a
-// second, and how long an entry takes from the time that was drawn for it.
+// measureRate writes entries at a mean rate with Poisson arrivals that don't wait for earlier entries. It reports the CPU time and
+// bytes written per second of three replicas, and the latency of an entry from its intended start.
 func measureRate(b *testing.B, rate float64, write func(lead *Store, i int) error) {
 	lead := threeCopies(b)
 	if err := write(lead, 0); err != nil {
@@ -124,6 +124,7 @@
 	}
 }
 
+// proposed proposes a command on the leader and waits for its result.
 func proposed(lead *Store, c state.Command) error {
 	r, err := lead.Propose(c)()
 	if err == nil && r.Error != "" {
@@ -132,7 +133,7 @@
 	return err
 }
 
-// BenchmarkBookingRate measures three copies by bookings a second: a begin and an end each.
+// BenchmarkBookingRate measures three replicas by effects per second; each effect is begun and ended.
 func BenchmarkBookingRate(b *testing.B) {
 	for _, rate := range []int{250, 500, 1000, 2000, 4000} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
@@ -147,7 +148,7 @@
 	}
 }
 
-// BenchmarkChangeRate measures three copies by changes of configuration a second, of three records each.
+// BenchmarkChangeRate measures three replicas by configuration changes per second, of three records each.
 func BenchmarkChangeRate(b *testing.B) {
 	for _, rate := range []int{10, 50, 100, 200, 400} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
@@ -163,7 +164,7 @@
 	}
 }
 
-// BenchmarkRestartRate measures three copies by restarts a second: a presence that lapses and one that is granted.
+// BenchmarkRestartRate measures three replicas by server restarts per second: a presence is granted and one expires.
 func BenchmarkRestartRate(b *testing.B) {
 	for _, rate := range []int{1, 10, 50, 100, 200} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
--- a/internal/store/resolve.go
+++ b/internal/store/resolve.go
@@ -12,10 +12,10 @@
 	"puffinsaddle/internal/store/disk"
 )
 
-// Resolve begins a set anew with what the folder of one node holds, where a majority is lost for good. The node's process must
-// not run. It is the only one with a vote then; the others lose what they hold beyond it when they come, since each has to join
-// anew, and get their votes back as they catch up. Nobody can tell whether what is lost was agreed on: that is the operators'
-// decision.
+// Resolve recovers a cluster whose majority is permanently lost, from the data directory of one node. The node's process must
+// not be running. The node becomes the only voter; the others discard any entries beyond its log when they return, since each
+// has to rejoin, and become voters again once they have caught up. Whether the discarded entries were committed cannot be
+// determined, so the decision is left to operators.
 func Resolve(o Options) (disk.Report, error) {
 	if o.Log == nil {
 		o.Log = io.Discard
@@ -30,9 +30,9 @@
 	case report.Damage != "":
 		return report, errors.New(report.Damage)
 	case report.Mark.Last == 0:
-		return report, fmt.Errorf("store: %s holds nothing to begin with", o.Dir)
+		return report, fmt.Errorf("store: %s is empty: there is nothing to recover from", o.Dir)
 	case !report.Votes:
-		return report, fmt.Errorf("store: %s joined as of entry %d and had not caught up: choose a copy with a vote", o.Dir, report.Mark.Joined)
+		return report, fmt.Errorf("store: %s joined at log index %d and had not caught up: choose the directory of a voter", o.Dir, report.Mark.Joined)
 	}
 	proc, err := disk.Draw()
 	if err != nil {
@@ -47,7 +47,7 @@
 	if err := raft.RecoverCluster(o.raft(), newMachine(), f, f, f.Snap, trans, o.alone()); err != nil {
 		return report, fmt.Errorf("store: %w", err)
 	}
-	// Last, so that an end in the middle leaves a folder that is still the set's, and the command can be given again.
+	// This comes last: if the command is interrupted, the directory still belongs to the old cluster and it can be repeated.
 	if err := f.Anew(report.Mark.Name); err != nil {
 		return report, err
 	}
@@ -55,7 +55,7 @@
 	return report, nil
 }
 
-// alone is a configuration in which this node alone has a vote.
+// alone returns a configuration in which this node is the only voter.
 func (o Options) alone() (c raft.Configuration) {
 	for _, id := range slices.Sorted(maps.Keys(o.Peers)) {
 		member := raft.Server{ID: raft.ServerID(id), Address: raft.ServerAddress(o.Peers[id]), Suffrage: raft.Nonvoter}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps configuration, inventory, drain marks and the ids of effects begun in a small replicated
-// key-value store: hashicorp/raft over one port a node, its log in a raft-boltdb file. Any node takes reads and
-// writes; a write goes to the leader and returns once a majority has it.
+// Package store is a small replicated key-value store that holds configuration, inventory, drain marks and the ids of effects
+// begun. It runs hashicorp/raft over one port per node and keeps the log in a bolt file. Any node accepts reads and writes; a
+// write is forwarded to the leader and returns once a majority has it.
 package store
 
 import (
@@ -26,84 +26,84 @@
 	"puffinsaddle/internal/store/disk"
 )
 
-// ErrNoQuorum is the error of a write that no majority took. It may still be carried out later.
+// ErrNoQuorum reports a write that was not confirmed by a majority. It may still be applied later.
 var ErrNoQuorum = errors.New("store: no quorum: the write was not confirmed by a majority of the nodes")
 
-// ErrDiffer refuses effects while copies differ and no majority has one state.
-var ErrDiffer = errors.New("store: copies differ and no majority has one state: no effect is begun until operators have decided")
+// ErrDiffer refuses effects while the replicas' states differ and no state has a majority.
+var ErrDiffer = errors.New("store: replicas differ and no state has a majority: no effect is begun until operators resolve it")
 
 const (
-	writeFor      = 2 * time.Second
-	mostWrite     = 1 << 20 // bytes of one write
-	closeFor      = time.Second
-	electionEach  = 500.0 // ms
-	snapshotAfter = 8192  // log entries
+	writeFor      = 2 * time.Second // for a write to be committed, and for a dial
+	mostWrite     = 1 << 20         // bytes of one write
+	closeFor      = time.Second     // for raft to shut down
+	electionEach  = 500.0           // ms
+	snapshotAfter = 8192            // log entries
 )
 
-// Options set up one node.
+// Options configure one node.
 type Options struct {
 	ID       string
 	Listen   string
 	Listener net.Listener // in place of Listen; nil: none
 	Dir      string
-	Peers    map[string]string // id and address of each node, this one included; none: Start has to tell them, and nobody is asked
-	Via      map[string]string // addresses of peers that this node reaches elsewhere, and where
-	Strict   bool              // more of the others have to be heard before this node takes part: admit.Seeker
-	Log      io.Writer         // raft's
+	Peers    map[string]string // addresses by node id, this one included; empty: Start sets the members, and no claims are sent
+	Via      map[string]string // by peer address: the address at which this node reaches it, if it is another one
+	Strict   bool              // more peers have to respond before this node participates: admit.Joiner
+	Log      io.Writer         // raft's log output
 	Events   zerolog.Logger
-	Steady   *clock.Clock // nil: the system's
+	Steady   *clock.Clock // nil: the system's steady clock
 
-	ElectionMs float64                 // a leader that is not heard for so long, up to twice that, is replaced; 0: 500
-	CompareMs  float64                 // between two parts of the state that copies compare; 0: 1000
-	Told       func(phase, why string) // called at each change of the node's phase; must not wait; nil: nobody asks
+	ElectionMs float64                 // a leader without contact for one to two of these is replaced; 0: 500
+	CompareMs  float64                 // between two comparisons of the replicas' state; 0: 1000
+	Told       func(phase, why string) // optional; called at each change of the node's phase; must not block
 
-	Watch func(index, term uint64, c state.Command, r state.Result) // called for each entry that is applied, in order; must not wait
-	Plant string                                                    // a planted bug, for the laboratory; "": none
+	Watch func(index, term uint64, c state.Command, r state.Result) // optional; called for each applied entry, in log order; must not block
+	Plant string                                                    // a bug injected by the lab; "": none
 }
 
-// raft is the library's configuration.
+// raft returns the configuration of the raft library.
 func (o Options) raft() *raft.Config {
 	conf := raft.DefaultConfig()
 	conf.LocalID, conf.LogOutput, conf.SnapshotThreshold = raft.ServerID(o.ID), o.Log, snapshotAfter
 	conf.LogLevel = "WARN"
-	// A leader's end must be found, and another one chosen, before those who hold duties have to give them up.
+	// A failed leader must be detected and replaced before duty holders have to give up their leases.
 	election := clock.Duration(cmp.Or(o.ElectionMs, electionEach))
 	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = election, election, election/2
 	return conf
 }
 
-// Store is one node.
+// Store is one node of the replicated store.
 type Store struct {
 	o       Options
-	proc    string // drawn at the start of the process
+	proc    string // random, unique to this process
 	machine *machine
 	layer   *layer
 	ctx     context.Context
 	cancel  context.CancelFunc
-	keeping sync.Mutex // what is remembered of others goes to the disk one writing at a time
+	keeping sync.Mutex // serializes saves of the known peers
 
-	now    atomic.Pointer[running] // nil: this node takes no part
-	kick   chan struct{}           // something changed that a decision may rest on
+	now    atomic.Pointer[running] // nil while this node does not participate
+	kick   chan struct{}           // signals a change that decisions depend on
 	conns  atomic.Uint64
-	claims atomic.Int64 // connections of claims that are served
-	halted atomic.Bool  // copies differ without a majority
+	claims atomic.Int64 // claim connections being served
+	halted atomic.Bool  // replicas differ and no state has a majority
 
 	mu        sync.Mutex
-	folder    *disk.Folder // nil: what stands there is damaged
+	folder    *disk.Folder // nil: its contents are corrupt
 	seeker    admit.Seeker
 	witness   *admit.Witness
 	learners  map[string]*admit.Learner
 	promote   map[string]bool // learners that have caught up
 	phase     string
 	why       string
-	began     float64 // when it began to seek
-	compareAt float64 // the next part of the state is compared then
+	began     float64 // ms, when it began to send claims
+	compareAt float64 // ms, when the next partition of the state is compared
 	part      uint64
-	dirty     bool          // what is remembered of others is newer than what the folder has
-	news      chan struct{} // closed at each change of the claim, or of whether the node takes part
+	dirty     bool          // the known peers changed since they were last saved
+	news      chan struct{} // closed and replaced at each change of the phase
 }
 
-// running is the part of a node that takes part.
+// running holds what a node has only while it participates.
 type running struct {
 	raft   *raft.Raft
 	trans  *raft.NetworkTransport
@@ -112,8 +112,8 @@
 	votes  atomic.Bool
 }
 
-// Open starts a node from what its folder holds. It takes part once the others say nothing against its folder; Start begins a
-// new set where no peers are named.
+// Open starts a node from its data directory. The node participates once its peers accept the directory. Without peers in the
+// options, Start bootstraps the cluster.
 func Open(o Options) (*Store, error) {
 	if o.Log == nil {
 		o.Log = io.Discard
@@ -144,7 +144,7 @@
 	s.layer = newLayer(ln, map[byte]func(net.Conn){forWrites: s.serveWrite, forClaims: s.serveClaims, forStatus: s.serveStatus, forBackup: s.serveBackup}, o.Via)
 	damage, err := s.open(admit.Mark{})
 	if err == nil && damage != nil && len(o.Peers) < 2 {
-		err = damage // nobody to build it anew from
+		err = damage // no peer to rebuild it from
 	}
 	if err == nil && len(o.Peers) < 2 {
 		err = s.start(o.Peers)
@@ -166,7 +166,7 @@
 	return s, nil
 }
 
-// open opens the folder. A folder that is damaged is no error: the node asks to be joined anew.
+// open opens the data directory. Corruption is returned apart from err: the node requests to rejoin then.
 func (s *Store) open(joined admit.Mark) (damage error, err error) {
 	f, err := disk.OpenFolder(s.o.Dir, s.proc, s.o.Log, disk.Options{Fail: s.failed})
 	if bad := (*disk.Damage)(nil); errors.As(err, &bad) {
@@ -194,7 +194,7 @@
 	if s.witness == nil || len(marks) > 0 {
 		s.witness = admit.NewWitness(s.o.ID, marks)
 	} else {
-		s.dirty = true // what was remembered goes into the new folder
+		s.dirty = true // the known peers have to be saved in the new directory
 	}
 	s.seeker = admit.Seeker{Strict: s.o.Strict, Plant: s.o.Plant}
 	s.seeker.ID, s.seeker.Addr = s.o.ID, s.o.Peers[s.o.ID]
@@ -212,7 +212,7 @@
 	return damage, nil
 }
 
-// start lets the node take part, in a new set of these peers where its folder is fresh and any are named.
+// start makes the node participate. If its directory is empty and peers are given, it bootstraps a new cluster of them.
 func (s *Store) start(peers map[string]string) error {
 	s.mu.Lock()
 	f := s.folder
@@ -244,7 +244,7 @@
 	return nil
 }
 
-// Start begins a new set of these nodes; on a node that has a past it does nothing.
+// Start bootstraps a new cluster of these nodes. It does nothing on a node that already has raft state.
 func (s *Store) Start(peers map[string]string) error {
 	r := s.now.Load()
 	if r == nil {
@@ -260,10 +260,10 @@
 	return nil
 }
 
-// Addr is where the node listens.
+// Addr returns the address on which the node listens.
 func (s *Store) Addr() string { return s.layer.Addr().String() }
 
-// Ready waits until the node takes part and knows a leader.
+// Ready waits until the node participates and knows a leader.
 func (s *Store) Ready(ctx context.Context) error {
 	for {
 		s.mu.Lock()
@@ -297,7 +297,7 @@
 	}
 }
 
-// Get reads a key as this node has it.
+// Get reads a key from this node's state, which may lag the leader's.
 func (s *Store) Get(key string) ([]byte, bool) {
 	s.machine.mu.Lock()
 	defer s.machine.mu.Unlock()
@@ -305,7 +305,7 @@
 	return v, ok
 }
 
-// Changed is closed at the next change that reaches this node.
+// Changed returns a channel that is closed when the next entry is applied on this node.
 func (s *Store) Changed() <-chan struct{} {
 	s.machine.mu.Lock()
 	defer s.machine.mu.Unlock()
@@ -324,12 +324,12 @@
 	return err
 }
 
-// Begin records that an effect begins; false: it is recorded already.
+// Begin records that an effect begins; it returns false if the effect is recorded already.
 func (s *Store) Begin(id string) (bool, error) {
 	return s.write(state.Command{Op: state.Begin, Key: id})
 }
 
-// Snapshot writes the state to the node's folder now.
+// Snapshot writes a snapshot of the state to the node's data directory.
 func (s *Store) Snapshot() error {
 	r := s.now.Load()
 	if r == nil {
@@ -338,15 +338,15 @@
 	return r.raft.Snapshot().Error()
 }
 
-// answer is the leader's word on a write.
+// answer is the leader's response to a forwarded write.
 type answer struct {
 	Fresh   bool   `json:"fresh"`
-	Refused string `json:"refused,omitempty"` // agreed on, and then refused
+	Refused string `json:"refused,omitempty"` // the command was committed, and refused when applied
 	Error   string `json:"error,omitempty"`   // not confirmed
 }
 
-// write hands a command to the leader, here or elsewhere. It is sent once: one that gets no answer may have
-// been taken.
+// write passes a command to the leader, on this node or another. It is sent only once: a command without a response may have
+// been committed.
 func (s *Store) write(c state.Command) (bool, error) {
 	var r state.Result
 	var err error
@@ -388,9 +388,8 @@
 
 func (s *Store) apply(c state.Command) (state.Result, error) { return s.Propose(c)() }
 
-// Propose hands a command to the log of this node, which has to lead; the function it returns waits for what the
-// command came to. An error leaves open whether it will be carried out. Commands are carried out in the order in which
-// one goroutine proposes them.
+// Propose appends a command to the log of this node, which has to be the leader; the returned function waits for the result.
+// After an error the command may or may not be applied. Commands proposed by one goroutine are applied in that order.
 func (s *Store) Propose(c state.Command) func() (state.Result, error) {
 	b, err := json.Marshal(c)
 	if err == nil && c.Op == state.Begin && s.halted.Load() {
@@ -413,10 +412,10 @@
 	}
 }
 
-// Prove writes an entry that changes nothing; the function it returns waits until a majority has it, which proves that
-// this node led, and knew all that was agreed on, at some time after the call. raft's own VerifyLeader does not: it also
-// counts answers to heartbeats that were sent before the call, and a node that stood still for a while, then reads one,
-// would take itself for the leader that it was.
+// Prove appends a barrier entry; the returned function waits until a majority has it, which proves that this node was the
+// leader and had all committed entries at some time after the call. raft's own VerifyLeader does not prove that: it also counts
+// responses to heartbeats sent before the call, so a node that was paused for a while and then reads one would still consider
+// itself the leader.
 func (s *Store) Prove() func() error {
 	r := s.now.Load()
 	if r == nil {
@@ -425,7 +424,7 @@
 	return r.raft.Barrier(writeFor).Error
 }
 
-// Office tells whether this node believes that it leads, and in which term.
+// Office returns the current term and whether this node believes that it is the leader in it.
 func (s *Store) Office() (term uint64, leads bool) {
 	r := s.now.Load()
 	if r == nil {
@@ -436,7 +435,7 @@
 	return term, leads && term == r.raft.CurrentTerm()
 }
 
-// Leader is the id of the node that leads, for all that this one knows; "": none.
+// Leader returns the id of the leader as this node knows it; "": none.
 func (s *Store) Leader() string {
 	r := s.now.Load()
 	if r == nil {
@@ -446,8 +445,7 @@
 	return string(id)
 }
 
-// View lets look at the state, which must not be changed or kept; index is a position of the log up to which it holds
-// at least.
+// View calls look with the state, which must not be modified or retained. The state includes at least all entries up to index.
 func (s *Store) View(look func(st *state.State, index uint64)) {
 	index := uint64(0)
 	if r := s.now.Load(); r != nil {
@@ -458,7 +456,8 @@
 	look(s.machine.state, index)
 }
 
-// Spoil changes a bit of what this copy holds in memory, for the laboratory and tests; it tells where.
+// Spoil flips a bit of an effect in this replica's memory, for the lab and tests, and returns the effect's id; "": there was
+// none.
 func (s *Store) Spoil(pick uint64) string {
 	s.machine.mu.Lock()
 	defer s.machine.mu.Unlock()
@@ -472,21 +471,21 @@
 	return id
 }
 
-// ServeSessions hands connections of order servers to serve, which closes them.
+// ServeSessions passes session connections of order servers to serve, which closes them.
 func (s *Store) ServeSessions(serve func(net.Conn)) {
 	s.layer.mu.Lock()
 	defer s.layer.mu.Unlock()
 	s.layer.sessions = serve
 }
 
-// ServeWatches hands connections of relays to serve, which closes them.
+// ServeWatches passes watch connections of relays to serve, which closes them.
 func (s *Store) ServeWatches(serve func(net.Conn)) {
 	s.layer.mu.Lock()
 	defer s.layer.mu.Unlock()
 	s.layer.watches = serve
 }
 
-// serveWrite takes one write from another node.
+// serveWrite applies one write forwarded by another node.
 func (s *Store) serveWrite(conn net.Conn) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(2 * writeFor))
@@ -502,11 +501,11 @@
 	json.NewEncoder(conn).Encode(a)
 }
 
-// ErrStuck is the error of a node whose raft did not stop in time.
-var ErrStuck = errors.New("store: raft does not stop")
+// ErrStuck reports that raft did not shut down in time.
+var ErrStuck = errors.New("store: raft did not shut down in time")
 
-// within waits for an end for so long. Guards against raft's pipelined replication, which can wait for good to send to a
-// peer whose link hung with all of the pipeline in it, and its end waits for that: a process that drains must not.
+// within waits up to d for end to return. Guards against raft's pipelined replication: it can block forever on sending to a
+// peer whose connection hangs with a full pipeline, and raft's shutdown waits for it. A draining process must not.
 func within(d time.Duration, end func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- end() }()
@@ -520,8 +519,8 @@
 	}
 }
 
-// Close stops the node. One that leads hands that on first, so that writes wait for no election. Where raft does not
-// stop its log stays open, since it may still write to it; the process is to end.
+// Close stops the node. A leader first transfers its leadership, so that writes need not wait for an election. If raft does not
+// shut down, its log stays open, since raft may still write to it; the process should exit.
 func (s *Store) Close() error {
 	s.cancel()
 	err := s.stop(true)
@@ -538,14 +537,14 @@
 	return err
 }
 
-// stop ends the node's part.
+// stop ends the node's participation; hand transfers leadership first.
 func (s *Store) stop(hand bool) error {
 	r := s.now.Swap(nil)
 	if r == nil {
 		return nil
 	}
 	if hand && r.raft.State() == raft.Leader {
-		r.raft.LeadershipTransfer().Error() // where nobody can take it, an election will tell
+		r.raft.LeadershipTransfer().Error() // if no node can take over, an election follows
 	}
 	err := within(closeFor, r.raft.Shutdown().Error)
 	r.gate.Close()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// set writes on a node; while a leader is being chosen the write is refused, and is made again.
+// set writes a key on a node, and retries while there is no leader.
 func set(t *testing.T, s *Store, key, value string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
@@ -48,7 +48,7 @@
 		}
 		s.Ready(ctx)
 	}
-	t.Fatalf("%s was not written", key)
+	t.Fatalf("%s was not written in time", key)
 }
 
 func want(t *testing.T, s *Store, key, value string) {
@@ -78,7 +78,7 @@
 	ready(t, s)
 	set(t, s, "config", "one")
 	if fresh, err := s.Begin("e1"); !fresh || err != nil {
-		t.Fatalf("the first begin: %v %v", fresh, err)
+		t.Fatalf("first Begin of the effect: %v %v", fresh, err)
 	}
 	if err := s.Snapshot(); err != nil {
 		t.Fatal(err)
@@ -98,10 +98,10 @@
 	want(t, s, "inventory", "after the snapshot")
 	set(t, s, "config", "two")
 	if fresh, err := s.Begin("e1"); fresh || err != nil {
-		t.Errorf("an effect begun before the restart begins again: %v %v", fresh, err)
+		t.Errorf("effect begun before the restart is begun again: %v %v", fresh, err)
 	}
 	if _, ok := s.Get("drain/a"); ok {
-		t.Error("a deleted key is back")
+		t.Error("a deleted key is back after the restart")
 	}
 }
 
@@ -119,7 +119,7 @@
 		}
 	}
 	ready(t, nodes...)
-	for i, s := range nodes { // two of these are followers, which send the write on
+	for i, s := range nodes { // two of these are followers, which forward the write
 		set(t, s, fmt.Sprint("k", i), "v")
 	}
 	for _, s := range nodes {
@@ -136,10 +136,10 @@
 		t.Fatal(err)
 	}
 	if err := nodes[2].Set("after", []byte("two lost")); !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("a write without a quorum: %v, want %v", err, ErrNoQuorum)
+		t.Errorf("write without a quorum: %v, want %v", err, ErrNoQuorum)
 	}
 	if fresh, err := nodes[2].Begin("e"); fresh || !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("an effect without a quorum: %v %v", fresh, err)
+		t.Errorf("effect without a quorum: %v %v", fresh, err)
 	}
 	nodes[2].Close()
 }
@@ -155,8 +155,8 @@
 	}
 }
 
-// BenchmarkBegins measures what a booking waits for: an effect recorded by three nodes on one machine's disk, by so many writers
-// at once.
+// BenchmarkBegins measures the latency of recording an effect, and its rate, with three nodes on one machine's disk and several
+// concurrent writers.
 func BenchmarkBegins(b *testing.B) {
 	for _, writers := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("writers=%d", writers), func(b *testing.B) {
