--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -326,7 +326,7 @@
 			http.Error(w, "no pick, or no copy", http.StatusBadRequest)
 			return
 		}
-		fmt.Fprint(w, h.copy.Spoil(pick))
+		fmt.Fprint(w, h.copy.CorruptMemory(pick))
 	}}
 }
 
--- a/cmd/puffinsaddle/main.go
+++ b/cmd/puffinsaddle/main.go
@@ -459,8 +459,8 @@
 	for id, at := range set.Via {
 		via[set.Peers[id]] = at
 	}
-	s, err := store.Open(store.Options{ID: set.ID, Listen: set.Listen, Dir: set.Dir, Peers: set.Peers, Via: via, Strict: set.Strict, CompareMs: set.CompareMs, ElectionMs: set.Election, Log: log,
-		Events: log, Told: held.copied(), Watch: held.watch(), Plant: cfg.Operator.Lab.Plant})
+	s, err := store.Open(store.Options{ID: set.ID, Listen: set.Listen, Dir: set.Dir, Peers: set.Peers, AddressOverrides: via, Strict: set.Strict, CompareIntervalMS: set.CompareMs, ElectionTimeoutMS: set.Election, Log: log,
+		Events: log, OnPhaseChange: held.copied(), OnApply: held.watch(), InjectedBug: cfg.Operator.Lab.Plant})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -201,7 +201,7 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	conn.SetWriteDeadline(time.Now().Add(frame.Whole))
-	if _, err := conn.Write([]byte{store.ForSessions}); err != nil {
+	if _, err := conn.Write([]byte{store.PurposeSessions}); err != nil {
 		return err
 	}
 	l := newLine(conn)
--- a/internal/net/session/server.go
+++ b/internal/net/session/server.go
@@ -39,10 +39,10 @@
 
 // Copy is the copy of the store at which a server of sessions stands.
 type Copy interface {
-	Office() (term uint64, leads bool)
+	Leadership() (term uint64, leads bool)
 	Leader() string
 	Propose(c state.Command) func() (state.Result, error)
-	Prove() func() error
+	ConfirmLeadership() func() error
 	View(look func(st *state.State, index uint64))
 }
 
@@ -251,7 +251,7 @@
 }
 
 func (d *Server) do(c *caller, no uint64, cmd state.Command) {
-	if _, leads := d.copy.Office(); !leads {
+	if _, leads := d.copy.Leadership(); !leads {
 		d.elsewhere(c, no)
 		return
 	}
@@ -344,7 +344,7 @@
 	if !look || d.proposing {
 		return // once a tick, so that heartbeats share an entry
 	}
-	term, leads := d.copy.Office()
+	term, leads := d.copy.Leadership()
 	switch {
 	case !leads:
 		d.office = 0
@@ -409,7 +409,7 @@
 		}()
 		return
 	}
-	wait := d.copy.Prove()
+	wait := d.copy.ConfirmLeadership()
 	go func() {
 		f.err = wait()
 		d.inbox.Put(f)
@@ -420,7 +420,7 @@
 	d.proposing = false
 	now := d.clk.Now()
 	if f.heartbeats == nil && f.err == nil { // the term's first entry
-		if term, leads := d.copy.Office(); leads && term == f.term {
+		if term, leads := d.copy.Leadership(); leads && term == f.term {
 			d.office, d.believes = f.term, true
 			d.leads.Store(f.term)
 			d.g.Lead(f.term, now)
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -39,7 +39,7 @@
 	largest int           // orders of one entry
 }
 
-func (c *oneCopy) Office() (uint64, bool) {
+func (c *oneCopy) Leadership() (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.term, c.leads
@@ -56,7 +56,7 @@
 	return func() (state.Result, error) { return r, nil }
 }
 
-func (c *oneCopy) Prove() func() error {
+func (c *oneCopy) ConfirmLeadership() func() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index++
@@ -103,7 +103,7 @@
 			}
 			go func() {
 				var purpose [1]byte
-				if _, err := io.ReadFull(conn, purpose[:]); err != nil || purpose[0] != store.ForSessions {
+				if _, err := io.ReadFull(conn, purpose[:]); err != nil || purpose[0] != store.PurposeSessions {
 					conn.Close()
 					return
 				}
@@ -217,7 +217,7 @@
 			t.Fatal(err)
 		}
 		conn.SetDeadline(time.Now().Add(patience))
-		conn.Write(append([]byte{store.ForSessions}, b...))
+		conn.Write(append([]byte{store.PurposeSessions}, b...))
 		if name == "an end in the middle" {
 			conn.(*net.TCPConn).CloseWrite()
 		}
@@ -251,7 +251,7 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		conn.SetDeadline(time.Now().Add(patience))
-		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Read: ReadFleet, No: 1}))...))
+		conn.Write(append([]byte{store.PurposeSessions}, must(framed(toCopy{Read: ReadFleet, No: 1}))...))
 		conns = append(conns, conn)
 		var m toServer
 		if err := newReader(conn, 0).Next(&m); err != nil {
@@ -303,7 +303,7 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		who := fmt.Sprintf("os-%d#1", i)
-		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, No: 1, Stands: []string{duty.PresenceOf(who)}}}))...))
+		conn.Write(append([]byte{store.PurposeSessions}, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, No: 1, Stands: []string{duty.PresenceOf(who)}}}))...))
 		go io.Copy(io.Discard, conn)
 	}
 	until := func(what string, holds func() bool) {
@@ -340,7 +340,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conn.Write([]byte{store.ForSessions})
+		conn.Write([]byte{store.PurposeSessions})
 		go func() { // a session that says nothing is cut off
 			for conn.SetWriteDeadline(time.Now().Add(patience)) == nil {
 				if _, err := conn.Write(must(framed(toCopy{Read: ReadFleet, No: 1}))); err != nil {
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -16,7 +16,7 @@
 
 // Copy is the copy of the store at which an Origin stands.
 type Copy interface {
-	Office() (term uint64, leads bool)
+	Leadership() (term uint64, leads bool)
 	Leader() string
 	Changed() <-chan struct{}
 	View(look func(st *state.State, index uint64))
@@ -52,7 +52,7 @@
 	if !w.Relay {
 		return &configwatch.Refused{RetryMs: 10 * leadRetryMs, Reason: "copies of the store serve relays alone"}
 	}
-	if _, leads := o.copy.Office(); leads {
+	if _, leads := o.copy.Leadership(); leads {
 		return nil
 	}
 	r := &configwatch.Refused{RetryMs: leadRetryMs, Reason: "this copy does not lead"}
@@ -86,7 +86,7 @@
 	for ctx.Err() == nil {
 		changed := o.copy.Changed()
 		o.publish()
-		_, leads := o.copy.Office()
+		_, leads := o.copy.Leadership()
 		if led && !leads {
 			o.server.DropAll() // relays look for the copy that leads
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -92,7 +92,7 @@
 	for _, id := range slices.Sorted(maps.Keys(o.Copies)) {
 		copies = append(copies, distribution.Relay{Name: id, Address: o.Copies[id]})
 	}
-	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, Relay: true, Region: o.Region, Preamble: []byte{store.ForWatches},
+	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, Relay: true, Region: o.Region, Preamble: []byte{store.PurposeWatches},
 		Selector: distribution.NewCopySelector(copies, o.Seed), Follower: follower{r.replica, r.server},
 		Steady: o.Steady, Log: o.Log, Plant: o.Plant})
 	return r, nil
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -68,7 +68,7 @@
 	id string
 }
 
-func (m member) Office() (uint64, bool) {
+func (m member) Leadership() (uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return 1, m.leader == m.id
@@ -114,7 +114,7 @@
 				}
 				go func() {
 					var purpose [1]byte
-					if _, err := io.ReadFull(conn, purpose[:]); err != nil || purpose[0] != store.ForWatches {
+					if _, err := io.ReadFull(conn, purpose[:]); err != nil || purpose[0] != store.PurposeWatches {
 						conn.Close()
 						return
 					}
@@ -251,7 +251,7 @@
 		t.Error("the relay without configuration sent nobody away")
 	}
 	r := replica.Open(replica.Options{Name: "direct", Log: zerolog.Nop()})
-	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.ForWatches}, Follower: r, Steady: clock.Steady(), Log: zerolog.Nop(),
+	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.PurposeWatches}, Follower: r, Steady: clock.Steady(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector([]distribution.Relay{{Name: "a", Address: addresses["a"]}}, distribution.Place{}, 1)})
 	go c.Run(t.Context())
 	until(t, "an order server is sent away", func() bool { return origins["a"].Figures().Refused > 0 })
--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -33,21 +33,21 @@
 	pieceFor     = 10 * time.Second // for one read or write of the compressed state
 )
 
-// ErrBackup reports a backup that is truncated, corrupt or of an unsupported format.
-var ErrBackup = errors.New("store: invalid backup")
+// ErrInvalidBackup reports a backup that is truncated, corrupt or of an unsupported format.
+var ErrInvalidBackup = errors.New("store: invalid backup")
 
 // Backup is the header of a backup: its first line, as JSON. The state follows, compressed with zstd.
 type Backup struct {
-	Kind   string `json:"kind"`
-	Format int    `json:"format"`
-	Name   string `json:"set"`   // of the cluster that was backed up
-	Times  uint64 `json:"times"` // how often operators had recovered that cluster
-	From   string `json:"from"`  // id of the node that served it
-	Index  uint64 `json:"index"`
-	Term   uint64 `json:"term"`
-	Bytes  int64  `json:"bytes"`  // of the state
-	SHA256 string `json:"sha256"` // of the state, in hex
-	Error  string `json:"error,omitempty"`
+	Kind        string `json:"kind"`
+	Format      int    `json:"format"`
+	ClusterName string `json:"set"`   // of the cluster that was backed up
+	Times       uint64 `json:"times"` // how often operators had recovered that cluster
+	From        string `json:"from"`  // id of the node that served it
+	Index       uint64 `json:"index"`
+	Term        uint64 `json:"term"`
+	Bytes       int64  `json:"bytes"`  // of the state
+	SHA256      string `json:"sha256"` // of the state, in hex
+	Error       string `json:"error,omitempty"`
 }
 
 // serveBackup sends the complete state at one log index, which includes everything committed before the request.
@@ -87,10 +87,10 @@
 // point takes a snapshot and opens it; only the leader does so.
 func (s *Store) point() (h Backup, text io.ReadCloser, err error) {
 	r := s.now.Load()
-	if _, leads := s.Office(); r == nil || !leads {
+	if _, leads := s.Leadership(); r == nil || !leads {
 		return h, nil, fmt.Errorf("store: %s is not the leader; the leader is %q", s.o.ID, s.Leader())
 	}
-	if err := s.Prove()(); err != nil {
+	if err := s.ConfirmLeadership()(); err != nil {
 		return h, nil, fmt.Errorf("%w: %v", ErrNoQuorum, err)
 	}
 	if err := r.raft.Snapshot().Error(); err != nil && !errors.Is(err, raft.ErrNothingNewToSnapshot) {
@@ -116,13 +116,13 @@
 		return h, nil, err
 	}
 	own := r.folder.Mark()
-	return Backup{Kind: backupKind, Format: backupFormat, Name: own.Name, Times: own.Set, From: s.o.ID, Index: m.Index, Term: m.Term,
+	return Backup{Kind: backupKind, Format: backupFormat, ClusterName: own.Name, Times: own.Set, From: s.o.ID, Index: m.Index, Term: m.Term,
 		Bytes: n, SHA256: hex.EncodeToString(sum.Sum(nil))}, text, nil
 }
 
-// Save requests a backup from the nodes at these addresses and writes it to a file. The file appears at path only after the
+// SaveBackup requests a backup from the nodes at these addresses and writes it to a file. The file appears at path only after the
 // backup was received completely and verified.
-func Save(ctx context.Context, peers map[string]string, path string) (h Backup, err error) {
+func SaveBackup(ctx context.Context, peers map[string]string, path string) (h Backup, err error) {
 	if _, err := os.Stat(path); err == nil {
 		return h, fmt.Errorf("store: %s exists already", path)
 	}
@@ -187,43 +187,43 @@
 	in := bufio.NewReaderSize(r, mostHeader)
 	line, err := in.ReadSlice('\n')
 	if err != nil {
-		return h, fmt.Errorf("%w: header: %v", ErrBackup, err)
+		return h, fmt.Errorf("%w: header: %v", ErrInvalidBackup, err)
 	}
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&h); err != nil {
-		return h, fmt.Errorf("%w: header: %v", ErrBackup, err)
+		return h, fmt.Errorf("%w: header: %v", ErrInvalidBackup, err)
 	}
 	switch {
 	case h.Kind != backupKind:
-		return h, fmt.Errorf("%w: kind is %q", ErrBackup, h.Kind)
+		return h, fmt.Errorf("%w: kind is %q", ErrInvalidBackup, h.Kind)
 	case h.Format != backupFormat:
-		return h, fmt.Errorf("%w: format is %d, this build reads %d", ErrBackup, h.Format, backupFormat)
+		return h, fmt.Errorf("%w: format is %d, this build reads %d", ErrInvalidBackup, h.Format, backupFormat)
 	case h.Bytes <= 0 || h.Bytes > mostBackup || h.Index == 0 || h.Term == 0:
-		return h, fmt.Errorf("%w: header with %d bytes at log index %d in term %d", ErrBackup, h.Bytes, h.Index, h.Term)
+		return h, fmt.Errorf("%w: header with %d bytes at log index %d in term %d", ErrInvalidBackup, h.Bytes, h.Index, h.Term)
 	}
 	z, err := zstd.NewReader(in, zstd.WithDecoderConcurrency(1))
 	if err != nil {
-		return h, fmt.Errorf("%w: %v", ErrBackup, err)
+		return h, fmt.Errorf("%w: %v", ErrInvalidBackup, err)
 	}
 	defer z.Close()
 	sum := sha256.New()
 	n, err := io.Copy(io.MultiWriter(sum, to), io.LimitReader(z, h.Bytes+1))
 	switch {
 	case err != nil:
-		return h, fmt.Errorf("%w: after %d of %d bytes: %v", ErrBackup, n, h.Bytes, err)
+		return h, fmt.Errorf("%w: after %d of %d bytes: %v", ErrInvalidBackup, n, h.Bytes, err)
 	case n != h.Bytes:
-		return h, fmt.Errorf("%w: the state has %d bytes, want %d", ErrBackup, n, h.Bytes)
+		return h, fmt.Errorf("%w: the state has %d bytes, want %d", ErrInvalidBackup, n, h.Bytes)
 	case hex.EncodeToString(sum.Sum(nil)) != h.SHA256:
-		return h, fmt.Errorf("%w: the SHA-256 digest of the state does not match the header", ErrBackup)
+		return h, fmt.Errorf("%w: the SHA-256 digest of the state does not match the header", ErrInvalidBackup)
 	}
 	return h, nil
 }
 
-// Restore creates a node's data directory from a backup. The directory starts a new cluster with a unique name, so replicas of
+// RestoreBackup creates a node's data directory from a backup. The directory starts a new cluster with a unique name, so replicas of
 // the cluster that was backed up are not accepted as members; the other nodes join with empty directories. Nothing is created
 // if the backup is invalid.
-func Restore(o Options, backup io.Reader) (h Backup, err error) {
+func RestoreBackup(o Options, backup io.Reader) (h Backup, err error) {
 	if o.Log == nil {
 		o.Log = io.Discard
 	}
@@ -238,7 +238,7 @@
 		return h, err
 	}
 	if _, err := state.Read(text.Bytes()); err != nil {
-		return h, fmt.Errorf("%w: %v", ErrBackup, err)
+		return h, fmt.Errorf("%w: %v", ErrInvalidBackup, err)
 	}
 	proc, err := disk.Draw()
 	if err != nil {
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -270,11 +270,11 @@
 
 // Found summarizes the records of a log.
 type Found struct {
-	First   uint64 `json:"first"` // log index
-	Last    uint64 `json:"last"`  // log index
-	Entries int    `json:"entries"`
-	Bytes   int64  `json:"bytes"` // of the entries' data
-	Term    uint64 `json:"term"`  // raft's current term
+	FirstIndex uint64 `json:"first"` // log index
+	LastIndex  uint64 `json:"last"`  // log index
+	Entries    int    `json:"entries"`
+	Bytes      int64  `json:"bytes"` // of the entries' data
+	Term       uint64 `json:"term"`  // raft's current term
 }
 
 // check reads and verifies every record.
@@ -293,10 +293,10 @@
 				case e.Term < before.Term:
 					return &Damage{l.path, place(logs, k), fmt.Sprintf("term is %d, after term %d", e.Term, before.Term)}
 				}
-				if f.First == 0 {
-					f.First = e.Index
+				if f.FirstIndex == 0 {
+					f.FirstIndex = e.Index
 				}
-				f.Last = e.Index
+				f.LastIndex = e.Index
 				f.Entries++
 				f.Bytes += int64(len(e.Data))
 				before = e
--- a/internal/store/disk/disk_test.go
+++ b/internal/store/disk/disk_test.go
@@ -94,11 +94,11 @@
 	}
 	f.Close()
 	r, err := Verify(dir)
-	if err != nil || r.Damage != "" || r.Entries != 50 || r.Mark.Life != 4 || r.Remembers["b"].Life != 2 {
+	if err != nil || r.Corruption != "" || r.Entries != 50 || r.Directory.Life != 4 || r.Remembers["b"].Life != 2 {
 		t.Errorf("%+v %v", r, err)
 	}
 	n := 0
-	if err := Entries(dir, 10, 12, func(e *raft.Log) { n += int(e.Index) }); err != nil || n != 33 {
+	if err := ReadEntries(dir, 10, 12, func(e *raft.Log) { n += int(e.Index) }); err != nil || n != 33 {
 		t.Errorf("%d %v", n, err)
 	}
 }
@@ -340,7 +340,7 @@
 		if d := (*Damage)(nil); !errors.As(err, &d) || !strings.Contains(err.Error(), sink.ID()) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if r, err := Verify(dir); err != nil || !strings.Contains(r.Damage, sink.ID()) {
+		if r, err := Verify(dir); err != nil || !strings.Contains(r.Corruption, sink.ID()) {
 			t.Errorf("%s: %+v %v", name, r, err)
 		}
 	}
--- a/internal/store/disk/folder.go
+++ b/internal/store/disk/folder.go
@@ -266,14 +266,14 @@
 // Report describes the contents of a data directory, for operators.
 type Report struct {
 	Found
-	Dir       string                `json:"dir"`
-	Format    int                   `json:"format"`
-	Mark      admit.Mark            `json:"mark"`
-	Votes     bool                  `json:"votes"`
-	Snapshots []Snapshot            `json:"snapshots"`
-	Remembers map[string]admit.Mark `json:"remembers"` // directory states of other replicas
-	Aside     []string              `json:"aside,omitempty"`
-	Damage    string                `json:"damage,omitempty"`
+	Dir         string                `json:"dir"`
+	Format      int                   `json:"format"`
+	Directory   admit.Mark            `json:"mark"`
+	Voter       bool                  `json:"votes"`
+	Snapshots   []Snapshot            `json:"snapshots"`
+	Remembers   map[string]admit.Mark `json:"remembers"` // directory states of other replicas
+	Quarantined []string              `json:"aside,omitempty"`
+	Corruption  string                `json:"damage,omitempty"`
 }
 
 // Snapshot describes one snapshot in a data directory.
@@ -293,10 +293,10 @@
 		return r, fmt.Errorf("disk: %w", err)
 	}
 	asides, _ := filepath.Glob(filepath.Join(dir, setAside+"*"))
-	r.Aside = asides
+	r.Quarantined = asides
 	damaged := func(err error) (Report, error) {
 		if d := (*Damage)(nil); errors.As(err, &d) {
-			r.Damage = d.Error()
+			r.Corruption = d.Error()
 			return r, nil
 		}
 		return r, err
@@ -317,16 +317,16 @@
 	}
 	f := &Folder{Log: l}
 	if name, err := l.get(folderKey); err == nil {
-		r.Mark.Folder = string(name)
+		r.Directory.Folder = string(name)
 	}
-	r.Mark.Life, _ = l.number(lifeKey)
-	r.Mark.Joined, _ = l.number(joinedKey)
-	r.Mark.Set, _ = l.number(setKey)
+	r.Directory.Life, _ = l.number(lifeKey)
+	r.Directory.Joined, _ = l.number(joinedKey)
+	r.Directory.Set, _ = l.number(setKey)
 	if name, err := l.get(nameKey); err == nil {
-		r.Mark.Name = string(name)
+		r.Directory.Name = string(name)
 	}
 	votes, _ := l.number(votesKey)
-	r.Mark.Term, r.Mark.Last, r.Votes = r.Found.Term, r.Found.Last, r.Mark.Joined == 0 || votes == 1
+	r.Directory.Term, r.Directory.Last, r.Voter = r.Found.Term, r.Found.LastIndex, r.Directory.Joined == 0 || votes == 1
 	if r.Remembers, err = f.Marks(); err != nil {
 		return damaged(err)
 	}
@@ -348,12 +348,12 @@
 	if err != nil {
 		return damaged(err)
 	}
-	r.Mark.Last = max(r.Mark.Last, last)
+	r.Directory.Last = max(r.Directory.Last, last)
 	return r, nil
 }
 
-// Entries calls look for the entries of a data directory from index from to index to, and stops at the first corrupt one.
-func Entries(dir string, from, to uint64, look func(*raft.Log)) error {
+// ReadEntries calls look for the entries of a data directory from index from to index to, and stops at the first corrupt one.
+func ReadEntries(dir string, from, to uint64, look func(*raft.Log)) error {
 	l := &Log{path: filepath.Join(dir, File)}
 	if _, err := os.Stat(l.path); err != nil {
 		return fmt.Errorf("disk: %w", err)
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -26,29 +26,29 @@
 	mostStatus  = 64 << 10        // bytes
 	changeFor   = 2 * time.Second // for a membership change to be written
 	hearFor     = 500.0           // ms to wait for responses of all peers before fewer suffice
-	compareEach = 1000.0          // ms, default of Options.CompareMs
+	compareEach = 1000.0          // ms, default of Options.CompareIntervalMS
 	compareWait = 2000.0          // ms more to wait for a replica that has not reported its digest
 )
 
 // Phases of a node, as they appear in Status.
 const (
-	PhaseSeeks   = "seeks"   // waits for its peers to accept its data directory
-	PhaseAsks    = "asks"    // requests to rejoin
-	PhaseRuns    = "runs"    // participates in raft
-	PhaseStopped = "stopped" // does not participate until the process is restarted
+	PhaseVerifying = "seeks"   // waits for its peers to accept its data directory
+	PhaseRejoining = "asks"    // requests to rejoin
+	PhaseRunning   = "runs"    // participates in raft
+	PhaseStopped   = "stopped" // does not participate until the process is restarted
 )
 
 // tell sets the phase and its reason. The caller holds s.mu.
 func (s *Store) tell(phase, why string) {
 	if s.phase != phase || s.why != why {
 		e := s.o.Events.Info()
-		if phase == PhaseAsks || phase == PhaseStopped {
+		if phase == PhaseRejoining || phase == PhaseStopped {
 			e = s.o.Events.Error()
 		}
 		e.Str("copy", s.o.ID).Str("phase", phase).Str("why", why).Msg("store replica changed phase")
 	}
-	if s.o.Told != nil && s.phase != phase {
-		s.o.Told(phase, why)
+	if s.o.OnPhaseChange != nil && s.phase != phase {
+		s.o.OnPhaseChange(phase, why)
 	}
 	s.phase, s.why = phase, why
 	close(s.news)
@@ -140,7 +140,7 @@
 		s.keep()
 		if r := s.now.Load(); r != nil {
 			s.given(r)
-			if _, leads := s.Office(); leads {
+			if _, leads := s.Leadership(); leads {
 				s.lead(r)
 				s.compare(r)
 			}
@@ -156,14 +156,14 @@
 	s.seeker.Waited = s.o.Steady.Now() > s.began+hearFor
 	d, why := s.seeker.Decide()
 	joined := s.seeker.JoinedAt()
-	if phase == PhaseSeeks && d == admit.Wait && s.why != why {
-		s.tell(PhaseSeeks, why)
+	if phase == PhaseVerifying && d == admit.Wait && s.why != why {
+		s.tell(PhaseVerifying, why)
 	}
 	s.mu.Unlock()
 	if phase == PhaseStopped {
 		return
 	}
-	runs := phase == PhaseRuns
+	runs := phase == PhaseRunning
 	var err error
 	switch {
 	case d == admit.Leave:
@@ -202,7 +202,7 @@
 	defer s.mu.Unlock()
 	s.seeker.Rejoin, s.seeker.Runs = why, false
 	s.seeker.Forget()
-	s.tell(PhaseAsks, why)
+	s.tell(PhaseRejoining, why)
 }
 
 // renew quarantines the data directory and continues with an empty one, as a non-voter.
@@ -227,7 +227,7 @@
 	s.o.Events.Warn().Str("copy", s.o.ID).Str("aside", to).Uint64("joined", joined.Joined).Msg("rejoins with an empty data directory")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tell(PhaseSeeks, "rejoined as a non-voter")
+	s.tell(PhaseVerifying, "rejoined as a non-voter")
 	return nil
 }
 
@@ -288,7 +288,7 @@
 	}
 	due := now >= s.compareAt && !late || now >= s.compareAt+compareWait
 	if due {
-		s.compareAt, s.part = now+s.o.CompareMs, s.part+1
+		s.compareAt, s.part = now+s.o.CompareIntervalMS, s.part+1
 	}
 	part := s.part
 	s.mu.Unlock()
@@ -371,7 +371,7 @@
 // hear verifies a claim and, on the leader, tracks how far a non-voter has caught up.
 func (s *Store) hear(conn uint64, c admit.Claim) (admit.Word, error) {
 	v, m, r := s.view(c.ID)
-	_, leads := s.Office()
+	_, leads := s.Leadership()
 	s.mu.Lock()
 	w, keep := s.witness.Hear(s.o.Steady.Now(), conn, c, v)
 	s.dirty = s.dirty || !keep
@@ -449,49 +449,49 @@
 
 // Status describes a replica.
 type Status struct {
-	ID      string     `json:"id"`
-	Addr    string     `json:"addr"`
-	Phase   string     `json:"phase"`
-	Why     string     `json:"why,omitempty"`
-	Leader  string     `json:"leader,omitempty"` // as this replica knows it
-	Leads   bool       `json:"leads"`
-	Votes   bool       `json:"votes"`
-	Applied uint64     `json:"applied"`
-	Halted  bool       `json:"halted,omitempty"` // replicas differ and no state has a majority: no effect is begun
-	Mark    admit.Mark `json:"mark"`
-	Members []Member   `json:"members,omitempty"`
+	ID        string     `json:"id"`
+	Addr      string     `json:"addr"`
+	Phase     string     `json:"phase"`
+	Reason    string     `json:"why,omitempty"`
+	Leader    string     `json:"leader,omitempty"` // as this replica knows it
+	IsLeader  bool       `json:"leads"`
+	Voter     bool       `json:"votes"`
+	Applied   uint64     `json:"applied"`
+	Halted    bool       `json:"halted,omitempty"` // replicas differ and no state has a majority: no effect is begun
+	Directory admit.Mark `json:"mark"`
+	Members   []Member   `json:"members,omitempty"`
 }
 
 // Member is what a replica knows of one member of its cluster.
 type Member struct {
-	ID     string `json:"id"`
-	Addr   string `json:"addr"`
-	Votes  bool   `json:"votes"`
-	Alive  bool   `json:"alive"`            // it sent a claim recently
-	Last   uint64 `json:"last"`             // index of its last entry, as it reported
-	Behind uint64 `json:"behind,omitempty"` // entries of this replica that it lacks
+	ID    string `json:"id"`
+	Addr  string `json:"addr"`
+	Votes bool   `json:"votes"`
+	Alive bool   `json:"alive"`            // it sent a claim recently
+	Last  uint64 `json:"last"`             // index of its last entry, as it reported
+	Lag   uint64 `json:"behind,omitempty"` // entries of this replica that it lacks
 }
 
 // Status returns the node's current status.
 func (s *Store) Status() Status {
 	v, _, r := s.view(s.o.ID)
-	term, leads := s.Office()
-	st := Status{ID: s.o.ID, Addr: s.Addr(), Leader: s.Leader(), Leads: leads}
+	term, leads := s.Leadership()
+	st := Status{ID: s.o.ID, Addr: s.Addr(), Leader: s.Leader(), IsLeader: leads}
 	if r != nil {
-		st.Votes, st.Applied = r.votes.Load(), r.raft.AppliedIndex()
+		st.Voter, st.Applied = r.votes.Load(), r.raft.AppliedIndex()
 	}
 	now := s.o.Steady.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st.Phase, st.Why, st.Mark, st.Halted = s.phase, s.why, s.claim().Mark, s.halted.Load()
-	st.Mark.Term = max(st.Mark.Term, term)
+	st.Phase, st.Reason, st.Directory, st.Halted = s.phase, s.why, s.claim().Mark, s.halted.Load()
+	st.Directory.Term = max(st.Directory.Term, term)
 	for _, id := range slices.Sorted(maps.Keys(v.Of)) {
 		m := Member{ID: id, Addr: v.Of[id].Addr, Votes: v.Of[id].Votes, Alive: id == s.o.ID, Last: v.Last}
 		if id != s.o.ID {
 			var c admit.Claim
 			c, m.Alive = s.witness.Latest(id, now)
 			m.Last = c.Last
-			m.Behind = max(v.Last, c.Last) - c.Last
+			m.Lag = max(v.Last, c.Last) - c.Last
 		}
 		st.Members = append(st.Members, m)
 	}
@@ -503,8 +503,8 @@
 	frame.Send(conn, s.Status(), mostStatus)
 }
 
-// Ask requests the status of the replica at an address.
-func Ask(ctx context.Context, at string) (st Status, err error) {
+// QueryStatus requests the status of the replica at an address.
+func QueryStatus(ctx context.Context, at string) (st Status, err error) {
 	d := net.Dialer{Timeout: writeFor}
 	conn, err := d.DialContext(ctx, "tcp", at)
 	if err != nil {
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -59,7 +59,7 @@
 func (s *site) start(ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
-		n, err := Open(Options{ID: id, Listen: s.peers[id], Dir: s.dirs[id], Peers: maps.Clone(s.peers), CompareMs: s.compare})
+		n, err := Open(Options{ID: id, Listen: s.peers[id], Dir: s.dirs[id], Peers: maps.Clone(s.peers), CompareIntervalMS: s.compare})
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -96,7 +96,7 @@
 	}
 }
 
-func votes(st Status) bool { return st.Phase == PhaseRuns && st.Votes && st.Leader != "" }
+func votes(st Status) bool { return st.Phase == PhaseRunning && st.Voter && st.Leader != "" }
 
 // all waits until all of these nodes are voters.
 func (s *site) all(ids ...string) {
@@ -147,7 +147,7 @@
 func TestNewSetBeginsOnceAllAreThere(t *testing.T) {
 	s := newSite(t, "a", "b", "c")
 	s.start("a", "b")
-	s.is("a", "want it to wait for c", func(st Status) bool { return strings.Contains(st.Why, "1 of 2") && st.Phase == PhaseSeeks })
+	s.is("a", "want it to wait for c", func(st Status) bool { return strings.Contains(st.Reason, "1 of 2") && st.Phase == PhaseVerifying })
 	if err := s.up["a"].Set("k", nil); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("write before the cluster is bootstrapped: %v", err)
 	}
@@ -156,11 +156,11 @@
 	s.write("a", "k")
 	for _, id := range []string{"a", "b", "c"} {
 		s.has(id, "k")
-		if st := s.up[id].Status(); st.Mark.Joined != 0 || len(s.aside(id)) > 0 {
+		if st := s.up[id].Status(); st.Directory.Joined != 0 || len(s.aside(id)) > 0 {
 			t.Errorf("%s rejoined: %+v", id, st)
 		}
 	}
-	st, err := Ask(t.Context(), s.peers["b"])
+	st, err := QueryStatus(t.Context(), s.peers["b"])
 	if err != nil || st.ID != "b" || len(st.Members) != 3 || !st.Members[0].Alive {
 		t.Errorf("%+v %v", st, err)
 	}
@@ -222,8 +222,8 @@
 			s.stop("c")
 			spoil(t, s, old)
 			s.start("c")
-			st := s.is("c", "want it to be a voter again", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 })
-			if st.Mark.Life != 1 || len(s.aside("c")) == 0 {
+			st := s.is("c", "want it to be a voter again", func(st Status) bool { return votes(st) && st.Directory.Joined > 0 })
+			if st.Directory.Life != 1 || len(s.aside("c")) == 0 {
 				t.Errorf("%+v, quarantined %q", st, s.aside("c"))
 			}
 			s.has("c", append(keys, "before")...)
@@ -253,12 +253,14 @@
 	s.stop("a", "b", "c")
 	s.put("c", old)
 	s.start("c", "a") // without b: a and c are a majority, but c has lost a committed write
-	s.is("c", "want it to request to rejoin", func(st Status) bool { return st.Phase == PhaseAsks && strings.Contains(st.Why, "a: the folder of c") })
-	if st := s.up["c"].Status(); st.Votes {
+	s.is("c", "want it to request to rejoin", func(st Status) bool {
+		return st.Phase == PhaseRejoining && strings.Contains(st.Reason, "a: the folder of c")
+	})
+	if st := s.up["c"].Status(); st.Voter {
 		t.Errorf("%+v", st)
 	}
 	s.start("b")
-	s.is("c", "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 })
+	s.is("c", "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Directory.Joined > 0 })
 	s.has("c", "k")
 }
 
@@ -277,8 +279,8 @@
 	s.has("c", "only b and c")
 	s.stop("b", "c")
 	o := Options{ID: "a", Dir: s.dirs["a"], Peers: maps.Clone(s.peers)}
-	r, err := Resolve(o)
-	if err != nil || r.Mark.Set != 1 {
+	r, err := RecoverCluster(o)
+	if err != nil || r.Directory.Set != 1 {
 		t.Fatalf("%+v %v", r, err)
 	}
 	s.start("a")
@@ -286,7 +288,7 @@
 	s.write("a", "anew")
 	s.start("b", "c") // they have more entries, and were a majority of the old cluster
 	for _, id := range []string{"b", "c"} {
-		s.is(id, "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Mark.Joined > 0 && st.Mark.Set == 1 })
+		s.is(id, "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Directory.Joined > 0 && st.Directory.Set == 1 })
 		s.has(id, "k", "anew")
 		if _, there := s.up[id].Get("only b and c"); there {
 			t.Errorf("%s has an entry that the recovery discarded", id)
@@ -313,7 +315,7 @@
 		if want == "open in another" {
 			s.start("c")
 		}
-		if _, err := Resolve(o); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := RecoverCluster(o); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
@@ -327,12 +329,12 @@
 	s.all("a", "b", "c")
 	s.write("a", "before")
 	path := filepath.Join(t.TempDir(), "backup")
-	h, err := Save(t.Context(), s.peers, path)
+	h, err := SaveBackup(t.Context(), s.peers, path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.write("a", "after")
-	if _, err := Save(t.Context(), s.peers, path); err == nil || !strings.Contains(err.Error(), "exists already") {
+	if _, err := SaveBackup(t.Context(), s.peers, path); err == nil || !strings.Contains(err.Error(), "exists already") {
 		t.Errorf("existing backup overwritten: %v", err)
 	}
 	n := newSite(t, "a", "b", "c")
@@ -347,7 +349,7 @@
 		"wrong kind": []byte("{}\n"), "unknown header key": bytes.Replace(whole, []byte(`"format"`), []byte(`"formal"`), 1),
 		"later format": bytes.Replace(whole, []byte(`"format":1`), []byte(`"format":2`), 1), "no end of the header": bytes.Repeat([]byte("x"), 1<<16)} {
 		o := Options{ID: "a", Dir: filepath.Join(t.TempDir(), "new"), Peers: n.peers}
-		if _, err := Restore(o, bytes.NewReader(b)); !errors.Is(err, ErrBackup) {
+		if _, err := RestoreBackup(o, bytes.NewReader(b)); !errors.Is(err, ErrInvalidBackup) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if _, err := os.Stat(o.Dir); err == nil {
@@ -355,10 +357,10 @@
 		}
 	}
 	o := Options{ID: "a", Dir: n.dirs["a"], Peers: n.peers}
-	if _, err := Restore(o, bytes.NewReader(whole)); err != nil {
+	if _, err := RestoreBackup(o, bytes.NewReader(whole)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Restore(o, bytes.NewReader(whole)); err == nil || !strings.Contains(err.Error(), "holds a replica already") {
+	if _, err := RestoreBackup(o, bytes.NewReader(whole)); err == nil || !strings.Contains(err.Error(), "holds a replica already") {
 		t.Errorf("restored over an existing replica: %v", err)
 	}
 	s.stop("c")
@@ -369,12 +371,12 @@
 	if _, there := n.up["b"].Get("after"); there {
 		t.Error("the restored cluster has a write made after the backup")
 	}
-	st := n.is("c", "want it to be rejected", func(st Status) bool { return strings.Contains(st.Why, "belongs to set "+h.Name) })
-	if st.Phase != PhaseSeeks || len(n.aside("c")) > 0 {
+	st := n.is("c", "want it to be rejected", func(st Status) bool { return strings.Contains(st.Reason, "belongs to set "+h.ClusterName) })
+	if st.Phase != PhaseVerifying || len(n.aside("c")) > 0 {
 		t.Errorf("%+v", st)
 	}
-	if a, b := n.up["a"].Status().Mark.Name, n.up["b"].Status().Mark.Name; a != b || a == h.Name {
-		t.Errorf("clusters %q, %q; the old one is %q", a, b, h.Name)
+	if a, b := n.up["a"].Status().Directory.Name, n.up["b"].Status().Directory.Name; a != b || a == h.ClusterName {
+		t.Errorf("clusters %q, %q; the old one is %q", a, b, h.ClusterName)
 	}
 	n.write("b", "anew")
 	n.has("a", "anew")
@@ -408,18 +410,18 @@
 	for round, leads := range []bool{false, true} {
 		odd := ""
 		for id, n := range s.up {
-			if n.Status().Leads == leads {
+			if n.Status().IsLeader == leads {
 				odd = id
 			}
 		}
 		if odd == "" {
 			t.Fatal("no replica with the wanted role")
 		}
-		before := s.up[odd].Status().Mark.Joined
-		if s.up[odd].Spoil(uint64(round+3)) == "" {
+		before := s.up[odd].Status().Directory.Joined
+		if s.up[odd].CorruptMemory(uint64(round+3)) == "" {
 			t.Fatal("no effect to corrupt")
 		}
-		s.is(odd, "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Mark.Joined > before })
+		s.is(odd, "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Directory.Joined > before })
 		s.has(odd, "k")
 		s.all("a", "b", "c")
 	}
@@ -474,7 +476,7 @@
 	leader := s.up["a"].Status().Leader
 	s.up[leader].failed(errors.New("no space left on device"))
 	st := s.is(leader, "want it to stop", func(st Status) bool { return st.Phase == PhaseStopped })
-	if !strings.Contains(st.Why, "no space left") {
+	if !strings.Contains(st.Reason, "no space left") {
 		t.Errorf("%+v", st)
 	}
 	for id := range s.peers {
@@ -506,11 +508,13 @@
 	}
 	defer twin.Close()
 	s.up["twin"] = twin
-	s.is("twin", "want it to be rejected as a duplicate", func(st Status) bool { return strings.Contains(st.Why, "of c is alive") && st.Phase == PhaseSeeks })
+	s.is("twin", "want it to be rejected as a duplicate", func(st Status) bool {
+		return strings.Contains(st.Reason, "of c is alive") && st.Phase == PhaseVerifying
+	})
 	delete(s.up, "twin")
 	s.stop("c")
 	s.up["twin"] = twin
-	s.is("twin", "want it to be rejected for its address", func(st Status) bool { return strings.Contains(st.Why, "c is at") })
+	s.is("twin", "want it to be rejected for its address", func(st Status) bool { return strings.Contains(st.Reason, "c is at") })
 	delete(s.up, "twin")
 	s.start("c")
 	s.all("c")
--- a/internal/store/layer.go
+++ b/internal/store/layer.go
@@ -18,10 +18,10 @@
 	forBackup = 'B' // the complete state at one log index, from the leader
 	forStatus = 'I' // one Status response
 
-	// ForSessions opens a session of an order server, which need not run a store replica.
-	ForSessions = 'S'
-	// ForWatches opens a relay's configuration watch.
-	ForWatches = 'C'
+	// PurposeSessions opens a session of an order server, which need not run a store replica.
+	PurposeSessions = 'S'
+	// PurposeWatches opens a relay's configuration watch.
+	PurposeWatches = 'C'
 )
 
 // helloFor is the time in which a new connection has to state its purpose.
@@ -149,12 +149,12 @@
 			case <-l.done:
 			}
 		}
-	case b[0] == ForSessions:
+	case b[0] == PurposeSessions:
 		if serve := l.session(); serve != nil {
 			serve(conn)
 			return
 		}
-	case b[0] == ForWatches:
+	case b[0] == PurposeWatches:
 		if serve := l.watch(); serve != nil {
 			serve(conn)
 			return
--- a/internal/store/rates_test.go
+++ b/internal/store/rates_test.go
@@ -40,7 +40,7 @@
 	}
 	for late := time.Now().Add(patience); time.Now().Before(late); time.Sleep(time.Millisecond) {
 		for _, s := range nodes {
-			if _, leads := s.Office(); leads {
+			if _, leads := s.Leadership(); leads {
 				return s
 			}
 		}
@@ -169,7 +169,7 @@
 	for _, rate := range []int{1, 10, 50, 100, 200} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
 			measureRate(b, float64(rate), func(lead *Store, i int) error {
-				term, _ := lead.Office()
+				term, _ := lead.Leadership()
 				who := fmt.Sprintf("os-%04d#%016x", i%4300, i)
 				name := duty.PresenceOf(who)
 				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: who, TTL: 3000, Term: term}
--- a/internal/store/resolve.go
+++ b/internal/store/resolve.go
@@ -12,11 +12,11 @@
 	"puffinsaddle/internal/store/disk"
 )
 
-// Resolve recovers a cluster whose majority is permanently lost, from the data directory of one node. The node's process must
+// RecoverCluster recovers a cluster whose majority is permanently lost, from the data directory of one node. The node's process must
 // not be running. The node becomes the only voter; the others discard any entries beyond its log when they return, since each
 // has to rejoin, and become voters again once they have caught up. Whether the discarded entries were committed cannot be
 // determined, so the decision is left to operators.
-func Resolve(o Options) (disk.Report, error) {
+func RecoverCluster(o Options) (disk.Report, error) {
 	if o.Log == nil {
 		o.Log = io.Discard
 	}
@@ -27,12 +27,12 @@
 	switch {
 	case err != nil:
 		return report, err
-	case report.Damage != "":
-		return report, errors.New(report.Damage)
-	case report.Mark.Last == 0:
+	case report.Corruption != "":
+		return report, errors.New(report.Corruption)
+	case report.Directory.Last == 0:
 		return report, fmt.Errorf("store: %s is empty: there is nothing to recover from", o.Dir)
-	case !report.Votes:
-		return report, fmt.Errorf("store: %s joined at log index %d and had not caught up: choose the directory of a voter", o.Dir, report.Mark.Joined)
+	case !report.Voter:
+		return report, fmt.Errorf("store: %s joined at log index %d and had not caught up: choose the directory of a voter", o.Dir, report.Directory.Joined)
 	}
 	proc, err := disk.Draw()
 	if err != nil {
@@ -48,10 +48,10 @@
 		return report, fmt.Errorf("store: %w", err)
 	}
 	// This comes last: if the command is interrupted, the directory still belongs to the old cluster and it can be repeated.
-	if err := f.Anew(report.Mark.Name); err != nil {
+	if err := f.Anew(report.Directory.Name); err != nil {
 		return report, err
 	}
-	report.Mark = f.Mark()
+	report.Directory = f.Mark()
 	return report, nil
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -42,23 +42,23 @@
 
 // Options configure one node.
 type Options struct {
-	ID       string
-	Listen   string
-	Listener net.Listener // in place of Listen; nil: none
-	Dir      string
-	Peers    map[string]string // addresses by node id, this one included; empty: Start sets the members, and no claims are sent
-	Via      map[string]string // by peer address: the address at which this node reaches it, if it is another one
-	Strict   bool              // more peers have to respond before this node participates: admit.Joiner
-	Log      io.Writer         // raft's log output
-	Events   zerolog.Logger
-	Steady   *clock.Clock // nil: the system's steady clock
-
-	ElectionMs float64                 // a leader without contact for one to two of these is replaced; 0: 500
-	CompareMs  float64                 // between two comparisons of the replicas' state; 0: 1000
-	Told       func(phase, why string) // optional; called at each change of the node's phase; must not block
-
-	Watch func(index, term uint64, c state.Command, r state.Result) // optional; called for each applied entry, in log order; must not block
-	Plant string                                                    // a bug injected by the lab; "": none
+	ID               string
+	Listen           string
+	Listener         net.Listener // in place of Listen; nil: none
+	Dir              string
+	Peers            map[string]string // addresses by node id, this one included; empty: Start sets the members, and no claims are sent
+	AddressOverrides map[string]string // by peer address: the address at which this node reaches it, if it is another one
+	Strict           bool              // more peers have to respond before this node participates: admit.Joiner
+	Log              io.Writer         // raft's log output
+	Events           zerolog.Logger
+	Steady           *clock.Clock // nil: the system's steady clock
+
+	ElectionTimeoutMS float64                 // a leader without contact for one to two of these is replaced; 0: 500
+	CompareIntervalMS float64                 // between two comparisons of the replicas' state; 0: 1000
+	OnPhaseChange     func(phase, why string) // optional; called at each change of the node's phase; must not block
+
+	OnApply     func(index, term uint64, c state.Command, r state.Result) // optional; called for each applied entry, in log order; must not block
+	InjectedBug string                                                    // a bug injected by the lab; "": none
 }
 
 // raft returns the configuration of the raft library.
@@ -67,7 +67,7 @@
 	conf.LocalID, conf.LogOutput, conf.SnapshotThreshold = raft.ServerID(o.ID), o.Log, snapshotAfter
 	conf.LogLevel = "WARN"
 	// A failed leader must be detected and replaced before duty holders have to give up their leases.
-	election := clock.Duration(cmp.Or(o.ElectionMs, electionEach))
+	election := clock.Duration(cmp.Or(o.ElectionTimeoutMS, electionEach))
 	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = election, election, election/2
 	return conf
 }
@@ -121,8 +121,8 @@
 	if o.Steady == nil {
 		o.Steady = clock.Steady()
 	}
-	if o.CompareMs == 0 {
-		o.CompareMs = compareEach
+	if o.CompareIntervalMS == 0 {
+		o.CompareIntervalMS = compareEach
 	}
 	if len(o.Peers) > 0 && o.Peers[o.ID] == "" {
 		return nil, fmt.Errorf("store: %s is not among its own peers", o.ID)
@@ -138,10 +138,10 @@
 		}
 	}
 	s := &Store{o: o, proc: proc, machine: newMachine(), kick: make(chan struct{}, 1), learners: map[string]*admit.Learner{},
-		promote: map[string]bool{}, phase: PhaseSeeks, news: make(chan struct{})}
+		promote: map[string]bool{}, phase: PhaseVerifying, news: make(chan struct{})}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.machine.watch, s.machine.plant, s.machine.state.Plant = o.Watch, o.Plant, o.Plant
-	s.layer = newLayer(ln, map[byte]func(net.Conn){forWrites: s.serveWrite, forClaims: s.serveClaims, forStatus: s.serveStatus, forBackup: s.serveBackup}, o.Via)
+	s.machine.watch, s.machine.plant, s.machine.state.Plant = o.OnApply, o.InjectedBug, o.InjectedBug
+	s.layer = newLayer(ln, map[byte]func(net.Conn){forWrites: s.serveWrite, forClaims: s.serveClaims, forStatus: s.serveStatus, forBackup: s.serveBackup}, o.AddressOverrides)
 	damage, err := s.open(admit.Mark{})
 	if err == nil && damage != nil && len(o.Peers) < 2 {
 		err = damage // no peer to rebuild it from
@@ -196,7 +196,7 @@
 	} else {
 		s.dirty = true // the known peers have to be saved in the new directory
 	}
-	s.seeker = admit.Seeker{Strict: s.o.Strict, Plant: s.o.Plant}
+	s.seeker = admit.Seeker{Strict: s.o.Strict, Plant: s.o.InjectedBug}
 	s.seeker.ID, s.seeker.Addr = s.o.ID, s.o.Peers[s.o.ID]
 	for id := range s.o.Peers {
 		if id != s.o.ID {
@@ -207,7 +207,7 @@
 		s.seeker.Mark, s.seeker.Fresh, s.seeker.Sole = f.Mark(), f.Fresh(), f.Sole()
 	} else {
 		s.seeker.Proc, s.seeker.Rejoin = s.proc, damage.Error()
-		s.tell(PhaseAsks, damage.Error())
+		s.tell(PhaseRejoining, damage.Error())
 	}
 	return damage, nil
 }
@@ -240,7 +240,7 @@
 	defer s.mu.Unlock()
 	s.seeker.Fresh, s.seeker.Runs = false, true
 	s.seeker.Forget()
-	s.tell(PhaseRuns, "")
+	s.tell(PhaseRunning, "")
 	return nil
 }
 
@@ -350,7 +350,7 @@
 func (s *Store) write(c state.Command) (bool, error) {
 	var r state.Result
 	var err error
-	if _, leads := s.Office(); leads {
+	if _, leads := s.Leadership(); leads {
 		r, err = s.apply(c)
 	} else {
 		r, err = s.forward(c)
@@ -412,11 +412,11 @@
 	}
 }
 
-// Prove appends a barrier entry; the returned function waits until a majority has it, which proves that this node was the
+// ConfirmLeadership appends a barrier entry; the returned function waits until a majority has it, which proves that this node was the
 // leader and had all committed entries at some time after the call. raft's own VerifyLeader does not prove that: it also counts
 // responses to heartbeats sent before the call, so a node that was paused for a while and then reads one would still consider
 // itself the leader.
-func (s *Store) Prove() func() error {
+func (s *Store) ConfirmLeadership() func() error {
 	r := s.now.Load()
 	if r == nil {
 		return func() error { return ErrNoQuorum }
@@ -424,8 +424,8 @@
 	return r.raft.Barrier(writeFor).Error
 }
 
-// Office returns the current term and whether this node believes that it is the leader in it.
-func (s *Store) Office() (term uint64, leads bool) {
+// Leadership returns the current term and whether this node believes that it is the leader in it.
+func (s *Store) Leadership() (term uint64, leads bool) {
 	r := s.now.Load()
 	if r == nil {
 		return 0, false
@@ -456,9 +456,9 @@
 	look(s.machine.state, index)
 }
 
-// Spoil flips a bit of an effect in this replica's memory, for the lab and tests, and returns the effect's id; "": there was
+// CorruptMemory flips a bit of an effect in this replica's memory, for the lab and tests, and returns the effect's id; "": there was
 // none.
-func (s *Store) Spoil(pick uint64) string {
+func (s *Store) CorruptMemory(pick uint64) string {
 	s.machine.mu.Lock()
 	defer s.machine.mu.Unlock()
 	all := s.machine.state.Effects.Effects
