--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	backupKind   = "puffinsaddle backup"
-	backupFormat = 1
-	mostHeader   = 4 << 10          // bytes
-	mostBackup   = 4 << 30          // bytes of uncompressed state
-	pieceFor     = 10 * time.Second // for one read or write of the compressed state
+	backupKind     = "puffinsaddle backup"
+	backupFormat   = 1
+	maxHeaderBytes = 4 << 10
+	maxStateBytes  = 4 << 30          // of the uncompressed state
+	chunkTimeout   = 10 * time.Second // for one read or write of the compressed state
 )
 
 // ErrInvalidBackup reports a backup that is truncated, corrupt or of an unsupported format.
@@ -38,55 +38,55 @@
 
 // Backup is the header of a backup: its first line, as JSON. The state follows, compressed with zstd.
 type Backup struct {
-	Kind        string `json:"kind"`
-	Format      int    `json:"format"`
-	ClusterName string `json:"set"`   // of the cluster that was backed up
-	Times       uint64 `json:"times"` // how often operators had recovered that cluster
-	From        string `json:"from"`  // id of the node that served it
-	Index       uint64 `json:"index"`
-	Term        uint64 `json:"term"`
-	Bytes       int64  `json:"bytes"`  // of the state
-	SHA256      string `json:"sha256"` // of the state, in hex
-	Error       string `json:"error,omitempty"`
+	Kind              string `json:"kind"`
+	Format            int    `json:"format"`
+	ClusterName       string `json:"set"`   // of the cluster that was backed up
+	ClusterGeneration uint64 `json:"times"` // how often operators had recovered that cluster
+	SourceID          string `json:"from"`  // id of the node that served it
+	Index             uint64 `json:"index"`
+	Term              uint64 `json:"term"`
+	Bytes             int64  `json:"bytes"`  // of the state
+	SHA256            string `json:"sha256"` // of the state, in hex
+	Error             string `json:"error,omitempty"`
 }
 
 // serveBackup sends the complete state at one log index, which includes everything committed before the request.
 func (s *Store) serveBackup(conn net.Conn) {
 	defer conn.Close()
-	h, text, err := s.point()
+	h, content, err := s.openBackupSnapshot()
 	if err != nil {
-		frame.Send(conn, Backup{Kind: backupKind, Error: err.Error()}, mostHeader)
+		frame.Send(conn, Backup{Kind: backupKind, Error: err.Error()}, maxHeaderBytes)
 		return
 	}
-	defer text.Close()
-	if frame.Send(conn, h, mostHeader) != nil {
+	defer content.Close()
+	if frame.Send(conn, h, maxHeaderBytes) != nil {
 		return
 	}
-	z, err := zstd.NewWriter(deadlines{conn})
+	z, err := zstd.NewWriter(deadlineConn{conn})
 	if err != nil {
 		return
 	}
-	if _, err = io.Copy(z, text); err == nil { // otherwise the stream is truncated, which the reader detects
+	if _, err = io.Copy(z, content); err == nil { // otherwise the stream is truncated, which the reader detects
 		z.Close()
 	}
 }
 
-// deadlines sets a deadline for each read and write. Guards against a stalled peer.
-type deadlines struct{ net.Conn }
+// deadlineConn sets a deadline for each read and write. Guards against a stalled peer.
+type deadlineConn struct{ net.Conn }
 
-func (d deadlines) Write(b []byte) (int, error) {
-	d.SetWriteDeadline(time.Now().Add(pieceFor))
+func (d deadlineConn) Write(b []byte) (int, error) {
+	d.SetWriteDeadline(time.Now().Add(chunkTimeout))
 	return d.Conn.Write(b)
 }
 
-func (d deadlines) Read(b []byte) (int, error) {
-	d.SetReadDeadline(time.Now().Add(pieceFor))
+func (d deadlineConn) Read(b []byte) (int, error) {
+	d.SetReadDeadline(time.Now().Add(chunkTimeout))
 	return d.Conn.Read(b)
 }
 
-// point takes a snapshot and opens it; only the leader does so.
-func (s *Store) point() (h Backup, text io.ReadCloser, err error) {
-	r := s.now.Load()
+// openBackupSnapshot takes a snapshot and opens it; only the leader does so.
+func (s *Store) openBackupSnapshot() (h Backup, content io.ReadCloser, err error) {
+	r := s.active.Load()
 	if _, leads := s.Leadership(); r == nil || !leads {
 		return h, nil, fmt.Errorf("store: %s is not the leader; the leader is %q", s.o.ID, s.Leader())
 	}
@@ -96,58 +96,58 @@
 	if err := r.raft.Snapshot().Error(); err != nil && !errors.Is(err, raft.ErrNothingNewToSnapshot) {
 		return h, nil, err
 	}
-	all, err := r.folder.Snap.List()
+	snapshots, err := r.directory.Snapshots.List()
 	if err != nil {
 		return h, nil, err
 	}
-	if len(all) == 0 {
+	if len(snapshots) == 0 {
 		return h, nil, errors.New("store: there is nothing to back up: no entry is committed yet")
 	}
 	sum, n := sha256.New(), int64(0)
-	m, text, err := r.folder.Snap.Open(all[0].ID)
+	m, content, err := r.directory.Snapshots.Open(snapshots[0].ID)
 	if err == nil {
-		n, err = io.Copy(sum, text)
-		text.Close()
+		n, err = io.Copy(sum, content)
+		content.Close()
 	}
 	if err == nil {
-		_, text, err = r.folder.Snap.Open(m.ID)
+		_, content, err = r.directory.Snapshots.Open(m.ID)
 	}
 	if err != nil {
 		return h, nil, err
 	}
-	own := r.folder.Mark()
-	return Backup{Kind: backupKind, Format: backupFormat, ClusterName: own.Name, Times: own.Set, From: s.o.ID, Index: m.Index, Term: m.Term,
-		Bytes: n, SHA256: hex.EncodeToString(sum.Sum(nil))}, text, nil
+	directory := r.directory.State()
+	return Backup{Kind: backupKind, Format: backupFormat, ClusterName: directory.Name, ClusterGeneration: directory.Set, SourceID: s.o.ID, Index: m.Index, Term: m.Term,
+		Bytes: n, SHA256: hex.EncodeToString(sum.Sum(nil))}, content, nil
 }
 
-// SaveBackup requests a backup from the nodes at these addresses and writes it to a file. The file appears at path only after the
-// backup was received completely and verified.
+// SaveBackup requests a backup from the nodes at these addresses and writes it to a file. The file appears at path only after
+// the backup was received completely and verified.
 func SaveBackup(ctx context.Context, peers map[string]string, path string) (h Backup, err error) {
 	if _, err := os.Stat(path); err == nil {
 		return h, fmt.Errorf("store: %s exists already", path)
 	}
-	why := errors.New("store: no node is given")
+	lastErr := errors.New("store: no node is given")
 	for _, id := range slices.Sorted(maps.Keys(peers)) {
-		if h, err = saveFrom(ctx, peers[id], path); err == nil {
+		if h, err = saveBackupFrom(ctx, peers[id], path); err == nil {
 			return h, nil
 		}
-		why = fmt.Errorf("%s: %w", id, err)
+		lastErr = fmt.Errorf("%s: %w", id, err)
 	}
-	return h, why
+	return h, lastErr
 }
 
-func saveFrom(ctx context.Context, at, path string) (h Backup, err error) {
-	d := net.Dialer{Timeout: writeFor}
-	conn, err := d.DialContext(ctx, "tcp", at)
+func saveBackupFrom(ctx context.Context, address, path string) (h Backup, err error) {
+	d := net.Dialer{Timeout: writeTimeout}
+	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return h, err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	if _, err := conn.Write([]byte{forBackup}); err != nil {
+	if _, err := conn.Write([]byte{purposeBackup}); err != nil {
 		return h, err
 	}
-	r := frame.NewReader(conn, pieceFor, mostHeader)
+	r := frame.NewReader(conn, chunkTimeout, maxHeaderBytes)
 	if err := r.Next(&h); err != nil {
 		return h, err
 	}
@@ -160,12 +160,12 @@
 	}
 	defer os.Remove(f.Name())
 	defer f.Close()
-	head, err := json.Marshal(h)
+	header, err := json.Marshal(h)
 	if err == nil {
-		_, err = f.Write(append(head, '\n'))
+		_, err = f.Write(append(header, '\n'))
 	}
 	if err == nil {
-		_, err = io.Copy(f, r.Rest(deadlines{conn}))
+		_, err = io.Copy(f, r.Rest(deadlineConn{conn}))
 	}
 	if err == nil {
 		err = f.Sync()
@@ -184,7 +184,7 @@
 
 // ReadBackup reads and verifies a backup and writes its state to a writer. On an error, the written state is not usable.
 func ReadBackup(r io.Reader, to io.Writer) (h Backup, err error) {
-	in := bufio.NewReaderSize(r, mostHeader)
+	in := bufio.NewReaderSize(r, maxHeaderBytes)
 	line, err := in.ReadSlice('\n')
 	if err != nil {
 		return h, fmt.Errorf("%w: header: %v", ErrInvalidBackup, err)
@@ -199,7 +199,7 @@
 		return h, fmt.Errorf("%w: kind is %q", ErrInvalidBackup, h.Kind)
 	case h.Format != backupFormat:
 		return h, fmt.Errorf("%w: format is %d, this build reads %d", ErrInvalidBackup, h.Format, backupFormat)
-	case h.Bytes <= 0 || h.Bytes > mostBackup || h.Index == 0 || h.Term == 0:
+	case h.Bytes <= 0 || h.Bytes > maxStateBytes || h.Index == 0 || h.Term == 0:
 		return h, fmt.Errorf("%w: header with %d bytes at log index %d in term %d", ErrInvalidBackup, h.Bytes, h.Index, h.Term)
 	}
 	z, err := zstd.NewReader(in, zstd.WithDecoderConcurrency(1))
@@ -220,8 +220,8 @@
 	return h, nil
 }
 
-// RestoreBackup creates a node's data directory from a backup. The directory starts a new cluster with a unique name, so replicas of
-// the cluster that was backed up are not accepted as members; the other nodes join with empty directories. Nothing is created
+// RestoreBackup creates a node's data directory from a backup. The directory starts a new cluster with a unique name, so replicas
+// of the cluster that was backed up are not accepted as members; the other nodes join with empty directories. Nothing is created
 // if the backup is invalid.
 func RestoreBackup(o Options, backup io.Reader) (h Backup, err error) {
 	if o.Log == nil {
@@ -230,35 +230,35 @@
 	if o.Peers[o.ID] == "" {
 		return h, fmt.Errorf("store: %s is not among its own peers", o.ID)
 	}
-	if _, err := os.Stat(filepath.Join(o.Dir, disk.File)); err == nil {
+	if _, err := os.Stat(filepath.Join(o.Dir, disk.FileName)); err == nil {
 		return h, fmt.Errorf("store: %s holds a replica already", o.Dir)
 	}
-	var text bytes.Buffer
-	if h, err = ReadBackup(backup, &text); err != nil {
+	var content bytes.Buffer
+	if h, err = ReadBackup(backup, &content); err != nil {
 		return h, err
 	}
-	if _, err := state.Read(text.Bytes()); err != nil {
+	if _, err := state.Read(content.Bytes()); err != nil {
 		return h, fmt.Errorf("%w: %v", ErrInvalidBackup, err)
 	}
-	proc, err := disk.Draw()
+	processID, err := disk.NewRandomID()
 	if err != nil {
 		return h, err
 	}
-	name, err := disk.Draw()
+	clusterName, err := disk.NewRandomID()
 	if err != nil {
 		return h, err
 	}
-	f, err := disk.OpenFolder(o.Dir, proc, o.Log, disk.Options{})
+	f, err := disk.OpenDirectory(o.Dir, processID, o.Log, disk.Options{})
 	if err != nil {
 		return h, err
 	}
 	defer f.Close()
 	_, trans := raft.NewInmemTransport(raft.ServerAddress(o.Peers[o.ID]))
-	sink, err := f.Snap.Create(1, h.Index, h.Term, o.alone(), h.Index, trans)
+	sink, err := f.Snapshots.Create(1, h.Index, h.Term, o.soleVoterConfiguration(), h.Index, trans)
 	if err != nil {
 		return h, err
 	}
-	if _, err := sink.Write(text.Bytes()); err != nil {
+	if _, err := sink.Write(content.Bytes()); err != nil {
 		sink.Cancel()
 		return h, err
 	}
@@ -268,5 +268,5 @@
 	if err := f.SetUint64([]byte("CurrentTerm"), h.Term); err != nil {
 		return h, err
 	}
-	return h, f.Anew(name)
+	return h, f.RecordNewCluster(clusterName)
 }
--- a/internal/store/disk/disk_test.go
+++ b/internal/store/disk/disk_test.go
@@ -20,31 +20,31 @@
 	"puffinsaddle/internal/admit"
 )
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-func entries(from, to uint64) (all []*raft.Log) {
+func makeEntries(from, to uint64) (all []*raft.Log) {
 	for i := from; i <= to; i++ {
 		all = append(all, &raft.Log{Index: i, Term: 1 + i/20, Type: raft.LogCommand, Data: []byte(fmt.Sprintf(`{"op":"set","key":"k%d","value":"%x"}`, i, i*i))})
 	}
 	return all
 }
 
-func folder(t *testing.T, dir, proc string) *Folder {
+func mustOpenDirectory(t *testing.T, dir, proc string) *Directory {
 	t.Helper()
-	f, err := OpenFolder(dir, proc, io.Discard, Options{})
+	f, err := OpenDirectory(dir, proc, io.Discard, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-// filled creates a data directory with n entries and the values that raft stores with them.
-func filled(t *testing.T, n uint64) string {
+// newFilledDirectory creates a data directory with n entries and the values that raft stores with them.
+func newFilledDirectory(t *testing.T, n uint64) string {
 	t.Helper()
 	dir := t.TempDir()
-	f := folder(t, dir, "p")
+	f := mustOpenDirectory(t, dir, "p")
 	for at := uint64(1); at <= n; at += 7 {
-		if err := f.StoreLogs(entries(at, min(at+6, n))); err != nil {
+		if err := f.StoreLogs(makeEntries(at, min(at+6, n))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -56,7 +56,7 @@
 	if err := f.Set([]byte("LastVoteCand"), []byte("127.0.0.1:1")); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Remember(map[string]admit.Mark{"b": {Folder: "x", Life: 2, Last: 7}}); err != nil {
+	if err := f.RecordPeerDirectories(map[string]admit.Mark{"b": {Folder: "x", Life: 2, Last: 7}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Close(); err != nil {
@@ -65,36 +65,36 @@
 	return dir
 }
 
-func TestFolderTellsOfItself(t *testing.T) {
-	dir := filled(t, 50)
-	f := folder(t, dir, "q")
-	m := f.Mark()
-	if m.Life != 2 || m.Last != 50 || m.Term != 9 || m.Proc != "q" || m.Folder == "" || f.Fresh() || !f.Votes() {
+func TestDirectoryStatePersists(t *testing.T) {
+	dir := newFilledDirectory(t, 50)
+	f := mustOpenDirectory(t, dir, "q")
+	m := f.State()
+	if m.Life != 2 || m.Last != 50 || m.Term != 9 || m.Proc != "q" || m.Folder == "" || f.Empty() || !f.IsVoter() {
 		t.Errorf("%+v", m)
 	}
-	if marks, err := f.Marks(); err != nil || marks["b"].Last != 7 {
-		t.Errorf("%+v %v", marks, err)
+	if peers, err := f.PeerDirectories(); err != nil || peers["b"].Last != 7 {
+		t.Errorf("%+v %v", peers, err)
 	}
-	if err := f.Join(admit.Mark{Joined: 40, Set: 2, Name: "n"}); err != nil || f.Votes() {
+	if err := f.RecordJoin(admit.Mark{Joined: 40, Set: 2, Name: "n"}); err != nil || f.IsVoter() {
 		t.Errorf("join as a non-voter: %v", err)
 	}
 	f.Close()
-	if f = folder(t, dir, "r"); f.Votes() || f.Mark().Joined != 40 || f.Mark().Set != 2 || f.Mark().Name != "n" || f.Mark().Folder != m.Folder {
-		t.Errorf("non-voter after a restart: %+v", f.Mark())
+	if f = mustOpenDirectory(t, dir, "r"); f.IsVoter() || f.State().Joined != 40 || f.State().Set != 2 || f.State().Name != "n" || f.State().Folder != m.Folder {
+		t.Errorf("non-voter after a restart: %+v", f.State())
 	}
-	if err := f.Voter(); err != nil {
+	if err := f.RecordVoter(); err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
-	if f = folder(t, dir, "s"); !f.Votes() {
+	if f = mustOpenDirectory(t, dir, "s"); !f.IsVoter() {
 		t.Error("the replica is no voter after a restart")
 	}
-	if _, err := OpenFolder(dir, "t", io.Discard, Options{}); err == nil || !strings.Contains(err.Error(), "open in another process") {
+	if _, err := OpenDirectory(dir, "t", io.Discard, Options{}); err == nil || !strings.Contains(err.Error(), "open in another process") {
 		t.Errorf("opening an open directory: %v", err)
 	}
 	f.Close()
 	r, err := Verify(dir)
-	if err != nil || r.Corruption != "" || r.Entries != 50 || r.Directory.Life != 4 || r.Remembers["b"].Life != 2 {
+	if err != nil || r.Corruption != "" || r.Entries != 50 || r.Directory.Life != 4 || r.PeerDirectories["b"].Life != 2 {
 		t.Errorf("%+v %v", r, err)
 	}
 	n := 0
@@ -105,40 +105,40 @@
 
 // Flips single bits of the file. Each flip must be reported as corruption, have no effect on the data read, or leave a shorter
 // log, which peers detect since they remember its last index.
-func TestNoSpoiltBitIsReadAsData(t *testing.T) {
-	dir := filled(t, 50)
-	path := filepath.Join(dir, File)
-	whole, err := os.ReadFile(path)
+func TestFlippedBitIsNeverReadAsData(t *testing.T) {
+	dir := newFilledDirectory(t, 50)
+	path := filepath.Join(dir, FileName)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := map[uint64][]byte{}
-	for _, e := range entries(1, 50) {
+	for _, e := range makeEntries(1, 50) {
 		want[e.Index] = e.Data
 	}
 	var used []int // most of the file is empty
-	for at, b := range whole {
+	for at, b := range original {
 		if b != 0 {
 			used = append(used, at)
 		}
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	told, same, shorter := 0, 0, 0
+	reported, unaffected, shorter := 0, 0, 0
 	for range 600 {
-		spoilt := bytes.Clone(whole)
+		corrupt := bytes.Clone(original)
 		at, bit := used[rng.IntN(len(used))], rng.IntN(8)
-		spoilt[at] ^= 1 << bit
-		if err := os.WriteFile(path, spoilt, 0o600); err != nil {
+		corrupt[at] ^= 1 << bit
+		if err := os.WriteFile(path, corrupt, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		l, err := Open(dir, Options{})
-		if d := (*Damage)(nil); errors.As(err, &d) {
-			told++
+		if d := (*CorruptionError)(nil); errors.As(err, &d) {
+			reported++
 			continue
 		}
 		if err != nil {
-			if errors.Is(err, ErrNewer) || strings.Contains(err.Error(), "disk") {
-				told++
+			if errors.Is(err, ErrNewerFormat) || strings.Contains(err.Error(), "disk") {
+				reported++
 				continue
 			}
 			t.Fatalf("byte %d bit %d: %v", at, bit, err)
@@ -161,85 +161,85 @@
 			t.Errorf("byte %d bit %d: the term is read as %d", at, bit, term)
 		}
 		if last == 50 {
-			same++
+			unaffected++
 		} else {
 			shorter++
 		}
 		l.Close()
 	}
-	if told == 0 || same == 0 {
-		t.Errorf("%d reported, %d without effect, %d with a shorter log; want some of the first two", told, same, shorter)
+	if reported == 0 || unaffected == 0 {
+		t.Errorf("%d reported, %d without effect, %d with a shorter log; want some of the first two", reported, unaffected, shorter)
 	}
-	t.Logf("%d reported, %d without effect, %d with a shorter log", told, same, shorter)
+	t.Logf("%d reported, %d without effect, %d with a shorter log", reported, unaffected, shorter)
 }
 
-func TestFileThatIsCutShortIsDamage(t *testing.T) {
-	dir := filled(t, 400)
-	path := filepath.Join(dir, File)
-	whole, err := os.ReadFile(path)
+func TestTruncatedFileIsCorruption(t *testing.T) {
+	dir := newFilledDirectory(t, 400)
+	path := filepath.Join(dir, FileName)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, n := range []int{1, 100, 4096, 8192, 12288, len(whole) / 2} {
-		if err := os.WriteFile(path, whole[:n], 0o600); err != nil {
+	for _, n := range []int{1, 100, 4096, 8192, 12288, len(original) / 2} {
+		if err := os.WriteFile(path, original[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Open(dir, Options{})
-		if d := (*Damage)(nil); !errors.As(err, &d) || !strings.Contains(err.Error(), path) {
-			t.Errorf("%d bytes of %d: %v", n, len(whole), err)
+		if d := (*CorruptionError)(nil); !errors.As(err, &d) || !strings.Contains(err.Error(), path) {
+			t.Errorf("%d bytes of %d: %v", n, len(original), err)
 		}
 	}
 }
 
 // A directory in format 1, without checksums, is migrated, also after an earlier migration was interrupted. A directory of a
 // later format is rejected and left unmodified.
-func TestFormats(t *testing.T) {
+func TestOldFormatIsMigratedAndNewerFormatRejected(t *testing.T) {
 	dir := t.TempDir()
-	path := filepath.Join(dir, File)
-	old, err := bbolt.Open(path, 0o600, nil) // as hashicorp/raft-boltdb writes it
+	path := filepath.Join(dir, FileName)
+	db, err := bbolt.Open(path, 0o600, nil) // as hashicorp/raft-boltdb writes it
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = old.Update(func(tx *bbolt.Tx) error {
-		log, err := tx.CreateBucket(logs)
+	err = db.Update(func(tx *bbolt.Tx) error {
+		log, err := tx.CreateBucket(logsBucket)
 		if err != nil {
 			return err
 		}
-		for _, e := range entries(1, 600) {
-			var text []byte
-			if err := codec.NewEncoderBytes(&text, form).Encode(e); err != nil {
+		for _, e := range makeEntries(1, 600) {
+			var data []byte
+			if err := codec.NewEncoderBytes(&data, entryEncoding).Encode(e); err != nil {
 				return err
 			}
-			key := number(e.Index)
+			key := encodeUint64(e.Index)
 			if e.Index <= 300 { // migrated before the interruption
-				text = seal(logs, key, text)
+				data = appendChecksum(logsBucket, key, data)
 			}
-			if err := log.Put(key, text); err != nil {
+			if err := log.Put(key, data); err != nil {
 				return err
 			}
 		}
-		stable, err := tx.CreateBucket(values)
+		stable, err := tx.CreateBucket(valuesBucket)
 		if err != nil {
 			return err
 		}
-		return stable.Put([]byte("CurrentTerm"), number(31))
+		return stable.Put([]byte("CurrentTerm"), encodeUint64(31))
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	old.Close()
+	db.Close()
 	if _, err := Verify(dir); err == nil || !strings.Contains(err.Error(), "format 1") {
 		t.Errorf("%v", err)
 	}
-	f := folder(t, dir, "p")
-	if m := f.Mark(); m.Last != 600 || m.Term != 31 || m.Life != 1 {
+	f := mustOpenDirectory(t, dir, "p")
+	if m := f.State(); m.Last != 600 || m.Term != 31 || m.Life != 1 {
 		t.Errorf("%+v", m)
 	}
 	var e raft.Log
-	if err := f.GetLog(400, &e); err != nil || !bytes.Equal(e.Data, entries(400, 400)[0].Data) {
+	if err := f.GetLog(400, &e); err != nil || !bytes.Equal(e.Data, makeEntries(400, 400)[0].Data) {
 		t.Errorf("%+v %v", e, err)
 	}
-	if err := f.put(formatKey, []byte{Format + 1}); err != nil {
+	if err := f.storeValue(formatKey, []byte{FormatVersion + 1}); err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
@@ -247,10 +247,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenFolder(dir, "p", io.Discard, Options{}); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "format 3, this build reads up to 2") {
+	if _, err := OpenDirectory(dir, "p", io.Discard, Options{}); !errors.Is(err, ErrNewerFormat) || !strings.Contains(err.Error(), "format 3, this build reads up to 2") {
 		t.Errorf("%v", err)
 	}
-	if _, err := Verify(dir); !errors.Is(err, ErrNewer) {
+	if _, err := Verify(dir); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("%v", err)
 	}
 	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(before, after) {
@@ -258,69 +258,69 @@
 	}
 }
 
-// After a failed write the log must neither write nor read, and must call Fail exactly once.
+// After a failed write the log must neither write nor read, and must call OnFailure exactly once.
 func TestFailedWriteStopsTheLog(t *testing.T) {
 	failed := make(chan error, 10)
-	l, err := Open(t.TempDir(), Options{Fail: func(err error) { failed <- err }})
+	l, err := Open(t.TempDir(), Options{OnFailure: func(err error) { failed <- err }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if err := l.StoreLogs(entries(1, 5)); err != nil {
+	if err := l.StoreLogs(makeEntries(1, 5)); err != nil {
 		t.Fatal(err)
 	}
-	full := errors.New("no space left on device")
+	errDiskFull := errors.New("no space left on device")
 	fault := func(op string) error {
 		if op == "write" {
-			return full
+			return errDiskFull
 		}
 		return nil
 	}
-	l.fault.Store(&fault)
-	if err := l.StoreLogs(entries(6, 7)); !errors.Is(err, full) {
+	l.injectedFault.Store(&fault)
+	if err := l.StoreLogs(makeEntries(6, 7)); !errors.Is(err, errDiskFull) {
 		t.Errorf("%v", err)
 	}
-	l.fault.Store(nil)
+	l.injectedFault.Store(nil)
 	var e raft.Log
-	for what, err := range map[string]error{"a write": l.StoreLogs(entries(6, 7)), "a read": l.GetLog(1, &e), "a value": l.Set([]byte("k"), nil)} {
-		if !errors.Is(err, ErrStopped) || !errors.Is(err, full) {
-			t.Errorf("%s after the failed write: %v", what, err)
+	for operation, err := range map[string]error{"a write": l.StoreLogs(makeEntries(6, 7)), "a read": l.GetLog(1, &e), "a value": l.Set([]byte("k"), nil)} {
+		if !errors.Is(err, ErrStopped) || !errors.Is(err, errDiskFull) {
+			t.Errorf("%s after the failed write: %v", operation, err)
 		}
 	}
 	select {
 	case err := <-failed:
-		if !errors.Is(err, full) {
+		if !errors.Is(err, errDiskFull) {
 			t.Error(err)
 		}
-	case <-time.After(patience):
-		t.Fatal("Fail was not called")
+	case <-time.After(testTimeout):
+		t.Fatal("OnFailure was not called")
 	}
 	// raft panics if its term can't be written; its goroutine must exit instead.
-	l.Run()
-	after := make(chan string, 1)
+	l.SetRaftRunning()
+	outcome := make(chan string, 1)
 	go func() {
-		defer func() { after <- "ended" }()
+		defer func() { outcome <- "ended" }()
 		l.SetUint64([]byte("CurrentTerm"), 8)
-		after <- "went on"
+		outcome <- "went on"
 	}()
-	if got := <-after; got != "ended" {
+	if got := <-outcome; got != "ended" {
 		t.Errorf("the goroutine %s, want ended", got)
 	}
 	if len(failed) > 0 {
-		t.Error("Fail was called twice")
+		t.Error("OnFailure was called twice")
 	}
 }
 
-func TestSnapshotsAreChecked(t *testing.T) {
-	for name, spoil := range map[string]func(dir string) error{
-		"flipped bit in the state": func(dir string) error { return flip(filepath.Join(dir, "state.bin")) },
+func TestCorruptSnapshotIsReported(t *testing.T) {
+	for name, corrupt := range map[string]func(dir string) error{
+		"flipped bit in the state": func(dir string) error { return flipBit(filepath.Join(dir, "state.bin")) },
 		"invalid metadata":         func(dir string) error { return os.WriteFile(filepath.Join(dir, "meta.json"), []byte("{"), 0o600) },
 		"missing state file":       func(dir string) error { return os.Remove(filepath.Join(dir, "state.bin")) },
 	} {
-		dir := filled(t, 10)
-		f := folder(t, dir, "p")
+		dir := newFilledDirectory(t, 10)
+		f := mustOpenDirectory(t, dir, "p")
 		_, trans := raft.NewInmemTransport("a")
-		sink, err := f.Snap.Create(1, 30, 2, raft.Configuration{}, 1, trans)
+		sink, err := f.Snapshots.Create(1, 30, 2, raft.Configuration{}, 1, trans)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -329,15 +329,15 @@
 			t.Fatal(err)
 		}
 		f.Close()
-		if f = folder(t, dir, "p"); f.Mark().Last != 30 {
-			t.Errorf("%+v", f.Mark())
+		if f = mustOpenDirectory(t, dir, "p"); f.State().Last != 30 {
+			t.Errorf("%+v", f.State())
 		}
 		f.Close()
-		if err := spoil(filepath.Join(dir, snapshotsDir, sink.ID())); err != nil {
+		if err := corrupt(filepath.Join(dir, snapshotsDir, sink.ID())); err != nil {
 			t.Fatal(err)
 		}
-		_, err = OpenFolder(dir, "p", io.Discard, Options{})
-		if d := (*Damage)(nil); !errors.As(err, &d) || !strings.Contains(err.Error(), sink.ID()) {
+		_, err = OpenDirectory(dir, "p", io.Discard, Options{})
+		if d := (*CorruptionError)(nil); !errors.As(err, &d) || !strings.Contains(err.Error(), sink.ID()) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if r, err := Verify(dir); err != nil || !strings.Contains(r.Corruption, sink.ID()) {
@@ -346,7 +346,7 @@
 	}
 }
 
-func flip(path string) error {
+func flipBit(path string) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -355,22 +355,22 @@
 	return os.WriteFile(path, b, 0o600)
 }
 
-func TestWhatIsSetAsideIsKeptTwice(t *testing.T) {
-	dir := filled(t, 5)
+func TestQuarantineKeepsTwoNewest(t *testing.T) {
+	dir := newFilledDirectory(t, 5)
 	for i := range 4 {
-		if _, err := SetAside(dir); err != nil {
+		if _, err := Quarantine(dir); err != nil {
 			t.Fatal(err)
 		}
-		f := folder(t, dir, "p")
-		if !f.Fresh() {
-			t.Errorf("%d: %+v", i, f.Mark())
+		f := mustOpenDirectory(t, dir, "p")
+		if !f.Empty() {
+			t.Errorf("%d: %+v", i, f.State())
 		}
-		if err := f.StoreLogs(entries(1, 3)); err != nil {
+		if err := f.StoreLogs(makeEntries(1, 3)); err != nil {
 			t.Fatal(err)
 		}
 		f.Close()
 	}
-	got, _ := filepath.Glob(filepath.Join(dir, setAside+"*"))
+	got, _ := filepath.Glob(filepath.Join(dir, quarantinePrefix+"*"))
 	if want := []string{filepath.Join(dir, "aside-3"), filepath.Join(dir, "aside-4")}; !slices.Equal(got, want) {
 		t.Errorf("%q", got)
 	}
--- a/internal/store/disk/folder.go
+++ b/internal/store/disk/folder.go
@@ -22,46 +22,46 @@
 
 // Keys of what a data directory records of itself and of its peers.
 const (
-	folderKey = "folder" // random id, drawn when the directory was created
-	lifeKey   = "life"   // how often the directory was opened
-	joinedKey = "joined" // log index as of which the replica joined as a non-voter
-	votesKey  = "votes"  // 1: the replica became a voter since it joined
-	setKey    = "set"    // how often operators recovered the cluster
-	nameKey   = "name"   // of the cluster
-	soleKey   = "sole"   // 1: operators recovered it with this directory, and it is still the only voter
-	marksKey  = "marks"  // directory states of other replicas
+	directoryIDKey       = "folder" // random id, drawn when the directory was created
+	openCountKey         = "life"   // how often the directory was opened
+	joinIndexKey         = "joined" // log index as of which the replica joined as a non-voter
+	voterKey             = "votes"  // 1: the replica became a voter since it joined
+	clusterGenerationKey = "set"    // how often operators recovered the cluster
+	clusterNameKey       = "name"
+	soleVoterKey         = "sole"  // 1: operators recovered it with this directory, and it is still the only voter
+	peerDirectoriesKey   = "marks" // directory states of other replicas
 )
 
 const (
-	setAside     = "aside-" // prefix of the quarantine directories
-	keepAside    = 2        // quarantine directories
-	snapshotsDir = "snapshots"
+	quarantinePrefix = "aside-" // prefix of the quarantine directories
+	maxQuarantined   = 2        // quarantine directories
+	snapshotsDir     = "snapshots"
 )
 
-// Draw returns a random id, unique to one process, directory or cluster.
-func Draw() (string, error) {
+// NewRandomID returns a random id, unique to one process, directory or cluster.
+func NewRandomID() (string, error) {
 	var b [8]byte
 	_, err := crand.Read(b[:])
 	return hex.EncodeToString(b[:]), err
 }
 
-// Folder is a replica's data directory: its log, its snapshots and what it records of itself.
-type Folder struct {
+// Directory is a replica's data directory: its log, its snapshots and what it records of itself.
+type Directory struct {
 	*Log
-	Dir  string
-	Snap *raft.FileSnapshotStore
+	Path      string
+	Snapshots *raft.FileSnapshotStore
 
-	mark        admit.Mark
-	votes, sole bool
+	state            admit.Mark
+	voter, soleVoter bool
 }
 
-// OpenFolder opens a replica's data directory, or creates it; proc is the random id of the process. If a record or a snapshot is
-// corrupt, the error is a Damage, and the evidence in the directory is unchanged.
-func OpenFolder(dir, proc string, log io.Writer, o Options) (*Folder, error) {
+// OpenDirectory opens a replica's data directory, or creates it; processID is the random id of the process. If a record or a
+// snapshot is corrupt, the error is a CorruptionError, and the evidence in the directory is unchanged.
+func OpenDirectory(dir, processID string, log io.Writer, o Options) (*Directory, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
 	}
-	snap, err := raft.NewFileSnapshotStore(dir, keepSnapshots, log)
+	snapshots, err := raft.NewFileSnapshotStore(dir, maxSnapshots, log)
 	if err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
 	}
@@ -69,117 +69,118 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Folder{Log: l, Dir: dir, Snap: snap}
-	if err := f.know(proc); err != nil {
+	f := &Directory{Log: l, Path: dir, Snapshots: snapshots}
+	if err := f.load(processID); err != nil {
 		l.db.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-const keepSnapshots = 2 // per data directory
+const maxSnapshots = 2 // per data directory
 
-// know loads what the directory records of itself, and increments its open count.
-func (f *Folder) know(proc string) error {
-	at, err := checkSnapshots(f.Dir, f.Snap)
+// load loads what the directory records of itself, and increments its open count.
+func (f *Directory) load(processID string) error {
+	snapshotIndex, err := checkSnapshots(f.Path, f.Snapshots)
 	if err != nil {
 		return err
 	}
-	f.mark.Proc = proc
-	name, err := f.get(folderKey)
+	f.state.Proc = processID
+	name, err := f.readValue(directoryIDKey)
 	if errors.Is(err, ErrNotFound) {
-		var drawn string
-		if drawn, err = Draw(); err == nil {
-			name, err = []byte(drawn), f.put(folderKey, []byte(drawn))
+		var id string
+		if id, err = NewRandomID(); err == nil {
+			name, err = []byte(id), f.storeValue(directoryIDKey, []byte(id))
 		}
 	}
 	if err != nil {
 		return err
 	}
-	f.mark.Folder = string(name)
-	if name, err = f.get(nameKey); err != nil && !errors.Is(err, ErrNotFound) {
+	f.state.Folder = string(name)
+	if name, err = f.readValue(clusterNameKey); err != nil && !errors.Is(err, ErrNotFound) {
 		return err
 	}
-	f.mark.Name = string(name)
-	for key, into := range map[string]*uint64{lifeKey: &f.mark.Life, joinedKey: &f.mark.Joined, setKey: &f.mark.Set, "CurrentTerm": &f.mark.Term} {
-		if *into, err = f.number(key); err != nil {
+	f.state.Name = string(name)
+	for key, target := range map[string]*uint64{openCountKey: &f.state.Life, joinIndexKey: &f.state.Joined, clusterGenerationKey: &f.state.Set, "CurrentTerm": &f.state.Term} {
+		if *target, err = f.readUint64(key); err != nil {
 			return err
 		}
 	}
-	votes, err := f.number(votesKey)
+	voter, err := f.readUint64(voterKey)
 	if err != nil {
 		return err
 	}
-	sole, err := f.number(soleKey)
+	soleVoter, err := f.readUint64(soleVoterKey)
 	if err != nil {
 		return err
 	}
-	f.sole = sole == 1
-	f.votes = f.mark.Joined == 0 || votes == 1
-	if f.mark.Last, err = f.LastIndex(); err != nil {
+	f.soleVoter = soleVoter == 1
+	f.voter = f.state.Joined == 0 || voter == 1
+	if f.state.Last, err = f.LastIndex(); err != nil {
 		return err
 	}
-	f.mark.Last = max(f.mark.Last, at)
-	f.mark.Life++
-	return f.putNumber(lifeKey, f.mark.Life)
+	f.state.Last = max(f.state.Last, snapshotIndex)
+	f.state.Life++
+	return f.storeUint64(openCountKey, f.state.Life)
 }
 
-// Mark returns the state of the directory when it was opened.
-func (f *Folder) Mark() admit.Mark { return f.mark }
+// State returns the state of the directory when it was opened.
+func (f *Directory) State() admit.Mark { return f.state }
 
-// Fresh reports whether raft never wrote anything to the directory.
-func (f *Folder) Fresh() bool { return f.mark.Last == 0 && f.mark.Term == 0 }
+// Empty reports whether raft never wrote anything to the directory.
+func (f *Directory) Empty() bool { return f.state.Last == 0 && f.state.Term == 0 }
 
-// Votes reports whether the replica may vote with this directory: it was there when the cluster was bootstrapped, or has become
+// IsVoter reports whether the replica may vote with this directory: it was there when the cluster was bootstrapped, or has become
 // a voter since it joined.
-func (f *Folder) Votes() bool { return f.votes }
+func (f *Directory) IsVoter() bool { return f.voter }
 
-// Join records that the replica joined a cluster as a non-voter, as of a log index.
-func (f *Folder) Join(m admit.Mark) error {
-	err := f.putAll(map[string][]byte{joinedKey: number(m.Joined), setKey: number(m.Set), nameKey: []byte(m.Name)})
+// RecordJoin records that the replica joined a cluster as a non-voter, as of a log index.
+func (f *Directory) RecordJoin(m admit.Mark) error {
+	err := f.storeValues(map[string][]byte{joinIndexKey: encodeUint64(m.Joined), clusterGenerationKey: encodeUint64(m.Set), clusterNameKey: []byte(m.Name)})
 	if err != nil {
 		return err
 	}
-	f.mark.Joined, f.mark.Set, f.mark.Name, f.votes = m.Joined, m.Set, m.Name, false
+	f.state.Joined, f.state.Set, f.state.Name, f.voter = m.Joined, m.Set, m.Name, false
 	return nil
 }
 
-// Named records the name of the cluster that is about to be bootstrapped.
-func (f *Folder) Named(name string) error {
-	f.mark.Name = name
-	return f.put(nameKey, []byte(name))
+// RecordClusterName records the name of the cluster that is about to be bootstrapped.
+func (f *Directory) RecordClusterName(name string) error {
+	f.state.Name = name
+	return f.storeValue(clusterNameKey, []byte(name))
 }
 
-// Sole reports whether operators recovered the cluster with this directory and its replica is still the only voter.
-func (f *Folder) Sole() bool { return f.sole }
+// SoleVoter reports whether operators recovered the cluster with this directory and its replica is still the only voter.
+func (f *Directory) SoleVoter() bool { return f.soleVoter }
 
-// Anew records that operators start a cluster from this directory: they recover its own, or create one with a new name.
-func (f *Folder) Anew(name string) error {
-	err := f.putAll(map[string][]byte{setKey: number(f.mark.Set + 1), soleKey: number(1), votesKey: number(1), nameKey: []byte(name)})
+// RecordNewCluster records that operators start a cluster from this directory: they recover its own, or create one with a new
+// name.
+func (f *Directory) RecordNewCluster(name string) error {
+	err := f.storeValues(map[string][]byte{clusterGenerationKey: encodeUint64(f.state.Set + 1), soleVoterKey: encodeUint64(1), voterKey: encodeUint64(1), clusterNameKey: []byte(name)})
 	if err != nil {
 		return err
 	}
-	f.mark.Set++
-	f.mark.Name = name
-	f.sole, f.votes = true, true
+	f.state.Set++
+	f.state.Name = name
+	f.soleVoter, f.voter = true, true
 	return nil
 }
 
-// Shared records that another replica is about to become a voter.
-func (f *Folder) Shared() error {
-	if !f.sole {
+// RecordSecondVoter records that another replica is about to become a voter.
+func (f *Directory) RecordSecondVoter() error {
+	if !f.soleVoter {
 		return nil
 	}
-	f.sole = false
-	return f.putNumber(soleKey, 0)
+	f.soleVoter = false
+	return f.storeUint64(soleVoterKey, 0)
 }
 
-// Voter records that the replica has become a voter.
-func (f *Folder) Voter() error { return f.putNumber(votesKey, 1) }
+// RecordVoter records that the replica has become a voter.
+func (f *Directory) RecordVoter() error { return f.storeUint64(voterKey, 1) }
 
-// Marks reads the recorded directory states of other replicas.
-func (f *Folder) Marks() (map[string]admit.Mark, error) {
-	b, err := f.get(marksKey)
+// PeerDirectories reads the recorded directory states of other replicas.
+func (f *Directory) PeerDirectories() (map[string]admit.Mark, error) {
+	b, err := f.readValue(peerDirectoriesKey)
 	if errors.Is(err, ErrNotFound) {
 		return nil, nil
 	}
@@ -190,90 +191,90 @@
 	return m, json.Unmarshal(b, &m)
 }
 
-// Remember records the directory states of other replicas.
-func (f *Folder) Remember(m map[string]admit.Mark) error {
+// RecordPeerDirectories records the directory states of other replicas.
+func (f *Directory) RecordPeerDirectories(m map[string]admit.Mark) error {
 	b, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return f.put(marksKey, b)
+	return f.storeValue(peerDirectoriesKey, b)
 }
 
 // checkSnapshots opens every snapshot, whereupon the raft library verifies its checksum, and returns the index of the latest.
-func checkSnapshots(dir string, snap *raft.FileSnapshotStore) (last uint64, err error) {
-	all, err := snap.List()
+func checkSnapshots(dir string, snapshots *raft.FileSnapshotStore) (lastIndex uint64, err error) {
+	listed, err := snapshots.List()
 	if err != nil {
 		return 0, err
 	}
-	for _, meta := range all {
+	for _, meta := range listed {
 		path := filepath.Join(dir, snapshotsDir, meta.ID)
-		_, r, err := snap.Open(meta.ID)
+		_, r, err := snapshots.Open(meta.ID)
 		if err != nil {
-			return 0, &Damage{path, "the snapshot", err.Error()}
+			return 0, &CorruptionError{path, "the snapshot", err.Error()}
 		}
 		r.Close()
-		last = max(last, meta.Index)
+		lastIndex = max(lastIndex, meta.Index)
 	}
 	names, err := os.ReadDir(filepath.Join(dir, snapshotsDir))
 	if err != nil {
 		return 0, err
 	}
 	for _, n := range names { // a snapshot with unreadable metadata is not listed
-		if n.IsDir() && !strings.HasSuffix(n.Name(), ".tmp") && !slices.ContainsFunc(all, func(m *raft.SnapshotMeta) bool { return m.ID == n.Name() }) &&
-			len(all) < keepSnapshots {
-			return 0, &Damage{filepath.Join(dir, snapshotsDir, n.Name()), "the snapshot", "its metadata can't be read"}
+		if n.IsDir() && !strings.HasSuffix(n.Name(), ".tmp") && !slices.ContainsFunc(listed, func(m *raft.SnapshotMeta) bool { return m.ID == n.Name() }) &&
+			len(listed) < maxSnapshots {
+			return 0, &CorruptionError{filepath.Join(dir, snapshotsDir, n.Name()), "the snapshot", "its metadata can't be read"}
 		}
 	}
-	return last, nil
+	return lastIndex, nil
 }
 
-// SetAside quarantines the contents of a data directory: it moves them into a new subdirectory for later inspection, and returns
-// its path. Only the two newest quarantine directories are kept.
-func SetAside(dir string) (string, error) {
+// Quarantine moves the contents of a data directory into a new subdirectory for later inspection, and returns its path. Only the
+// two newest quarantine directories are kept.
+func Quarantine(dir string) (string, error) {
 	names, err := os.ReadDir(dir)
 	if err != nil {
 		return "", err
 	}
-	var had []int
+	var generations []int
 	for _, n := range names {
-		if k, err := strconv.Atoi(strings.TrimPrefix(n.Name(), setAside)); err == nil && strings.HasPrefix(n.Name(), setAside) {
-			had = append(had, k)
+		if generation, err := strconv.Atoi(strings.TrimPrefix(n.Name(), quarantinePrefix)); err == nil && strings.HasPrefix(n.Name(), quarantinePrefix) {
+			generations = append(generations, generation)
 		}
 	}
-	slices.Sort(had)
+	slices.Sort(generations)
 	next := 1
-	if len(had) > 0 {
-		next = had[len(had)-1] + 1
+	if len(generations) > 0 {
+		next = generations[len(generations)-1] + 1
 	}
-	to := filepath.Join(dir, setAside+strconv.Itoa(next))
-	if err := os.Mkdir(to, 0o755); err != nil {
+	target := filepath.Join(dir, quarantinePrefix+strconv.Itoa(next))
+	if err := os.Mkdir(target, 0o755); err != nil {
 		return "", err
 	}
-	for _, name := range []string{File, snapshotsDir} {
-		if err := os.Rename(filepath.Join(dir, name), filepath.Join(to, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	for _, name := range []string{FileName, snapshotsDir} {
+		if err := os.Rename(filepath.Join(dir, name), filepath.Join(target, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return "", err
 		}
 	}
-	for len(had) >= keepAside {
-		if err := os.RemoveAll(filepath.Join(dir, setAside+strconv.Itoa(had[0]))); err != nil {
+	for len(generations) >= maxQuarantined {
+		if err := os.RemoveAll(filepath.Join(dir, quarantinePrefix+strconv.Itoa(generations[0]))); err != nil {
 			return "", err
 		}
-		had = had[1:]
+		generations = generations[1:]
 	}
-	return to, nil
+	return target, nil
 }
 
 // Report describes the contents of a data directory, for operators.
 type Report struct {
-	Found
-	Dir         string                `json:"dir"`
-	Format      int                   `json:"format"`
-	Directory   admit.Mark            `json:"mark"`
-	Voter       bool                  `json:"votes"`
-	Snapshots   []Snapshot            `json:"snapshots"`
-	Remembers   map[string]admit.Mark `json:"remembers"` // directory states of other replicas
-	Quarantined []string              `json:"aside,omitempty"`
-	Corruption  string                `json:"damage,omitempty"`
+	LogSummary
+	Dir             string                `json:"dir"`
+	Format          int                   `json:"format"`
+	Directory       admit.Mark            `json:"mark"`
+	Voter           bool                  `json:"votes"`
+	Snapshots       []Snapshot            `json:"snapshots"`
+	PeerDirectories map[string]admit.Mark `json:"remembers"` // directory states of other replicas
+	Quarantined     []string              `json:"aside,omitempty"`
+	Corruption      string                `json:"damage,omitempty"`
 }
 
 // Snapshot describes one snapshot in a data directory.
@@ -288,14 +289,14 @@
 // described in the report; an error means that the directory could not be checked.
 func Verify(dir string) (r Report, err error) {
 	r.Dir = dir
-	path := filepath.Join(dir, File)
+	path := filepath.Join(dir, FileName)
 	if _, err := os.Stat(path); err != nil {
 		return r, fmt.Errorf("disk: %w", err)
 	}
-	asides, _ := filepath.Glob(filepath.Join(dir, setAside+"*"))
-	r.Quarantined = asides
-	damaged := func(err error) (Report, error) {
-		if d := (*Damage)(nil); errors.As(err, &d) {
+	quarantined, _ := filepath.Glob(filepath.Join(dir, quarantinePrefix+"*"))
+	r.Quarantined = quarantined
+	corrupt := func(err error) (Report, error) {
+		if d := (*CorruptionError)(nil); errors.As(err, &d) {
 			r.Corruption = d.Error()
 			return r, nil
 		}
@@ -303,58 +304,58 @@
 	}
 	l := &Log{path: path}
 	if err := l.open(true); err != nil {
-		return damaged(err)
+		return corrupt(err)
 	}
 	defer l.db.Close()
-	if r.Format, err = l.format(); err != nil {
-		return damaged(err)
+	if r.Format, err = l.readFormat(); err != nil {
+		return corrupt(err)
 	}
-	if r.Format < Format {
+	if r.Format < FormatVersion {
 		return r, fmt.Errorf("disk: %s has format %d, without checksums: it is migrated when a replica opens it", path, r.Format)
 	}
-	if r.Found, err = l.check(); err != nil {
-		return damaged(err)
+	if r.LogSummary, err = l.verifyRecords(); err != nil {
+		return corrupt(err)
 	}
-	f := &Folder{Log: l}
-	if name, err := l.get(folderKey); err == nil {
+	f := &Directory{Log: l}
+	if name, err := l.readValue(directoryIDKey); err == nil {
 		r.Directory.Folder = string(name)
 	}
-	r.Directory.Life, _ = l.number(lifeKey)
-	r.Directory.Joined, _ = l.number(joinedKey)
-	r.Directory.Set, _ = l.number(setKey)
-	if name, err := l.get(nameKey); err == nil {
+	r.Directory.Life, _ = l.readUint64(openCountKey)
+	r.Directory.Joined, _ = l.readUint64(joinIndexKey)
+	r.Directory.Set, _ = l.readUint64(clusterGenerationKey)
+	if name, err := l.readValue(clusterNameKey); err == nil {
 		r.Directory.Name = string(name)
 	}
-	votes, _ := l.number(votesKey)
-	r.Directory.Term, r.Directory.Last, r.Voter = r.Found.Term, r.Found.LastIndex, r.Directory.Joined == 0 || votes == 1
-	if r.Remembers, err = f.Marks(); err != nil {
-		return damaged(err)
+	voter, _ := l.readUint64(voterKey)
+	r.Directory.Term, r.Directory.Last, r.Voter = r.LogSummary.Term, r.LogSummary.LastIndex, r.Directory.Joined == 0 || voter == 1
+	if r.PeerDirectories, err = f.PeerDirectories(); err != nil {
+		return corrupt(err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, snapshotsDir)); err != nil {
 		return r, nil
 	}
-	snap, err := raft.NewFileSnapshotStore(dir, keepSnapshots, io.Discard)
+	snapshots, err := raft.NewFileSnapshotStore(dir, maxSnapshots, io.Discard)
 	if err != nil {
 		return r, err
 	}
-	all, err := snap.List()
+	listed, err := snapshots.List()
 	if err != nil {
 		return r, err
 	}
-	for _, m := range all {
+	for _, m := range listed {
 		r.Snapshots = append(r.Snapshots, Snapshot{m.ID, m.Index, m.Term, m.Size})
 	}
-	last, err := checkSnapshots(dir, snap)
+	snapshotIndex, err := checkSnapshots(dir, snapshots)
 	if err != nil {
-		return damaged(err)
+		return corrupt(err)
 	}
-	r.Directory.Last = max(r.Directory.Last, last)
+	r.Directory.Last = max(r.Directory.Last, snapshotIndex)
 	return r, nil
 }
 
-// ReadEntries calls look for the entries of a data directory from index from to index to, and stops at the first corrupt one.
-func ReadEntries(dir string, from, to uint64, look func(*raft.Log)) error {
-	l := &Log{path: filepath.Join(dir, File)}
+// ReadEntries calls visit for the entries of a data directory from index from to index to, and stops at the first corrupt one.
+func ReadEntries(dir string, from, to uint64, visit func(*raft.Log)) error {
+	l := &Log{path: filepath.Join(dir, FileName)}
 	if _, err := os.Stat(l.path); err != nil {
 		return fmt.Errorf("disk: %w", err)
 	}
@@ -362,15 +363,15 @@
 		return err
 	}
 	defer l.db.Close()
-	return guard(l.path, "the file", func() error {
+	return recoverCorruption(l.path, "the file", func() error {
 		return l.db.View(func(tx *bbolt.Tx) error {
-			c := tx.Bucket(logs).Cursor()
-			for k, v := c.Seek(number(from)); len(k) == 8 && binary.BigEndian.Uint64(k) <= to; k, v = c.Next() {
+			c := tx.Bucket(logsBucket).Cursor()
+			for k, v := c.Seek(encodeUint64(from)); len(k) == 8 && binary.BigEndian.Uint64(k) <= to; k, v = c.Next() {
 				var e raft.Log
-				if err := l.decode(k, v, &e); err != nil {
+				if err := l.decodeEntry(k, v, &e); err != nil {
 					return err
 				}
-				look(&e)
+				visit(&e)
 			}
 			return nil
 		})
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -11,23 +11,23 @@
 	"puffinsaddle/internal/state"
 )
 
-// machine is raft's state machine: it applies committed log entries to the replicated state, one at a time.
-type machine struct {
-	mu      sync.Mutex
-	state   *state.State
-	index   uint64 // of the last applied entry
-	changed chan struct{}
-	watch   func(index, term uint64, c state.Command, r state.Result) // optional; called for each entry, in log order
-	plant   string
-	digest  admit.Digest
+// stateMachine is raft's state machine: it applies committed log entries to the replicated state, one at a time.
+type stateMachine struct {
+	mu          sync.Mutex
+	state       *state.State
+	index       uint64 // of the last applied entry
+	changed     chan struct{}
+	onApply     func(index, term uint64, c state.Command, r state.Result) // optional; called for each entry, in log order
+	injectedBug string
+	digest      admit.Digest
 }
 
-func newMachine() *machine {
-	return &machine{state: state.New(), changed: make(chan struct{})}
+func newStateMachine() *stateMachine {
+	return &stateMachine{state: state.New(), changed: make(chan struct{})}
 }
 
 // Apply executes a committed command and returns a state.Result.
-func (m *machine) Apply(l *raft.Log) any {
+func (m *stateMachine) Apply(l *raft.Log) any {
 	var c state.Command
 	var r state.Result
 	err := json.Unmarshal(l.Data, &c)
@@ -42,46 +42,46 @@
 		}
 	}
 	m.index = l.Index
-	if m.watch != nil {
-		m.watch(l.Index, l.Term, c, r)
+	if m.onApply != nil {
+		m.onApply(l.Index, l.Term, c, r)
 	}
-	m.tell()
+	m.notifyChanged()
 	return r
 }
 
-// looked returns the digest computed by the latest Compare command.
-func (m *machine) looked() admit.Digest {
+// latestDigest returns the digest computed by the latest Compare command.
+func (m *stateMachine) latestDigest() admit.Digest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.digest
 }
 
-// clear resets the state machine when its data directory is replaced by an empty one.
-func (m *machine) clear() {
+// reset discards the state when the data directory is replaced by an empty one.
+func (m *stateMachine) reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state, m.index, m.digest = state.New(), 0, admit.Digest{}
-	m.state.Plant = m.plant
-	m.tell()
+	m.state.Plant = m.injectedBug
+	m.notifyChanged()
 }
 
-func (m *machine) tell() {
+func (m *stateMachine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// kept is a point-in-time copy of the state that raft writes to a snapshot.
-type kept struct{ *state.Kept }
+// persistedState is a point-in-time copy of the state that raft writes to a snapshot.
+type persistedState struct{ *state.Kept }
 
 // Snapshot copies the state so that it can be persisted while further commands are applied.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return kept{m.state.Keep()}, nil
+	return persistedState{m.state.Keep()}, nil
 }
 
 // Restore replaces the state with that of a snapshot.
-func (m *machine) Restore(r io.ReadCloser) error {
+func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	b, err := io.ReadAll(r)
 	if err != nil {
@@ -93,14 +93,14 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.Plant = m.plant
+	s.Plant = m.injectedBug
 	m.state = s
-	m.tell()
+	m.notifyChanged()
 	return nil
 }
 
 // Persist writes the snapshot to sink as JSON.
-func (k kept) Persist(sink raft.SnapshotSink) error {
+func (k persistedState) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(k.Kept); err != nil {
 		sink.Cancel()
 		return err
@@ -109,4 +109,4 @@
 }
 
 // Release implements raft.FSMSnapshot; there is nothing to free.
-func (kept) Release() {}
+func (persistedState) Release() {}
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -7,46 +7,46 @@
 	"github.com/hashicorp/raft"
 )
 
-var errNoVote = errors.New("store: this replica is not a voter yet")
+var errNotVoter = errors.New("store: this replica is not a voter yet")
 
-// gate is a raft transport that blocks voting RPCs in both directions while the replica is not a voter. raft itself goes by
-// the latest configuration it has read, and a rejoined replica first replays old configurations, in which it was a voter
-// although it has lost the votes it cast then.
-type gate struct {
+// voteFilter is a raft transport that blocks voting RPCs in both directions while the replica is not a voter. raft itself goes
+// by the latest configuration it has read, and a rejoined replica first replays old configurations: in these it is a voter,
+// although it no longer knows the votes it cast then.
+type voteFilter struct {
 	*raft.NetworkTransport
-	votes func() bool
-	rpcs  chan raft.RPC
-	over  chan struct{}
-	once  sync.Once
+	isVoter   func() bool
+	rpcs      chan raft.RPC
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-func newGate(t *raft.NetworkTransport, votes func() bool) *gate {
-	g := &gate{NetworkTransport: t, votes: votes, rpcs: make(chan raft.RPC), over: make(chan struct{})}
+func newVoteFilter(t *raft.NetworkTransport, isVoter func() bool) *voteFilter {
+	g := &voteFilter{NetworkTransport: t, isVoter: isVoter, rpcs: make(chan raft.RPC), done: make(chan struct{})}
 	go g.run()
 	return g
 }
 
-func (g *gate) run() {
+func (g *voteFilter) run() {
 	for {
 		select {
 		case rpc := <-g.NetworkTransport.Consumer():
-			if answer := forVoters(rpc.Command); answer != nil && !g.votes() {
-				rpc.Respond(answer, errNoVote)
+			if response := emptyVotingResponse(rpc.Command); response != nil && !g.isVoter() {
+				rpc.Respond(response, errNotVoter)
 				continue
 			}
 			select {
 			case g.rpcs <- rpc:
-			case <-g.over:
+			case <-g.done:
 				return
 			}
-		case <-g.over:
+		case <-g.done:
 			return
 		}
 	}
 }
 
-// forVoters returns an empty response of the matching type for RPCs that only voters may handle, and nil for all others.
-func forVoters(command any) any {
+// emptyVotingResponse returns an empty response of the matching type for RPCs that only voters may handle, and nil for all others.
+func emptyVotingResponse(command any) any {
 	header := raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax}
 	switch command.(type) {
 	case *raft.RequestVoteRequest:
@@ -60,26 +60,26 @@
 }
 
 // Consumer returns the channel of incoming RPCs that passed the filter.
-func (g *gate) Consumer() <-chan raft.RPC { return g.rpcs }
+func (g *voteFilter) Consumer() <-chan raft.RPC { return g.rpcs }
 
 // RequestVote requests a vote from a peer. A non-voter sends no such request, so it never takes part in an election.
-func (g *gate) RequestVote(id raft.ServerID, at raft.ServerAddress, in *raft.RequestVoteRequest, out *raft.RequestVoteResponse) error {
-	if !g.votes() {
-		return errNoVote
+func (g *voteFilter) RequestVote(id raft.ServerID, address raft.ServerAddress, in *raft.RequestVoteRequest, out *raft.RequestVoteResponse) error {
+	if !g.isVoter() {
+		return errNotVoter
 	}
-	return g.NetworkTransport.RequestVote(id, at, in, out)
+	return g.NetworkTransport.RequestVote(id, address, in, out)
 }
 
 // RequestPreVote asks a peer whether it would grant a vote; a non-voter sends no such request.
-func (g *gate) RequestPreVote(id raft.ServerID, at raft.ServerAddress, in *raft.RequestPreVoteRequest, out *raft.RequestPreVoteResponse) error {
-	if !g.votes() {
-		return errNoVote
+func (g *voteFilter) RequestPreVote(id raft.ServerID, address raft.ServerAddress, in *raft.RequestPreVoteRequest, out *raft.RequestPreVoteResponse) error {
+	if !g.isVoter() {
+		return errNotVoter
 	}
-	return g.NetworkTransport.RequestPreVote(id, at, in, out)
+	return g.NetworkTransport.RequestPreVote(id, address, in, out)
 }
 
 // Close closes the transport and its stream layer.
-func (g *gate) Close() error {
-	g.once.Do(func() { close(g.over) })
+func (g *voteFilter) Close() error {
+	g.closeOnce.Do(func() { close(g.done) })
 	return g.NetworkTransport.Close()
 }
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	reportEvery = 250.0           // ms between two claims to each peer, and between two passes of the decision loop
-	wordFor     = 3 * time.Second // for the response to a claim; a leader first confirms its leadership
-	claimIdle   = 5 * time.Second // an idle claim connection is closed after this
-	mostClaim   = 4 << 10         // bytes
-	mostClaims  = 64              // claim connections served at once
-	mostStatus  = 64 << 10        // bytes
-	changeFor   = 2 * time.Second // for a membership change to be written
-	hearFor     = 500.0           // ms to wait for responses of all peers before fewer suffice
-	compareEach = 1000.0          // ms, default of Options.CompareIntervalMS
-	compareWait = 2000.0          // ms more to wait for a replica that has not reported its digest
+	claimIntervalMS          = 250.0           // between two claims to each peer, and between two passes of the decision loop
+	responseTimeout          = 3 * time.Second // for the response to a claim; a leader first confirms its leadership
+	claimIdleTimeout         = 5 * time.Second // an idle claim connection is closed after this
+	maxClaimBytes            = 4 << 10
+	maxClaimConnections      = 64 // claim connections served at once
+	maxStatusBytes           = 64 << 10
+	membershipChangeTimeout  = 2 * time.Second // for a membership change to be written
+	allPeersWaitMS           = 500.0           // for responses of all peers, before fewer suffice
+	defaultCompareIntervalMS = 1000.0          // of Options.CompareIntervalMS
+	compareGraceMS           = 2000.0          // longer, for a replica that has not reported its digest
 )
 
 // Phases of a node, as they appear in Status.
@@ -38,237 +38,237 @@
 	PhaseStopped   = "stopped" // does not participate until the process is restarted
 )
 
-// tell sets the phase and its reason. The caller holds s.mu.
-func (s *Store) tell(phase, why string) {
-	if s.phase != phase || s.why != why {
+// setPhase sets the phase and its reason. The caller holds s.mu.
+func (s *Store) setPhase(phase, reason string) {
+	if s.phase != phase || s.phaseReason != reason {
 		e := s.o.Events.Info()
 		if phase == PhaseRejoining || phase == PhaseStopped {
 			e = s.o.Events.Error()
 		}
-		e.Str("copy", s.o.ID).Str("phase", phase).Str("why", why).Msg("store replica changed phase")
+		e.Str("copy", s.o.ID).Str("phase", phase).Str("why", reason).Msg("store replica changed phase")
 	}
 	if s.o.OnPhaseChange != nil && s.phase != phase {
-		s.o.OnPhaseChange(phase, why)
+		s.o.OnPhaseChange(phase, reason)
 	}
-	s.phase, s.why = phase, why
-	close(s.news)
-	s.news = make(chan struct{})
+	s.phase, s.phaseReason = phase, reason
+	close(s.phaseChanged)
+	s.phaseChanged = make(chan struct{})
 }
 
-// seek starts sending claims to all peers, and the loop that decides on their responses.
-func (s *Store) seek() {
-	for id, at := range s.o.Peers {
+// startVerification starts sending claims to all peers, and the loop that decides on their responses.
+func (s *Store) startVerification() {
+	for id, address := range s.o.Peers {
 		if id != s.o.ID {
-			go s.report(id, at)
+			go s.sendClaims(id, address)
 		}
 	}
-	go s.decide()
+	go s.runDecisionLoop()
 }
 
-// pause waits for ms on the steady clock, until news is closed or receives, or until the node is closed.
-func (s *Store) pause(ms float64, news <-chan struct{}) {
-	late := make(chan struct{})
-	t := s.o.Steady.After(ms, func() { close(late) })
+// waitMS waits for ms milliseconds on the steady clock, until changed is closed or receives, or until the node is closed.
+func (s *Store) waitMS(ms float64, changed <-chan struct{}) {
+	elapsed := make(chan struct{})
+	t := s.o.Steady.After(ms, func() { close(elapsed) })
 	defer t.Stop()
 	select {
-	case <-late:
-	case <-news:
+	case <-elapsed:
+	case <-changed:
 	case <-s.ctx.Done():
 	}
 }
 
-// report sends claims to one peer until the node is closed.
-func (s *Store) report(id, at string) {
+// sendClaims sends claims to one peer until the node is closed.
+func (s *Store) sendClaims(id, address string) {
 	for s.ctx.Err() == nil {
-		if conn, err := s.layer.dial(at, forClaims, writeFor); err == nil {
+		if conn, err := s.mux.dial(address, purposeClaims, writeTimeout); err == nil {
 			stop := context.AfterFunc(s.ctx, func() { conn.Close() })
-			s.tellOf(conn, id)
+			s.exchangeClaims(conn, id)
 			stop()
 			conn.Close()
 		}
-		s.pause(reportEvery, nil)
+		s.waitMS(claimIntervalMS, nil)
 	}
 }
 
-// tellOf sends claims over one connection and passes the responses to the joiner.
-func (s *Store) tellOf(conn net.Conn, id string) {
-	r := frame.NewReader(conn, wordFor, mostClaim)
+// exchangeClaims sends claims over one connection and passes the responses to the joiner.
+func (s *Store) exchangeClaims(conn net.Conn, id string) {
+	r := frame.NewReader(conn, responseTimeout, maxClaimBytes)
 	for s.ctx.Err() == nil {
 		s.mu.Lock()
-		news := s.news
-		c := s.claim()
+		changed := s.phaseChanged
+		c := s.currentClaim()
 		s.mu.Unlock()
-		if frame.Send(conn, c, mostClaim) != nil {
+		if frame.Send(conn, c, maxClaimBytes) != nil {
 			return
 		}
-		var w admit.Word
-		if r.Next(&w) != nil || w.From != id {
+		var response admit.Word
+		if r.Next(&response) != nil || response.From != id {
 			return
 		}
 		s.mu.Lock()
-		if s.seeker.Claim.Folder == c.Folder && s.seeker.Rejoin == c.Rejoin { // otherwise the response belongs to an earlier claim
-			s.seeker.Take(w)
+		if s.joiner.Claim.Folder == c.Folder && s.joiner.Rejoin == c.Rejoin { // otherwise the response belongs to an earlier claim
+			s.joiner.Take(response)
 		}
 		s.mu.Unlock()
-		s.wake()
-		s.pause(reportEvery, news)
+		s.wakeDecisionLoop()
+		s.waitMS(claimIntervalMS, changed)
 	}
 }
 
-func (s *Store) wake() {
+func (s *Store) wakeDecisionLoop() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.decisionDue <- struct{}{}:
 	default:
 	}
 }
 
-// claim returns the node's current claim. The caller holds s.mu.
-func (s *Store) claim() admit.Claim {
-	if r := s.now.Load(); r != nil {
+// currentClaim returns the node's current claim. The caller holds s.mu.
+func (s *Store) currentClaim() admit.Claim {
+	if r := s.active.Load(); r != nil {
 		// The term is read first: an index reported with an earlier term already existed in that term.
-		s.seeker.Term, s.seeker.Last = r.raft.CurrentTerm(), r.raft.LastIndex()
-		s.seeker.Digest = s.machine.looked()
+		s.joiner.Term, s.joiner.Last = r.raft.CurrentTerm(), r.raft.LastIndex()
+		s.joiner.Digest = s.fsm.latestDigest()
 	}
-	return s.seeker.Claim
+	return s.joiner.Claim
 }
 
-// decide starts or stops the node's participation according to its peers' responses. On the leader it also manages which
-// replicas are voters, and compares their state.
-func (s *Store) decide() {
+// runDecisionLoop starts or stops the node's participation according to its peers' responses. On the leader it also manages
+// which replicas are voters, and compares their state.
+func (s *Store) runDecisionLoop() {
 	for s.ctx.Err() == nil {
-		s.turn()
-		s.keep()
-		if r := s.now.Load(); r != nil {
-			s.given(r)
+		s.decide()
+		s.savePeersIfChanged()
+		if r := s.active.Load(); r != nil {
+			s.recordRegainedVote(r)
 			if _, leads := s.Leadership(); leads {
-				s.lead(r)
-				s.compare(r)
+				s.updateVoters(r)
+				s.compareDigests(r)
 			}
 		}
-		s.pause(reportEvery, s.kick)
+		s.waitMS(claimIntervalMS, s.decisionDue)
 	}
 }
 
-// turn makes one decision on the peers' responses and carries it out.
-func (s *Store) turn() {
+// decide makes one decision on the peers' responses and carries it out.
+func (s *Store) decide() {
 	s.mu.Lock()
 	phase := s.phase
-	s.seeker.Waited = s.o.Steady.Now() > s.began+hearFor
-	d, why := s.seeker.Decide()
-	joined := s.seeker.JoinedAt()
-	if phase == PhaseVerifying && d == admit.Wait && s.why != why {
-		s.tell(PhaseVerifying, why)
+	s.joiner.Waited = s.o.Steady.Now() > s.verificationStartMS+allPeersWaitMS
+	d, reason := s.joiner.Decide()
+	joinState := s.joiner.JoinedAt()
+	if phase == PhaseVerifying && d == admit.Wait && s.phaseReason != reason {
+		s.setPhase(PhaseVerifying, reason)
 	}
 	s.mu.Unlock()
 	if phase == PhaseStopped {
 		return
 	}
-	runs := phase == PhaseRunning
+	running := phase == PhaseRunning
 	var err error
 	switch {
 	case d == admit.Leave:
-		err = errors.Join(errors.New(why), s.stop(false))
+		err = errors.Join(errors.New(reason), s.stopParticipating(false))
 	case d == admit.Rejoin:
-		if err = s.stop(false); err == nil {
-			s.ask(why)
+		if err = s.stopParticipating(false); err == nil {
+			s.requestRejoin(reason)
 		}
 	case d == admit.Renew:
-		err = s.renew(joined)
-	case d == admit.Start && !runs:
-		err = s.start(nil)
-	case d == admit.Begin && !runs:
+		err = s.replaceDirectory(joinState)
+	case d == admit.Start && !running:
+		err = s.participate(nil)
+	case d == admit.Begin && !running:
 		s.mu.Lock()
-		s.witness.Know(s.seeker.Folders())
-		f, name := s.folder, s.seeker.NewName()
-		s.seeker.Name = name
+		s.verifier.Know(s.joiner.Folders())
+		f, name := s.directory, s.joiner.NewName()
+		s.joiner.Name = name
 		s.mu.Unlock()
-		if err = s.remember(); err == nil {
-			err = f.Named(name)
+		if err = s.savePeers(); err == nil {
+			err = f.RecordClusterName(name)
 		}
 		if err == nil {
-			err = s.start(s.o.Peers)
+			err = s.participate(s.o.Peers)
 		}
 	}
 	if err != nil {
 		s.mu.Lock()
-		s.tell(PhaseStopped, err.Error())
+		s.setPhase(PhaseStopped, err.Error())
 		s.mu.Unlock()
 	}
 }
 
-// ask makes the node request to rejoin.
-func (s *Store) ask(why string) {
+// requestRejoin makes the node request to rejoin.
+func (s *Store) requestRejoin(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seeker.Rejoin, s.seeker.Runs = why, false
-	s.seeker.Forget()
-	s.tell(PhaseRejoining, why)
+	s.joiner.Rejoin, s.joiner.Runs = reason, false
+	s.joiner.Forget()
+	s.setPhase(PhaseRejoining, reason)
 }
 
-// renew quarantines the data directory and continues with an empty one, as a non-voter.
-func (s *Store) renew(joined admit.Mark) error {
+// replaceDirectory quarantines the data directory and continues with an empty one, as a non-voter.
+func (s *Store) replaceDirectory(joinState admit.Mark) error {
 	s.mu.Lock()
-	f := s.folder
+	f := s.directory
 	s.mu.Unlock()
 	if f != nil {
 		if err := f.Close(); err != nil {
 			return err
 		}
 	}
-	to, err := disk.SetAside(s.o.Dir)
+	quarantined, err := disk.Quarantine(s.o.Dir)
 	if err != nil {
 		return err
 	}
-	s.machine.clear()
-	damage, err := s.open(joined)
-	if err = errors.Join(damage, err); err != nil {
+	s.fsm.reset()
+	corruption, err := s.openDirectory(joinState)
+	if err = errors.Join(corruption, err); err != nil {
 		return err
 	}
-	s.o.Events.Warn().Str("copy", s.o.ID).Str("aside", to).Uint64("joined", joined.Joined).Msg("rejoins with an empty data directory")
+	s.o.Events.Warn().Str("copy", s.o.ID).Str("aside", quarantined).Uint64("joined", joinState.Joined).Msg("rejoins with an empty data directory")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tell(PhaseVerifying, "rejoined as a non-voter")
+	s.setPhase(PhaseVerifying, "rejoined as a non-voter")
 	return nil
 }
 
-// failed is called when the disk log stops after an error. After corruption a node with peers
-// requests to rejoin; after any other error it stops.
-func (s *Store) failed(why error) {
-	err := s.stop(false)
+// diskFailed is called when the disk log stops after an error. After corruption a node with peers requests to rejoin; after any
+// other error it stops.
+func (s *Store) diskFailed(cause error) {
+	err := s.stopParticipating(false)
 	if s.ctx.Err() != nil {
 		return
 	}
-	if bad := (*disk.Damage)(nil); errors.As(why, &bad) && err == nil && len(s.o.Peers) > 1 {
-		s.ask(bad.Error())
+	if corruption := (*disk.CorruptionError)(nil); errors.As(cause, &corruption) && err == nil && len(s.o.Peers) > 1 {
+		s.requestRejoin(corruption.Error())
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tell(PhaseStopped, errors.Join(why, err).Error())
+	s.setPhase(PhaseStopped, errors.Join(cause, err).Error())
 }
 
-// given records that the node has become a voter again: it has applied all entries up to its join index, and its latest
-// configuration lists it as a voter, so that configuration was written after it joined.
-func (s *Store) given(r *running) {
-	joined := r.folder.Mark().Joined
-	if r.votes.Load() || r.raft.AppliedIndex() <= joined {
+// recordRegainedVote records that the node has become a voter again: it has applied all entries up to its join index, and its
+// latest configuration lists it as a voter, so that configuration was written after it joined.
+func (s *Store) recordRegainedVote(r *participation) {
+	joinIndex := r.directory.State().Joined
+	if r.voter.Load() || r.raft.AppliedIndex() <= joinIndex {
 		return
 	}
 	for _, m := range r.raft.GetConfiguration().Configuration().Servers {
-		if string(m.ID) == s.o.ID && m.Suffrage == raft.Voter && r.folder.Voter() == nil {
-			r.votes.Store(true)
-			s.o.Events.Info().Str("copy", s.o.ID).Uint64("joined", joined).Msg("caught up and is a voter again")
+		if string(m.ID) == s.o.ID && m.Suffrage == raft.Voter && r.directory.RecordVoter() == nil {
+			r.voter.Store(true)
+			s.o.Events.Info().Str("copy", s.o.ID).Uint64("joined", joinIndex).Msg("caught up and is a voter again")
 		}
 	}
 }
 
-// compare makes all replicas compute a digest of one partition of their state at intervals, and compares the digests of the
-// previous partition.
-func (s *Store) compare(r *running) {
-	now := s.o.Steady.Now()
+// compareDigests makes all replicas compute a digest of one partition of their state at intervals, and compares the digests of
+// the previous partition.
+func (s *Store) compareDigests(r *participation) {
+	nowMS := s.o.Steady.Now()
 	s.mu.Lock()
-	mine, voters := s.machine.looked(), 0
-	of, late := map[string]admit.Digest{s.o.ID: mine}, false
+	ownDigest, voters := s.fsm.latestDigest(), 0
+	digests, lagging := map[string]admit.Digest{s.o.ID: ownDigest}, false
 	for _, m := range r.raft.GetConfiguration().Configuration().Servers {
 		if m.Suffrage != raft.Voter {
 			continue
@@ -277,59 +277,59 @@
 		if string(m.ID) == s.o.ID {
 			continue
 		}
-		if c, live := s.witness.Latest(string(m.ID), now); live && c.Runs {
-			of[string(m.ID)] = c.Digest
-			late = late || c.Digest.At != mine.At
+		if c, live := s.verifier.Latest(string(m.ID), nowMS); live && c.Runs {
+			digests[string(m.ID)] = c.Digest
+			lagging = lagging || c.Digest.At != ownDigest.At
 		}
 	}
-	odd, split := admit.Differ(mine.At, of, voters)
-	for _, id := range odd {
-		s.witness.Suspect(id)
+	divergent, split := admit.Differ(ownDigest.At, digests, voters)
+	for _, id := range divergent {
+		s.verifier.Suspect(id)
 	}
-	due := now >= s.compareAt && !late || now >= s.compareAt+compareWait
+	due := nowMS >= s.nextCompareMS && !lagging || nowMS >= s.nextCompareMS+compareGraceMS
 	if due {
-		s.compareAt, s.part = now+s.o.CompareIntervalMS, s.part+1
+		s.nextCompareMS, s.partition = nowMS+s.o.CompareIntervalMS, s.partition+1
 	}
-	part := s.part
+	partition := s.partition
 	s.mu.Unlock()
-	if split && !s.halted.Swap(true) {
-		s.o.Events.Error().Uint64("at", mine.At).Uint64("part", mine.Part).Msg("replicas differ and no state has a majority: no further effects are begun")
+	if split && !s.effectsHalted.Swap(true) {
+		s.o.Events.Error().Uint64("at", ownDigest.At).Uint64("part", ownDigest.Part).Msg("replicas differ and no state has a majority: no further effects are begun")
 	}
-	for _, id := range odd {
-		s.o.Events.Error().Str("copy", id).Uint64("at", mine.At).Uint64("part", mine.Part).Msg("replica state differs from the majority")
+	for _, id := range divergent {
+		s.o.Events.Error().Str("copy", id).Uint64("at", ownDigest.At).Uint64("part", ownDigest.Part).Msg("replica state differs from the majority")
 		if id == s.o.ID {
-			if err := s.stop(true); err == nil {
-				s.ask("the state of this replica differs from that of a majority")
+			if err := s.stopParticipating(true); err == nil {
+				s.requestRejoin("the state of this replica differs from that of a majority")
 			} else {
-				s.failed(err)
+				s.diskFailed(err)
 			}
 			return
 		}
 	}
 	if due {
-		s.Propose(state.Command{Op: state.Compare, Seq: part}) // the result is not awaited: claims carry the digests
+		s.Propose(state.Command{Op: state.Compare, Seq: partition}) // the result is not awaited: claims carry the digests
 	}
 }
 
-// lead demotes voters that request to rejoin, and promotes non-voters that have caught up.
-func (s *Store) lead(r *running) {
+// updateVoters demotes voters that request to rejoin, and promotes non-voters that have caught up.
+func (s *Store) updateVoters(r *participation) {
 	s.mu.Lock()
-	asks := s.witness.Asks(s.o.Steady.Now())
+	rejoining := s.verifier.Asks(s.o.Steady.Now())
 	s.mu.Unlock()
 	for _, m := range r.raft.GetConfiguration().Configuration().Servers {
 		id := string(m.ID)
 		switch {
 		case id == s.o.ID:
-		case m.Suffrage == raft.Voter && slices.Contains(asks, id):
-			err := r.raft.DemoteVoter(m.ID, 0, changeFor).Error()
+		case m.Suffrage == raft.Voter && slices.Contains(rejoining, id):
+			err := r.raft.DemoteVoter(m.ID, 0, membershipChangeTimeout).Error()
 			s.o.Events.Warn().Str("copy", id).Err(err).Msg("demoted to non-voter until it has caught up")
 		case m.Suffrage != raft.Voter:
 			s.mu.Lock()
-			ready := s.promote[id]
-			delete(s.promote, id)
+			ready := s.caughtUp[id]
+			delete(s.caughtUp, id)
 			s.mu.Unlock()
-			if ready && r.folder.Shared() == nil {
-				err := r.raft.AddVoter(m.ID, m.Address, 0, changeFor).Error()
+			if ready && r.directory.RecordSecondVoter() == nil {
+				err := r.raft.AddVoter(m.ID, m.Address, 0, membershipChangeTimeout).Error()
 				s.o.Events.Info().Str("copy", id).Err(err).Msg("caught up and promoted to voter")
 			}
 		}
@@ -339,17 +339,17 @@
 // serveClaims answers the claims of one peer.
 func (s *Store) serveClaims(conn net.Conn) {
 	defer conn.Close()
-	defer s.claims.Add(-1)
-	if s.claims.Add(1) > mostClaims {
+	defer s.claimConnections.Add(-1)
+	if s.claimConnections.Add(1) > maxClaimConnections {
 		return
 	}
-	no, id := s.conns.Add(1), ""
+	connID, id := s.claimConnIDs.Add(1), ""
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.witness.Gone(id, no)
+		s.verifier.Gone(id, connID)
 	}()
-	r := frame.NewReader(conn, claimIdle, mostClaim)
+	r := frame.NewReader(conn, claimIdleTimeout, maxClaimBytes)
 	for s.ctx.Err() == nil {
 		var c admit.Claim
 		if err := r.Next(&c); err != nil {
@@ -361,60 +361,60 @@
 		if c.ID != id || s.o.Peers[c.ID] == "" || c.ID == s.o.ID || len(c.Folder)+len(c.Proc)+len(c.Name) > 96 {
 			return // not one of this node's peers
 		}
-		w, err := s.hear(no, c)
-		if err != nil || frame.Send(conn, w, mostClaim) != nil {
+		response, err := s.handleClaim(connID, c)
+		if err != nil || frame.Send(conn, response, maxClaimBytes) != nil {
 			return
 		}
 	}
 }
 
-// hear verifies a claim and, on the leader, tracks how far a non-voter has caught up.
-func (s *Store) hear(conn uint64, c admit.Claim) (admit.Word, error) {
-	v, m, r := s.view(c.ID)
+// handleClaim verifies a claim and, on the leader, tracks how far a non-voter has caught up.
+func (s *Store) handleClaim(connID uint64, c admit.Claim) (admit.Word, error) {
+	v, m, r := s.clusterView(c.ID)
 	_, leads := s.Leadership()
 	s.mu.Lock()
-	w, keep := s.witness.Hear(s.o.Steady.Now(), conn, c, v)
-	s.dirty = s.dirty || !keep
-	learns := leads && v.Of[c.ID] != (admit.Member{}) && !m.Votes && w.Verdict != admit.Elsewhere && w.Verdict != admit.Stranger
-	if learns && w.Verdict == admit.Good && c.Rejoin == "" {
+	w, persist := s.verifier.Hear(s.o.Steady.Now(), connID, c, v)
+	s.peersChanged = s.peersChanged || !persist
+	isLearner := leads && v.Of[c.ID] != (admit.Member{}) && !m.Votes && w.Verdict != admit.Elsewhere && w.Verdict != admit.Stranger
+	if isLearner && w.Verdict == admit.Good && c.Rejoin == "" {
 		l := s.learners[c.ID]
 		if l == nil {
 			l = &admit.Learner{}
 			s.learners[c.ID] = l
 		}
 		if l.Report(c, v.Last) {
-			s.promote[c.ID] = true
+			s.caughtUp[c.ID] = true
 		}
 	} else {
 		delete(s.learners, c.ID)
-		delete(s.promote, c.ID)
+		delete(s.caughtUp, c.ID)
 	}
 	s.mu.Unlock()
-	if keep {
-		if err := s.remember(); err != nil {
+	if persist {
+		if err := s.savePeers(); err != nil {
 			return w, err
 		}
 	}
-	s.wake()
-	if learns && c.Rejoin != "" {
+	s.wakeDecisionLoop()
+	if isLearner && c.Rejoin != "" {
 		// Only committed changes count: a later committed entry proves that the demotion is committed.
-		if err := r.raft.Barrier(writeFor).Error(); err == nil {
+		if err := r.raft.Barrier(writeTimeout).Error(); err == nil {
 			w.Joined = v.Last
 		}
 	}
 	return w, nil
 }
 
-// view returns what this node knows of the cluster, and of the member with the given id.
-func (s *Store) view(id string) (v admit.View, m admit.Member, r *running) {
-	r = s.now.Load()
+// clusterView returns what this node knows of the cluster, and of the member with the given id.
+func (s *Store) clusterView(id string) (v admit.View, m admit.Member, r *participation) {
+	r = s.active.Load()
 	if r == nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return admit.View{Begun: s.folder == nil || !s.seeker.Fresh || s.seeker.Joined > 0, Last: s.seeker.Last, Folder: s.seeker.Folder, Set: s.seeker.Set, Name: s.seeker.Name}, m, nil
+		return admit.View{Begun: s.directory == nil || !s.joiner.Fresh || s.joiner.Joined > 0, Last: s.joiner.Last, Folder: s.joiner.Folder, Set: s.joiner.Set, Name: s.joiner.Name}, m, nil
 	}
-	own := r.folder.Mark()
-	v.Folder, v.Set, v.Name = own.Folder, own.Set, own.Name
+	directory := r.directory.State()
+	v.Folder, v.Set, v.Name = directory.Folder, directory.Set, directory.Name
 	v.Last = r.raft.LastIndex() // read before the configuration: any later promotion to voter has a higher index
 	v.Begun, v.Of = v.Last > 0, map[string]admit.Member{}
 	for _, c := range r.raft.GetConfiguration().Configuration().Servers {
@@ -423,28 +423,28 @@
 	return v, v.Of[id], r
 }
 
-// keep saves the known peers if they have changed.
-func (s *Store) keep() {
+// savePeersIfChanged saves the known peers if they have changed.
+func (s *Store) savePeersIfChanged() {
 	s.mu.Lock()
-	dirty := s.dirty
+	dirty := s.peersChanged
 	s.mu.Unlock()
 	if dirty {
-		s.remember()
+		s.savePeers()
 	}
 }
 
-// remember writes the known peers to the data directory.
-func (s *Store) remember() error {
-	s.keeping.Lock()
-	defer s.keeping.Unlock()
+// savePeers writes the known peers to the data directory.
+func (s *Store) savePeers() error {
+	s.savePeersMu.Lock()
+	defer s.savePeersMu.Unlock()
 	s.mu.Lock()
-	f, marks := s.folder, maps.Clone(s.witness.Marks)
-	s.dirty = false
+	f, peers := s.directory, maps.Clone(s.verifier.Marks)
+	s.peersChanged = false
 	s.mu.Unlock()
 	if f == nil {
 		return nil // not a voter, and its responses do not count without a directory that records them
 	}
-	return f.Remember(marks)
+	return f.RecordPeerDirectories(peers)
 }
 
 // Status describes a replica.
@@ -474,22 +474,22 @@
 
 // Status returns the node's current status.
 func (s *Store) Status() Status {
-	v, _, r := s.view(s.o.ID)
+	v, _, r := s.clusterView(s.o.ID)
 	term, leads := s.Leadership()
 	st := Status{ID: s.o.ID, Addr: s.Addr(), Leader: s.Leader(), IsLeader: leads}
 	if r != nil {
-		st.Voter, st.Applied = r.votes.Load(), r.raft.AppliedIndex()
+		st.Voter, st.Applied = r.voter.Load(), r.raft.AppliedIndex()
 	}
-	now := s.o.Steady.Now()
+	nowMS := s.o.Steady.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st.Phase, st.Reason, st.Directory, st.Halted = s.phase, s.why, s.claim().Mark, s.halted.Load()
+	st.Phase, st.Reason, st.Directory, st.Halted = s.phase, s.phaseReason, s.currentClaim().Mark, s.effectsHalted.Load()
 	st.Directory.Term = max(st.Directory.Term, term)
 	for _, id := range slices.Sorted(maps.Keys(v.Of)) {
 		m := Member{ID: id, Addr: v.Of[id].Addr, Votes: v.Of[id].Votes, Alive: id == s.o.ID, Last: v.Last}
 		if id != s.o.ID {
 			var c admit.Claim
-			c, m.Alive = s.witness.Latest(id, now)
+			c, m.Alive = s.verifier.Latest(id, nowMS)
 			m.Last = c.Last
 			m.Lag = max(v.Last, c.Last) - c.Last
 		}
@@ -500,24 +500,24 @@
 
 func (s *Store) serveStatus(conn net.Conn) {
 	defer conn.Close()
-	frame.Send(conn, s.Status(), mostStatus)
+	frame.Send(conn, s.Status(), maxStatusBytes)
 }
 
 // QueryStatus requests the status of the replica at an address.
-func QueryStatus(ctx context.Context, at string) (st Status, err error) {
-	d := net.Dialer{Timeout: writeFor}
-	conn, err := d.DialContext(ctx, "tcp", at)
+func QueryStatus(ctx context.Context, address string) (st Status, err error) {
+	d := net.Dialer{Timeout: writeTimeout}
+	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return st, err
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if _, err = conn.Write([]byte{forStatus}); err == nil {
-		err = frame.NewReader(conn, wordFor, mostStatus).Next(&st)
+	if _, err = conn.Write([]byte{purposeStatus}); err == nil {
+		err = frame.NewReader(conn, responseTimeout, maxStatusBytes).Next(&st)
 	}
 	if err != nil {
-		return st, fmt.Errorf("store: status of %s: %w", at, err)
+		return st, fmt.Errorf("store: status of %s: %w", address, err)
 	}
 	return st, nil
 }
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -20,74 +20,74 @@
 	"puffinsaddle/internal/store/disk"
 )
 
-// site is a cluster of nodes on free ports.
-type site struct {
+// testCluster is a cluster of nodes on free ports.
+type testCluster struct {
 	t     *testing.T
 	peers map[string]string
 	dirs  map[string]string
-	up    map[string]*Store
+	nodes map[string]*Store
 
-	compare float64
+	compareIntervalMS float64
 }
 
-var sites atomic.Int32
+var testClusters atomic.Int32
 
-func newSite(t *testing.T, ids ...string) *site {
-	s := &site{t: t, peers: map[string]string{}, dirs: map[string]string{}, up: map[string]*Store{}}
+func newTestCluster(t *testing.T, ids ...string) *testCluster {
+	s := &testCluster{t: t, peers: map[string]string{}, dirs: map[string]string{}, nodes: map[string]*Store{}}
 	// Each cluster has a loopback address of its own: a port that a stopped node releases must not be taken by another connection.
-	host := fmt.Sprintf("127.%d.%d.%d", 32+os.Getpid()%64, os.Getpid()/64%250+1, sites.Add(1))
-	var open []net.Listener
+	host := fmt.Sprintf("127.%d.%d.%d", 32+os.Getpid()%64, os.Getpid()/64%250+1, testClusters.Add(1))
+	var listeners []net.Listener
 	for _, id := range ids {
 		ln, err := net.Listen("tcp", host+":0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		open = append(open, ln)
+		listeners = append(listeners, ln)
 		s.peers[id], s.dirs[id] = ln.Addr().String(), t.TempDir()
 	}
-	for _, ln := range open {
+	for _, ln := range listeners {
 		ln.Close()
 	}
 	t.Cleanup(func() {
-		for _, n := range s.up {
+		for _, n := range s.nodes {
 			n.Close()
 		}
 	})
 	return s
 }
 
-func (s *site) start(ids ...string) {
+func (s *testCluster) start(ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
-		n, err := Open(Options{ID: id, Listen: s.peers[id], Dir: s.dirs[id], Peers: maps.Clone(s.peers), CompareIntervalMS: s.compare})
+		n, err := Open(Options{ID: id, Listen: s.peers[id], Dir: s.dirs[id], Peers: maps.Clone(s.peers), CompareIntervalMS: s.compareIntervalMS})
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		s.up[id] = n
+		s.nodes[id] = n
 	}
 }
 
-func (s *site) stop(ids ...string) {
+func (s *testCluster) stop(ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
-		if err := s.up[id].Close(); err != nil {
+		if err := s.nodes[id].Close(); err != nil {
 			s.t.Fatal(err)
 		}
-		delete(s.up, id)
+		delete(s.nodes, id)
 	}
 }
 
-// is waits until a node's status satisfies want.
-func (s *site) is(id, what string, want func(Status) bool) Status {
+// waitStatus waits until a node's status satisfies want.
+func (s *testCluster) waitStatus(id, what string, want func(Status) bool) Status {
 	s.t.Helper()
-	late := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for {
-		st := s.up[id].Status()
+		st := s.nodes[id].Status()
 		if want(st) {
 			return st
 		}
-		if time.Now().After(late) {
-			for other, n := range s.up {
+		if time.Now().After(deadline) {
+			for other, n := range s.nodes {
 				s.t.Logf("%s: %+v", other, n.Status())
 			}
 			s.t.Fatalf("%s: %+v; %s", id, st, what)
@@ -96,39 +96,39 @@
 	}
 }
 
-func votes(st Status) bool { return st.Phase == PhaseRunning && st.Voter && st.Leader != "" }
+func isVoter(st Status) bool { return st.Phase == PhaseRunning && st.Voter && st.Leader != "" }
 
-// all waits until all of these nodes are voters.
-func (s *site) all(ids ...string) {
+// waitVoters waits until all of these nodes are voters.
+func (s *testCluster) waitVoters(ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
-		s.is(id, "want its vote", votes)
+		s.waitStatus(id, "want it to be a voter", isVoter)
 	}
 }
 
-func (s *site) write(id, key string) {
+func (s *testCluster) write(id, key string) {
 	s.t.Helper()
-	set(s.t, s.up[id], key, "v")
+	setValue(s.t, s.nodes[id], key, "v")
 }
 
-// has waits until a node has all of these keys.
-func (s *site) has(id string, keys ...string) {
+// waitValues waits until a node has all of these keys.
+func (s *testCluster) waitValues(id string, keys ...string) {
 	s.t.Helper()
 	for _, k := range keys {
-		want(s.t, s.up[id], k, "v")
+		waitValue(s.t, s.nodes[id], k, "v")
 	}
 }
 
-// copy copies a node's data directory.
-func (s *site) copy(id, to string) {
+// copyDirectory copies a node's data directory.
+func (s *testCluster) copyDirectory(id, to string) {
 	s.t.Helper()
 	if err := os.CopyFS(to, os.DirFS(s.dirs[id])); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// put replaces a node's data directory by a copy of another.
-func (s *site) put(id, from string) {
+// replaceDirectory replaces a node's data directory by a copy of another.
+func (s *testCluster) replaceDirectory(id, from string) {
 	s.t.Helper()
 	if err := os.RemoveAll(s.dirs[id]); err != nil {
 		s.t.Fatal(err)
@@ -138,25 +138,25 @@
 	}
 }
 
-// aside lists a node's quarantine directories.
-func (s *site) aside(id string) []string {
+// quarantined lists a node's quarantine directories.
+func (s *testCluster) quarantined(id string) []string {
 	got, _ := filepath.Glob(filepath.Join(s.dirs[id], "aside-*"))
 	return got
 }
 
-func TestNewSetBeginsOnceAllAreThere(t *testing.T) {
-	s := newSite(t, "a", "b", "c")
+func TestClusterBootstrapsOnceAllPeersRespond(t *testing.T) {
+	s := newTestCluster(t, "a", "b", "c")
 	s.start("a", "b")
-	s.is("a", "want it to wait for c", func(st Status) bool { return strings.Contains(st.Reason, "1 of 2") && st.Phase == PhaseVerifying })
-	if err := s.up["a"].Set("k", nil); !errors.Is(err, ErrNoQuorum) {
+	s.waitStatus("a", "want it to wait for c", func(st Status) bool { return strings.Contains(st.Reason, "1 of 2") && st.Phase == PhaseVerifying })
+	if err := s.nodes["a"].Set("k", nil); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("write before the cluster is bootstrapped: %v", err)
 	}
 	s.start("c")
-	s.all("a", "b", "c")
+	s.waitVoters("a", "b", "c")
 	s.write("a", "k")
 	for _, id := range []string{"a", "b", "c"} {
-		s.has(id, "k")
-		if st := s.up[id].Status(); st.Directory.Joined != 0 || len(s.aside(id)) > 0 {
+		s.waitValues(id, "k")
+		if st := s.nodes[id].Status(); st.Directory.Joined != 0 || len(s.quarantined(id)) > 0 {
 			t.Errorf("%s rejoined: %+v", id, st)
 		}
 	}
@@ -166,25 +166,25 @@
 	}
 	s.stop("b")
 	s.start("b") // an ordinary restart
-	s.all("b")
-	if got := s.aside("b"); len(got) > 0 {
+	s.waitVoters("b")
+	if got := s.quarantined("b"); len(got) > 0 {
 		t.Errorf("quarantined after an ordinary restart: %q", got)
 	}
 }
 
 // A replica whose data directory has lost state in any way must not vote until it has caught up again, and its old directory must
 // be quarantined.
-func TestCopyWithoutItsPastJoinsAnew(t *testing.T) {
-	for name, spoil := range map[string]func(t *testing.T, s *site, old string){
-		"older":   func(_ *testing.T, s *site, old string) { s.put("c", old) },
-		"emptied": func(_ *testing.T, s *site, _ string) { s.put("c", t.TempDir()) },
-		"of another replica": func(_ *testing.T, s *site, _ string) {
+func TestReplicaWithLostStateRejoins(t *testing.T) {
+	for name, loseState := range map[string]func(t *testing.T, s *testCluster, outdated string){
+		"older":   func(_ *testing.T, s *testCluster, outdated string) { s.replaceDirectory("c", outdated) },
+		"emptied": func(_ *testing.T, s *testCluster, _ string) { s.replaceDirectory("c", t.TempDir()) },
+		"of another replica": func(_ *testing.T, s *testCluster, _ string) {
 			s.stop("b")
-			s.put("c", s.dirs["b"])
+			s.replaceDirectory("c", s.dirs["b"])
 			s.start("b")
 		},
-		"corrupt": func(t *testing.T, s *site, _ string) {
-			path := filepath.Join(s.dirs["c"], disk.File)
+		"corrupt": func(t *testing.T, s *testCluster, _ string) {
+			path := filepath.Join(s.dirs["c"], disk.FileName)
 			b, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
@@ -195,88 +195,88 @@
 				t.Fatal(err)
 			}
 		},
-		"truncated": func(t *testing.T, s *site, _ string) {
-			if err := os.Truncate(filepath.Join(s.dirs["c"], disk.File), 9000); err != nil {
+		"truncated": func(t *testing.T, s *testCluster, _ string) {
+			if err := os.Truncate(filepath.Join(s.dirs["c"], disk.FileName), 9000); err != nil {
 				t.Fatal(err)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t, "a", "b", "c")
+			s := newTestCluster(t, "a", "b", "c")
 			s.start("a", "b", "c")
-			s.all("a", "b", "c")
+			s.waitVoters("a", "b", "c")
 			s.write("a", "before")
-			s.has("c", "before")
-			old := filepath.Join(t.TempDir(), "old")
+			s.waitValues("c", "before")
+			outdated := filepath.Join(t.TempDir(), "old")
 			s.stop("c")
-			s.copy("c", old)
+			s.copyDirectory("c", outdated)
 			s.start("c")
-			s.all("c")
+			s.waitVoters("c")
 			var keys []string
 			for i := range 5 {
 				keys = append(keys, fmt.Sprint("after-", i))
 				s.write("a", keys[i])
 			}
-			s.has("c", keys...)
+			s.waitValues("c", keys...)
 			s.stop("c")
-			spoil(t, s, old)
+			loseState(t, s, outdated)
 			s.start("c")
-			st := s.is("c", "want it to be a voter again", func(st Status) bool { return votes(st) && st.Directory.Joined > 0 })
-			if st.Directory.Life != 1 || len(s.aside("c")) == 0 {
-				t.Errorf("%+v, quarantined %q", st, s.aside("c"))
+			st := s.waitStatus("c", "want it to be a voter again", func(st Status) bool { return isVoter(st) && st.Directory.Joined > 0 })
+			if st.Directory.Life != 1 || len(s.quarantined("c")) == 0 {
+				t.Errorf("%+v, quarantined %q", st, s.quarantined("c"))
 			}
-			s.has("c", append(keys, "before")...)
+			s.waitValues("c", append(keys, "before")...)
 			s.stop("a") // c is needed for a majority now, and is a voter
 			s.write("c", "with c")
-			s.has("b", "with c")
+			s.waitValues("b", "with c")
 			s.stop("c")
 			s.start("c") // an ordinary restart of a replica that has rejoined once
-			s.all("c")
+			s.waitVoters("c")
 			s.write("c", "again")
 		})
 	}
 }
 
 // All replicas restart at once, one of them with an outdated directory: committed writes that it lacks must not be lost.
-func TestAllRestartAtOnceOneWithAnOlderFolder(t *testing.T) {
-	s := newSite(t, "a", "b", "c")
+func TestRestartWithOutdatedDirectoryKeepsCommittedWrites(t *testing.T) {
+	s := newTestCluster(t, "a", "b", "c")
 	s.start("a", "b", "c")
-	s.all("a", "b", "c")
+	s.waitVoters("a", "b", "c")
 	s.stop("c")
-	old := filepath.Join(t.TempDir(), "old")
-	s.copy("c", old)
+	outdated := filepath.Join(t.TempDir(), "old")
+	s.copyDirectory("c", outdated)
 	s.start("c")
-	s.all("c")
+	s.waitVoters("c")
 	s.write("a", "k")
-	s.has("c", "k")
+	s.waitValues("c", "k")
 	s.stop("a", "b", "c")
-	s.put("c", old)
+	s.replaceDirectory("c", outdated)
 	s.start("c", "a") // without b: a and c are a majority, but c has lost a committed write
-	s.is("c", "want it to request to rejoin", func(st Status) bool {
+	s.waitStatus("c", "want it to request to rejoin", func(st Status) bool {
 		return st.Phase == PhaseRejoining && strings.Contains(st.Reason, "a: the folder of c")
 	})
-	if st := s.up["c"].Status(); st.Voter {
+	if st := s.nodes["c"].Status(); st.Voter {
 		t.Errorf("%+v", st)
 	}
 	s.start("b")
-	s.is("c", "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Directory.Joined > 0 })
-	s.has("c", "k")
+	s.waitStatus("c", "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.Joined > 0 })
+	s.waitValues("c", "k")
 }
 
 // Two of three replicas are permanently lost and operators recover the cluster from the third. When the others return, they have
 // to rejoin, whether their logs are longer or not.
-func TestOperatorsBeginTheSetAnew(t *testing.T) {
-	s := newSite(t, "a", "b", "c")
+func TestRecoverClusterAfterLostMajority(t *testing.T) {
+	s := newTestCluster(t, "a", "b", "c")
 	s.start("a", "b", "c")
-	s.all("a", "b", "c")
+	s.waitVoters("a", "b", "c")
 	s.write("a", "k")
 	for _, id := range []string{"a", "b", "c"} {
-		s.has(id, "k")
+		s.waitValues(id, "k")
 	}
 	s.stop("a")
 	s.write("b", "only b and c")
-	s.has("c", "only b and c")
+	s.waitValues("c", "only b and c")
 	s.stop("b", "c")
 	o := Options{ID: "a", Dir: s.dirs["a"], Peers: maps.Clone(s.peers)}
 	r, err := RecoverCluster(o)
@@ -284,28 +284,28 @@
 		t.Fatalf("%+v %v", r, err)
 	}
 	s.start("a")
-	s.all("a") // alone
+	s.waitVoters("a") // alone
 	s.write("a", "anew")
 	s.start("b", "c") // they have more entries, and were a majority of the old cluster
 	for _, id := range []string{"b", "c"} {
-		s.is(id, "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Directory.Joined > 0 && st.Directory.Set == 1 })
-		s.has(id, "k", "anew")
-		if _, there := s.up[id].Get("only b and c"); there {
+		s.waitStatus(id, "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.Joined > 0 && st.Directory.Set == 1 })
+		s.waitValues(id, "k", "anew")
+		if _, there := s.nodes[id].Get("only b and c"); there {
 			t.Errorf("%s has an entry that the recovery discarded", id)
 		}
 	}
 	s.stop("b")
 	s.stop("a")
 	s.start("b") // an ordinary cluster again, in which a single replica has no quorum
-	s.all("b")
+	s.waitVoters("b")
 	s.stop("c")
-	if err := s.up["b"].Set("x", nil); !errors.Is(err, ErrNoQuorum) {
+	if err := s.nodes["b"].Set("x", nil); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("write on one of three: %v", err)
 	}
 	s.start("a")
-	s.all("a")
+	s.waitVoters("a")
 	s.write("a", "y")
-	s.has("b", "y")
+	s.waitValues("b", "y")
 	s.stop("a", "b")
 	for want, o := range map[string]Options{
 		"not among":       {ID: "z", Dir: s.dirs["a"], Peers: s.peers},
@@ -323,10 +323,10 @@
 
 // A backup holds the state at one log index. A cluster restored from it is separate from the old one: a node with a directory of
 // the old cluster must not join it.
-func TestBackupBeginsASetOfItsOwn(t *testing.T) {
-	s := newSite(t, "a", "b", "c")
+func TestRestoredBackupFormsSeparateCluster(t *testing.T) {
+	s := newTestCluster(t, "a", "b", "c")
 	s.start("a", "b", "c")
-	s.all("a", "b", "c")
+	s.waitVoters("a", "b", "c")
 	s.write("a", "before")
 	path := filepath.Join(t.TempDir(), "backup")
 	h, err := SaveBackup(t.Context(), s.peers, path)
@@ -337,18 +337,18 @@
 	if _, err := SaveBackup(t.Context(), s.peers, path); err == nil || !strings.Contains(err.Error(), "exists already") {
 		t.Errorf("existing backup overwritten: %v", err)
 	}
-	n := newSite(t, "a", "b", "c")
-	whole, err := os.ReadFile(path)
+	restored := newTestCluster(t, "a", "b", "c")
+	backup, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoilt := bytes.Clone(whole)
-	spoilt[len(spoilt)-9] ^= 1
-	other := bytes.Replace(whole, []byte(h.SHA256[:8]), []byte("00000000"), 1)
-	for name, b := range map[string][]byte{"empty": nil, "truncated": whole[:len(whole)-5], "flipped bit": spoilt, "wrong digest": other,
-		"wrong kind": []byte("{}\n"), "unknown header key": bytes.Replace(whole, []byte(`"format"`), []byte(`"formal"`), 1),
-		"later format": bytes.Replace(whole, []byte(`"format":1`), []byte(`"format":2`), 1), "no end of the header": bytes.Repeat([]byte("x"), 1<<16)} {
-		o := Options{ID: "a", Dir: filepath.Join(t.TempDir(), "new"), Peers: n.peers}
+	corrupt := bytes.Clone(backup)
+	corrupt[len(corrupt)-9] ^= 1
+	wrongDigest := bytes.Replace(backup, []byte(h.SHA256[:8]), []byte("00000000"), 1)
+	for name, b := range map[string][]byte{"empty": nil, "truncated": backup[:len(backup)-5], "flipped bit": corrupt, "wrong digest": wrongDigest,
+		"wrong kind": []byte("{}\n"), "unknown header key": bytes.Replace(backup, []byte(`"format"`), []byte(`"formal"`), 1),
+		"later format": bytes.Replace(backup, []byte(`"format":1`), []byte(`"format":2`), 1), "no end of the header": bytes.Repeat([]byte("x"), 1<<16)} {
+		o := Options{ID: "a", Dir: filepath.Join(t.TempDir(), "new"), Peers: restored.peers}
 		if _, err := RestoreBackup(o, bytes.NewReader(b)); !errors.Is(err, ErrInvalidBackup) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -356,42 +356,42 @@
 			t.Errorf("%s: a directory was created", name)
 		}
 	}
-	o := Options{ID: "a", Dir: n.dirs["a"], Peers: n.peers}
-	if _, err := RestoreBackup(o, bytes.NewReader(whole)); err != nil {
+	o := Options{ID: "a", Dir: restored.dirs["a"], Peers: restored.peers}
+	if _, err := RestoreBackup(o, bytes.NewReader(backup)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := RestoreBackup(o, bytes.NewReader(whole)); err == nil || !strings.Contains(err.Error(), "holds a replica already") {
+	if _, err := RestoreBackup(o, bytes.NewReader(backup)); err == nil || !strings.Contains(err.Error(), "holds a replica already") {
 		t.Errorf("restored over an existing replica: %v", err)
 	}
 	s.stop("c")
-	n.put("c", s.dirs["c"]) // of the old cluster
-	n.start("a", "b", "c")
-	n.all("a", "b")
-	n.has("b", "before")
-	if _, there := n.up["b"].Get("after"); there {
+	restored.replaceDirectory("c", s.dirs["c"]) // of the old cluster
+	restored.start("a", "b", "c")
+	restored.waitVoters("a", "b")
+	restored.waitValues("b", "before")
+	if _, there := restored.nodes["b"].Get("after"); there {
 		t.Error("the restored cluster has a write made after the backup")
 	}
-	st := n.is("c", "want it to be rejected", func(st Status) bool { return strings.Contains(st.Reason, "belongs to set "+h.ClusterName) })
-	if st.Phase != PhaseVerifying || len(n.aside("c")) > 0 {
+	st := restored.waitStatus("c", "want it to be rejected", func(st Status) bool { return strings.Contains(st.Reason, "belongs to set "+h.ClusterName) })
+	if st.Phase != PhaseVerifying || len(restored.quarantined("c")) > 0 {
 		t.Errorf("%+v", st)
 	}
-	if a, b := n.up["a"].Status().Directory.Name, n.up["b"].Status().Directory.Name; a != b || a == h.ClusterName {
+	if a, b := restored.nodes["a"].Status().Directory.Name, restored.nodes["b"].Status().Directory.Name; a != b || a == h.ClusterName {
 		t.Errorf("clusters %q, %q; the old one is %q", a, b, h.ClusterName)
 	}
-	n.write("b", "anew")
-	n.has("a", "anew")
+	restored.write("b", "anew")
+	restored.waitValues("a", "anew")
 }
 
 // A bit flips in the memory of a replica, once of a follower and once of the leader. The comparison of digests must identify that
 // replica, and it is rebuilt from the others.
-func TestCopyThatDiffersIsBuiltAnew(t *testing.T) {
-	s := newSite(t, "a", "b", "c")
-	s.compare = 1
+func TestDivergedReplicaIsRebuilt(t *testing.T) {
+	s := newTestCluster(t, "a", "b", "c")
+	s.compareIntervalMS = 1
 	s.start("a", "b", "c")
-	s.all("a", "b", "c")
+	s.waitVoters("a", "b", "c")
 	for i := range 40 {
 		for {
-			fresh, err := s.up["a"].Begin(fmt.Sprint("e", i))
+			fresh, err := s.nodes["a"].Begin(fmt.Sprint("e", i))
 			if err == nil && !fresh {
 				t.Fatal("the effect is already begun")
 			}
@@ -405,27 +405,27 @@
 	}
 	s.write("a", "k")
 	for _, id := range []string{"a", "b", "c"} {
-		s.has(id, "k")
+		s.waitValues(id, "k")
 	}
 	for round, leads := range []bool{false, true} {
-		odd := ""
-		for id, n := range s.up {
+		target := ""
+		for id, n := range s.nodes {
 			if n.Status().IsLeader == leads {
-				odd = id
+				target = id
 			}
 		}
-		if odd == "" {
+		if target == "" {
 			t.Fatal("no replica with the wanted role")
 		}
-		before := s.up[odd].Status().Directory.Joined
-		if s.up[odd].CorruptMemory(uint64(round+3)) == "" {
+		before := s.nodes[target].Status().Directory.Joined
+		if s.nodes[target].CorruptMemory(uint64(round+3)) == "" {
 			t.Fatal("no effect to corrupt")
 		}
-		s.is(odd, "want it to be a voter again after rejoining", func(st Status) bool { return votes(st) && st.Directory.Joined > before })
-		s.has(odd, "k")
-		s.all("a", "b", "c")
+		s.waitStatus(target, "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.Joined > before })
+		s.waitValues(target, "k")
+		s.waitVoters("a", "b", "c")
 	}
-	for id, n := range s.up {
+	for id, n := range s.nodes {
 		if fresh, err := n.Begin("e7"); fresh || err != nil {
 			t.Errorf("%s: effect begun twice: %v %v", id, fresh, err)
 		}
@@ -436,65 +436,65 @@
 }
 
 // Three replicas have three different states, so the correct one can't be determined: no effect may begin, other writes continue.
-func TestNoEffectBeginsWhereNoMajorityHasOneState(t *testing.T) {
-	s := newSite(t, "a", "b", "c")
-	s.compare = 1
+func TestNoEffectBeginsWithoutMajorityState(t *testing.T) {
+	s := newTestCluster(t, "a", "b", "c")
+	s.compareIntervalMS = 1
 	s.start("a", "b", "c")
-	s.all("a", "b", "c")
+	s.waitVoters("a", "b", "c")
 	s.write("a", "k")
-	lead := s.up[s.up["a"].Status().Leader]
-	if _, err := lead.Begin("e"); err != nil {
+	leader := s.nodes[s.nodes["a"].Status().Leader]
+	if _, err := leader.Begin("e"); err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		s.has(id, "k")
+		s.waitValues(id, "k")
 	}
-	for _, n := range s.up { // locked, so that no digest is computed until all states differ
-		n.machine.mu.Lock()
+	for _, n := range s.nodes { // locked, so that no digest is computed until all states differ
+		n.fsm.mu.Lock()
 	}
 	for i, id := range []string{"a", "b", "c"} {
-		s.up[id].machine.state.Values["k"] = []byte{byte(i)}
+		s.nodes[id].fsm.state.Values["k"] = []byte{byte(i)}
 	}
-	for _, n := range s.up {
-		n.machine.mu.Unlock()
+	for _, n := range s.nodes {
+		n.fsm.mu.Unlock()
 	}
-	s.is(lead.o.ID, "want it to halt effects", func(st Status) bool { return st.Halted })
-	if _, err := lead.Begin("f"); !errors.Is(err, ErrDiffer) {
+	s.waitStatus(leader.o.ID, "want it to halt effects", func(st Status) bool { return st.Halted })
+	if _, err := leader.Begin("f"); !errors.Is(err, ErrReplicasDiverged) {
 		t.Errorf("effect begun without a majority state: %v", err)
 	}
-	if err := lead.Set("other", []byte("v")); err != nil {
+	if err := leader.Set("other", []byte("v")); err != nil {
 		t.Errorf("other write refused: %v", err)
 	}
 }
 
 // A failed disk must stop only its own replica; acknowledged writes are kept by the others.
-func TestFullDiskStopsItsCopyAlone(t *testing.T) {
-	s := newSite(t, "a", "b", "c")
+func TestFullDiskStopsOnlyItsReplica(t *testing.T) {
+	s := newTestCluster(t, "a", "b", "c")
 	s.start("a", "b", "c")
-	s.all("a", "b", "c")
+	s.waitVoters("a", "b", "c")
 	s.write("a", "k")
-	leader := s.up["a"].Status().Leader
-	s.up[leader].failed(errors.New("no space left on device"))
-	st := s.is(leader, "want it to stop", func(st Status) bool { return st.Phase == PhaseStopped })
+	leader := s.nodes["a"].Status().Leader
+	s.nodes[leader].diskFailed(errors.New("no space left on device"))
+	st := s.waitStatus(leader, "want it to stop", func(st Status) bool { return st.Phase == PhaseStopped })
 	if !strings.Contains(st.Reason, "no space left") {
 		t.Errorf("%+v", st)
 	}
 	for id := range s.peers {
 		if id != leader {
 			s.write(id, "after "+id)
-			s.has(id, "k")
+			s.waitValues(id, "k")
 		}
 	}
-	if err := s.up[leader].Set("x", nil); !errors.Is(err, ErrNoQuorum) {
+	if err := s.nodes[leader].Set("x", nil); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("write on the stopped replica: %v", err)
 	}
 }
 
 // A second process with the id of a live replica must wait, whatever its directory, and must not participate.
-func TestSecondProcessOfAnIDWaits(t *testing.T) {
-	s := newSite(t, "a", "b", "c")
+func TestDuplicateProcessWaits(t *testing.T) {
+	s := newTestCluster(t, "a", "b", "c")
 	s.start("a", "b", "c")
-	s.all("a", "b", "c")
+	s.waitVoters("a", "b", "c")
 	s.write("a", "k")
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -502,49 +502,49 @@
 	}
 	peers := maps.Clone(s.peers)
 	peers["c"] = ln.Addr().String()
-	twin, err := Open(Options{ID: "c", Listener: ln, Dir: t.TempDir(), Peers: peers})
+	duplicate, err := Open(Options{ID: "c", Listener: ln, Dir: t.TempDir(), Peers: peers})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer twin.Close()
-	s.up["twin"] = twin
-	s.is("twin", "want it to be rejected as a duplicate", func(st Status) bool {
+	defer duplicate.Close()
+	s.nodes["duplicate"] = duplicate
+	s.waitStatus("duplicate", "want it to be rejected as a duplicate", func(st Status) bool {
 		return strings.Contains(st.Reason, "of c is alive") && st.Phase == PhaseVerifying
 	})
-	delete(s.up, "twin")
+	delete(s.nodes, "duplicate")
 	s.stop("c")
-	s.up["twin"] = twin
-	s.is("twin", "want it to be rejected for its address", func(st Status) bool { return strings.Contains(st.Reason, "c is at") })
-	delete(s.up, "twin")
+	s.nodes["duplicate"] = duplicate
+	s.waitStatus("duplicate", "want it to be rejected for its address", func(st Status) bool { return strings.Contains(st.Reason, "c is at") })
+	delete(s.nodes, "duplicate")
 	s.start("c")
-	s.all("c")
+	s.waitVoters("c")
 }
 
 // A non-voter must neither grant nor request votes, and entries of another cluster must not reach it.
-func TestGateKeepsTheVoteBack(t *testing.T) {
-	node := func(set string, vote bool) (*gate, *lane) {
+func TestVoteFilterBlocksVotingRPCs(t *testing.T) {
+	node := func(clusterName string, voter bool) (*voteFilter, *raftLayer) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := newLayer(ln, nil, nil)
-		n := l.open(set)
+		l := newMultiplexer(ln, nil, nil)
+		n := l.openRaftLayer(clusterName)
 		go l.run()
-		g := newGate(raft.NewNetworkTransport(n, 1, patience, io.Discard), func() bool { return vote })
+		g := newVoteFilter(raft.NewNetworkTransport(n, 1, testTimeout, io.Discard), func() bool { return voter })
 		t.Cleanup(func() { g.Close(); l.Close() })
 		return g, n
 	}
-	voter, _ := node("set", true)
-	stranger, _ := node("another set", true)
-	learner, lane := node("set", false)
-	at := raft.ServerAddress(lane.Addr().String())
-	if err := voter.RequestVote("l", at, &raft.RequestVoteRequest{Term: 1}, &raft.RequestVoteResponse{}); err == nil || !strings.Contains(err.Error(), errNoVote.Error()) {
+	voter, _ := node("cluster", true)
+	otherCluster, _ := node("another cluster", true)
+	learner, raftLayer := node("cluster", false)
+	at := raft.ServerAddress(raftLayer.Addr().String())
+	if err := voter.RequestVote("l", at, &raft.RequestVoteRequest{Term: 1}, &raft.RequestVoteResponse{}); err == nil || !strings.Contains(err.Error(), errNotVoter.Error()) {
 		t.Errorf("vote request to a non-voter: %v", err)
 	}
-	if err := voter.RequestPreVote("l", at, &raft.RequestPreVoteRequest{Term: 1}, &raft.RequestPreVoteResponse{}); err == nil || !strings.Contains(err.Error(), errNoVote.Error()) {
+	if err := voter.RequestPreVote("l", at, &raft.RequestPreVoteRequest{Term: 1}, &raft.RequestPreVoteResponse{}); err == nil || !strings.Contains(err.Error(), errNotVoter.Error()) {
 		t.Errorf("pre-vote request to a non-voter: %v", err)
 	}
-	if err := learner.RequestVote("v", at, &raft.RequestVoteRequest{Term: 1}, &raft.RequestVoteResponse{}); !errors.Is(err, errNoVote) {
+	if err := learner.RequestVote("v", at, &raft.RequestVoteRequest{Term: 1}, &raft.RequestVoteResponse{}); !errors.Is(err, errNotVoter) {
 		t.Errorf("vote request of a non-voter: %v", err)
 	}
 	go func() {
@@ -555,16 +555,16 @@
 	if err := voter.AppendEntries("l", at, &raft.AppendEntriesRequest{Term: 1}, &got); err != nil || got.LastLog != 7 {
 		t.Errorf("entries to a non-voter: %+v %v", got, err)
 	}
-	if err := stranger.AppendEntries("l", at, &raft.AppendEntriesRequest{Term: 9}, &got); err == nil {
+	if err := otherCluster.AppendEntries("l", at, &raft.AppendEntriesRequest{Term: 9}, &got); err == nil {
 		t.Error("entries of another cluster were accepted")
 	}
 }
 
 // Claims that no replica of this cluster would send must close their connection and must not be recorded.
-func TestMalformedClaimsAreNotHeard(t *testing.T) {
-	s := newSite(t, "a", "b", "c")
+func TestMalformedClaimsAreRejected(t *testing.T) {
+	s := newTestCluster(t, "a", "b", "c")
 	s.start("a", "b", "c")
-	s.all("a", "b", "c")
+	s.waitVoters("a", "b", "c")
 	message := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
@@ -583,8 +583,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
-		purpose := byte(forClaims)
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		purpose := byte(purposeClaims)
 		if b == nil {
 			purpose = 'z'
 		}
@@ -595,20 +595,20 @@
 		}
 		conn.Close()
 	}
-	n := s.up["a"]
+	n := s.nodes["a"]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.witness.Marks) != 2 || n.witness.Marks["b"].Folder == "f" || n.witness.Marks["c"].Folder == "f" {
-		t.Errorf("%+v", n.witness.Marks)
+	if len(n.verifier.Marks) != 2 || n.verifier.Marks["b"].Folder == "f" || n.verifier.Marks["c"].Folder == "f" {
+		t.Errorf("%+v", n.verifier.Marks)
 	}
 }
 
 // Connections that stall before or while they state their purpose must be closed.
-func TestConnectionsThatStallAreEnded(t *testing.T) {
-	s := newSite(t, "a", "b", "c")
+func TestStalledConnectionsAreClosed(t *testing.T) {
+	s := newTestCluster(t, "a", "b", "c")
 	s.start("a", "b", "c")
-	s.all("a", "b", "c")
-	for name, b := range map[string][]byte{"no purpose": nil, "raft, within the cluster name": {forRaft, 16, 'x'}, "claim, within its length": {forClaims, 0, 0}} {
+	s.waitVoters("a", "b", "c")
+	for name, b := range map[string][]byte{"no purpose": nil, "raft, within the cluster name": {purposeRaft, 16, 'x'}, "claim, within its length": {purposeClaims, 0, 0}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conn, err := net.Dial("tcp", s.peers["a"])
@@ -616,7 +616,7 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(patience))
+			conn.SetDeadline(time.Now().Add(testTimeout))
 			conn.Write(b)
 			if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Error("the connection stays open")
--- a/internal/store/layer.go
+++ b/internal/store/layer.go
@@ -12,11 +12,11 @@
 
 // The first byte of a connection states its purpose.
 const (
-	forRaft   = 'R'
-	forWrites = 'W' // writes forwarded to the leader
-	forClaims = 'A' // claims: the state of a replica's data directory, sent before and while it participates
-	forBackup = 'B' // the complete state at one log index, from the leader
-	forStatus = 'I' // one Status response
+	purposeRaft   = 'R'
+	purposeWrites = 'W' // writes forwarded to the leader
+	purposeClaims = 'A' // a replica's claims about its data directory, sent before and while it participates
+	purposeBackup = 'B' // the complete state at one log index, from the leader
+	purposeStatus = 'I' // one Status response
 
 	// PurposeSessions opens a session of an order server, which need not run a store replica.
 	PurposeSessions = 'S'
@@ -24,159 +24,159 @@
 	PurposeWatches = 'C'
 )
 
-// helloFor is the time in which a new connection has to state its purpose.
-const helloFor = 2 * time.Second
+// purposeTimeout is the time in which a new connection has to state its purpose.
+const purposeTimeout = 2 * time.Second
 
-// layer multiplexes raft's connections and all others over one listening socket, so that a node has a single address.
-type layer struct {
+// multiplexer shares one listening socket between raft's connections and all others, so that a node has a single address.
+type multiplexer struct {
 	net.Listener
-	serve map[byte]func(net.Conn) // by purpose; each handler closes its connection
-	via   map[string]string       // by peer address: the address to dial in its place
-	done  chan struct{}
-	once  sync.Once
-	lane  atomic.Pointer[lane] // nil while raft is not running
+	handlers         map[byte]func(net.Conn) // by purpose; each handler closes its connection
+	addressOverrides map[string]string       // by peer address: the address to dial in its place
+	done             chan struct{}
+	closeOnce        sync.Once
+	raftLayer        atomic.Pointer[raftLayer] // nil while raft is not running
 
 	mu       sync.Mutex
 	sessions func(net.Conn) // nil: sessions are not served
 	watches  func(net.Conn) // nil: watches are not served
 }
 
-func newLayer(ln net.Listener, serve map[byte]func(net.Conn), via map[string]string) *layer {
-	return &layer{Listener: ln, serve: serve, via: via, done: make(chan struct{})}
+func newMultiplexer(ln net.Listener, handlers map[byte]func(net.Conn), addressOverrides map[string]string) *multiplexer {
+	return &multiplexer{Listener: ln, handlers: handlers, addressOverrides: addressOverrides, done: make(chan struct{})}
 }
 
-// lane is raft's stream layer over the shared socket; each raft instance of the process gets a new one.
-type lane struct {
-	*layer
-	name  string // of the cluster
-	conns chan net.Conn
-	over  chan struct{}
-	end   sync.Once
+// raftLayer is raft's stream layer over the shared socket; each raft instance of the process gets a new one.
+type raftLayer struct {
+	*multiplexer
+	clusterName   string
+	conns         chan net.Conn
+	closed        chan struct{}
+	closeRaftOnce sync.Once
 }
 
-// open creates the stream layer for a raft instance that is about to start.
-func (l *layer) open(name string) *lane {
-	n := &lane{layer: l, name: name, conns: make(chan net.Conn), over: make(chan struct{})}
-	l.lane.Store(n)
+// openRaftLayer creates the stream layer for a raft instance that is about to start.
+func (l *multiplexer) openRaftLayer(clusterName string) *raftLayer {
+	n := &raftLayer{multiplexer: l, clusterName: clusterName, conns: make(chan net.Conn), closed: make(chan struct{})}
+	l.raftLayer.Store(n)
 	return n
 }
 
 // Accept returns the next incoming raft connection.
-func (n *lane) Accept() (net.Conn, error) {
+func (n *raftLayer) Accept() (net.Conn, error) {
 	select {
 	case c := <-n.conns:
 		return c, nil
-	case <-n.over:
+	case <-n.closed:
 	case <-n.done:
 	}
 	return nil, net.ErrClosed
 }
 
 // Close stops accepting raft connections; the shared socket stays open.
-func (n *lane) Close() error {
-	n.end.Do(func() { close(n.over) })
-	n.layer.lane.CompareAndSwap(n, nil)
+func (n *raftLayer) Close() error {
+	n.closeRaftOnce.Do(func() { close(n.closed) })
+	n.multiplexer.raftLayer.CompareAndSwap(n, nil)
 	return nil
 }
 
 // Dial opens a raft connection and sends the cluster name.
-func (n *lane) Dial(at raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	conn, err := n.dial(string(at), forRaft, timeout)
+func (n *raftLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	conn, err := n.dial(string(address), purposeRaft, timeout)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := conn.Write(append([]byte{byte(len(n.name))}, n.name...)); err != nil {
+	if _, err := conn.Write(append([]byte{byte(len(n.clusterName))}, n.clusterName...)); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	return conn, nil
 }
 
-// same reads the cluster name at the start of a raft connection and compares it. Guards against entries from another cluster
-// whose nodes were configured with the same addresses: raft itself would accept them.
-func (n *lane) same(conn net.Conn) bool {
+// sameCluster reads the cluster name at the start of a raft connection and compares it. Guards against entries from another
+// cluster whose nodes were configured with the same addresses: raft itself would accept them.
+func (n *raftLayer) sameCluster(conn net.Conn) bool {
 	b := make([]byte, 256)
 	if _, err := io.ReadFull(conn, b[:1]); err != nil {
 		return false
 	}
 	name := b[1 : 1+int(b[0])]
 	_, err := io.ReadFull(conn, name)
-	return err == nil && (n.name == "" || len(name) == 0 || string(name) == n.name)
+	return err == nil && (n.clusterName == "" || len(name) == 0 || string(name) == n.clusterName)
 }
 
-func (l *layer) session() func(net.Conn) {
+func (l *multiplexer) sessionHandler() func(net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sessions
 }
 
-func (l *layer) watch() func(net.Conn) {
+func (l *multiplexer) watchHandler() func(net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.watches
 }
 
-func (l *layer) run() {
+func (l *multiplexer) run() {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			l.Close()
 			return
 		}
-		go l.sort(conn)
+		go l.dispatch(conn)
 	}
 }
 
-func (l *layer) sort(conn net.Conn) {
+func (l *multiplexer) dispatch(conn net.Conn) {
 	var b [1]byte
-	conn.SetReadDeadline(time.Now().Add(helloFor))
+	conn.SetReadDeadline(time.Now().Add(purposeTimeout))
 	if _, err := conn.Read(b[:]); err != nil {
 		conn.Close()
 		return
 	}
-	n := l.lane.Load()
-	if b[0] == forRaft && n != nil && !n.same(conn) {
+	n := l.raftLayer.Load()
+	if b[0] == purposeRaft && n != nil && !n.sameCluster(conn) {
 		n = nil
 	}
 	conn.SetReadDeadline(time.Time{})
-	switch serve := l.serve[b[0]]; {
-	case b[0] == forRaft:
+	switch handler := l.handlers[b[0]]; {
+	case b[0] == purposeRaft:
 		if n != nil {
 			select {
 			case n.conns <- conn:
 				return
-			case <-n.over:
+			case <-n.closed:
 			case <-l.done:
 			}
 		}
 	case b[0] == PurposeSessions:
-		if serve := l.session(); serve != nil {
-			serve(conn)
+		if handler := l.sessionHandler(); handler != nil {
+			handler(conn)
 			return
 		}
 	case b[0] == PurposeWatches:
-		if serve := l.watch(); serve != nil {
-			serve(conn)
+		if handler := l.watchHandler(); handler != nil {
+			handler(conn)
 			return
 		}
-	case serve != nil:
-		serve(conn)
+	case handler != nil:
+		handler(conn)
 		return
 	}
 	conn.Close()
 }
 
 // Close closes the listening socket.
-func (l *layer) Close() error {
-	l.once.Do(func() { close(l.done) })
+func (l *multiplexer) Close() error {
+	l.closeOnce.Do(func() { close(l.done) })
 	return l.Listener.Close()
 }
 
-func (l *layer) dial(at string, purpose byte, timeout time.Duration) (net.Conn, error) {
-	if via := l.via[at]; via != "" {
-		at = via
+func (l *multiplexer) dial(address string, purpose byte, timeout time.Duration) (net.Conn, error) {
+	if override := l.addressOverrides[address]; override != "" {
+		address = override
 	}
-	conn, err := net.DialTimeout("tcp", at, timeout)
+	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/store/rates_test.go
+++ b/internal/store/rates_test.go
@@ -17,10 +17,10 @@
 	"puffinsaddle/internal/state"
 )
 
-const rateFor = 3 * time.Second // measured at each rate
+const measurementTime = 3 * time.Second // measured at each rate
 
-// threeCopies starts a cluster of three replicas in this process, each with its log on disk, and returns the leader.
-func threeCopies(b *testing.B) *Store {
+// startThreeReplicas starts a cluster of three replicas in this process, each with its log on disk, and returns the leader.
+func startThreeReplicas(b *testing.B) *Store {
 	b.Helper()
 	peers := map[string]string{}
 	var nodes []*Store
@@ -38,7 +38,7 @@
 			b.Fatal(err)
 		}
 	}
-	for late := time.Now().Add(patience); time.Now().Before(late); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		for _, s := range nodes {
 			if _, leads := s.Leadership(); leads {
 				return s
@@ -80,52 +80,52 @@
 
 // measureRate writes entries at a mean rate with Poisson arrivals that don't wait for earlier entries. It reports the CPU time and
 // bytes written per second of three replicas, and the latency of an entry from its intended start.
-func measureRate(b *testing.B, rate float64, write func(lead *Store, i int) error) {
-	lead := threeCopies(b)
-	if err := write(lead, 0); err != nil {
+func measureRate(b *testing.B, rate float64, write func(leader *Store, i int) error) {
+	leader := startThreeReplicas(b)
+	if err := write(leader, 0); err != nil {
 		b.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 41))
 	for b.Loop() {
-		var all sync.WaitGroup
+		var writes sync.WaitGroup
 		var mu sync.Mutex
-		var took []float64
+		var latenciesMS []float64
 		usedBefore, writtenBefore, began := processorTime(b), diskBytes(b), time.Now()
 		at := began
 		for i := 1; ; i++ {
 			at = at.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-			if at.Sub(began) > rateFor {
+			if at.Sub(began) > measurementTime {
 				break
 			}
 			time.Sleep(time.Until(at))
 			intended := at
-			all.Go(func() {
-				err := write(lead, i)
+			writes.Go(func() {
+				err := write(leader, i)
 				ms := float64(time.Since(intended)) / float64(time.Millisecond)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
 					b.Error(err)
 				}
-				took = append(took, ms)
+				latenciesMS = append(latenciesMS, ms)
 			})
 		}
-		all.Wait()
+		writes.Wait()
 		seconds := time.Since(began).Seconds()
-		slices.Sort(took)
-		if len(took) == 0 {
+		slices.Sort(latenciesMS)
+		if len(latenciesMS) == 0 {
 			b.Fatal("no entry was written")
 		}
-		b.ReportMetric(float64(len(took))/seconds, "entries/s")
+		b.ReportMetric(float64(len(latenciesMS))/seconds, "entries/s")
 		b.ReportMetric((processorTime(b)-usedBefore)/seconds*1e6, "three-copies-µs/s")
 		b.ReportMetric((diskBytes(b)-writtenBefore)/seconds, "three-disks-bytes/s")
-		b.ReportMetric(took[len(took)/2], "p50-ms")
-		b.ReportMetric(took[len(took)*99/100], "p99-ms")
+		b.ReportMetric(latenciesMS[len(latenciesMS)/2], "p50-ms")
+		b.ReportMetric(latenciesMS[len(latenciesMS)*99/100], "p99-ms")
 	}
 }
 
-// proposed proposes a command on the leader and waits for its result.
-func proposed(lead *Store, c state.Command) error {
+// proposeAndWait proposes a command on the leader and waits for its result.
+func proposeAndWait(lead *Store, c state.Command) error {
 	r, err := lead.Propose(c)()
 	if err == nil && r.Error != "" {
 		err = fmt.Errorf("refused: %s", r.Error)
@@ -139,10 +139,10 @@
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
 			measureRate(b, float64(rate), func(lead *Store, i int) error {
 				id := fmt.Sprintf("%016x", i)
-				if err := proposed(lead, state.Command{Op: state.Begin, Key: id}); err != nil {
+				if err := proposeAndWait(lead, state.Command{Op: state.Begin, Key: id}); err != nil {
 					return err
 				}
-				return proposed(lead, state.Command{Op: state.End, IDs: []string{id}})
+				return proposeAndWait(lead, state.Command{Op: state.End, IDs: []string{id}})
 			})
 		})
 	}
@@ -158,7 +158,7 @@
 					c.Puts = append(c.Puts, records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i%1000*3+k)},
 						Value: fmt.Appendf(nil, `{"share":0.0000025,"limit":%d.5}`, i%500)})
 				}
-				return proposed(lead, state.Command{Op: state.Change, Change: &c})
+				return proposeAndWait(lead, state.Command{Op: state.Change, Change: &c})
 			})
 		})
 	}
@@ -173,7 +173,7 @@
 				who := fmt.Sprintf("os-%04d#%016x", i%4300, i)
 				name := duty.PresenceOf(who)
 				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: who, TTL: 3000, Term: term}
-				if err := proposed(lead, state.Command{Op: state.Orders, Orders: []duty.Order{grant}}); err != nil {
+				if err := proposeAndWait(lead, state.Command{Op: state.Orders, Orders: []duty.Order{grant}}); err != nil {
 					return err
 				}
 				epoch := uint64(0)
@@ -183,7 +183,7 @@
 					}
 				})
 				lapse := duty.Order{Kind: duty.Lapse, Name: name, Holder: who, Epoch: epoch, Term: term}
-				return proposed(lead, state.Command{Op: state.Orders, Orders: []duty.Order{lapse}})
+				return proposeAndWait(lead, state.Command{Op: state.Orders, Orders: []duty.Order{lapse}})
 			})
 		})
 	}
--- a/internal/store/resolve.go
+++ b/internal/store/resolve.go
@@ -12,9 +12,9 @@
 	"puffinsaddle/internal/store/disk"
 )
 
-// RecoverCluster recovers a cluster whose majority is permanently lost, from the data directory of one node. The node's process must
-// not be running. The node becomes the only voter; the others discard any entries beyond its log when they return, since each
-// has to rejoin, and become voters again once they have caught up. Whether the discarded entries were committed cannot be
+// RecoverCluster recovers a cluster whose majority is permanently lost, from the data directory of one node. The node's process
+// must not be running. The node becomes the only voter; the others discard any entries beyond its log when they return, since
+// each has to rejoin, and become voters again once they have caught up. Whether the discarded entries were committed cannot be
 // determined, so the decision is left to operators.
 func RecoverCluster(o Options) (disk.Report, error) {
 	if o.Log == nil {
@@ -34,29 +34,30 @@
 	case !report.Voter:
 		return report, fmt.Errorf("store: %s joined at log index %d and had not caught up: choose the directory of a voter", o.Dir, report.Directory.Joined)
 	}
-	proc, err := disk.Draw()
+	processID, err := disk.NewRandomID()
 	if err != nil {
 		return report, err
 	}
-	f, err := disk.OpenFolder(o.Dir, proc, o.Log, disk.Options{})
+	f, err := disk.OpenDirectory(o.Dir, processID, o.Log, disk.Options{})
 	if err != nil {
 		return report, err
 	}
 	defer f.Close()
 	_, trans := raft.NewInmemTransport(raft.ServerAddress(o.Peers[o.ID]))
-	if err := raft.RecoverCluster(o.raft(), newMachine(), f, f, f.Snap, trans, o.alone()); err != nil {
+	if err := raft.RecoverCluster(o.raftConfig(), newStateMachine(), f, f, f.Snapshots, trans, o.soleVoterConfiguration()); err != nil {
 		return report, fmt.Errorf("store: %w", err)
 	}
-	// This comes last: if the command is interrupted, the directory still belongs to the old cluster and it can be repeated.
-	if err := f.Anew(report.Directory.Name); err != nil {
+	// This comes last: if recovery is interrupted, the directory still belongs to the old cluster and recovery can be
+	// repeated.
+	if err := f.RecordNewCluster(report.Directory.Name); err != nil {
 		return report, err
 	}
-	report.Directory = f.Mark()
+	report.Directory = f.State()
 	return report, nil
 }
 
-// alone returns a configuration in which this node is the only voter.
-func (o Options) alone() (c raft.Configuration) {
+// soleVoterConfiguration returns a configuration in which this node is the only voter.
+func (o Options) soleVoterConfiguration() (c raft.Configuration) {
 	for _, id := range slices.Sorted(maps.Keys(o.Peers)) {
 		member := raft.Server{ID: raft.ServerID(id), Address: raft.ServerAddress(o.Peers[id]), Suffrage: raft.Nonvoter}
 		if id == o.ID {
