--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -87,7 +87,7 @@
 // openBackupSnapshot takes a snapshot and opens it; only the leader does so.
 func (s *Store) openBackupSnapshot() (h Backup, content io.ReadCloser, err error) {
 	r := s.active.Load()
-	if _, leads := s.Leadership(); r == nil || !leads {
+	if _, isLeader := s.Leadership(); r == nil || !isLeader {
 		return h, nil, fmt.Errorf("store: %s is not the leader; the leader is %q", s.o.ID, s.Leader())
 	}
 	if err := s.ConfirmLeadership()(); err != nil {
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -23,8 +23,8 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// FormatVersion is the version of the data directory format that this build writes. Format 1 had no checksums; its directories are
-// migrated when they are first opened.
+// FormatVersion is the version of the data directory format that this build writes. Format 1 had no checksums; its directories
+// are migrated when they are first opened.
 const FormatVersion = 2
 
 // FileName is the name of the bolt file in a replica's data directory.
--- a/internal/store/disk/disk_test.go
+++ b/internal/store/disk/disk_test.go
@@ -116,17 +116,17 @@
 	for _, e := range makeEntries(1, 50) {
 		want[e.Index] = e.Data
 	}
-	var used []int // most of the file is empty
+	var nonzero []int // most of the file is empty
 	for at, b := range original {
 		if b != 0 {
-			used = append(used, at)
+			nonzero = append(nonzero, at)
 		}
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	reported, unaffected, shorter := 0, 0, 0
 	for range 600 {
 		corrupt := bytes.Clone(original)
-		at, bit := used[rng.IntN(len(used))], rng.IntN(8)
+		at, bit := nonzero[rng.IntN(len(nonzero))], rng.IntN(8)
 		corrupt[at] ^= 1 << bit
 		if err := os.WriteFile(path, corrupt, 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// emptyVotingResponse returns an empty response of the matching type for RPCs that only voters may handle, and nil for all others.
+// emptyVotingResponse returns an empty response of the matching type for RPCs that only voters may handle, and nil for all
+// others.
 func emptyVotingResponse(command any) any {
 	header := raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax}
 	switch command.(type) {
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -140,7 +140,7 @@
 		s.savePeersIfChanged()
 		if r := s.active.Load(); r != nil {
 			s.recordRegainedVote(r)
-			if _, leads := s.Leadership(); leads {
+			if _, isLeader := s.Leadership(); isLeader {
 				s.updateVoters(r)
 				s.compareDigests(r)
 			}
@@ -371,11 +371,11 @@
 // handleClaim verifies a claim and, on the leader, tracks how far a non-voter has caught up.
 func (s *Store) handleClaim(connID uint64, c admit.Claim) (admit.Word, error) {
 	v, m, r := s.clusterView(c.ID)
-	_, leads := s.Leadership()
+	_, isLeader := s.Leadership()
 	s.mu.Lock()
 	w, persist := s.verifier.Hear(s.o.Steady.Now(), connID, c, v)
 	s.peersChanged = s.peersChanged || !persist
-	isLearner := leads && v.Of[c.ID] != (admit.Member{}) && !m.Votes && w.Verdict != admit.Elsewhere && w.Verdict != admit.Stranger
+	isLearner := isLeader && v.Of[c.ID] != (admit.Member{}) && !m.Votes && w.Verdict != admit.Elsewhere && w.Verdict != admit.Stranger
 	if isLearner && w.Verdict == admit.Good && c.Rejoin == "" {
 		l := s.learners[c.ID]
 		if l == nil {
@@ -475,8 +475,8 @@
 // Status returns the node's current status.
 func (s *Store) Status() Status {
 	v, _, r := s.clusterView(s.o.ID)
-	term, leads := s.Leadership()
-	st := Status{ID: s.o.ID, Addr: s.Addr(), Leader: s.Leader(), IsLeader: leads}
+	term, isLeader := s.Leadership()
+	st := Status{ID: s.o.ID, Addr: s.Addr(), Leader: s.Leader(), IsLeader: isLeader}
 	if r != nil {
 		st.Voter, st.Applied = r.voter.Load(), r.raft.AppliedIndex()
 	}
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -537,14 +537,14 @@
 	voter, _ := node("cluster", true)
 	otherCluster, _ := node("another cluster", true)
 	learner, raftLayer := node("cluster", false)
-	at := raft.ServerAddress(raftLayer.Addr().String())
-	if err := voter.RequestVote("l", at, &raft.RequestVoteRequest{Term: 1}, &raft.RequestVoteResponse{}); err == nil || !strings.Contains(err.Error(), errNotVoter.Error()) {
+	address := raft.ServerAddress(raftLayer.Addr().String())
+	if err := voter.RequestVote("l", address, &raft.RequestVoteRequest{Term: 1}, &raft.RequestVoteResponse{}); err == nil || !strings.Contains(err.Error(), errNotVoter.Error()) {
 		t.Errorf("vote request to a non-voter: %v", err)
 	}
-	if err := voter.RequestPreVote("l", at, &raft.RequestPreVoteRequest{Term: 1}, &raft.RequestPreVoteResponse{}); err == nil || !strings.Contains(err.Error(), errNotVoter.Error()) {
+	if err := voter.RequestPreVote("l", address, &raft.RequestPreVoteRequest{Term: 1}, &raft.RequestPreVoteResponse{}); err == nil || !strings.Contains(err.Error(), errNotVoter.Error()) {
 		t.Errorf("pre-vote request to a non-voter: %v", err)
 	}
-	if err := learner.RequestVote("v", at, &raft.RequestVoteRequest{Term: 1}, &raft.RequestVoteResponse{}); !errors.Is(err, errNotVoter) {
+	if err := learner.RequestVote("v", address, &raft.RequestVoteRequest{Term: 1}, &raft.RequestVoteResponse{}); !errors.Is(err, errNotVoter) {
 		t.Errorf("vote request of a non-voter: %v", err)
 	}
 	go func() {
@@ -552,10 +552,10 @@
 		rpc.Respond(&raft.AppendEntriesResponse{Success: true, LastLog: 7}, nil)
 	}()
 	var got raft.AppendEntriesResponse
-	if err := voter.AppendEntries("l", at, &raft.AppendEntriesRequest{Term: 1}, &got); err != nil || got.LastLog != 7 {
+	if err := voter.AppendEntries("l", address, &raft.AppendEntriesRequest{Term: 1}, &got); err != nil || got.LastLog != 7 {
 		t.Errorf("entries to a non-voter: %+v %v", got, err)
 	}
-	if err := otherCluster.AppendEntries("l", at, &raft.AppendEntriesRequest{Term: 9}, &got); err == nil {
+	if err := otherCluster.AppendEntries("l", address, &raft.AppendEntriesRequest{Term: 9}, &got); err == nil {
 		t.Error("entries of another cluster were accepted")
 	}
 }
--- a/internal/store/rates_test.go
+++ b/internal/store/rates_test.go
@@ -40,7 +40,7 @@
 	}
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		for _, s := range nodes {
-			if _, leads := s.Leadership(); leads {
+			if _, isLeader := s.Leadership(); isLeader {
 				return s
 			}
 		}
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// processorTime returns the CPU time used by this process, in seconds.
-func processorTime(b *testing.B) float64 {
+// cpuSeconds returns the CPU time used by this process, in seconds.
+func cpuSeconds(b *testing.B) float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
@@ -58,8 +58,8 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 }
 
-// diskBytes returns the number of bytes that this process has caused to be written to disk.
-func diskBytes(b *testing.B) float64 {
+// writtenBytes returns the number of bytes that this process has caused to be written to disk.
+func writtenBytes(b *testing.B) float64 {
 	const field = "write_bytes:"
 	text, err := os.ReadFile("/proc/self/io")
 	if err != nil {
@@ -78,8 +78,8 @@
 	return 0
 }
 
-// measureRate writes entries at a mean rate with Poisson arrivals that don't wait for earlier entries. It reports the CPU time and
-// bytes written per second of three replicas, and the latency of an entry from its intended start.
+// measureRate writes entries at a mean rate with Poisson arrivals that don't wait for earlier entries. It reports the CPU time
+// and bytes written per second of three replicas, and the latency of an entry from its intended start.
 func measureRate(b *testing.B, rate float64, write func(leader *Store, i int) error) {
 	leader := startThreeReplicas(b)
 	if err := write(leader, 0); err != nil {
@@ -90,7 +90,7 @@
 		var writes sync.WaitGroup
 		var mu sync.Mutex
 		var latenciesMS []float64
-		usedBefore, writtenBefore, began := processorTime(b), diskBytes(b), time.Now()
+		usedBefore, writtenBefore, began := cpuSeconds(b), writtenBytes(b), time.Now()
 		at := began
 		for i := 1; ; i++ {
 			at = at.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
@@ -117,16 +117,16 @@
 			b.Fatal("no entry was written")
 		}
 		b.ReportMetric(float64(len(latenciesMS))/seconds, "entries/s")
-		b.ReportMetric((processorTime(b)-usedBefore)/seconds*1e6, "three-copies-µs/s")
-		b.ReportMetric((diskBytes(b)-writtenBefore)/seconds, "three-disks-bytes/s")
+		b.ReportMetric((cpuSeconds(b)-usedBefore)/seconds*1e6, "three-copies-µs/s")
+		b.ReportMetric((writtenBytes(b)-writtenBefore)/seconds, "three-disks-bytes/s")
 		b.ReportMetric(latenciesMS[len(latenciesMS)/2], "p50-ms")
 		b.ReportMetric(latenciesMS[len(latenciesMS)*99/100], "p99-ms")
 	}
 }
 
 // proposeAndWait proposes a command on the leader and waits for its result.
-func proposeAndWait(lead *Store, c state.Command) error {
-	r, err := lead.Propose(c)()
+func proposeAndWait(leader *Store, c state.Command) error {
+	r, err := leader.Propose(c)()
 	if err == nil && r.Error != "" {
 		err = fmt.Errorf("refused: %s", r.Error)
 	}
@@ -137,12 +137,12 @@
 func BenchmarkBookingRate(b *testing.B) {
 	for _, rate := range []int{250, 500, 1000, 2000, 4000} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
-			measureRate(b, float64(rate), func(lead *Store, i int) error {
+			measureRate(b, float64(rate), func(leader *Store, i int) error {
 				id := fmt.Sprintf("%016x", i)
-				if err := proposeAndWait(lead, state.Command{Op: state.Begin, Key: id}); err != nil {
+				if err := proposeAndWait(leader, state.Command{Op: state.Begin, Key: id}); err != nil {
 					return err
 				}
-				return proposeAndWait(lead, state.Command{Op: state.End, IDs: []string{id}})
+				return proposeAndWait(leader, state.Command{Op: state.End, IDs: []string{id}})
 			})
 		})
 	}
@@ -152,13 +152,13 @@
 func BenchmarkChangeRate(b *testing.B) {
 	for _, rate := range []int{10, 50, 100, 200, 400} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
-			measureRate(b, float64(rate), func(lead *Store, i int) error {
+			measureRate(b, float64(rate), func(leader *Store, i int) error {
 				var c records.Change
 				for k := range 3 {
 					c.Puts = append(c.Puts, records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i%1000*3+k)},
 						Value: fmt.Appendf(nil, `{"share":0.0000025,"limit":%d.5}`, i%500)})
 				}
-				return proposeAndWait(lead, state.Command{Op: state.Change, Change: &c})
+				return proposeAndWait(leader, state.Command{Op: state.Change, Change: &c})
 			})
 		})
 	}
@@ -168,22 +168,22 @@
 func BenchmarkRestartRate(b *testing.B) {
 	for _, rate := range []int{1, 10, 50, 100, 200} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
-			measureRate(b, float64(rate), func(lead *Store, i int) error {
-				term, _ := lead.Leadership()
-				who := fmt.Sprintf("os-%04d#%016x", i%4300, i)
-				name := duty.PresenceOf(who)
-				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: who, TTL: 3000, Term: term}
-				if err := proposeAndWait(lead, state.Command{Op: state.Orders, Orders: []duty.Order{grant}}); err != nil {
+			measureRate(b, float64(rate), func(leader *Store, i int) error {
+				term, _ := leader.Leadership()
+				serverID := fmt.Sprintf("os-%04d#%016x", i%4300, i)
+				name := duty.PresenceOf(serverID)
+				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: serverID, TTL: 3000, Term: term}
+				if err := proposeAndWait(leader, state.Command{Op: state.Orders, Orders: []duty.Order{grant}}); err != nil {
 					return err
 				}
 				epoch := uint64(0)
-				lead.View(func(st *state.State, _ uint64) {
+				leader.View(func(st *state.State, _ uint64) {
 					if l := st.Duties.Leases[name]; l != nil {
 						epoch = l.Epoch
 					}
 				})
-				lapse := duty.Order{Kind: duty.Lapse, Name: name, Holder: who, Epoch: epoch, Term: term}
-				return proposeAndWait(lead, state.Command{Op: state.Orders, Orders: []duty.Order{lapse}})
+				expiry := duty.Order{Kind: duty.Lapse, Name: name, Holder: serverID, Epoch: epoch, Term: term}
+				return proposeAndWait(leader, state.Command{Op: state.Orders, Orders: []duty.Order{expiry}})
 			})
 		})
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -350,7 +350,7 @@
 func (s *Store) write(c state.Command) (bool, error) {
 	var r state.Result
 	var err error
-	if _, leads := s.Leadership(); leads {
+	if _, isLeader := s.Leadership(); isLeader {
 		r, err = s.apply(c)
 	} else {
 		r, err = s.forward(c)
@@ -425,14 +425,14 @@
 }
 
 // Leadership returns the current term and whether this node believes that it is the leader in it.
-func (s *Store) Leadership() (term uint64, leads bool) {
+func (s *Store) Leadership() (term uint64, isLeader bool) {
 	r := s.active.Load()
 	if r == nil {
 		return 0, false
 	}
 	term = r.raft.CurrentTerm()
-	leads = r.raft.State() == raft.Leader
-	return term, leads && term == r.raft.CurrentTerm()
+	isLeader = r.raft.State() == raft.Leader
+	return term, isLeader && term == r.raft.CurrentTerm()
 }
 
 // Leader returns the id of the leader as this node knows it; "": none.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -71,8 +71,8 @@
 func TestSnapshotAndRestart(t *testing.T) {
 	dir := t.TempDir()
 	s := openNode(t, "a", "127.0.0.1:0", dir)
-	at := s.Addr()
-	if err := s.Start(map[string]string{"a": at}); err != nil {
+	address := s.Addr()
+	if err := s.Start(map[string]string{"a": address}); err != nil {
 		t.Fatal(err)
 	}
 	waitReady(t, s)
@@ -91,7 +91,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s = openNode(t, "a", at, dir)
+	s = openNode(t, "a", address, dir)
 	defer s.Close()
 	waitReady(t, s)
 	waitValue(t, s, "config", "one")
