--- a/cmd/puffinsaddle/main.go
+++ b/cmd/puffinsaddle/main.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	var ledger core.Ledger // nil: effects are remembered in memory
+	var ledger core.EffectLog // nil: effects are remembered in memory
 	if state != nil {
 		defer state.Close()
 		ledger = state
@@ -136,7 +136,7 @@
 	if cfg.Executor != "" {
 		link = executor.New(cfg.Executor, log, func(cold, another bool) {
 			if another {
-				c.Anew(cold)
+				c.RunnerReplaced(cold)
 			}
 			rise(cold)
 		})
@@ -153,7 +153,7 @@
 	}
 	calls := vault.New(cfg.Vault, clk)
 	c = core.New(clk, log, cfg.Settings, cfg.Seed, runner, calls, ledger)
-	c.Room(int(cfg.MemoryMB * keyedPart * (1 << 20)))
+	c.SetKeyTableBytes(int(cfg.MemoryMB * keyedPart * (1 << 20)))
 	held.serve(ctx, c, farm)
 	watch, err := newWatch(cfg, held.tracer(), farm, log)
 	if err != nil {
@@ -174,7 +174,7 @@
 			go f.Serve()
 		}
 		if given.path != "" {
-			if offer, err = handover.New(given.path, sockets, func() []byte { return handOn(c, log) }, c.TakeBack, log); err != nil {
+			if offer, err = handover.New(given.path, sockets, func() []byte { return handOn(c, log) }, c.ResumeKeyedAttempts, log); err != nil {
 				note(log, err) // then this process can't be replaced while it runs
 			} else {
 				log.Info().Msg("may be replaced")
@@ -189,20 +189,20 @@
 	applied, rejected := 0, 0
 	var files sync.Mutex
 	if cfg.OperatorListen != "" {
-		ops, err := operator.Listen(cfg.OperatorListen, config.OperatorConns, operator.Calls{Ready: func() bool { return ready.Load() && c.Ready() }, Drain: func(away bool) {
-			c.Away(away)
+		ops, err := operator.Listen(cfg.OperatorListen, config.MaxOperatorConnections, operator.Calls{Ready: func() bool { return ready.Load() && c.Ready() }, Drain: func(away bool) {
+			c.ForceUnhealthy(away)
 			held.away(away)
 		}, Figures: func() any {
 			files.Lock()
 			defer files.Unlock()
 			return struct {
-				core.Figures
+				core.Metrics
 				Applied  int           `json:"config_applied"`
 				Rejected int           `json:"config_rejected"`
 				Duties   *holding      `json:"duties,omitempty"`
 				Store    *store.Status `json:"store,omitempty"`
 				Records  *watchFigures `json:"records,omitempty"`
-			}{c.Figures(), applied, rejected, held.figures(), storeStatus(state), watch.figures()}
+			}{c.Metrics(), applied, rejected, held.figures(), storeStatus(state), watch.figures()}
 		}, More: held.calls()}, log)
 		if err != nil {
 			return err
@@ -213,8 +213,8 @@
 	}
 	up := make(chan struct{}, 1)
 	rise = func(cold bool) {
-		c.Up(cold)
-		held.up(cold, clock.Millis(cfg.Settings.Cold))
+		c.RunnerStarted(cold)
+		held.up(cold, clock.Millis(cfg.Settings.WarmupPeriod))
 		select {
 		case up <- struct{}{}:
 		default:
@@ -242,9 +242,9 @@
 				ok := reload(load, inForce, log, func(now *config.Config) {
 					inForce = now
 					if link != nil && now.Executor != "" {
-						link.Move(now.Executor)
+						link.SetAddress(now.Executor)
 					}
-					calls.Move(now.Vault)
+					calls.SetAddress(now.Vault)
 					reporter.Move(now.Members)
 					c.Adopt(now.Settings)
 				})
@@ -260,20 +260,20 @@
 				log.Info().Msg("replaced")
 				held.drain()
 				go func() {
-					c.Yield(s.at, all...)
+					c.YieldToSuccessor(s.at, all...)
 					held.leave()
 					close(left)
 				}()
 			case !draining:
 				draining = true
-				log.Info().Float64("stop_ms", cfg.StopMs).Msg("draining")
+				log.Info().Float64("stop_ms", cfg.StopTimeoutMS).Msg("draining")
 				reporter.Leave()
 				held.drain()
 				if state != nil {
 					go func() { note(log, state.Set(drainMark+cfg.Name, []byte("draining"))) }() // the drain waits for no quorum
 				}
 				go func() {
-					c.Leave(s.at, cfg.StopMs, all...)
+					c.Shutdown(s.at, cfg.StopTimeoutMS, all...)
 					held.leave()
 					close(left)
 				}()
@@ -293,7 +293,7 @@
 func reload(load func() (*config.Config, error), old *config.Config, log zerolog.Logger, use func(*config.Config)) bool {
 	now, err := load()
 	if err == nil {
-		err = now.Replaces(old)
+		err = now.CheckReplaces(old)
 	}
 	if err != nil {
 		log.Error().Err(err).Msg("configuration not taken; the old one stays in force")
@@ -351,7 +351,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		fronts = append(fronts, respfront.New(ln, cfg.RouterSockets(), c, clk, log))
+		fronts = append(fronts, respfront.New(ln, cfg.MaxRouterConnections(), c, clk, log))
 	}
 	if u := cfg.Operator.UWSGI; u.Listen != "" {
 		ln, err := open(u.Listen, "uwsgi")
@@ -387,10 +387,10 @@
 // inherit asks the process before this one for its listening sockets. It is found in the server's own folder, by
 // name; without such a folder there is no telling whose process it would be.
 func inherit(cfg *config.Config, log zerolog.Logger) (i inheritance, err error) {
-	if cfg.Private == "" {
+	if cfg.PrivateDir == "" {
 		return i, nil
 	}
-	i.path = filepath.Join(cfg.Private, url.PathEscape(cfg.Name)+".handover")
+	i.path = filepath.Join(cfg.PrivateDir, url.PathEscape(cfg.Name)+".handover")
 	if i.sockets, i.tie, err = handover.Take(i.path); err != nil {
 		i.ending = true
 		return i, err
@@ -403,7 +403,7 @@
 
 // handOn is what a successor has to know of the keyed requests that ran here.
 func handOn(c *core.Core, log zerolog.Logger) []byte {
-	text, err := json.Marshal(c.HandOn())
+	text, err := json.Marshal(c.ExportKeyedAttempts())
 	note(log, err) // it has no number that is none, so there is none
 	return text
 }
@@ -414,17 +414,17 @@
 	if tie == nil {
 		return
 	}
-	var ties []core.Tie
+	var ties []core.KeyedAttempt
 	text, told := handover.Serving(tie)
 	if told && json.Unmarshal(text, &ties) == nil {
-		c.Inherit(ties)
+		c.ImportKeyedAttempts(ties)
 		return
 	}
 	log.Warn().Msg("the process before this one does not tell what it ran")
-	c.HandOn()
+	c.ExportKeyedAttempts()
 	go func() {
 		handover.Gone(tie)
-		c.TakeBack()
+		c.ResumeKeyedAttempts()
 	}()
 }
 
@@ -439,7 +439,7 @@
 	}
 	if o.Inventory.Group != "" {
 		for _, h := range hosts.Group(o.Inventory.Group) {
-			servers = append(servers, h.Endpoint(o.Inventory.Port))
+			servers = append(servers, h.Endpoint(o.Inventory.DefaultPort))
 		}
 	}
 	return servers, hosts, nil
@@ -456,11 +456,11 @@
 		set.ID = cfg.Name
 	}
 	via := map[string]string{}
-	for id, at := range set.Via {
+	for id, at := range set.AddressOverrides {
 		via[set.Peers[id]] = at
 	}
-	s, err := store.Open(store.Options{ID: set.ID, Listen: set.Listen, Dir: set.Dir, Peers: set.Peers, AddressOverrides: via, Strict: set.Strict, CompareIntervalMS: set.CompareMs, ElectionTimeoutMS: set.Election, Log: log,
-		Events: log, OnPhaseChange: held.copied(), OnApply: held.watch(), InjectedBug: cfg.Operator.Lab.Plant})
+	s, err := store.Open(store.Options{ID: set.ID, Listen: set.Listen, Dir: set.Dir, Peers: set.Peers, AddressOverrides: via, Strict: set.Strict, CompareIntervalMS: set.CompareIntervalMS, ElectionTimeoutMS: set.ElectionTimeoutMS, Log: log,
+		Events: log, OnPhaseChange: held.copied(), OnApply: held.watch(), InjectedBug: cfg.Operator.Lab.InjectedBug})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/puffinsaddle/main_test.go
+++ b/cmd/puffinsaddle/main_test.go
@@ -464,8 +464,8 @@
 func (i idle) Start(a *core.Attempt)              { i.starts <- a.Request.ID }
 func (idle) Return(*core.Attempt, uint64, []byte) {}
 func (idle) Skip(*core.Attempt, uint64)           {}
-func (idle) Drop(*core.Attempt)                   {}
-func (idle) Meter(func([]float64))                {}
+func (idle) Abandon(*core.Attempt)                {}
+func (idle) ReadGauges(func([]float64))           {}
 func (idle) Diagnose(func(bool)) bool             { return false }
 
 // A process replaces one of an earlier build, which tells nothing of what it ran and goes on beginning it: no payment is
@@ -480,9 +480,9 @@
 	clk, starts := clock.Manual(1.7e12), make(chan string, 1)
 	c := core.New(clk, zerolog.Nop(), policy.Settings{
 		Classes: []policy.Class{{Name: "pay", Aim: time.Minute, Deadline: time.Minute, Worth: 1, Safety: policy.Keyed, KeyTTL: time.Second}},
-		Cores:   8, MemoryKB: 1e6, RunFactor: 4, FallMultiple: 8, BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1,
+		Cores:   8, MemoryKB: 1e6, RunMemoryFactor: 4, MaxRunningPerCore: 8, BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnectionGauge: -1,
 	}, 1, idle{starts}, nil, nil)
-	c.Up(false)
+	c.RunnerStarted(false)
 	go c.Run()
 	t.Cleanup(c.Stop)
 	answers := make(chan core.Verdict, 1)
@@ -490,7 +490,7 @@
 	pay := func() {
 		n++
 		id := fmt.Sprintf("%016x", n)
-		c.Open(&core.Request{ID: id, Class: "pay", At: clk.Now(), KB: 1, Once: id}, func(o core.Outcome) { answers <- o.Verdict })
+		c.Open(&core.Request{ID: id, Class: "pay", ArrivedAt: clk.Now(), KB: 1, IdempotencyKey: id}, func(o core.Outcome) { answers <- o.Verdict })
 	}
 	lines := make(logLines, 10)
 	succeed(c, tie, zerolog.New(lines))
@@ -507,7 +507,7 @@
 	old.Close()
 	for beside := true; beside; { // until that is known, the time does not begin
 		in := make(chan struct{})
-		c.Then(func() { close(in) })
+		c.AfterPendingEvents(func() { close(in) })
 		<-in
 		clk.Set(clk.Now() + 1200)
 		pay()
--- a/cmd/puffinsaddle/store.go
+++ b/cmd/puffinsaddle/store.go
@@ -116,7 +116,7 @@
 				fmt.Fprintf(t, "%s\t%s\tnot reached\t-\t-\t-\t-\t-\t%s\n", a.ID, a.At, a.Error)
 				continue
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%s\t%s\n", a.ID, a.At, a.Phase, a.Voter, a.IsLeader, a.Directory.Last, a.Applied, behind(a.ID, all), orDash(a.Reason))
+			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%s\t%s\n", a.ID, a.At, a.Phase, a.Voter, a.IsLeader, a.Directory.LastIndex, a.Applied, behind(a.ID, all), orDash(a.Reason))
 		}
 		if err := t.Flush(); err != nil {
 			return err
@@ -152,8 +152,8 @@
 	if len(o.Store.Peers) > 0 {
 		return o.Store.Peers, nil
 	}
-	if len(o.Duties.Copies) > 0 {
-		return o.Duties.Copies, nil
+	if len(o.Duties.Replicas) > 0 {
+		return o.Duties.Replicas, nil
 	}
 	return nil, fmt.Errorf("%w: %s: neither store.peers nor duties.copies is set", errWrong, w.Operator)
 }
@@ -237,7 +237,7 @@
 		return err
 	}
 	return c.told(out, r, fmt.Sprintf("%s begins the set anew, for the %d. time, with entry %d of term %d as the last; start it first, then the others",
-		o.ID, r.Directory.Set, r.Directory.Last, r.Directory.Term))
+		o.ID, r.Directory.ClusterGeneration, r.Directory.LastIndex, r.Directory.Term))
 }
 
 // Run checks a folder.
@@ -251,10 +251,10 @@
 			return err
 		}
 	} else {
-		fmt.Fprintf(out, "%s: format %d, folder %s, opened %d times\n", r.Dir, r.Format, r.Directory.Folder, r.Directory.Life)
+		fmt.Fprintf(out, "%s: format %d, folder %s, opened %d times\n", r.Dir, r.Format, r.Directory.DirectoryID, r.Directory.OpenCount)
 		fmt.Fprintf(out, "entries %d to %d, %d bytes, term %d, %d snapshots\n", r.FirstIndex, r.LastIndex, r.Bytes, r.Term, len(r.Snapshots))
 		if !r.Voter {
-			fmt.Fprintf(out, "joined as of entry %d, and has no vote yet\n", r.Directory.Joined)
+			fmt.Fprintf(out, "joined as of entry %d, and has no vote yet\n", r.Directory.JoinIndex)
 		}
 		for _, a := range r.Quarantined {
 			fmt.Fprintln(out, "set aside:", a)
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -7,16 +7,16 @@
 	"testing"
 )
 
-func claim(id, folder string, life, term, last uint64) Claim {
-	return Claim{ID: id, Addr: "at-" + id, Mark: Mark{Folder: folder, Life: life, Proc: fmt.Sprint(folder, "/", life), Term: term, Last: last}}
+func newClaim(id, directoryID string, openCount, term, lastIndex uint64) Claim {
+	return Claim{ID: id, Addr: "at-" + id, DirectoryState: DirectoryState{DirectoryID: directoryID, OpenCount: openCount, ProcessID: fmt.Sprint(directoryID, "/", openCount), Term: term, LastIndex: lastIndex}}
 }
 
-var three = View{Begun: true, Last: 50, Name: "set", Of: map[string]Member{"a": {"at-a", true}, "b": {"at-b", true}, "c": {"at-c", true}}}
+var threeVoters = View{Bootstrapped: true, LastIndex: 50, ClusterName: "set", Members: map[string]Member{"a": {"at-a", true}, "b": {"at-b", true}, "c": {"at-c", true}}}
 
-func TestWhatAWitnessRemembersSpeaksAgainstAFolder(t *testing.T) {
-	before := claim("c", "f", 3, 7, 40)
+func TestVerifierContradictsClaims(t *testing.T) {
+	before := newClaim("c", "f", 3, 7, 40)
 	changed := func(do func(*Claim)) Claim {
-		c := claim("c", "f", 4, 7, 40)
+		c := newClaim("c", "f", 4, 7, 40)
 		do(&c)
 		return c
 	}
@@ -24,140 +24,142 @@
 		c    Claim
 		want Verdict
 	}{
-		"a plain restart":                        {changed(func(*Claim) {}), Good},
-		"with a later term, its tail cut off":    {changed(func(c *Claim) { c.Term, c.Last = 8, 38 }), Good},
-		"one entry less":                         {changed(func(c *Claim) { c.Last = 39 }), Older},
-		"a term less":                            {changed(func(c *Claim) { c.Term, c.Last = 6, 45 }), Older},
-		"opened as often before":                 {changed(func(c *Claim) { c.Life, c.Proc = 3, "another" }), Older},
-		"an empty folder":                        {changed(func(c *Claim) { *c = claim("c", "g", 1, 0, 0); c.Fresh = true }), Foreign},
-		"somebody else's folder":                 {changed(func(c *Claim) { c.Folder = "g" }), Foreign},
-		"joined anew through the leader":         {changed(func(c *Claim) { c.Folder, c.Joined = "g", 30 }), Good},
-		"at another address":                     {changed(func(c *Claim) { c.Addr = "at-x" }), Elsewhere},
-		"a folder of another set":                {changed(func(c *Claim) { c.Name = "another" }), Stranger},
-		"a folder of this set":                   {changed(func(c *Claim) { c.Name = "set" }), Good},
-		"an id that the set does not have":       {claim("x", "f", 1, 7, 40), Removed},
-		"the same process, its tail cut off":     {func() Claim { c := before; c.Last = 30; return c }(), Good},
-		"the same process with an emptied disk":  {func() Claim { c := before; c.Folder = "g"; return c }(), Foreign},
-		"a good folder that asks to begin again": {changed(func(c *Claim) { c.Rejoin = "damaged" }), Good},
+		"a plain restart":                        {changed(func(*Claim) {}), VerdictAccepted},
+		"with a later term, its tail cut off":    {changed(func(c *Claim) { c.Term, c.LastIndex = 8, 38 }), VerdictAccepted},
+		"one entry less":                         {changed(func(c *Claim) { c.LastIndex = 39 }), VerdictOutdated},
+		"a term less":                            {changed(func(c *Claim) { c.Term, c.LastIndex = 6, 45 }), VerdictOutdated},
+		"opened as often before":                 {changed(func(c *Claim) { c.OpenCount, c.ProcessID = 3, "another" }), VerdictOutdated},
+		"an empty folder":                        {changed(func(c *Claim) { *c = newClaim("c", "g", 1, 0, 0); c.Fresh = true }), VerdictOtherDirectory},
+		"somebody else's folder":                 {changed(func(c *Claim) { c.DirectoryID = "g" }), VerdictOtherDirectory},
+		"joined anew through the leader":         {changed(func(c *Claim) { c.DirectoryID, c.JoinIndex = "g", 30 }), VerdictAccepted},
+		"at another address":                     {changed(func(c *Claim) { c.Addr = "at-x" }), VerdictOtherAddress},
+		"a folder of another set":                {changed(func(c *Claim) { c.ClusterName = "another" }), VerdictOtherCluster},
+		"a folder of this set":                   {changed(func(c *Claim) { c.ClusterName = "set" }), VerdictAccepted},
+		"an id that the set does not have":       {newClaim("x", "f", 1, 7, 40), VerdictNotMember},
+		"the same process, its tail cut off":     {func() Claim { c := before; c.LastIndex = 30; return c }(), VerdictAccepted},
+		"the same process with an emptied disk":  {func() Claim { c := before; c.DirectoryID = "g"; return c }(), VerdictOtherDirectory},
+		"a good folder that asks to begin again": {changed(func(c *Claim) { c.RejoinReason = "damaged" }), VerdictAccepted},
 	} {
-		w := NewWitness("a", nil)
-		if word, keep := w.Hear(0, 1, before, three); word.Verdict != Good || !keep {
-			t.Fatalf("the first claim: %+v %v", word, keep)
+		w := NewVerifier("a", nil)
+		if response, persist := w.HandleClaim(0, 1, before, threeVoters); response.Verdict != VerdictAccepted || !persist {
+			t.Fatalf("the first claim: %+v %v", response, persist)
 		}
-		w.Gone("c", 1)
-		if word, _ := w.Hear(10, 2, tc.c, three); word.Verdict != tc.want {
-			t.Errorf("%s: %+v, want %s", name, word, tc.want)
+		w.ConnectionClosed("c", 1)
+		if response, _ := w.HandleClaim(10, 2, tc.c, threeVoters); response.Verdict != tc.want {
+			t.Errorf("%s: %+v, want %s", name, response, tc.want)
 		}
 	}
 }
 
 // A mark that speaks against a claim is not replaced by it: the folder may come again.
-func TestRefusedClaimsAreNotRemembered(t *testing.T) {
-	w := NewWitness("a", map[string]Mark{"c": claim("c", "f", 3, 7, 40).Mark})
-	old := claim("c", "f", 3, 6, 20)
-	old.Proc = "old"
+func TestRejectedClaimsAreNotRemembered(t *testing.T) {
+	w := NewVerifier("a", map[string]DirectoryState{"c": newClaim("c", "f", 3, 7, 40).DirectoryState})
+	old := newClaim("c", "f", 3, 6, 20)
+	old.ProcessID = "old"
 	for range 3 {
-		if word, keep := w.Hear(0, 1, old, three); word.Verdict != Older || keep {
-			t.Errorf("%+v %v", word, keep)
+		if response, persist := w.HandleClaim(0, 1, old, threeVoters); response.Verdict != VerdictOutdated || persist {
+			t.Errorf("%+v %v", response, persist)
 		}
 	}
-	if w.Marks["c"].Last != 40 {
-		t.Errorf("%+v", w.Marks["c"])
+	if w.Directories["c"].LastIndex != 40 {
+		t.Errorf("%+v", w.Directories["c"])
 	}
-	nobody := View{}
-	if word, _ := w.Hear(0, 1, old, nobody); word.Verdict != Older {
-		t.Errorf("a witness that knows no configuration yet: %+v", word)
+	unconfigured := View{}
+	if response, _ := w.HandleClaim(0, 1, old, unconfigured); response.Verdict != VerdictOutdated {
+		t.Errorf("a witness that knows no configuration yet: %+v", response)
 	}
 }
 
-func TestOneProcessOfAnID(t *testing.T) {
-	w := NewWitness("a", nil)
-	first, second := claim("c", "f", 1, 1, 5), claim("c", "g", 1, 1, 5)
-	w.Hear(0, 1, first, three)
-	if word, _ := w.Hear(AliveFor-1, 2, second, three); word.Verdict != Twin {
-		t.Errorf("while the first is alive: %+v", word)
+func TestOnlyOneProcessPerIDIsAccepted(t *testing.T) {
+	w := NewVerifier("a", nil)
+	first, second := newClaim("c", "f", 1, 1, 5), newClaim("c", "g", 1, 1, 5)
+	w.HandleClaim(0, 1, first, threeVoters)
+	if response, _ := w.HandleClaim(AliveTimeoutMS-1, 2, second, threeVoters); response.Verdict != VerdictDuplicateProcess {
+		t.Errorf("while the first is alive: %+v", response)
 	}
-	w.Gone("c", 2)
-	if word, _ := w.Hear(AliveFor-1, 3, second, three); word.Verdict != Twin {
-		t.Errorf("after its own connection ended: %+v", word)
+	w.ConnectionClosed("c", 2)
+	if response, _ := w.HandleClaim(AliveTimeoutMS-1, 3, second, threeVoters); response.Verdict != VerdictDuplicateProcess {
+		t.Errorf("after its own connection ended: %+v", response)
 	}
-	if word, _ := w.Hear(AliveFor, 3, second, three); word.Verdict != Foreign {
-		t.Errorf("once the first is silent: %+v", word)
+	if response, _ := w.HandleClaim(AliveTimeoutMS, 3, second, threeVoters); response.Verdict != VerdictOtherDirectory {
+		t.Errorf("once the first is silent: %+v", response)
 	}
-	if word, _ := w.Hear(AliveFor+1, 1, first, three); word.Verdict != Replaced {
-		t.Errorf("the first, when it goes on: %+v", word)
+	if response, _ := w.HandleClaim(AliveTimeoutMS+1, 1, first, threeVoters); response.Verdict != VerdictProcessReplaced {
+		t.Errorf("the first, when it goes on: %+v", response)
 	}
-	w.Gone("c", 3)
-	if word, _ := w.Hear(AliveFor+2, 1, first, three); word.Verdict != Good {
-		t.Errorf("the first, when the second is gone: %+v", word)
+	w.ConnectionClosed("c", 3)
+	if response, _ := w.HandleClaim(AliveTimeoutMS+2, 1, first, threeVoters); response.Verdict != VerdictAccepted {
+		t.Errorf("the first, when the second is gone: %+v", response)
 	}
 }
 
 // What a seeker does, by what it is told.
-func TestSeekerDecides(t *testing.T) {
-	good := func(from string) Word { return Word{From: from, Verdict: Good, Begun: true, Last: 50} }
-	bad := func(from string, v Verdict) Word {
-		return Word{From: from, Verdict: v, Why: "it says so", Begun: true, Last: 50}
-	}
-	fresh := func(from string) Word { return Word{From: from, Verdict: Good} }
-	old, empty := claim("c", "f", 4, 7, 40), Claim{ID: "c", Fresh: true}
-	learner := claim("c", "g", 1, 0, 0)
-	learner.Joined, learner.Fresh = 45, true
-	named := old
-	named.Name = "set"
-	asking := old
-	asking.Rejoin = "older"
+func TestJoinerDecidesByResponses(t *testing.T) {
+	accepts := func(from string) Response {
+		return Response{From: from, Verdict: VerdictAccepted, Bootstrapped: true, LastIndex: 50}
+	}
+	rejects := func(from string, v Verdict) Response {
+		return Response{From: from, Verdict: v, Reason: "it says so", Bootstrapped: true, LastIndex: 50}
+	}
+	unbootstrapped := func(from string) Response { return Response{From: from, Verdict: VerdictAccepted} }
+	restarted, empty := newClaim("c", "f", 4, 7, 40), Claim{ID: "c", Fresh: true}
+	rejoined := newClaim("c", "g", 1, 0, 0)
+	rejoined.JoinIndex, rejoined.Fresh = 45, true
+	named := restarted
+	named.ClusterName = "set"
+	rejoining := restarted
+	rejoining.RejoinReason = "older"
 	for name, tc := range map[string]struct {
-		c      Claim
-		strict bool
-		words  []Word
-		want   Decision
+		c         Claim
+		strict    bool
+		responses []Response
+		want      Decision
 	}{
-		"nobody heard":                             {old, false, nil, Wait},
-		"one of two agrees":                        {old, false, []Word{good("a")}, Start},
-		"its state differs":                        {old, false, []Word{good("a"), bad("b", Differs)}, Rejoin},
-		"one of two agrees, strict":                {old, true, []Word{good("a")}, Wait},
-		"both agree, strict":                       {old, true, []Word{good("a"), good("b")}, Start},
-		"one is against":                           {old, false, []Word{good("a"), bad("b", Older)}, Rejoin},
-		"a stranger agrees":                        {old, false, []Word{good("x")}, Wait},
-		"another process is alive":                 {old, false, []Word{good("a"), bad("b", Twin)}, Wait},
-		"another process took its place":           {old, false, []Word{good("a"), bad("b", Replaced)}, Leave},
-		"its folder is of another set":             {old, false, []Word{bad("a", Stranger), bad("b", Stranger)}, Wait},
-		"who agrees belongs to no set yet":         {named, false, []Word{fresh("a"), fresh("b")}, Wait},
-		"asked and joined, another is elsewhere":   {asking, false, []Word{bad("a", Elsewhere), {From: "b", Verdict: Foreign, Begun: true, Joined: 45}}, Renew},
-		"one of the others is of another set":      {old, false, []Word{good("a"), bad("b", Stranger)}, Start},
-		"it was removed":                           {old, false, []Word{good("a"), bad("b", Removed)}, Wait},
-		"empty, one other empty":                   {empty, false, []Word{fresh("a")}, Wait},
-		"all are empty":                            {empty, false, []Word{fresh("a"), fresh("b")}, Begin},
-		"empty, and a set has begun":               {empty, false, []Word{fresh("a"), good("b")}, Rejoin},
-		"empty, as the set began with it":          {empty, false, []Word{fresh("a"), {From: "b", Verdict: Good, Begun: true, Knows: true}}, Begin},
-		"asking":                                   {asking, false, []Word{good("a"), bad("b", Older)}, Wait},
-		"asked and joined":                         {asking, false, []Word{{From: "a", Verdict: Good, Begun: true, Joined: 45}}, Renew},
-		"joined, one has not heard of it yet":      {learner, false, []Word{good("a"), {From: "b", Verdict: Foreign, Begun: true, Last: 44}}, Start},
-		"joined, and contradicted by who heard it": {learner, false, []Word{good("a"), bad("b", Foreign)}, Rejoin},
+		"nobody heard":                             {restarted, false, nil, DecisionWait},
+		"one of two agrees":                        {restarted, false, []Response{accepts("a")}, DecisionStart},
+		"its state differs":                        {restarted, false, []Response{accepts("a"), rejects("b", VerdictStateDiverged)}, DecisionRequestRejoin},
+		"one of two agrees, strict":                {restarted, true, []Response{accepts("a")}, DecisionWait},
+		"both agree, strict":                       {restarted, true, []Response{accepts("a"), accepts("b")}, DecisionStart},
+		"one is against":                           {restarted, false, []Response{accepts("a"), rejects("b", VerdictOutdated)}, DecisionRequestRejoin},
+		"a stranger agrees":                        {restarted, false, []Response{accepts("x")}, DecisionWait},
+		"another process is alive":                 {restarted, false, []Response{accepts("a"), rejects("b", VerdictDuplicateProcess)}, DecisionWait},
+		"another process took its place":           {restarted, false, []Response{accepts("a"), rejects("b", VerdictProcessReplaced)}, DecisionStop},
+		"its folder is of another set":             {restarted, false, []Response{rejects("a", VerdictOtherCluster), rejects("b", VerdictOtherCluster)}, DecisionWait},
+		"who agrees belongs to no set yet":         {named, false, []Response{unbootstrapped("a"), unbootstrapped("b")}, DecisionWait},
+		"asked and joined, another is elsewhere":   {rejoining, false, []Response{rejects("a", VerdictOtherAddress), {From: "b", Verdict: VerdictOtherDirectory, Bootstrapped: true, JoinIndex: 45}}, DecisionResetDirectory},
+		"one of the others is of another set":      {restarted, false, []Response{accepts("a"), rejects("b", VerdictOtherCluster)}, DecisionStart},
+		"it was removed":                           {restarted, false, []Response{accepts("a"), rejects("b", VerdictNotMember)}, DecisionWait},
+		"empty, one other empty":                   {empty, false, []Response{unbootstrapped("a")}, DecisionWait},
+		"all are empty":                            {empty, false, []Response{unbootstrapped("a"), unbootstrapped("b")}, DecisionBootstrap},
+		"empty, and a set has begun":               {empty, false, []Response{unbootstrapped("a"), accepts("b")}, DecisionRequestRejoin},
+		"empty, as the set began with it":          {empty, false, []Response{unbootstrapped("a"), {From: "b", Verdict: VerdictAccepted, Bootstrapped: true, KnowsDirectory: true}}, DecisionBootstrap},
+		"asking":                                   {rejoining, false, []Response{accepts("a"), rejects("b", VerdictOutdated)}, DecisionWait},
+		"asked and joined":                         {rejoining, false, []Response{{From: "a", Verdict: VerdictAccepted, Bootstrapped: true, JoinIndex: 45}}, DecisionResetDirectory},
+		"joined, one has not heard of it yet":      {rejoined, false, []Response{accepts("a"), {From: "b", Verdict: VerdictOtherDirectory, Bootstrapped: true, LastIndex: 44}}, DecisionStart},
+		"joined, and contradicted by who heard it": {rejoined, false, []Response{accepts("a"), rejects("b", VerdictOtherDirectory)}, DecisionRequestRejoin},
 	} {
-		s := Seeker{Claim: tc.c, Others: []string{"a", "b"}, Strict: tc.strict, Waited: true}
-		for _, w := range tc.words {
-			s.Take(w)
+		s := Joiner{Claim: tc.c, Peers: []string{"a", "b"}, Strict: tc.strict, WaitElapsed: true}
+		for _, w := range tc.responses {
+			s.AddResponse(w)
 		}
 		if d, why := s.Decide(); d != tc.want || why == "" {
 			t.Errorf("%s: %s (%s), want %s", name, d, why, tc.want)
 		}
 	}
-	hasty := Seeker{Claim: old, Others: []string{"a", "b"}}
-	hasty.Take(good("a"))
-	if d, _ := hasty.Decide(); d != Wait {
+	early := Joiner{Claim: restarted, Peers: []string{"a", "b"}}
+	early.AddResponse(accepts("a"))
+	if d, _ := early.Decide(); d != DecisionWait {
 		t.Errorf("one of two is heard, and the other may be about to be: %s", d)
 	}
-	hasty.Take(good("b"))
-	if d, _ := hasty.Decide(); d != Start {
+	early.AddResponse(accepts("b"))
+	if d, _ := early.Decide(); d != DecisionStart {
 		t.Errorf("all are heard: %s", d)
 	}
 	for n, want := range map[int][2]int{0: {0, 0}, 2: {1, 2}, 4: {2, 3}, 6: {3, 4}} {
-		s := Seeker{Others: make([]string, n)}
-		plain := s.Need()
+		s := Joiner{Peers: make([]string, n)}
+		plain := s.RequiredResponses()
 		s.Strict = true
-		if strict := s.Need(); plain != want[0] || strict != want[1] {
+		if strict := s.RequiredResponses(); plain != want[0] || strict != want[1] {
 			t.Errorf("%d others: %d and %d, want %v", n, plain, strict, want)
 		}
 	}
@@ -165,244 +167,244 @@
 
 // A set of copies whose disks are written, copied, put back and emptied. What is checked is the one thing that counts: a copy
 // that starts has all that it ever had, unless it has joined anew and has no vote.
-type world struct {
-	n     int
-	disk  []Claim  // the folder of each copy as it is
-	kept  []*Claim // a copy of it that was made
-	most  []Mark   // the most that each ever had with its vote
-	up    []bool   // its process runs, and it takes part
-	w     []*Witness
-	votes []bool
-	procs int
-	last  uint64
-	now   float64
-	plant string
-	long  int // times that a plain restart was kept out though all others were there
+type clusterModel struct {
+	size             int
+	directories      []Claim          // the folder of each copy as it is
+	backups          []*Claim         // a copy of it that was made
+	latestAsVoter    []DirectoryState // the most that each ever had with its vote
+	running          []bool           // its process runs, and it takes part
+	verifiers        []*Verifier
+	voters           []bool
+	processCount     int
+	lastIndex        uint64
+	nowMS            float64
+	injectedBug      string
+	rejectedRestarts int // times that a plain restart was kept out though all others were there
 }
 
-func newWorld(n int, plant string) *world {
-	w := &world{n: n, disk: make([]Claim, n), kept: make([]*Claim, n), most: make([]Mark, n), up: make([]bool, n), w: make([]*Witness, n),
-		votes: make([]bool, n), last: 10, plant: plant}
+func newClusterModel(n int, injectedBug string) *clusterModel {
+	w := &clusterModel{size: n, directories: make([]Claim, n), backups: make([]*Claim, n), latestAsVoter: make([]DirectoryState, n), running: make([]bool, n), verifiers: make([]*Verifier, n),
+		voters: make([]bool, n), lastIndex: 10, injectedBug: injectedBug}
 	for i := range n {
-		w.w[i] = NewWitness(id(i), nil)
-		w.votes[i], w.up[i] = true, true
-		w.disk[i] = Claim{ID: id(i), Addr: "at-" + id(i), Mark: Mark{Folder: fmt.Sprint("f", i), Life: 1, Proc: fmt.Sprint("p", i), Term: 1, Last: 10}}
-		w.most[i] = w.disk[i].Mark
+		w.verifiers[i] = NewVerifier(replicaID(i), nil)
+		w.voters[i], w.running[i] = true, true
+		w.directories[i] = Claim{ID: replicaID(i), Addr: "at-" + replicaID(i), DirectoryState: DirectoryState{DirectoryID: fmt.Sprint("f", i), OpenCount: 1, ProcessID: fmt.Sprint("p", i), Term: 1, LastIndex: 10}}
+		w.latestAsVoter[i] = w.directories[i].DirectoryState
 	}
 	for i := range n {
-		w.report(i)
+		w.sendClaims(i)
 	}
 	return w
 }
 
-func id(i int) string { return string(rune('a' + i)) }
+func replicaID(i int) string { return string(rune('a' + i)) }
 
-func (w *world) view(i int) View {
-	v := View{Begun: true, Last: w.disk[i].Last, Of: map[string]Member{}}
-	for k := range w.n {
-		v.Of[id(k)] = Member{"at-" + id(k), w.votes[k]}
+func (w *clusterModel) view(i int) View {
+	v := View{Bootstrapped: true, LastIndex: w.directories[i].LastIndex, Members: map[string]Member{}}
+	for k := range w.size {
+		v.Members[replicaID(k)] = Member{"at-" + replicaID(k), w.voters[k]}
 	}
 	return v
 }
 
-// report tells all that run what a copy has, and returns what they say.
-func (w *world) report(i int) (words []Word) {
-	for k := range w.n {
-		if k != i && w.up[k] {
-			word, _ := w.w[k].Hear(w.now, uint64(i), w.disk[i], w.view(k))
-			words = append(words, word)
+// sendClaims tells all that run what a copy has, and returns what they say.
+func (w *clusterModel) sendClaims(i int) (responses []Response) {
+	for k := range w.size {
+		if k != i && w.running[k] {
+			response, _ := w.verifiers[k].HandleClaim(w.nowMS, uint64(i), w.directories[i], w.view(k))
+			responses = append(responses, response)
 		}
 	}
-	return words
+	return responses
 }
 
-// step tells whether it was one that could be taken.
-func (w *world) step(what string, i int) bool {
-	w.now += 100
-	d := &w.disk[i]
+// execute tells whether it was one that could be taken.
+func (w *clusterModel) execute(kind string, i int) bool {
+	w.nowMS += 100
+	d := &w.directories[i]
 	switch {
-	case (what == "kill" || what == "promote") && !w.up[i], (what == "old" || what == "empty" || what == "start") && w.up[i],
-		what == "old" && w.kept[i] == nil, what == "keep" && w.kept[i] != nil && *w.kept[i] == *d,
-		what == "promote" && (w.votes[i] || d.Last != w.last):
+	case (kind == "kill" || kind == "promote") && !w.running[i], (kind == "old" || kind == "empty" || kind == "start") && w.running[i],
+		kind == "old" && w.backups[i] == nil, kind == "keep" && w.backups[i] != nil && *w.backups[i] == *d,
+		kind == "promote" && (w.voters[i] || d.LastIndex != w.lastIndex):
 		return false
 	}
-	switch what {
+	switch kind {
 	case "write": // all that run take entries, and tell so
-		w.last++
-		for k := range w.n {
-			if w.up[k] {
-				w.disk[k].Last, w.disk[k].Fresh = w.last, false
-				if w.votes[k] {
-					w.most[k] = w.disk[k].Mark
+		w.lastIndex++
+		for k := range w.size {
+			if w.running[k] {
+				w.directories[k].LastIndex, w.directories[k].Fresh = w.lastIndex, false
+				if w.voters[k] {
+					w.latestAsVoter[k] = w.directories[k].DirectoryState
 				}
 			}
 		}
-		for k := range w.n {
-			if w.up[k] {
-				w.report(k)
+		for k := range w.size {
+			if w.running[k] {
+				w.sendClaims(k)
 			}
 		}
 	case "keep":
 		c := *d
-		w.kept[i] = &c
+		w.backups[i] = &c
 	case "kill":
-		w.up[i] = false
-		for k := range w.n {
-			w.w[k].Gone(id(i), uint64(i))
+		w.running[i] = false
+		for k := range w.size {
+			w.verifiers[k].ConnectionClosed(replicaID(i), uint64(i))
 		}
 	case "old":
-		*d = *w.kept[i]
+		*d = *w.backups[i]
 	case "empty":
-		*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true, Mark: Mark{Folder: fmt.Sprint(d.Folder, "+")}}
+		*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true, DirectoryState: DirectoryState{DirectoryID: fmt.Sprint(d.DirectoryID, "+")}}
 	case "start":
-		w.start(i)
+		w.startReplica(i)
 	case "promote":
-		w.votes[i] = true
-		w.most[i] = d.Mark
+		w.voters[i] = true
+		w.latestAsVoter[i] = d.DirectoryState
 	}
 	return true
 }
 
-func (w *world) start(i int) {
-	d := &w.disk[i]
-	w.procs++
-	d.Life++
-	d.Proc = fmt.Sprint("q", w.procs)
-	d.Rejoin, d.Runs = "", false
-	legit := d.Folder == w.most[i].Folder && !d.behind(w.most[i]) && d.Life == w.most[i].Life+1
-	s := Seeker{Claim: *d, Plant: w.plant, Waited: true}
-	for k := range w.n {
+func (w *clusterModel) startReplica(i int) {
+	d := &w.directories[i]
+	w.processCount++
+	d.OpenCount++
+	d.ProcessID = fmt.Sprint("q", w.processCount)
+	d.RejoinReason, d.Running = "", false
+	plainRestart := d.DirectoryID == w.latestAsVoter[i].DirectoryID && !d.behind(w.latestAsVoter[i]) && d.OpenCount == w.latestAsVoter[i].OpenCount+1
+	s := Joiner{Claim: *d, InjectedBug: w.injectedBug, WaitElapsed: true}
+	for k := range w.size {
 		if k != i {
-			s.Others = append(s.Others, id(k))
+			s.Peers = append(s.Peers, replicaID(k))
 		}
 	}
-	joined := false
+	demoted := false
 	for range 4 {
-		words := w.report(i)
-		for _, word := range words {
-			if joined && s.Rejoin != "" {
-				word.Joined = w.last
+		responses := w.sendClaims(i)
+		for _, response := range responses {
+			if demoted && s.RejoinReason != "" {
+				response.JoinIndex = w.lastIndex
 			}
-			s.Take(word)
+			s.AddResponse(response)
 		}
 		decision, _ := s.Decide()
 		switch decision {
-		case Rejoin:
-			s.Rejoin = "contradicted"
-			d.Rejoin = s.Rejoin
-			leads := 0
-			for k := range w.n {
-				if w.up[k] && w.votes[k] {
-					leads++
+		case DecisionRequestRejoin:
+			s.RejoinReason = "contradicted"
+			d.RejoinReason = s.RejoinReason
+			runningVoters := 0
+			for k := range w.size {
+				if w.running[k] && w.voters[k] {
+					runningVoters++
 				}
 			}
-			if 2*leads > w.n { // a leader joins it, without a vote
-				w.last++
-				w.votes[i] = false
-				joined = true
+			if 2*runningVoters > w.size { // a leader joins it, without a vote
+				w.lastIndex++
+				w.voters[i] = false
+				demoted = true
 			}
-		case Renew:
-			*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true, Mark: Mark{Folder: fmt.Sprint(d.Folder, "'", w.procs), Life: 1, Proc: d.Proc, Joined: w.last}}
+		case DecisionResetDirectory:
+			*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true, DirectoryState: DirectoryState{DirectoryID: fmt.Sprint(d.DirectoryID, "'", w.processCount), OpenCount: 1, ProcessID: d.ProcessID, JoinIndex: w.lastIndex}}
 			s.Claim = *d
-			s.Forget()
-		case Start, Begin:
-			w.up[i] = true
+			s.ClearResponses()
+		case DecisionStart, DecisionBootstrap:
+			w.running[i] = true
 			return
-		case Wait, Leave:
-			if legit && w.votes[i] && len(words) == w.n-1 {
-				w.long++
+		case DecisionWait, DecisionStop:
+			if plainRestart && w.voters[i] && len(responses) == w.size-1 {
+				w.rejectedRestarts++
 			}
 			return
 		}
 	}
 }
 
-// broken tells what must never be so: a copy that takes part with its vote, and lacks what it had with it.
-func (w *world) broken() string {
-	for i := range w.n {
-		if d := w.disk[i]; w.up[i] && w.votes[i] && d.behind(w.most[i]) {
-			return fmt.Sprintf("%s votes with entry %d of its %d", d.ID, d.Last, w.most[i].Last)
+// violation tells what must never be so: a copy that takes part with its vote, and lacks what it had with it.
+func (w *clusterModel) violation() string {
+	for i := range w.size {
+		if d := w.directories[i]; w.running[i] && w.voters[i] && d.behind(w.latestAsVoter[i]) {
+			return fmt.Sprintf("%s votes with entry %d of its %d", d.ID, d.LastIndex, w.latestAsVoter[i].LastIndex)
 		}
 	}
-	if w.long > 0 {
+	if w.rejectedRestarts > 0 {
 		return "a plain restart was kept out though all others were there"
 	}
 	return ""
 }
 
-var moves = []string{"write", "keep", "kill", "old", "empty", "start", "promote"}
+var stepKinds = []string{"write", "keep", "kill", "old", "empty", "start", "promote"}
 
-// play goes a way and tells what was broken. A copy is only put back or emptied while a majority of the others runs with its
+// runSteps goes a way and tells what was broken. A copy is only put back or emptied while a majority of the others runs with its
 // vote: what nobody left remembers nobody can tell, and the page on the store says so.
-func play(n int, way []string, plant string) (why string, taken bool) {
-	w := newWorld(n, plant)
-	for at, s := range way {
-		taken = false
-		what, who, _ := strings.Cut(s, " ")
-		i := int(who[0] - 'a')
-		if what == "old" || what == "empty" || what == "kill" {
-			others := 0
+func runSteps(n int, steps []string, injectedBug string) (violation string, applicable bool) {
+	w := newClusterModel(n, injectedBug)
+	for at, s := range steps {
+		applicable = false
+		kind, replica, _ := strings.Cut(s, " ")
+		i := int(replica[0] - 'a')
+		if kind == "old" || kind == "empty" || kind == "kill" {
+			otherVoters := 0
 			for k := range n {
-				if k != i && w.up[k] && w.votes[k] {
-					others++
+				if k != i && w.running[k] && w.voters[k] {
+					otherVoters++
 				}
 			}
-			if 2*others <= n {
+			if 2*otherVoters <= n {
 				continue
 			}
 		}
-		taken = w.step(what, i)
-		if why := w.broken(); why != "" {
-			return fmt.Sprintf("%s after %q", why, way[:at+1]), taken
+		applicable = w.execute(kind, i)
+		if violation := w.violation(); violation != "" {
+			return fmt.Sprintf("%s after %q", violation, steps[:at+1]), applicable
 		}
 	}
-	return "", taken
+	return "", applicable
 }
 
 // Every way of so many steps on one copy, with its others running. A step that can't be taken is not gone on from.
-func TestEveryWayOfFoldersKeepsTheVoteFromWhatWasForgotten(t *testing.T) {
+func TestNoStepSequenceLetsAnOutdatedReplicaVote(t *testing.T) {
 	const depth = 8
-	seen := 0
-	var down func(way []string) string
-	down = func(way []string) string {
-		for _, m := range moves {
-			next := append(way[:len(way):len(way)], m+" c")
-			why, taken := play(3, next, "")
-			if why != "" {
-				return why
+	sequences := 0
+	var extend func(steps []string) string
+	extend = func(steps []string) string {
+		for _, kind := range stepKinds {
+			next := append(steps[:len(steps):len(steps)], kind+" c")
+			violation, applicable := runSteps(3, next, "")
+			if violation != "" {
+				return violation
 			}
-			if seen++; taken && len(next) < depth {
-				if why := down(next); why != "" {
-					return why
+			if sequences++; applicable && len(next) < depth {
+				if violation := extend(next); violation != "" {
+					return violation
 				}
 			}
 		}
 		return ""
 	}
-	if why := down(nil); why != "" {
-		t.Error(why)
+	if violation := extend(nil); violation != "" {
+		t.Error(violation)
 	}
-	t.Logf("%d ways to depth %d", seen, depth)
-	found, _ := play(3, []string{"keep c", "write c", "kill c", "old c", "start c"}, PlantAnyFolder)
+	t.Logf("%d ways to depth %d", sequences, depth)
+	found, _ := runSteps(3, []string{"keep c", "write c", "kill c", "old c", "start c"}, BugAnyDirectory)
 	if !strings.Contains(found, "c votes with entry 10 of its 11") {
 		t.Errorf("the planted bug: %q", found)
 	}
 }
 
 // Long ways over three and five copies, drawn by a seed.
-func TestLongWaysOfFolders(t *testing.T) {
+func TestRandomStepSequencesKeepOutdatedReplicasFromVoting(t *testing.T) {
 	found := 0
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		n := 3 + 2*int(seed%2)
-		var way []string
+		var steps []string
 		for range 60 {
-			way = append(way, moves[rng.IntN(len(moves))]+" "+id(rng.IntN(n)))
+			steps = append(steps, stepKinds[rng.IntN(len(stepKinds))]+" "+replicaID(rng.IntN(n)))
 		}
-		if why, _ := play(n, way, ""); why != "" {
-			t.Fatalf("seed %d: %s", seed, why)
+		if violation, _ := runSteps(n, steps, ""); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
-		if why, _ := play(n, way, PlantAnyFolder); why != "" {
+		if violation, _ := runSteps(n, steps, BugAnyDirectory); violation != "" {
 			found++
 		}
 	}
@@ -412,36 +414,36 @@
 }
 
 // A learner is promoted once it keeps up, and never while it stays a little behind.
-func TestLearnerThatIsAlwaysTooSlowIsNotPromoted(t *testing.T) {
+func TestLaggingLearnerIsNotPromoted(t *testing.T) {
 	var slow, fast Learner
-	c := claim("c", "g", 1, 1, 0)
-	c.Runs = true
-	for mine := uint64(100); mine < 5000; mine += 100 {
-		c.Last = mine - 150
-		if slow.Report(c, mine) {
-			t.Fatalf("promoted with %d of %d", c.Last, mine)
+	c := newClaim("c", "g", 1, 1, 0)
+	c.Running = true
+	for leaderLastIndex := uint64(100); leaderLastIndex < 5000; leaderLastIndex += 100 {
+		c.LastIndex = leaderLastIndex - 150
+		if slow.Report(c, leaderLastIndex) {
+			t.Fatalf("promoted with %d of %d", c.LastIndex, leaderLastIndex)
 		}
-		c.Last = mine - 50
-		if got, want := fast.Report(c, mine), mine >= 300; got != want {
-			t.Fatalf("at %d: %v, want %v", mine, got, want)
+		c.LastIndex = leaderLastIndex - 50
+		if got, want := fast.Report(c, leaderLastIndex), leaderLastIndex >= 300; got != want {
+			t.Fatalf("at %d: %v, want %v", leaderLastIndex, got, want)
 		}
 	}
-	if slow.Behind != 150 || fast.Behind != 50 {
+	if slow.Lag != 150 || fast.Lag != 50 {
 		t.Errorf("%+v %+v", slow, fast)
 	}
-	c.Proc = "another"
+	c.ProcessID = "another"
 	if fast.Report(c, 5000) {
 		t.Error("another process is promoted by what the one before had")
 	}
 }
 
-func TestMajorityDecidesWhoDiffers(t *testing.T) {
-	d := func(at, sum uint64) Digest { return Digest{At: at, Sum: sum} }
+func TestReplicasThatDifferFromAMajorityAreFound(t *testing.T) {
+	d := func(index, sum uint64) Digest { return Digest{Index: index, Sum: sum} }
 	for name, tc := range map[string]struct {
-		of     map[string]Digest
-		voters int
-		odd    string
-		split  bool
+		digests   map[string]Digest
+		voters    int
+		divergent string
+		split     bool
 	}{
 		"all the same":                      {map[string]Digest{"a": d(9, 1), "b": d(9, 1), "c": d(9, 1)}, 3, "", false},
 		"one differs":                       {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1)}, 3, "b", false},
@@ -453,24 +455,24 @@
 		"two against two and one":           {map[string]Digest{"a": d(9, 1), "b": d(9, 2), "c": d(9, 1), "d": d(9, 2), "e": d(9, 3)}, 5, "", true},
 		"nobody has looked":                 {map[string]Digest{"a": d(0, 0), "b": d(0, 0)}, 3, "", false},
 	} {
-		at := uint64(0)
-		for _, v := range tc.of {
-			at = max(at, v.At)
+		index := uint64(0)
+		for _, v := range tc.digests {
+			index = max(index, v.Index)
 		}
-		odd, split := Differ(at, tc.of, tc.voters)
-		if strings.Join(odd, "") != tc.odd || split != tc.split {
-			t.Errorf("%s: %q, %v", name, odd, split)
+		divergent, split := FindDivergent(index, tc.digests, tc.voters)
+		if strings.Join(divergent, "") != tc.divergent || split != tc.split {
+			t.Errorf("%s: %q, %v", name, divergent, split)
 		}
 	}
-	w := NewWitness("a", nil)
-	c := claim("c", "f", 1, 1, 5)
-	w.Hear(0, 1, c, three)
-	w.Suspect("c")
-	if word, _ := w.Hear(1, 1, c, three); word.Verdict != Differs {
-		t.Errorf("%+v", word)
+	w := NewVerifier("a", nil)
+	c := newClaim("c", "f", 1, 1, 5)
+	w.HandleClaim(0, 1, c, threeVoters)
+	w.MarkDivergent("c")
+	if response, _ := w.HandleClaim(1, 1, c, threeVoters); response.Verdict != VerdictStateDiverged {
+		t.Errorf("%+v", response)
 	}
-	c.Folder, c.Joined = "g", 30
-	if word, _ := w.Hear(2, 1, c, three); word.Verdict != Good {
-		t.Errorf("after it joined anew: %+v", word)
+	c.DirectoryID, c.JoinIndex = "g", 30
+	if response, _ := w.HandleClaim(2, 1, c, threeVoters); response.Verdict != VerdictAccepted {
+		t.Errorf("after it joined anew: %+v", response)
 	}
 }
--- a/internal/allot/allot.go
+++ b/internal/allot/allot.go
@@ -12,33 +12,33 @@
 	"slices"
 )
 
-// Unit is a thousandth.
-const Unit = 1000
+// UnitsPerCall is a thousandth.
+const UnitsPerCall = 1000
 
-// ErrOver refuses a growth that would bring the shares in force above the whole.
-var ErrOver = errors.New("allot: over the whole")
+// ErrOverPool refuses a growth that would bring the shares in force above the whole.
+var ErrOverPool = errors.New("allot: over the whole")
 
-// Room tells what there is to divide.
-type Room struct {
-	Whole   int64 // all that may be in force at once
-	Alone   int64 // what a process may use without a share
-	Servers int   // processes alive at once, replacements beside themselves counted twice
+// Capacity tells what there is to divide.
+type Capacity struct {
+	Total             int64 // all that may be in force at once
+	ReservePerProcess int64 // what a process may use without a share
+	MaxProcesses      int   // processes alive at once, replacements beside themselves counted twice
 }
 
 // Pool is what remains to be divided.
-func (r Room) Pool() int64 { return r.Whole - r.Alone*int64(r.Servers) }
+func (r Capacity) Pool() int64 { return r.Total - r.ReservePerProcess*int64(r.MaxProcesses) }
 
 // Check names what makes no sense, by its key below duties.allot.
-func (r Room) Check() error {
+func (r Capacity) Check() error {
 	switch {
-	case r.Whole <= 0:
-		return fmt.Errorf("whole must be above 0, not %v", float64(r.Whole)/Unit)
-	case r.Alone < 0:
-		return fmt.Errorf("alone must be 0 or more, not %v", float64(r.Alone)/Unit)
-	case r.Servers < 1:
-		return fmt.Errorf("servers must be 1 or more, not %d", r.Servers)
+	case r.Total <= 0:
+		return fmt.Errorf("whole must be above 0, not %v", float64(r.Total)/UnitsPerCall)
+	case r.ReservePerProcess < 0:
+		return fmt.Errorf("alone must be 0 or more, not %v", float64(r.ReservePerProcess)/UnitsPerCall)
+	case r.MaxProcesses < 1:
+		return fmt.Errorf("servers must be 1 or more, not %d", r.MaxProcesses)
 	case r.Pool() < 0:
-		return fmt.Errorf("alone: %v for each of %d servers is over the whole of %v", float64(r.Alone)/Unit, r.Servers, float64(r.Whole)/Unit)
+		return fmt.Errorf("alone: %v for each of %d servers is over the whole of %v", float64(r.ReservePerProcess)/UnitsPerCall, r.MaxProcesses, float64(r.Total)/UnitsPerCall)
 	}
 	return nil
 }
@@ -46,130 +46,130 @@
 // Share is one process's part of the pool.
 type Share struct {
 	Cap     int64  `json:"cap"`     // the most that it may have in force; counts against the pool
-	Want    int64  `json:"want"`    // what it shall have; below Cap until it has said that it uses no more
+	Target  int64  `json:"want"`    // what it shall have; below Cap until it has said that it uses no more
 	Version uint64 `json:"version"` // of Want
 }
 
-// Ledger is what all copies agree on about shares. Its methods are steps of the log.
-type Ledger struct {
+// Allocations is what all copies agree on about shares. Its methods are steps of the log.
+type Allocations struct {
 	Pool    int64             `json:"pool"`
 	Version uint64            `json:"version"`
 	Shares  map[string]*Share `json:"shares"`
 
-	summed bool  // sum holds; else it has to be built from Shares
-	sum    int64 // of all Caps
+	capSumValid bool  // sum holds; else it has to be built from Shares
+	capSum      int64 // of all Caps
 }
 
-// NewLedger is an empty book.
-func NewLedger() *Ledger { return &Ledger{Shares: map[string]*Share{}} }
+// NewAllocations is an empty book.
+func NewAllocations() *Allocations { return &Allocations{Shares: map[string]*Share{}} }
 
 // Clone copies a book.
-func (b *Ledger) Clone() *Ledger {
-	c := &Ledger{Pool: b.Pool, Version: b.Version, Shares: make(map[string]*Share, len(b.Shares))}
-	for who, s := range b.Shares {
+func (b *Allocations) Clone() *Allocations {
+	c := &Allocations{Pool: b.Pool, Version: b.Version, Shares: make(map[string]*Share, len(b.Shares))}
+	for process, s := range b.Shares {
 		v := *s
-		c.Shares[who] = &v
+		c.Shares[process] = &v
 	}
 	return c
 }
 
-// Sum is the most that can be in force now.
-func (b *Ledger) Sum() int64 {
-	if b.summed {
-		return b.sum
+// TotalCap is the most that can be in force now.
+func (b *Allocations) TotalCap() int64 {
+	if b.capSumValid {
+		return b.capSum
 	}
-	b.sum, b.summed = 0, true
+	b.capSum, b.capSumValid = 0, true
 	for _, s := range b.Shares {
-		b.sum += s.Cap
+		b.capSum += s.Cap
 	}
-	return b.sum
+	return b.capSum
 }
 
 // setCap changes the most that one process may have in force.
-func (b *Ledger) setCap(s *Share, most int64) {
-	b.sum = b.Sum() + most - s.Cap
-	s.Cap = most
+func (b *Allocations) setCap(s *Share, newCap int64) {
+	b.capSum = b.TotalCap() + newCap - s.Cap
+	s.Cap = newCap
 }
 
 // SetPool changes what there is to divide; less only once that much is free.
-func (b *Ledger) SetPool(pool int64) error {
-	if pool < b.Sum() {
-		return fmt.Errorf("%w: a pool of %d with %d in force", ErrOver, pool, b.Sum())
+func (b *Allocations) SetPool(pool int64) error {
+	if pool < b.TotalCap() {
+		return fmt.Errorf("%w: a pool of %d with %d in force", ErrOverPool, pool, b.TotalCap())
 	}
 	b.Pool = pool
 	return nil
 }
 
-// Join opens a process's entry, with nothing in force.
-func (b *Ledger) Join(who string) {
-	if b.Shares[who] == nil {
+// AddProcess opens a process's entry, with nothing in force.
+func (b *Allocations) AddProcess(process string) {
+	if b.Shares[process] == nil {
 		b.Version++
-		b.Shares[who] = &Share{Version: b.Version}
+		b.Shares[process] = &Share{Version: b.Version}
 	}
 }
 
-// Drop closes an entry: the process's presence has ended, and with it its share.
-func (b *Ledger) Drop(who string) {
-	if s := b.Shares[who]; s != nil {
+// RemoveProcess closes an entry: the process's presence has ended, and with it its share.
+func (b *Allocations) RemoveProcess(process string) {
+	if s := b.Shares[process]; s != nil {
 		b.setCap(s, 0)
-		delete(b.Shares, who)
+		delete(b.Shares, process)
 	}
 }
 
-// Set changes what a process shall have. A growth counts at once and needs the room; a cut counts once the process has
+// SetTarget changes what a process shall have. A growth counts at once and needs the room; a cut counts once the process has
 // said that it holds, so until then nobody else can have what it gives up.
-func (b *Ledger) Set(who string, amount int64, unchecked bool) error {
-	s := b.Shares[who]
+func (b *Allocations) SetTarget(process string, amount int64, unchecked bool) error {
+	s := b.Shares[process]
 	switch {
 	case s == nil:
-		return fmt.Errorf("allot: %s is not there", who)
+		return fmt.Errorf("allot: %s is not there", process)
 	case amount < 0:
-		return fmt.Errorf("allot: %d for %s", amount, who)
-	case amount == s.Want:
+		return fmt.Errorf("allot: %d for %s", amount, process)
+	case amount == s.Target:
 		return nil
-	case amount > s.Cap && !unchecked && b.Sum()-s.Cap+amount > b.Pool:
-		return fmt.Errorf("%w: %d for %s, %d of %d in force", ErrOver, amount, who, b.Sum(), b.Pool)
+	case amount > s.Cap && !unchecked && b.TotalCap()-s.Cap+amount > b.Pool:
+		return fmt.Errorf("%w: %d for %s, %d of %d in force", ErrOverPool, amount, process, b.TotalCap(), b.Pool)
 	}
 	b.Version++
-	s.Want, s.Version = amount, b.Version
+	s.Target, s.Version = amount, b.Version
 	b.setCap(s, max(s.Cap, amount))
 	return nil
 }
 
-// Ack books that a process uses no more than it shall by a version.
-func (b *Ledger) Ack(who string, version uint64) {
-	if s := b.Shares[who]; s != nil && s.Version == version {
-		b.setCap(s, s.Want)
+// Acknowledge books that a process uses no more than it shall by a version.
+func (b *Allocations) Acknowledge(process string, version uint64) {
+	if s := b.Shares[process]; s != nil && s.Version == version {
+		b.setCap(s, s.Target)
 	}
 }
 
-// Need is what the allotter knows of one process.
-type Need struct {
+// ProcessNeed is what the allotter knows of one process.
+type ProcessNeed struct {
 	Who  string
 	Need int64 // what it could use beyond its part for being alone
 	Share
 }
 
-// Change is one step of a plan.
-type Change struct {
+// TargetChange is one step of a plan.
+type TargetChange struct {
 	Who    string `json:"who"`
 	Amount int64  `json:"amount"`
 }
 
 const (
-	stir  = 10 // a change of less than one part in so many is not made: shares that stand still cost nothing
-	least = 8  // and none of less than so many thousandths
+	minChangeDivisor = 10 // a change of less than one part in so many is not made: shares that stand still cost nothing
+	minChange        = 8  // and none of less than so many thousandths
 )
 
 // Divide tells what each should have: no more than it needs while others lack, and what nobody needs in equal parts,
 // so that a surge finds some room at once.
-func Divide(pool int64, fleet []Need) map[string]int64 {
-	out := make(map[string]int64, len(fleet))
-	if len(fleet) == 0 {
+func Divide(pool int64, needs []ProcessNeed) map[string]int64 {
+	out := make(map[string]int64, len(needs))
+	if len(needs) == 0 {
 		return out
 	}
-	order := slices.Clone(fleet)
-	slices.SortFunc(order, func(a, b Need) int {
+	byNeed := slices.Clone(needs)
+	slices.SortFunc(byNeed, func(a, b ProcessNeed) int {
 		if a.Need != b.Need {
 			return int(min(max(a.Need-b.Need, -1), 1))
 		}
@@ -178,82 +178,82 @@
 		}
 		return 1
 	})
-	rest := pool
-	for i, n := range order { // those that need least first: what they leave raises the part of the others
-		part := min(max(n.Need, 0), rest/int64(len(order)-i))
-		out[n.Who] = part
-		rest -= part
+	remaining := pool
+	for i, n := range byNeed { // those that need least first: what they leave raises the part of the others
+		amount := min(max(n.Need, 0), remaining/int64(len(byNeed)-i))
+		out[n.Who] = amount
+		remaining -= amount
 	}
-	each := rest / int64(len(order))
-	for who := range out {
-		out[who] += each
+	surplus := remaining / int64(len(byNeed))
+	for process := range out {
+		out[process] += surplus
 	}
 	return out
 }
 
 // Plan turns what each should have into steps that can be made now: cuts, and growths as far as what is free allows.
-func Plan(pool int64, fleet []Need, unchecked bool) (steps []Change) {
-	target := Divide(pool, fleet)
-	var sum, lack int64
-	var cuts, grows []Change
-	for _, n := range fleet {
-		sum += n.Cap
+func Plan(pool int64, needs []ProcessNeed, unchecked bool) (steps []TargetChange) {
+	target := Divide(pool, needs)
+	var capSum, shortfall int64
+	var reductions, increases []TargetChange
+	for _, n := range needs {
+		capSum += n.Cap
 		t := target[n.Who]
-		d := t - n.Want
-		if abs(d) < max(least, n.Want/stir) {
+		d := t - n.Target
+		if abs(d) < max(minChange, n.Target/minChangeDivisor) {
 			continue
 		}
 		if d < 0 {
-			cuts = append(cuts, Change{n.Who, t})
+			reductions = append(reductions, TargetChange{n.Who, t})
 		} else {
-			grows = append(grows, Change{n.Who, t})
-			lack += max(t-n.Cap, 0)
+			increases = append(increases, TargetChange{n.Who, t})
+			shortfall += max(t-n.Cap, 0)
 		}
 	}
-	free := max(pool-sum, 0)
+	free := max(pool-capSum, 0)
 	caps := map[string]int64{}
-	for _, n := range fleet {
+	for _, n := range needs {
 		caps[n.Who] = n.Cap
 	}
-	for _, g := range grows {
-		more := max(g.Amount-caps[g.Who], 0)
-		if lack > free && !unchecked {
-			more = int64(math.Floor(float64(more) / float64(lack) * float64(free)))
+	for _, g := range increases {
+		increase := max(g.Amount-caps[g.Who], 0)
+		if shortfall > free && !unchecked {
+			increase = int64(math.Floor(float64(increase) / float64(shortfall) * float64(free)))
 		}
-		if amount := caps[g.Who] + more; g.Amount <= caps[g.Who] {
+		if amount := caps[g.Who] + increase; g.Amount <= caps[g.Who] {
 			steps = append(steps, g) // takes a cut back that was not acknowledged yet
-		} else if more >= least {
-			steps = append(steps, Change{g.Who, amount})
+		} else if increase >= minChange {
+			steps = append(steps, TargetChange{g.Who, amount})
 		}
 	}
-	return append(cuts, steps...)
+	return append(reductions, steps...)
 }
 
 func abs(v int64) int64 { return max(v, -v) }
 
-// Mine is a process's view of its own share.
-type Mine struct {
+// LocalShare is a process's view of its own share.
+type LocalShare struct {
 	Amount  int64
 	Version uint64
 }
 
-// Take puts what the copies tell into force. changed: the amount is another one, and must be in use before the version
+// Apply puts what the copies tell into force. changed: the amount is another one, and must be in use before the version
 // is acknowledged.
-func (m *Mine) Take(s Share) (changed bool) {
+func (m *LocalShare) Apply(s Share) (changed bool) {
 	if s.Version <= m.Version {
 		return false
 	}
-	changed = s.Want != m.Amount
-	m.Amount, m.Version = s.Want, s.Version
+	changed = s.Target != m.Amount
+	m.Amount, m.Version = s.Target, s.Version
 	return changed
 }
 
-// Lose forgets the share: the process's presence has ended.
-func (m *Mine) Lose() (changed bool) {
+// Clear forgets the share: the process's presence has ended.
+func (m *LocalShare) Clear() (changed bool) {
 	changed = m.Amount != 0
-	*m = Mine{}
+	*m = LocalShare{}
 	return changed
 }
 
-// Whos lists the processes with an entry.
-func (b *Ledger) Whos() []string { return slices.Sorted(maps.Keys(b.Shares)) }
+// Processes lists the processes with an entry.
+func (b *Allocations) Processes() []string { return slices.Sorted(maps.Keys(b.Shares)) }
--- a/internal/allot/allot_test.go
+++ b/internal/allot/allot_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-func TestRoomThatMakesNoSenseIsNamed(t *testing.T) {
-	for want, r := range map[string]Room{
-		"whole must be above 0":                                  {Whole: 0, Alone: 1, Servers: 1},
-		"alone must be 0 or more":                                {Whole: 1, Alone: -1, Servers: 1},
-		"servers must be 1 or more":                              {Whole: 1, Servers: 0},
-		"alone: 2 for each of 6 servers is over the whole of 10": {Whole: 10 * Unit, Alone: 2 * Unit, Servers: 6},
+func TestInvalidCapacityIsReportedByKey(t *testing.T) {
+	for want, r := range map[string]Capacity{
+		"whole must be above 0":                                  {Total: 0, ReservePerProcess: 1, MaxProcesses: 1},
+		"alone must be 0 or more":                                {Total: 1, ReservePerProcess: -1, MaxProcesses: 1},
+		"servers must be 1 or more":                              {Total: 1, MaxProcesses: 0},
+		"alone: 2 for each of 6 servers is over the whole of 10": {Total: 10 * UnitsPerCall, ReservePerProcess: 2 * UnitsPerCall, MaxProcesses: 6},
 	} {
 		if err := r.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -22,11 +22,11 @@
 }
 
 func TestDivideByNeed(t *testing.T) {
-	got := Divide(100, []Need{{Who: "a", Need: 10}, {Who: "b", Need: 80}, {Who: "c", Need: 70}})
+	got := Divide(100, []ProcessNeed{{Who: "a", Need: 10}, {Who: "b", Need: 80}, {Who: "c", Need: 70}})
 	if got["a"] != 10 || got["b"] != 45 || got["c"] != 45 {
 		t.Errorf("%v: who needs little gets it, the others the same", got)
 	}
-	got = Divide(100, []Need{{Who: "a", Need: 10}, {Who: "b", Need: 30}})
+	got = Divide(100, []ProcessNeed{{Who: "a", Need: 10}, {Who: "b", Need: 30}})
 	if got["a"] != 40 || got["b"] != 60 {
 		t.Errorf("%v: what nobody needs goes to all alike", got)
 	}
@@ -37,115 +37,115 @@
 func TestSharesInForceStayWithinThePool(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		b, pool := NewLedger(), int64(20000)
+		b, pool := NewAllocations(), int64(20000)
 		if err := b.SetPool(pool); err != nil {
 			t.Fatal(err)
 		}
-		uses := map[string]*Mine{}
+		inUse := map[string]*LocalShare{}
 		for step := range 400 {
-			who := fmt.Sprint("s", rng.IntN(8))
+			process := fmt.Sprint("s", rng.IntN(8))
 			switch rng.IntN(6) {
 			case 0:
-				if uses[who] == nil {
-					b.Join(who)
-					uses[who] = &Mine{}
+				if inUse[process] == nil {
+					b.AddProcess(process)
+					inUse[process] = &LocalShare{}
 				} else if rng.IntN(4) == 0 {
-					delete(uses, who) // its presence ended, so it stopped before its entry goes
-					b.Drop(who)
+					delete(inUse, process) // its presence ended, so it stopped before its entry goes
+					b.RemoveProcess(process)
 				}
 			case 1, 2: // a plan, of which a part is carried out: the book checks each step by itself
-				var fleet []Need
-				for _, w := range b.Whos() {
-					fleet = append(fleet, Need{w, rng.Int64N(8000), *b.Shares[w]})
+				var needs []ProcessNeed
+				for _, w := range b.Processes() {
+					needs = append(needs, ProcessNeed{w, rng.Int64N(8000), *b.Shares[w]})
 				}
-				for _, c := range Plan(pool, fleet, false) {
+				for _, c := range Plan(pool, needs, false) {
 					if rng.IntN(5) > 0 {
-						if err := b.Set(c.Who, c.Amount, false); err != nil && !errors.Is(err, ErrOver) {
+						if err := b.SetTarget(c.Who, c.Amount, false); err != nil && !errors.Is(err, ErrOverPool) {
 							t.Fatal(err)
 						}
 					}
 				}
 			case 3, 4: // it hears, uses, and says so
-				if m := uses[who]; m != nil {
-					m.Take(*b.Shares[who])
+				if m := inUse[process]; m != nil {
+					m.Apply(*b.Shares[process])
 					if rng.IntN(3) > 0 {
-						b.Ack(who, m.Version)
+						b.Acknowledge(process, m.Version)
 					}
 				}
 			case 5:
-				if m := uses[who]; m != nil {
-					b.Ack(who, m.Version)
-					b.Ack(who, m.Version-1)
+				if m := inUse[process]; m != nil {
+					b.Acknowledge(process, m.Version)
+					b.Acknowledge(process, m.Version-1)
 				}
 			}
 			sum := int64(0)
-			for _, m := range uses {
+			for _, m := range inUse {
 				sum += m.Amount
 			}
-			if sum > pool || b.Sum() > pool {
-				t.Fatalf("seed %d, step %d: %d in use and %d booked of %d", seed, step, sum, b.Sum(), pool)
+			if sum > pool || b.TotalCap() > pool {
+				t.Fatalf("seed %d, step %d: %d in use and %d booked of %d", seed, step, sum, b.TotalCap(), pool)
 			}
 		}
 	}
 }
 
 // The planted bug breaks what the test above holds: a growth before the cut that makes room for it is in use.
-func TestGrowthBeforeACutIsRefused(t *testing.T) {
+func TestIncreaseBeforeReductionIsAcknowledgedIsRefused(t *testing.T) {
 	for _, unchecked := range []bool{false, true} {
-		b := NewLedger()
+		b := NewAllocations()
 		b.SetPool(100)
-		b.Join("a")
-		b.Join("b")
-		if err := b.Set("a", 100, false); err != nil {
+		b.AddProcess("a")
+		b.AddProcess("b")
+		if err := b.SetTarget("a", 100, false); err != nil {
 			t.Fatal(err)
 		}
-		uses := b.Shares["a"].Want
-		if err := b.Set("a", 20, false); err != nil {
+		inUse := b.Shares["a"].Target
+		if err := b.SetTarget("a", 20, false); err != nil {
 			t.Fatal(err)
 		}
-		err := b.Set("b", 80, unchecked)
-		over := uses+b.Shares["b"].Want > 100
+		err := b.SetTarget("b", 80, unchecked)
+		over := inUse+b.Shares["b"].Target > 100
 		if unchecked != over || unchecked != (err == nil) {
 			t.Errorf("unchecked %v: over %v, %v", unchecked, over, err)
 		}
-		b.Ack("a", b.Shares["a"].Version)
-		if err := b.Set("b", 80, false); err != nil {
+		b.Acknowledge("a", b.Shares["a"].Version)
+		if err := b.SetTarget("b", 80, false); err != nil {
 			t.Errorf("after the cut is in use: %v", err)
 		}
 	}
 }
 
-func TestPlanSettles(t *testing.T) {
-	b := NewLedger()
+func TestPlanConverges(t *testing.T) {
+	b := NewAllocations()
 	b.SetPool(10000)
 	needs := map[string]int64{"a": 500, "b": 9000, "c": 100}
 	for w := range needs {
-		b.Join(w)
+		b.AddProcess(w)
 	}
 	steps := 0
 	for range 20 {
-		var fleet []Need
-		for _, w := range b.Whos() {
-			fleet = append(fleet, Need{w, needs[w], *b.Shares[w]})
+		var current []ProcessNeed
+		for _, w := range b.Processes() {
+			current = append(current, ProcessNeed{w, needs[w], *b.Shares[w]})
 		}
-		plan := Plan(10000, fleet, false)
+		plan := Plan(10000, current, false)
 		for _, c := range plan {
-			if err := b.Set(c.Who, c.Amount, false); err != nil {
+			if err := b.SetTarget(c.Who, c.Amount, false); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for _, w := range b.Whos() {
-			b.Ack(w, b.Shares[w].Version)
+		for _, w := range b.Processes() {
+			b.Acknowledge(w, b.Shares[w].Version)
 		}
 		steps = len(plan)
 	}
 	if steps != 0 {
 		t.Errorf("%d steps are still made with needs that stand still", steps)
 	}
-	if b.Shares["b"].Want < 8000 || b.Sum() > 10000 {
-		t.Errorf("b has %d of its 9000, %d in all", b.Shares["b"].Want, b.Sum())
+	if b.Shares["b"].Target < 8000 || b.TotalCap() > 10000 {
+		t.Errorf("b has %d of its 9000, %d in all", b.Shares["b"].Target, b.TotalCap())
 	}
-	if err := b.SetPool(5000); !errors.Is(err, ErrOver) {
+	if err := b.SetPool(5000); !errors.Is(err, ErrOverPool) {
 		t.Errorf("a pool under what is in force: %v", err)
 	}
 }
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -7,22 +7,22 @@
 
 // Backoff counts the failures of one who tries. It is not safe for concurrent use.
 type Backoff struct {
-	first, max float64
-	rng        *rand.Rand
-	span       float64 // of the next wait
+	initialMS, maxMS float64
+	rng              *rand.Rand
+	ceilingMS        float64 // of the next wait
 }
 
 // New begins with a span of first milliseconds, which doubles with each failure up to max.
-func New(first, max float64, rng *rand.Rand) *Backoff {
-	return &Backoff{first: first, max: max, rng: rng, span: first}
+func New(initialMS, maxMS float64, rng *rand.Rand) *Backoff {
+	return &Backoff{initialMS: initialMS, maxMS: maxMS, rng: rng, ceilingMS: initialMS}
 }
 
 // Next is the wait after another failure, in milliseconds: any part of the span, each as likely.
 func (b *Backoff) Next() float64 {
-	wait := b.span * b.rng.Float64()
-	b.span = min(b.span*2, b.max)
-	return wait
+	delayMS := b.ceilingMS * b.rng.Float64()
+	b.ceilingMS = min(b.ceilingMS*2, b.maxMS)
+	return delayMS
 }
 
 // Reset tells that a try succeeded.
-func (b *Backoff) Reset() { b.span = b.first }
+func (b *Backoff) Reset() { b.ceilingMS = b.initialMS }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -18,31 +18,31 @@
 	now    float64
 	timers []*Timer
 
-	steady bool
-	rate   float64       // of a clock that is made to run apart; 0: it is not
-	from   float64       // when it began to
-	jump   atomic.Uint64 // bits of what it was set ahead by since
+	monotonic bool
+	rate      float64       // of a clock that is made to run apart; 0: it is not
+	rateSetAt float64       // when it began to
+	jumpMS    atomic.Uint64 // bits of what it was set ahead by since
 }
 
 // Timer is a call to come.
 type Timer struct {
-	c    *Clock
-	at   float64
-	call func()
-	real *time.Timer
+	c     *Clock
+	at    float64
+	call  func()
+	timer *time.Timer
 }
 
 // System is the system's Unix clock.
 func System() *Clock { return &Clock{} }
 
-// Steady is a clock that nothing sets: ms since the machine's start, with the time in which the machine was suspended. It
+// Monotonic is a clock that nothing sets: ms since the machine's start, with the time in which the machine was suspended. It
 // is for spans that others rely on; a wall clock that is set back would lengthen them.
-func Steady() *Clock { return &Clock{steady: true} }
+func Monotonic() *Clock { return &Clock{monotonic: true} }
 
-// Apart makes a clock run at a rate, 1 for as it does, from now on; for the laboratory.
-func (c *Clock) Apart(rate float64) *Clock {
+// SetRate makes a clock run at a rate, 1 for as it does, from now on; for the laboratory.
+func (c *Clock) SetRate(rate float64) *Clock {
 	if !c.manual && rate > 0 && rate != 1 {
-		c.from = c.raw()
+		c.rateSetAt = c.unadjusted()
 		c.rate = rate
 	}
 	return c
@@ -50,7 +50,7 @@
 
 // Jump sets a clock ahead, or back; for the laboratory.
 func (c *Clock) Jump(ms float64) {
-	c.jump.Store(math.Float64bits(math.Float64frombits(c.jump.Load()) + ms))
+	c.jumpMS.Store(math.Float64bits(math.Float64frombits(c.jumpMS.Load()) + ms))
 }
 
 // Rate is the rate at which the clock was made to run.
@@ -61,8 +61,8 @@
 	return 1
 }
 
-func (c *Clock) raw() float64 {
-	if !c.steady {
+func (c *Clock) unadjusted() float64 {
+	if !c.monotonic {
 		return float64(time.Now().UnixNano()) / 1e6
 	}
 	var t unix.Timespec
@@ -78,11 +78,11 @@
 // Now is the time in milliseconds: Unix time, or a steady clock's.
 func (c *Clock) Now() float64 {
 	if !c.manual {
-		now := c.raw()
+		now := c.unadjusted()
 		if c.rate > 0 {
-			now = c.from + (now-c.from)*c.rate
+			now = c.rateSetAt + (now-c.rateSetAt)*c.rate
 		}
-		return now + math.Float64frombits(c.jump.Load())
+		return now + math.Float64frombits(c.jumpMS.Load())
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +92,7 @@
 // After calls back, on another goroutine or from Set, once so many milliseconds have passed.
 func (c *Clock) After(ms float64, call func()) *Timer {
 	if !c.manual {
-		return &Timer{real: time.AfterFunc(Duration(max(ms, 0)/c.Rate()), call)}
+		return &Timer{timer: time.AfterFunc(Duration(max(ms, 0)/c.Rate()), call)}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,8 +103,8 @@
 
 // Stop revokes the call, unless it was made.
 func (t *Timer) Stop() {
-	if t.real != nil {
-		t.real.Stop()
+	if t.timer != nil {
+		t.timer.Stop()
 		return
 	}
 	t.c.mu.Lock()
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -17,57 +17,57 @@
 	"puffinsaddle/policy"
 )
 
-const begin = 1.7e12 // where the tests' clock stands at first
+const startMS = 1.7e12 // where the tests' clock stands at first
 
-// hand is a Runner whose runs the test ends by hand.
-type hand struct{ started chan *Attempt }
+// fakeRunner is a Runner whose runs the test ends by hand.
+type fakeRunner struct{ started chan *Attempt }
 
-func (h *hand) Start(a *Attempt)                { h.started <- a }
-func (h *hand) Return(*Attempt, uint64, []byte) {}
-func (h *hand) Skip(*Attempt, uint64)           {}
-func (h *hand) Drop(*Attempt)                   {}
-func (h *hand) Meter(func([]float64))           {}
-func (h *hand) Diagnose(func(bool)) bool        { return false }
-func (h *hand) Call(context.Context, string, float64, []byte) (policy.Outcome, []byte) {
-	return policy.Unreached, nil
+func (h *fakeRunner) Start(a *Attempt)                { h.started <- a }
+func (h *fakeRunner) Return(*Attempt, uint64, []byte) {}
+func (h *fakeRunner) Skip(*Attempt, uint64)           {}
+func (h *fakeRunner) Abandon(*Attempt)                {}
+func (h *fakeRunner) ReadGauges(func([]float64))      {}
+func (h *fakeRunner) Diagnose(func(bool)) bool        { return false }
+func (h *fakeRunner) Call(context.Context, string, float64, []byte) (policy.Outcome, []byte) {
+	return policy.Unreachable, nil
 }
 
 var testSettings = policy.Settings{
 	Classes: []policy.Class{{Name: "read", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1},
 		{Name: "book", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 4, Safety: policy.Unsafe}},
-	Cores: 8, MemoryKB: 1e6, RunFactor: 4, FallMultiple: 8, FreshFor: 200 * time.Millisecond, PassesDeadline: true,
-	BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1,
+	Cores: 8, MemoryKB: 1e6, RunMemoryFactor: 4, MaxRunningPerCore: 8, SharedResultTTL: 200 * time.Millisecond, PassesDeadline: true,
+	BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnectionGauge: -1,
 }
 
-type rig struct {
+type fixture struct {
 	*Core
 	t       *testing.T
 	clock   *clock.Clock
-	hand    *hand
+	runner  *fakeRunner
 	answers chan string
 }
 
-func newRig(t *testing.T, l Ledger) *rig {
-	h := &hand{make(chan *Attempt, 10)}
-	clk := clock.Manual(begin)
+func newFixture(t *testing.T, l EffectLog) *fixture {
+	h := &fakeRunner{make(chan *Attempt, 10)}
+	clk := clock.Manual(startMS)
 	c := New(clk, zerolog.Nop(), testSettings, 1, h, h, l)
-	c.Up(false)
+	c.RunnerStarted(false)
 	go c.Run()
 	t.Cleanup(c.Stop)
-	return &rig{c, t, clk, h, make(chan string, 10)}
+	return &fixture{c, t, clk, h, make(chan string, 10)}
 }
 
-func (r *rig) open(id int, class, key string, at float64) *Handler {
-	q := &Request{ID: fmt.Sprintf("%016x", id), Class: class, At: at, Wait: 3000, KB: 1, Key: key}
+func (r *fixture) open(id int, class, key string, at float64) *Handler {
+	q := &Request{ID: fmt.Sprintf("%016x", id), Class: class, ArrivedAt: at, WaitMS: 3000, KB: 1, Key: key}
 	return r.Open(q, func(o Outcome) { r.answers <- fmt.Sprintf("%d %d %s", id, o.Verdict, o.Result) })
 }
 
-func (r *rig) end(a *Attempt, result string, took float64) {
-	a.Notify(Notice{Ended: true, Outcome: policy.OK, Took: took, Body: pool.Copy([]byte(result))})
+func (r *fixture) succeed(a *Attempt, result string, took float64) {
+	a.Notify(Notice{Ended: true, Outcome: policy.OK, TookMS: took, Body: pool.Copy([]byte(result))})
 }
 
-// through waits until so many requests are left in hand: what comes then comes behind the ends of the others.
-func (r *rig) through(left int) {
+// waitForOpen waits until so many requests are left in hand: what comes then comes behind the ends of the others.
+func (r *fixture) waitForOpen(left int) {
 	for open := left + 1; open > left; runtime.Gosched() {
 		r.mu.Lock()
 		open = len(r.handlers)
@@ -75,7 +75,7 @@
 	}
 }
 
-func (r *rig) want(answer string) {
+func (r *fixture) wantAnswer(answer string) {
 	r.t.Helper()
 	if got := <-r.answers; got != answer {
 		r.t.Errorf("answer %q, want %q", got, answer)
@@ -83,82 +83,82 @@
 }
 
 // A read may have a result by when it came, not by when it was looked at; and by when the result was made.
-func TestFreshnessCountsFromTheArrival(t *testing.T) {
-	r := newRig(t, nil)
-	r.open(1, "read", "k", begin)
-	first := <-r.hand.started
-	r.open(2, "read", "k", begin)
-	r.open(3, "read", "other", begin)
-	other := <-r.hand.started // the second read of k was not started before it
-	r.clock.Set(begin + 100)
-	r.end(first, "A", 100)
+func TestResultFreshnessCountsFromArrival(t *testing.T) {
+	r := newFixture(t, nil)
+	r.open(1, "read", "k", startMS)
+	first := <-r.runner.started
+	r.open(2, "read", "k", startMS)
+	r.open(3, "read", "other", startMS)
+	other := <-r.runner.started // the second read of k was not started before it
+	r.clock.Set(startMS + 100)
+	r.succeed(first, "A", 100)
 	got := map[string]bool{<-r.answers: true, <-r.answers: true}
 	if !got["1 0 A"] || !got["2 0 A"] {
 		t.Errorf("answers %v", got)
 	}
-	r.clock.Set(begin + 250)
-	r.open(4, "read", "k", begin+240)
-	r.want("4 0 A")
-	r.open(5, "read", "k", begin+301) // came 201 ms after the result was made
-	r.end(<-r.hand.started, "B", 1)
-	r.want("5 0 B")
-	r.clock.Set(begin + 450)
-	r.end(other, "C", 10) // its notice came late: made at 10, so no longer fresh at 440
-	r.want("3 0 C")
-	r.through(0) // else the next may come before the end is in the books, and wait for a run that goes on
-	r.open(6, "read", "other", begin+440)
-	r.end(<-r.hand.started, "D", 1)
-	r.want("6 0 D")
+	r.clock.Set(startMS + 250)
+	r.open(4, "read", "k", startMS+240)
+	r.wantAnswer("4 0 A")
+	r.open(5, "read", "k", startMS+301) // came 201 ms after the result was made
+	r.succeed(<-r.runner.started, "B", 1)
+	r.wantAnswer("5 0 B")
+	r.clock.Set(startMS + 450)
+	r.succeed(other, "C", 10) // its notice came late: made at 10, so no longer fresh at 440
+	r.wantAnswer("3 0 C")
+	r.waitForOpen(0) // else the next may come before the end is in the books, and wait for a run that goes on
+	r.open(6, "read", "other", startMS+440)
+	r.succeed(<-r.runner.started, "D", 1)
+	r.wantAnswer("6 0 D")
 }
 
 // The module gives up on a request at its due time; its answer waits for no gauge and for no run.
-func TestDueTimeNeedsNoGauges(t *testing.T) {
-	r := newRig(t, nil)
-	r.open(1, "book", "", begin)
-	a := <-r.hand.started
-	for now := begin; now < begin+3000; now += 500 { // the clock's timers wake the module on the way
+func TestAnswerAtDueTimeWithoutGauges(t *testing.T) {
+	r := newFixture(t, nil)
+	r.open(1, "book", "", startMS)
+	a := <-r.runner.started
+	for now := startMS; now < startMS+3000; now += 500 { // the clock's timers wake the module on the way
 		r.clock.Set(now)
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.want(fmt.Sprintf("1 %d ", Overdue))
+		r.wantAnswer(fmt.Sprintf("1 %d ", Overdue))
 	}()
-	for late := false; !late; {
+	for answered := false; !answered; {
 		select {
 		case <-done:
-			late = true
+			answered = true
 		default:
 			r.clock.Set(r.clock.Now() + 1)
 		}
 	}
-	for r.Owed() != 0 { // settled right after the answer, while the run still goes on
+	for r.Unanswered() != 0 { // settled right after the answer, while the run still goes on
 		runtime.Gosched()
 	}
-	r.end(a, "late", 3500)
+	r.succeed(a, "late", 3500)
 }
 
-type noQuorum struct{}
+type failingEffectLog struct{}
 
-func (noQuorum) Begin(string) (bool, error) { return false, errors.New("no quorum") }
+func (failingEffectLog) Begin(string) (bool, error) { return false, errors.New("no quorum") }
 
 // An effect that can't be recorded is not run, and may be tried elsewhere; a read needs no record.
-func TestEffectIsRecordedBeforeItsRun(t *testing.T) {
-	r := newRig(t, noQuorum{})
-	r.open(1, "book", "", begin)
-	r.want(fmt.Sprintf("1 %d ", Refused))
-	r.open(2, "read", "", begin)
-	r.end(<-r.hand.started, "A", 1)
-	r.want("2 0 A")
-	if len(r.hand.started) > 0 {
+func TestUnrecordedEffectIsRefused(t *testing.T) {
+	r := newFixture(t, failingEffectLog{})
+	r.open(1, "book", "", startMS)
+	r.wantAnswer(fmt.Sprintf("1 %d ", Refused))
+	r.open(2, "read", "", startMS)
+	r.succeed(<-r.runner.started, "A", 1)
+	r.wantAnswer("2 0 A")
+	if len(r.runner.started) > 0 {
 		t.Error("the effect was run")
 	}
 }
 
 // However many effects were begun, none is forgotten while a request of its id may still pass for new.
-func TestMemoryLedgerForgetsByTimeAlone(t *testing.T) {
-	clk := clock.Manual(begin)
-	l := newMemoryLedger(clk)
+func TestMemoryEffectLogRemovesByAgeOnly(t *testing.T) {
+	clk := clock.Manual(startMS)
+	l := newMemoryEffectLog(clk)
 	want := func(n int, want bool) {
 		t.Helper()
 		if got, err := l.Begin(fmt.Sprintf("%016x", n)); got != want || err != nil {
@@ -166,12 +166,12 @@
 		}
 	}
 	want(0, true)
-	clk.Set(begin + ledgerFor)
+	clk.Set(startMS + effectRetentionMS)
 	for n := 1; n <= 1<<16; n++ {
 		want(n, true)
 	}
 	want(0, false)
-	clk.Set(begin + ledgerFor + 1)
+	clk.Set(startMS + effectRetentionMS + 1)
 	want(1<<17, true)
 	want(0, true)
 	want(1, false)
@@ -182,113 +182,113 @@
 
 // Two tries of one request come so close that the module hears of both in one call: it had not ordered to remember
 // the first by then, and both ran.
-func TestTriesThatComeTogetherRunOnce(t *testing.T) {
-	r := newRig(t, nil)
+func TestConcurrentKeyedAttemptsRunOnce(t *testing.T) {
+	r := newFixture(t, nil)
 	set := testSettings
 	set.Classes = []policy.Class{{Name: "pay", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Safety: policy.Keyed, KeyTTL: 10 * time.Second}}
 	r.Adopt(set)
-	in, release := make(chan struct{}), make(chan struct{})
-	r.Then(func() { close(in); <-release })
-	<-in // the owner stands until both have told of themselves
+	blocked, release := make(chan struct{}), make(chan struct{})
+	r.AfterPendingEvents(func() { close(blocked); <-release })
+	<-blocked // the owner stands until both have told of themselves
 	for id := 1; id <= 3; id++ {
-		q := &Request{ID: fmt.Sprintf("%016x", id), Class: "pay", At: begin, Wait: 3000, KB: 1, Once: "ab"}
+		q := &Request{ID: fmt.Sprintf("%016x", id), Class: "pay", ArrivedAt: startMS, WaitMS: 3000, KB: 1, IdempotencyKey: "ab"}
 		r.Open(q, func(o Outcome) { r.answers <- fmt.Sprintf("%d %s", o.Verdict, o.Result) })
 	}
-	for told := 0; told < 3; runtime.Gosched() {
-		told = r.inbox.Len()
+	for queued := 0; queued < 3; runtime.Gosched() {
+		queued = r.inbox.Len()
 	}
 	close(release)
-	run := <-r.hand.started
-	r.end(run, "A", 1)
+	attempt := <-r.runner.started
+	r.succeed(attempt, "A", 1)
 	got := []string{<-r.answers, <-r.answers, <-r.answers}
 	slices.Sort(got)
 	// Tries that are held give way to the newest, which runs.
-	if fmt.Sprint(got) != fmt.Sprint([]string{"0 A", "1 ", "1 "}) || len(r.hand.started) > 0 {
-		t.Errorf("answers %q, %d more runs", got, len(r.hand.started))
+	if fmt.Sprint(got) != fmt.Sprint([]string{"0 A", "1 ", "1 "}) || len(r.runner.started) > 0 {
+		t.Errorf("answers %q, %d more runs", got, len(r.runner.started))
 	}
 }
 
 // New settings: what was open ends as what it came as, a booking whose class went is still run once, and a class
 // that went is not known to what comes after.
 func TestOpenRequestsKeepTheirClass(t *testing.T) {
-	r := newRig(t, nil)
-	r.open(1, "book", "", begin)
-	old := <-r.hand.started
+	r := newFixture(t, nil)
+	r.open(1, "book", "", startMS)
+	old := <-r.runner.started
 	set := testSettings
 	set.Classes = []policy.Class{testSettings.Classes[0], {Name: "order", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 4, Safety: policy.Unsafe}}
 	r.Adopt(set)
-	r.open(2, "order", "", begin)
-	r.end(<-r.hand.started, "new", 1)
-	r.want("2 0 new")
-	r.open(3, "book", "", begin)
-	r.want(fmt.Sprintf("3 %d ", Refused))
-	r.end(old, "old", 1)
-	r.want("1 0 old")
-	if f := r.Figures(); f.OK["book"] != 1 || f.OK["order"] != 1 || f.Shed["book"] != 1 || f.Tries != 2 || f.Active != 0 {
+	r.open(2, "order", "", startMS)
+	r.succeed(<-r.runner.started, "new", 1)
+	r.wantAnswer("2 0 new")
+	r.open(3, "book", "", startMS)
+	r.wantAnswer(fmt.Sprintf("3 %d ", Refused))
+	r.succeed(old, "old", 1)
+	r.wantAnswer("1 0 old")
+	if f := r.Metrics(); f.OK["book"] != 1 || f.OK["order"] != 1 || f.Shed["book"] != 1 || f.Attempts != 2 || f.Active != 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
-// settled is a ledger that hears how effects end.
-type settled struct{ ended chan string }
+// recordingEffectLog is a ledger that hears how effects end.
+type recordingEffectLog struct{ ended chan string }
 
-func (s settled) Begin(string) (bool, error) { return true, nil }
-func (s settled) Ended(id string, ok bool)   { s.ended <- fmt.Sprint(id, " ", ok) }
+func (s recordingEffectLog) Begin(string) (bool, error) { return true, nil }
+func (s recordingEffectLog) Ended(id string, ok bool)   { s.ended <- fmt.Sprint(id, " ", ok) }
 
-func TestLedgerHearsHowEffectsEnd(t *testing.T) {
-	l := settled{make(chan string, 10)}
-	r := newRig(t, l)
-	r.open(1, "read", "", begin)
-	r.end(<-r.hand.started, "A", 1)
-	r.want("1 0 A")
-	r.open(2, "book", "", begin)
-	r.end(<-r.hand.started, "B", 1)
-	r.want("2 0 B")
+func TestEffectLogReceivesEffectEnds(t *testing.T) {
+	l := recordingEffectLog{make(chan string, 10)}
+	r := newFixture(t, l)
+	r.open(1, "read", "", startMS)
+	r.succeed(<-r.runner.started, "A", 1)
+	r.wantAnswer("1 0 A")
+	r.open(2, "book", "", startMS)
+	r.succeed(<-r.runner.started, "B", 1)
+	r.wantAnswer("2 0 B")
 	if got := <-l.ended; got != fmt.Sprintf("%016x true", 2) {
 		t.Errorf("heard %q", got)
 	}
-	r.open(3, "book", "", begin)
-	a := <-r.hand.started
+	r.open(3, "book", "", startMS)
+	a := <-r.runner.started
 	a.Notify(Notice{Ended: true, Outcome: policy.Failed})
 	if got := <-l.ended; got != fmt.Sprintf("%016x false", 3) {
 		t.Errorf("heard %q", got)
 	}
 }
 
-// caller is a Runner and a Below that tell what the module chose at a call.
-type caller struct {
-	hand
-	chose chan string
+// callRecorder is a Runner and a Below that tell what the module chose at a call.
+type callRecorder struct {
+	fakeRunner
+	decisions chan string
 }
 
-func (c *caller) Skip(*Attempt, uint64) { c.chose <- "skip" }
-func (c *caller) Call(ctx context.Context, _ string, _ float64, _ []byte) (policy.Outcome, []byte) {
-	c.chose <- "call"
+func (c *callRecorder) Skip(*Attempt, uint64) { c.decisions <- "skip" }
+func (c *callRecorder) Call(ctx context.Context, _ string, _ float64, _ []byte) (policy.Outcome, []byte) {
+	c.decisions <- "call"
 	return policy.OK, nil
 }
 
 // The share is asked for before each choice, and what is put off until it is in force comes after.
-func TestShareIsAskedForBeforeEachChoice(t *testing.T) {
+func TestDownstreamShareIsReadBeforeEachDecision(t *testing.T) {
 	set := testSettings
-	set.Below, set.BelowShare, set.CallSpan = true, 100, 5*time.Second
+	set.HasDownstream, set.DownstreamShare, set.CallPeriod = true, 100, 5*time.Second
 	set.Classes = []policy.Class{{Name: "read", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Calls: true, SkipWorth: 0.5}}
-	h := &caller{hand{make(chan *Attempt, 10)}, make(chan string, 10)}
-	clk := clock.Manual(begin)
+	h := &callRecorder{fakeRunner{make(chan *Attempt, 10)}, make(chan string, 10)}
+	clk := clock.Manual(startMS)
 	c := New(clk, zerolog.Nop(), set, 1, h, h, nil)
 	var share atomic.Int64
-	c.Divide(func() float64 { return float64(share.Load()) })
-	c.Up(false)
+	c.SetDownstreamShareFunc(func() float64 { return float64(share.Load()) })
+	c.RunnerStarted(false)
 	go c.Run()
 	t.Cleanup(c.Stop)
 	for id, want := range []string{"skip", "call", "skip"} {
 		share.Store(int64(100 * (id % 2)))
-		in := make(chan struct{})
-		c.Then(func() { close(in) })
-		<-in
-		c.Open(&Request{ID: fmt.Sprintf("%016x", id), Class: "read", At: begin, Wait: 3000, KB: 1}, func(Outcome) {})
+		inForce := make(chan struct{})
+		c.AfterPendingEvents(func() { close(inForce) })
+		<-inForce
+		c.Open(&Request{ID: fmt.Sprintf("%016x", id), Class: "read", ArrivedAt: startMS, WaitMS: 3000, KB: 1}, func(Outcome) {})
 		a := <-h.started
-		a.Notify(Notice{N: 1})
-		if got := <-h.chose; got != want {
+		a.Notify(Notice{Number: 1})
+		if got := <-h.decisions; got != want {
 			t.Errorf("with a share of %d: %s, want %s", share.Load(), got, want)
 		}
 	}
@@ -296,92 +296,92 @@
 
 // The owner comes to the notice to drain late: the window in which what comes may still run counts from the notice, and
 // to when a request reached the machine, whenever it is read.
-func TestDrainWindowCountsFromTheNotice(t *testing.T) {
-	r := newRig(t, nil)
+func TestDrainGraceCountsFromNotice(t *testing.T) {
+	r := newFixture(t, nil)
 	set := testSettings
 	set.DrainGrace = 2500 * time.Millisecond
 	r.Adopt(set)
-	in, release := make(chan struct{}), make(chan struct{})
-	r.Then(func() { close(in); <-release })
-	<-in
-	r.Drain(begin, begin+9000)
-	r.clock.Set(begin + 200)
+	blocked, release := make(chan struct{}), make(chan struct{})
+	r.AfterPendingEvents(func() { close(blocked); <-release })
+	<-blocked
+	r.Drain(startMS, startMS+9000)
+	r.clock.Set(startMS + 200)
 	close(release)
 	handled := make(chan struct{})
-	r.Then(func() { close(handled) })
+	r.AfterPendingEvents(func() { close(handled) })
 	<-handled
-	r.clock.Set(begin + 2690)
-	r.open(1, "book", "", begin+2600)
-	r.want(fmt.Sprintf("1 %d ", Refused))
-	r.open(2, "book", "", begin+2500)
-	r.end(<-r.hand.started, "A", 1)
-	r.want("2 0 A")
+	r.clock.Set(startMS + 2690)
+	r.open(1, "book", "", startMS+2600)
+	r.wantAnswer(fmt.Sprintf("1 %d ", Refused))
+	r.open(2, "book", "", startMS+2500)
+	r.succeed(<-r.runner.started, "A", 1)
+	r.wantAnswer("2 0 A")
 }
 
 // New settings have the class of a payment no more, or tie its tries no more: its result is still what another try of it
 // gets, one that comes while it runs fails, and none of them is refused or run. Each was refused, or run again.
-func TestTiesHoldWhereTheClassWent(t *testing.T) {
+func TestKeyedAttemptsOutliveTheirClass(t *testing.T) {
 	pay := policy.Class{Name: "pay", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 4, Safety: policy.Keyed, KeyTTL: 30 * time.Second}
 	safe := pay
 	safe.Safety = policy.Safe
-	for what, after := range map[string][]policy.Class{"gone": testSettings.Classes, "safe by now": append(slices.Clone(testSettings.Classes), safe)} {
-		r := newRig(t, nil)
+	for name, after := range map[string][]policy.Class{"gone": testSettings.Classes, "safe by now": append(slices.Clone(testSettings.Classes), safe)} {
+		r := newFixture(t, nil)
 		set := testSettings
 		set.Classes = append(slices.Clone(set.Classes), pay)
 		r.Adopt(set)
-		try := func(id int, once, body string) {
-			r.Open(&Request{ID: fmt.Sprintf("%016x", id), Class: "pay", At: begin, Wait: 3000, KB: 1, Once: once, Body: []byte(body)}, func(o Outcome) {
+		send := func(id int, once, body string) {
+			r.Open(&Request{ID: fmt.Sprintf("%016x", id), Class: "pay", ArrivedAt: startMS, WaitMS: 3000, KB: 1, IdempotencyKey: once, Body: []byte(body)}, func(o Outcome) {
 				r.answers <- fmt.Sprintf("%d %d %s", id, o.Verdict, o.Result)
 			})
 		}
-		try(1, "aa", "a")
-		r.end(<-r.hand.started, "A", 1)
-		r.want("1 0 A")
-		try(2, "bb", "b")
-		runs := <-r.hand.started
-		r.through(1)
+		send(1, "aa", "a")
+		r.succeed(<-r.runner.started, "A", 1)
+		r.wantAnswer("1 0 A")
+		send(2, "bb", "b")
+		running := <-r.runner.started
+		r.waitForOpen(1)
 		set.Classes = after
 		r.Adopt(set)
-		try(3, "aa", "a")
-		r.want("3 0 A")
-		try(4, "aa", "another")
-		r.want(fmt.Sprintf("4 %d ", Failed))
-		try(5, "bb", "b")
-		r.want(fmt.Sprintf("5 %d ", Failed))
-		r.end(runs, "B", 1)
-		r.want("2 0 B")
-		r.through(0)
-		try(6, "bb", "b")
-		r.want("6 0 B")
-		if f := r.Figures(); f.Tries != 2 {
-			t.Errorf("%s: %d runs", what, f.Tries)
+		send(3, "aa", "a")
+		r.wantAnswer("3 0 A")
+		send(4, "aa", "another")
+		r.wantAnswer(fmt.Sprintf("4 %d ", Failed))
+		send(5, "bb", "b")
+		r.wantAnswer(fmt.Sprintf("5 %d ", Failed))
+		r.succeed(running, "B", 1)
+		r.wantAnswer("2 0 B")
+		r.waitForOpen(0)
+		send(6, "bb", "b")
+		r.wantAnswer("6 0 B")
+		if f := r.Metrics(); f.Attempts != 2 {
+			t.Errorf("%s: %d runs", name, f.Attempts)
 		}
 	}
 }
 
 // A run was never started, and its caller sends another try in the moment in which it hears so: that one runs. It was taken
 // to repeat a run that goes on, and failed with it.
-func TestAnotherTryComesWithTheAnswer(t *testing.T) {
-	r := newRig(t, nil)
+func TestRetryRightAfterAnswerRuns(t *testing.T) {
+	r := newFixture(t, nil)
 	set := testSettings
 	set.Classes = []policy.Class{{Name: "pay", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Safety: policy.Keyed, KeyTTL: 10 * time.Second}}
 	r.Adopt(set)
-	try := func(id int) *Request {
-		return &Request{ID: fmt.Sprintf("%016x", id), Class: "pay", At: begin, Wait: 3000, KB: 1, Once: "ab"}
+	attempt := func(id int) *Request {
+		return &Request{ID: fmt.Sprintf("%016x", id), Class: "pay", ArrivedAt: startMS, WaitMS: 3000, KB: 1, IdempotencyKey: "ab"}
 	}
-	heard := make(chan string, 1)
-	r.Open(try(1), func(Outcome) {
-		r.Open(try(2), func(Outcome) {})
+	started := make(chan string, 1)
+	r.Open(attempt(1), func(Outcome) {
+		r.Open(attempt(2), func(Outcome) {})
 		select {
-		case a := <-r.hand.started:
-			heard <- a.Request.ID
+		case a := <-r.runner.started:
+			started <- a.Request.ID
 		case <-time.After(10 * time.Second):
-			heard <- "nothing"
+			started <- "nothing"
 		}
 	})
-	a := <-r.hand.started
-	a.Notify(Notice{Ended: true, Outcome: policy.Moot})
-	if got := <-heard; got != try(2).ID {
+	a := <-r.runner.started
+	a.Notify(Notice{Ended: true, Outcome: policy.NotRun})
+	if got := <-started; got != attempt(2).ID {
 		t.Errorf("begun: %s", got)
 	}
 }
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -5,40 +5,40 @@
 	"sync/atomic"
 )
 
-// Figures are counts from the start of the process, by class, for operators.
-type Figures struct {
-	OK     map[string]int64 `json:"ok"`
-	Shed   map[string]int64 `json:"shed"`
-	Errors map[string]int64 `json:"errors"`
-	Tries  int64            `json:"tries"`  // runs begun
-	Active int64            `json:"active"` // requests taken and not yet ended
+// Metrics are counts from the start of the process, by class, for operators.
+type Metrics struct {
+	OK       map[string]int64 `json:"ok"`
+	Shed     map[string]int64 `json:"shed"`
+	Errors   map[string]int64 `json:"errors"`
+	Attempts int64            `json:"tries"`  // runs begun
+	Active   int64            `json:"active"` // requests taken and not yet ended
 }
 
-type classCount struct{ ok, shed, errors atomic.Int64 }
+type classCounts struct{ ok, shed, errors atomic.Int64 }
 
 // counts has an entry for every class of the settings and for no other, so that what callers make up takes no
 // memory here.
 type counts struct {
-	mu            sync.RWMutex
-	of            map[string]*classCount
-	active, tries atomic.Int64
+	mu               sync.RWMutex
+	byClass          map[string]*classCounts
+	active, attempts atomic.Int64
 }
 
 func (n *counts) add(class string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.of[class] == nil {
-		n.of[class] = &classCount{}
+	if n.byClass[class] == nil {
+		n.byClass[class] = &classCounts{}
 	}
 }
 
-func (n *counts) class(name string) *classCount {
+func (n *counts) class(name string) *classCounts {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	return n.of[name]
+	return n.byClass[name]
 }
 
-func (n *counts) answered(class string, v Verdict) {
+func (n *counts) countAnswer(class string, v Verdict) {
 	k := n.class(class)
 	switch {
 	case k == nil:
@@ -51,13 +51,13 @@
 	}
 }
 
-// Figures reads the counts.
-func (c *Core) Figures() Figures {
-	f := Figures{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
-		Tries: c.counts.tries.Load(), Active: c.counts.active.Load()}
+// Metrics reads the counts.
+func (c *Core) Metrics() Metrics {
+	f := Metrics{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
+		Attempts: c.counts.attempts.Load(), Active: c.counts.active.Load()}
 	c.counts.mu.RLock()
 	defer c.counts.mu.RUnlock()
-	for name, k := range c.counts.of {
+	for name, k := range c.counts.byClass {
 		f.OK[name], f.Shed[name], f.Errors[name] = k.ok.Load(), k.shed.Load(), k.errors.Load()
 	}
 	return f
--- a/internal/duties/keeper.go
+++ b/internal/duties/keeper.go
@@ -28,142 +28,142 @@
 
 // Work is what a duty does once every span while it is held. An act needs the grant that it is given.
 type Work struct {
-	Every float64 // ms of the steady clock
-	New   func() func(ctx context.Context, under duty.Ref) error
+	IntervalMS float64 // ms of the steady clock
+	New        func() func(ctx context.Context, under duty.Ref) error
 }
 
-// Keeper runs the work of the duties that this process holds.
-type Keeper struct {
-	Steady *clock.Clock
-	Log    zerolog.Logger
-	Trace  *trace.Log
-	Works  map[string]Work
-
-	// Below puts a share into force, what a process may use alone included, and calls used once no more is used.
-	Below func(amount int64, used func())
-	// Check tells whether a published version can be taken; Take puts it into force, whole.
-	Check func([]publish.File) error
-	Take  func(publish.Version)
-
-	client  *session.Client
-	me      string
-	loops   map[string]loop
-	keeper  publish.Keeper
-	taking  sync.Mutex
-	inForce atomic.Uint64
-	ctx     context.Context
+// Runner runs the work of the duties that this process holds.
+type Runner struct {
+	Steady     *clock.Clock
+	Log        zerolog.Logger
+	Trace      *trace.Log
+	WorkByDuty map[string]Work
+
+	// ApplyShare puts a share into force, what a process may use alone included, and calls used once no more is used.
+	ApplyShare func(amount int64, used func())
+	// CheckVersion tells whether a published version can be taken; Take puts it into force, whole.
+	CheckVersion func([]publish.File) error
+	ApplyVersion func(publish.Version)
+
+	client         *session.Client
+	processID      string
+	workLoops      map[string]workLoop
+	versions       publish.VersionSelector
+	applyMu        sync.Mutex
+	versionInForce atomic.Uint64
+	ctx            context.Context
 }
 
-type loop struct {
-	ref  duty.Ref
-	stop context.CancelFunc // ends acts under way
-	halt chan struct{}      // begins no more
-	once *sync.Once
+type workLoop struct {
+	ref      duty.Ref
+	cancel   context.CancelFunc // ends acts under way
+	stopping chan struct{}      // begins no more
+	stopOnce *sync.Once
 }
 
 // Start runs the client, whose options must have On as their On.
-func (k *Keeper) Start(ctx context.Context, me string, c *session.Client) {
-	k.ctx, k.me, k.client, k.loops = ctx, me, c, map[string]loop{}
+func (k *Runner) Start(ctx context.Context, processID string, c *session.Client) {
+	k.ctx, k.processID, k.client, k.workLoops = ctx, processID, c, map[string]workLoop{}
 	go c.Run(ctx)
 }
 
-// On takes the client's events, one at a time.
-func (k *Keeper) On(e any) {
-	presence := duty.PresenceOf(k.me)
+// HandleEvent takes the client's events, one at a time.
+func (k *Runner) HandleEvent(e any) {
+	presence := duty.PresenceName(k.processID)
 	switch e := e.(type) {
-	case duty.Gained:
+	case duty.LeaseGained:
 		k.Trace.Add(trace.Event{What: trace.Gained, Duty: e.Name, Epoch: e.Epoch}, e.Until)
 		if e.Name == presence {
 			k.Log.Info().Uint64("epoch", e.Epoch).Msg("present")
 			return
 		}
 		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("gained")
-		k.begin(e.Ref)
-	case duty.Held:
+		k.startWork(e.Ref)
+	case duty.LeaseRenewed:
 		k.Trace.Add(trace.Event{What: trace.Held, Duty: e.Name, Epoch: e.Epoch}, e.Until)
 		if e.Late {
 			k.Log.Warn().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("renewed late")
 		}
 		if e.Name == presence {
-			k.shared(e.Until)
+			k.traceShare(e.Until)
 		}
-	case duty.Yields:
+	case duty.YieldRequested:
 		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg("handing on")
-		if l, ok := k.loops[e.Name]; ok && l.ref == e.Ref {
-			l.once.Do(func() { close(l.halt) }) // its end calls Quiet
+		if l, ok := k.workLoops[e.Name]; ok && l.ref == e.Ref {
+			l.stopOnce.Do(func() { close(l.stopping) }) // its end calls Quiet
 		} else {
-			k.client.Quiet(e.Ref)
+			k.client.Quiesced(e.Ref)
 		}
-	case duty.Ended:
+	case duty.LeaseEnded:
 		k.Trace.Add(trace.Event{What: trace.Ended, Duty: e.Name, Epoch: e.Epoch, Cause: e.Cause}, 0)
-		say := "given up"
+		outcome := "given up"
 		if e.Cause == duty.CauseYield || e.Cause == duty.CauseDrain {
-			say = "handed on"
+			outcome = "handed on"
 		}
-		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg(say)
-		if l, ok := k.loops[e.Name]; ok && l.ref == e.Ref {
-			l.once.Do(func() { close(l.halt) })
-			l.stop()
-			delete(k.loops, e.Name)
+		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg(outcome)
+		if l, ok := k.workLoops[e.Name]; ok && l.ref == e.Ref {
+			l.stopOnce.Do(func() { close(l.stopping) })
+			l.cancel()
+			delete(k.workLoops, e.Name)
 		}
-		if e.Name == presence && k.Below != nil {
-			k.Below(0, func() {})
+		if e.Name == presence && k.ApplyShare != nil {
+			k.ApplyShare(0, func() {})
 		}
-	case duty.Behind:
-		k.Log.Error().Uint64("index", e.Index).Uint64("seen", e.Seen).Msg("a copy knows less than was told before; it is not believed")
-	case session.Allotted:
-		if k.Below == nil {
-			k.client.Used(e.Version)
+	case duty.StaleReply:
+		k.Log.Error().Uint64("index", e.LogIndex).Uint64("seen", e.SeenIndex).Msg("a copy knows less than was told before; it is not believed")
+	case session.ShareChanged:
+		if k.ApplyShare == nil {
+			k.client.AcknowledgeShare(e.Version)
 			return
 		}
-		k.Below(e.Amount, func() {
+		k.ApplyShare(e.Amount, func() {
 			if _, until, here := k.client.Presence(); here {
 				k.Trace.Add(trace.Event{What: trace.Share, Amount: e.Amount}, until)
 			}
-			k.client.Used(e.Version)
+			k.client.AcknowledgeShare(e.Version)
 		})
-	case session.Published, session.Linked:
-		go k.take() // after a cut too: a word may not have been heard
+	case session.VersionPublished, session.SessionEstablished:
+		go k.applyLatestVersion() // after a cut too: a word may not have been heard
 	}
 }
 
-// shared writes down that the share goes on with the presence.
-func (k *Keeper) shared(until float64) {
+// traceShare writes down that the share goes on with the presence.
+func (k *Runner) traceShare(until float64) {
 	if k.Trace != nil {
 		k.Trace.Add(trace.Event{What: trace.Share, Amount: k.client.Share()}, until)
 	}
 }
 
-// begin runs a duty's work until it ends.
-func (k *Keeper) begin(ref duty.Ref) {
-	w, ok := k.Works[ref.Name]
+// startWork runs a duty's work until it ends.
+func (k *Runner) startWork(ref duty.Ref) {
+	w, ok := k.WorkByDuty[ref.Name]
 	if !ok {
 		return
 	}
-	ctx, stop := context.WithCancel(k.ctx)
-	l := loop{ref, stop, make(chan struct{}), &sync.Once{}}
-	k.loops[ref.Name] = l
+	ctx, cancel := context.WithCancel(k.ctx)
+	l := workLoop{ref, cancel, make(chan struct{}), &sync.Once{}}
+	k.workLoops[ref.Name] = l
 	go func() {
-		defer k.client.Quiet(ref)
-		defer stop()
-		do := w.New()
+		defer k.client.Quiesced(ref)
+		defer cancel()
+		run := w.New()
 		for {
 			// Asked before each: this process may have stood still, or have been cut off.
-			if now, may := k.client.May(ref.Name); !may || now != ref {
+			if current, active := k.client.ActiveGrant(ref.Name); !active || current != ref {
 				return
 			}
-			err := do(ctx, ref)
+			err := run(ctx, ref)
 			switch {
-			case errors.Is(err, session.ErrStale):
+			case errors.Is(err, session.ErrStaleEpoch):
 				k.Log.Warn().Str("duty", ref.Name).Uint64("epoch", ref.Epoch).Err(err).Msg("fenced")
 			case err != nil && ctx.Err() == nil:
 				k.Log.Warn().Str("duty", ref.Name).Err(err).Msg("duty's work failed")
 			}
 			next := make(chan struct{})
-			t := k.Steady.After(w.Every, func() { close(next) })
+			t := k.Steady.After(w.IntervalMS, func() { close(next) })
 			select {
 			case <-next:
-			case <-l.halt:
+			case <-l.stopping:
 				t.Stop()
 				return
 			case <-ctx.Done():
@@ -175,25 +175,25 @@
 }
 
 // Act does something under a duty and writes down what came of it.
-func (k *Keeper) Act(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
-	began := trace.Event{Duty: under.Name, Epoch: under.Epoch, What: trace.Act, Began: machineNow(k.Trace)}
-	began.Text = do[0].Op
-	sent := began
+func (k *Runner) Act(ctx context.Context, grant duty.Ref, commands ...state.Command) (state.Result, error) {
+	event := trace.Event{Duty: grant.Name, Epoch: grant.Epoch, What: trace.Act, Began: machineNow(k.Trace)}
+	event.Text = commands[0].Op
+	sent := event
 	sent.What = trace.Sent // before it goes: this process may be killed with the answer on its way
 	k.Trace.Add(sent, 0)
-	r, err := k.client.Act(ctx, under, do...)
-	began.N = r.N
+	r, err := k.client.DoFenced(ctx, grant, commands...)
+	event.N = r.Value
 	switch {
-	case errors.Is(err, session.ErrStale):
-		began.What = trace.Refused
-	case errors.Is(err, session.ErrNotSent):
+	case errors.Is(err, session.ErrStaleEpoch):
+		event.What = trace.Refused
+	case errors.Is(err, session.ErrNotExecuted):
 		return r, err
 	case err != nil && r.Error == "":
-		began.What = trace.Unknown
+		event.What = trace.Unknown
 	case err != nil:
 		return r, err // refused for what it is
 	}
-	k.Trace.Add(began, 0)
+	k.Trace.Add(event, 0)
 	return r, err
 }
 
@@ -201,37 +201,37 @@
 	if t == nil {
 		return 0
 	}
-	return steady.Now()
+	return machineClock.Now()
 }
 
-var steady = clock.Steady()
+var machineClock = clock.Monotonic()
 
-// take looks at the latest version, takes it whole or turns it down, and says which.
-func (k *Keeper) take() {
-	k.taking.Lock()
-	defer k.taking.Unlock()
-	v, err := k.client.Version(k.ctx)
-	if err != nil || k.Check == nil {
+// applyLatestVersion looks at the latest version, takes it whole or turns it down, and says which.
+func (k *Runner) applyLatestVersion() {
+	k.applyMu.Lock()
+	defer k.applyMu.Unlock()
+	v, err := k.client.LatestVersion(k.ctx)
+	if err != nil || k.CheckVersion == nil {
 		return // the next version, or session, brings another look
 	}
-	before := k.keeper
-	w, fresh := k.keeper.Offer(v, k.Check)
-	if !fresh {
+	before := k.versions
+	ack, isNew := k.versions.Offer(v, k.CheckVersion)
+	if !isNew {
 		return
 	}
-	if w.Reason == "" {
-		k.Log.Info().Uint64("version", w.No).Msg("version taken")
-		k.Take(v)
-		k.inForce.Store(w.No)
+	if ack.Reason == "" {
+		k.Log.Info().Uint64("version", ack.No).Msg("version taken")
+		k.ApplyVersion(v)
+		k.versionInForce.Store(ack.No)
 	} else {
-		k.Log.Error().Uint64("version", w.No).Str("reason", w.Reason).Uint64("in_force", k.keeper.InForce).Msg("version turned down")
+		k.Log.Error().Uint64("version", ack.No).Str("reason", ack.Reason).Uint64("in_force", k.versions.InForce).Msg("version turned down")
 	}
-	k.Trace.Add(trace.Event{What: trace.Took, N: w.No, Cause: w.Reason}, 0)
-	if _, err := k.client.Do(k.ctx, state.Command{Op: state.AcknowledgeVersion, Who: k.me, Said: &w}); err != nil {
+	k.Trace.Add(trace.Event{What: trace.Took, N: ack.No, Cause: ack.Reason}, 0)
+	if _, err := k.client.Do(k.ctx, state.Command{Op: state.OpAcknowledgeVersion, Process: k.processID, Acknowledgement: &ack}); err != nil {
 		k.Log.Warn().Err(err).Msg("word on a version not confirmed")
-		k.keeper.Looked = before.Looked // it is looked at again, and the word said again
+		k.versions.LastChecked = before.LastChecked // it is looked at again, and the word said again
 	}
 }
 
-// InForce is the number of the version in force; 0: none.
-func (k *Keeper) InForce() uint64 { return k.inForce.Load() }
+// VersionInForce is the number of the version in force; 0: none.
+func (k *Runner) VersionInForce() uint64 { return k.versionInForce.Load() }
--- a/internal/duties/works.go
+++ b/internal/duties/works.go
@@ -15,74 +15,74 @@
 	"puffinsaddle/internal/state"
 )
 
-// Marks is the work of a duty that has none of its own: it counts, so that its holder can be seen at it.
-func (k *Keeper) Marks(every float64) Work {
-	return Work{every, func() func(context.Context, duty.Ref) error {
-		return func(ctx context.Context, under duty.Ref) error {
-			_, err := k.Act(ctx, under, state.Command{Op: state.Mark})
+// CounterWork is the work of a duty that has none of its own: it counts, so that its holder can be seen at it.
+func (k *Runner) CounterWork(intervalMS float64) Work {
+	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
+		return func(ctx context.Context, grant duty.Ref) error {
+			_, err := k.Act(ctx, grant, state.Command{Op: state.OpIncrementCounter})
 			return err
 		}
 	}}
 }
 
-// Allots divides what lies below. Each step is an act of its own, refused where the shares in force would come to more
+// AllotterWork divides what lies below. Each step is an act of its own, refused where the shares in force would come to more
 // than the whole, whatever was read before.
-func (k *Keeper) Allots(every float64, room allot.Room, plant string) Work {
-	return Work{every, func() func(context.Context, duty.Ref) error {
-		return func(ctx context.Context, under duty.Ref) error {
-			var f session.Fleet
-			if err := k.client.Read(ctx, session.ReadFleet, &f); err != nil {
+func (k *Runner) AllotterWork(intervalMS float64, capacity allot.Capacity, injectedBug string) Work {
+	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
+		return func(ctx context.Context, grant duty.Ref) error {
+			var f session.CapacityStatus
+			if err := k.client.Read(ctx, session.ReadCapacity, &f); err != nil {
 				return err
 			}
 			var steps []state.Command
-			if f.Pool != room.Pool() {
-				steps = append(steps, state.Command{Op: state.Pool, Amount: room.Pool()})
+			if f.Pool != capacity.Pool() {
+				steps = append(steps, state.Command{Op: state.OpSetPool, Amount: capacity.Pool()})
 			}
-			for _, c := range allot.Plan(room.Pool(), f.Of, plant == duty.PlantEarlyGrowth) {
-				steps = append(steps, state.Command{Op: state.Share, Who: c.Who, Amount: c.Amount})
+			for _, c := range allot.Plan(capacity.Pool(), f.Servers, injectedBug == duty.BugEarlyGrowth) {
+				steps = append(steps, state.Command{Op: state.OpSetAllocation, Process: c.Who, Amount: c.Amount})
 			}
 			if len(steps) == 0 {
 				return nil
 			}
-			_, err := k.Act(ctx, under, steps...)
+			_, err := k.Act(ctx, grant, steps...)
 			return err
 		}
 	}}
 }
 
-// Publishes publishes the files that a manifest names as a new version whenever they are whole and others than before.
+// PublisherWork publishes the files that a manifest names as a new version whenever they are whole and others than before.
 // check is what the servers will check, so that nothing is published that all would turn down.
-func (k *Keeper) Publishes(every float64, manifest string, check func([]publish.File) error) Work {
-	return Work{every, func() func(context.Context, duty.Ref) error {
-		said := ""
-		return func(ctx context.Context, under duty.Ref) error {
-			files, err := ReadFiles(manifest)
+func (k *Runner) PublisherWork(intervalMS float64, manifest string, check func([]publish.File) error) Work {
+	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
+		lastError := ""
+		return func(ctx context.Context, grant duty.Ref) error {
+			files, err := ReadManifestFiles(manifest)
 			if err == nil {
 				err = check(files)
 			}
 			if err != nil {
-				if err.Error() == said {
+				if err.Error() == lastError {
 					return nil // once is enough
 				}
-				said = err.Error()
+				lastError = err.Error()
 				return fmt.Errorf("nothing published: %w", err)
 			}
-			said = ""
-			v, err := k.client.Version(ctx)
+			lastError = ""
+			v, err := k.client.LatestVersion(ctx)
 			if err != nil || v.No > 0 && publish.Digest(v.Files) == publish.Digest(files) {
 				return err
 			}
-			r, err := k.Act(ctx, under, state.Command{Op: state.Publish, Files: files, Seq: v.No})
+			r, err := k.Act(ctx, grant, state.Command{Op: state.OpPublishVersion, Files: files, Seq: v.No})
 			if err == nil {
-				k.Log.Info().Uint64("version", r.N).Int("files", len(files)).Msg("published")
+				k.Log.Info().Uint64("version", r.Value).Int("files", len(files)).Msg("published")
 			}
 			return err
 		}
 	}}
 }
 
-// ReadFiles reads a manifest and its files, which have to be what it says.
-func ReadFiles(manifest string) ([]publish.File, error) {
+// ReadManifestFiles reads a manifest and its files, which have to be what it says.
+func ReadManifestFiles(manifest string) ([]publish.File, error) {
 	text, err := os.ReadFile(manifest)
 	if err != nil {
 		return nil, err
@@ -94,8 +94,8 @@
 	var files []publish.File
 	for _, s := range sums {
 		path := filepath.Join(filepath.Dir(manifest), s.Name)
-		if info, err := os.Stat(path); err == nil && info.Size() > publish.MostBytes {
-			return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), publish.MostBytes)
+		if info, err := os.Stat(path); err == nil && info.Size() > publish.MaxBytes {
+			return nil, fmt.Errorf("%s: %d bytes, %d at most", path, info.Size(), publish.MaxBytes)
 		}
 		b, err := os.ReadFile(path)
 		if err != nil {
@@ -109,32 +109,32 @@
 	return files, nil
 }
 
-// Settles marks effects of servers that are gone as of unknown outcome, and forgets those that ended and are older than
+// SettlerWork marks effects of servers that are gone as of unknown outcome, and forgets those that ended and are older than
 // keep, in ms.
-func (k *Keeper) Settles(every, keep, rate float64, steady *clock.Clock) Work {
-	return Work{every, func() func(context.Context, duty.Ref) error {
-		var ages settle.Ages
-		return func(ctx context.Context, under duty.Ref) error {
-			var e session.Effects
+func (k *Runner) SettlerWork(intervalMS, retentionMS, maxDrift float64, steady *clock.Clock) Work {
+	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
+		var ages settle.AgeTracker
+		return func(ctx context.Context, grant duty.Ref) error {
+			var e session.EffectStatus
 			if err := k.client.Read(ctx, session.ReadEffects, &e); err != nil {
 				return err
 			}
-			var do []state.Command
+			var commands []state.Command
 			if len(e.Orphans) > 0 {
-				do = append(do, state.Command{Op: state.Settle, IDs: e.Orphans})
+				commands = append(commands, state.Command{Op: state.OpResolveEffects, EffectIDs: e.Orphans})
 			}
 			now := steady.Now()
-			ages.Note(now, e.Seq)
-			due := ages.Due(now, keep, rate)
-			if due > 0 {
-				do = append(do, state.Command{Op: state.Prune, Seq: due})
+			ages.Observe(now, e.Seq)
+			pruneUpTo := ages.OlderThan(now, retentionMS, maxDrift)
+			if pruneUpTo > 0 {
+				commands = append(commands, state.Command{Op: state.OpPruneEffects, Seq: pruneUpTo})
 			}
-			if len(do) == 0 {
+			if len(commands) == 0 {
 				return nil
 			}
-			r, err := k.Act(ctx, under, do...)
+			r, err := k.Act(ctx, grant, commands...)
 			if err == nil {
-				k.Log.Info().Int("orphans", len(e.Orphans)).Uint64("up_to", due).Uint64("n", r.N).Msg("settled")
+				k.Log.Info().Int("orphans", len(e.Orphans)).Uint64("up_to", pruneUpTo).Uint64("n", r.Value).Msg("settled")
 			}
 			return err
 		}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -9,31 +9,31 @@
 	"testing"
 )
 
-var testRules = Rules{Bounds: Bounds{Rate: 0.1, Margin: 50}, Renew: 300, Cool: 1500, ColdWait: 3000, Presence: 2000,
-	Duties: []Terms{{"allotter", 2000}, {"settler", 2000}}}
+var testRules = Rules{ClockBounds: ClockBounds{MaxDrift: 0.1, MarginMS: 50}, RenewIntervalMS: 300, CooldownMS: 1500, ColdWaitMS: 3000, PresenceTTLMS: 2000,
+	Duties: []DutyRule{{"allotter", 2000}, {"settler", 2000}}}
 
-func TestTermsThatMakeNoSenseAreNamed(t *testing.T) {
+func TestInvalidRulesAreReportedByKey(t *testing.T) {
 	if err := testRules.Check(); err != nil {
 		t.Fatal(err)
 	}
 	for want, change := range map[string]func(*Rules){
-		"list[1].ttl_ms must be above 0, not 0":             func(r *Rules) { r.Duties[1].TTL = 0 },
-		"list[0].ttl_ms must be above 0, not -1":            func(r *Rules) { r.Duties[0].TTL = -1 },
-		"list[0].ttl_ms must be above 0, not NaN":           func(r *Rules) { r.Duties[0].TTL = math.NaN() },
-		"list[0].ttl_ms must be above 0, not +Inf":          func(r *Rules) { r.Duties[0].TTL = math.Inf(1) },
-		"list[0].ttl_ms of 1000 ms leaves a holder 850 ms":  func(r *Rules) { r.Duties[0].TTL = 1000 },
-		"presence_ms of 100 ms leaves":                      func(r *Rules) { r.Presence = 100 },
+		"list[1].ttl_ms must be above 0, not 0":             func(r *Rules) { r.Duties[1].TTLMS = 0 },
+		"list[0].ttl_ms must be above 0, not -1":            func(r *Rules) { r.Duties[0].TTLMS = -1 },
+		"list[0].ttl_ms must be above 0, not NaN":           func(r *Rules) { r.Duties[0].TTLMS = math.NaN() },
+		"list[0].ttl_ms must be above 0, not +Inf":          func(r *Rules) { r.Duties[0].TTLMS = math.Inf(1) },
+		"list[0].ttl_ms of 1000 ms leaves a holder 850 ms":  func(r *Rules) { r.Duties[0].TTLMS = 1000 },
+		"presence_ms of 100 ms leaves":                      func(r *Rules) { r.PresenceTTLMS = 100 },
 		`list[1].name "allotter" stands in list[0] already`: func(r *Rules) { r.Duties[1].Name = "allotter" },
 		`list[0].name "a/b" may hold`:                       func(r *Rules) { r.Duties[0].Name = "a/b" },
 		"list[0].name must have 1 to 64 characters":         func(r *Rules) { r.Duties[0].Name = "" },
-		"clock_rate must be from 0 to 0.5, not 0.6":         func(r *Rules) { r.Rate = 0.6 },
-		"renew_ms must be above 0, not NaN":                 func(r *Rules) { r.Renew = math.NaN() },
-		"margin_ms must be 0 or more, not -1":               func(r *Rules) { r.Margin = -1 },
-		"cool_ms must be 0 or more, not +Inf":               func(r *Rules) { r.Cool = math.Inf(1) },
-		"cold_wait_ms must be 0 or more, not -3":            func(r *Rules) { r.ColdWait = -3 },
+		"clock_rate must be from 0 to 0.5, not 0.6":         func(r *Rules) { r.MaxDrift = 0.6 },
+		"renew_ms must be above 0, not NaN":                 func(r *Rules) { r.RenewIntervalMS = math.NaN() },
+		"margin_ms must be 0 or more, not -1":               func(r *Rules) { r.MarginMS = -1 },
+		"cool_ms must be 0 or more, not +Inf":               func(r *Rules) { r.CooldownMS = math.Inf(1) },
+		"cold_wait_ms must be 0 or more, not -3":            func(r *Rules) { r.ColdWaitMS = -3 },
 	} {
 		r := testRules
-		r.Duties = append([]Terms(nil), testRules.Duties...)
+		r.Duties = append([]DutyRule(nil), testRules.Duties...)
 		change(&r)
 		if err := r.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -41,10 +41,10 @@
 	}
 }
 
-func TestEpochsGrowAndFenceOffWhatIsPast(t *testing.T) {
+func TestEpochsIncreaseAndOldEpochsAreFenced(t *testing.T) {
 	table := NewTable()
-	grant := func(who string) uint64 {
-		o := Order{Kind: Grant, Name: "d", Holder: who, TTL: 1, Term: 1}
+	grant := func(process string) uint64 {
+		o := Order{Kind: Grant, Name: "d", Holder: process, TTLMS: 1, Term: 1}
 		if l := table.Leases["d"]; l != nil {
 			o.Epoch = l.Epoch
 		}
@@ -60,10 +60,10 @@
 	if err := table.Apply(Order{Kind: Grant, Name: "d", Holder: "b", Epoch: first, Term: 1}, 1); !errors.Is(err, ErrHeld) {
 		t.Errorf("granted while it is held: %v", err)
 	}
-	if err := table.Apply(Order{Kind: Lapse, Name: "d", Epoch: first, Term: 1}, 2); !errors.Is(err, ErrTerm) {
+	if err := table.Apply(Order{Kind: Expire, Name: "d", Epoch: first, Term: 1}, 2); !errors.Is(err, ErrOtherTerm) {
 		t.Errorf("another leader's lapse: %v", err)
 	}
-	if err := table.Apply(Order{Kind: Lapse, Name: "d", Epoch: first, Term: 1}, 1); err != nil {
+	if err := table.Apply(Order{Kind: Expire, Name: "d", Epoch: first, Term: 1}, 1); err != nil {
 		t.Fatal(err)
 	}
 	if err := table.Fence(Ref{"d", first}); !errors.Is(err, ErrStale) {
@@ -82,7 +82,7 @@
 		t.Errorf("a release of what is past: %v", err)
 	}
 	// A presence that is forgotten and comes back has a higher epoch all the same.
-	p := PresenceOf("a")
+	p := PresenceName("a")
 	for last, i := uint64(0), 0; i < 3; i++ {
 		if err := table.Apply(Order{Kind: Grant, Name: p, Holder: "a", Term: 1}, 1); err != nil {
 			t.Fatal(err)
@@ -110,91 +110,91 @@
 
 // fleet plays servers and the leader with no messages lost, on one clock.
 type fleet struct {
-	t     *testing.T
-	now   float64
-	table *Table
-	g     *Grantor
-	m     map[string]*Machine
-	index uint64
-	deaf  map[string]bool // these are heard and hear nothing
-	last  map[string]uint64
-	log   []string
+	t              *testing.T
+	now            float64
+	table          *Table
+	grantor        *Grantor
+	machines       map[string]*Machine
+	logIndex       uint64
+	withoutReplies map[string]bool // these are heard and hear nothing
+	lastSeq        map[string]uint64
+	events         []string
 }
 
 func newFleet(t *testing.T, names ...string) *fleet {
-	f := &fleet{t: t, table: NewTable(), g: &Grantor{Rules: testRules, Seed: 5}, m: map[string]*Machine{}, now: 1000, last: map[string]uint64{}}
-	f.g.Lead(1, f.now)
+	f := &fleet{t: t, table: NewTable(), grantor: &Grantor{Rules: testRules, Seed: 5}, machines: map[string]*Machine{}, now: 1000, lastSeq: map[string]uint64{}}
+	f.grantor.StartTerm(1, f.now)
 	for i, n := range names {
-		f.m[n] = NewMachine(testRules, n, uint64(i))
+		f.machines[n] = NewMachine(testRules, n, uint64(i))
 	}
 	return f
 }
 
 // run lets time pass in steps of 50 ms; servers that are named in silent say and hear nothing.
 func (f *fleet) run(ms float64, silent ...string) {
-	quiet := map[string]bool{}
+	isSilent := map[string]bool{}
 	for _, s := range silent {
-		quiet[s] = true
+		isSilent[s] = true
 	}
 	for end := f.now + ms; f.now < end; f.now += 50 {
 		var heartbeats []Heartbeat
-		for n, m := range f.m {
-			for _, a := range f.do(n, m.Tick(f.now)) {
-				if !quiet[n] {
+		for n, m := range f.machines {
+			for _, a := range f.handleActions(n, m.Tick(f.now)) {
+				if !isSilent[n] {
 					heartbeats = append(heartbeats, a)
 				}
 			}
 		}
 		var orders []Order
 		for _, b := range heartbeats {
-			f.last[b.From] = b.No
-			orders = append(orders, f.g.Take(f.now, b, f.table)...)
+			f.lastSeq[b.From] = b.Seq
+			orders = append(orders, f.grantor.HandleHeartbeat(f.now, b, f.table)...)
 		}
-		for _, o := range append(orders, f.g.Tick(f.now, f.table)...) {
+		for _, o := range append(orders, f.grantor.Tick(f.now, f.table)...) {
 			if err := f.table.Apply(o, 1); err != nil {
 				f.t.Fatal(err)
 			}
-			f.g.Done(f.now, o, f.table)
-			f.index++
-			if n := o.Holder; o.Kind == Grant && !f.deaf[n] && !quiet[n] { // told at once, as of the heartbeat in which it stood
-				f.do(n, f.m[n].HandleReply(f.now, f.g.Answer(n, f.last[n], f.index, f.table)))
+			f.grantor.HandleOrderResult(f.now, o, f.table)
+			f.logIndex++
+			if n := o.Holder; o.Kind == Grant && !f.withoutReplies[n] && !isSilent[n] { // told at once, as of the heartbeat in which it stood
+				f.handleActions(n, f.machines[n].HandleReply(f.now, f.grantor.Reply(n, f.lastSeq[n], f.logIndex, f.table)))
 			}
 		}
-		f.index++
+		f.logIndex++
 		for _, b := range heartbeats {
-			if !f.deaf[b.From] {
-				f.do(b.From, f.m[b.From].HandleReply(f.now, f.g.Answer(b.From, b.No, f.index, f.table)))
+			if !f.withoutReplies[b.From] {
+				f.handleActions(b.From, f.machines[b.From].HandleReply(f.now, f.grantor.Reply(b.From, b.Seq, f.logIndex, f.table)))
 			}
 		}
 	}
 }
 
-func (f *fleet) do(n string, actions []Action) (heartbeats []Heartbeat) {
+func (f *fleet) handleActions(n string, actions []Action) (heartbeats []Heartbeat) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Send:
+		case SendHeartbeat:
 			heartbeats = append(heartbeats, a.Heartbeat)
-		case Gained:
-			f.log = append(f.log, fmt.Sprintf("%s gains %s", n, a.Name))
-		case Yields:
-			f.do(n, f.m[n].Quiet(f.now, a.Ref))
-		case Ended:
-			f.log = append(f.log, fmt.Sprintf("%s ends %s: %s", n, a.Name, a.Cause))
+		case LeaseGained:
+			f.events = append(f.events, fmt.Sprintf("%s gains %s", n, a.Name))
+		case YieldRequested:
+			f.handleActions(n, f.machines[n].Quiesced(f.now, a.Ref))
+		case LeaseEnded:
+			f.events = append(f.events, fmt.Sprintf("%s ends %s: %s", n, a.Name, a.Cause))
 		}
 	}
 	return heartbeats
 }
 
 func (f *fleet) holder(name string) string {
-	for n, m := range f.m {
-		if _, ok := m.May(f.now, name); ok {
+	for n, m := range f.machines {
+		if _, ok := m.ActiveGrant(f.now, name); ok {
 			return n
 		}
 	}
 	return ""
 }
 
-func TestDutiesSpreadAndStay(t *testing.T) {
+func TestDutiesAreSpreadAndKeepTheirHolders(t *testing.T) {
 	f := newFleet(t, "a", "b", "c")
 	f.run(1000)
 	first := [2]string{f.holder("allotter"), f.holder("settler")}
@@ -206,20 +206,20 @@
 		t.Errorf("held by %q, then by %q, with nothing wrong", first, now)
 	}
 	for _, n := range []string{"a", "b", "c"} {
-		if _, ok := f.m[n].May(f.now, PresenceOf(n)); !ok {
+		if _, ok := f.machines[n].ActiveGrant(f.now, PresenceName(n)); !ok {
 			t.Errorf("%s is not present", n)
 		}
 	}
 }
 
-func TestSilentHolderStopsBeforeAnotherStarts(t *testing.T) {
+func TestDisconnectedHolderStopsBeforeAnotherStarts(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.run(1000)
 	h := f.holder("allotter")
 	for range 60 { // it never runs either: what it believes goes by its clock
 		f.run(50, h)
 		if o := f.holder("allotter"); o != "" && o != h {
-			if _, still := f.m[h].May(f.now, "allotter"); still {
+			if _, still := f.machines[h].ActiveGrant(f.now, "allotter"); still {
 				t.Fatal("two holders")
 			}
 		}
@@ -234,7 +234,7 @@
 }
 
 // All of a large fleet stand at once after an outage: each duty is granted once, and not to one server.
-func TestManyCandidatesAfterAnOutage(t *testing.T) {
+func TestEachDutyIsGrantedOnceAfterAnOutage(t *testing.T) {
 	var names []string
 	for i := range 300 {
 		names = append(names, fmt.Sprint("os-", i))
@@ -244,18 +244,18 @@
 	if a, s := f.holder("allotter"), f.holder("settler"); a == "" || s == "" || a == s {
 		t.Errorf("held by %q and %q", a, s)
 	}
-	if grants := f.table.Last; grants != 302 {
+	if grants := f.table.LastEpoch; grants != 302 {
 		t.Errorf("%d grants for 300 presences and two duties", grants)
 	}
 }
 
 // A server that is heard and hears nothing gives up what it held, and does not keep for good what it is granted and
 // does not know of.
-func TestDeafServerKeepsNothing(t *testing.T) {
+func TestServerWithoutRepliesKeepsNoLease(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.run(1000)
 	h := f.holder("allotter")
-	f.deaf = map[string]bool{h: true}
+	f.withoutReplies = map[string]bool{h: true}
 	f.run(20000)
 	held := 0.0
 	for end := f.now + 10000; f.now < end; {
@@ -269,10 +269,10 @@
 	}
 }
 
-func TestModesDecideWhoStands(t *testing.T) {
+func TestModeDecidesCandidacy(t *testing.T) {
 	f := newFleet(t, "a", "b")
-	f.m["a"].Switch(f.now, Failing)
-	f.m["b"].Switch(f.now, Cold)
+	f.machines["a"].SetMode(f.now, Failing)
+	f.machines["b"].SetMode(f.now, Cold)
 	f.run(2000)
 	if h := f.holder("allotter"); h != "" {
 		t.Errorf("%q holds it: nobody is warm, and it has not waited long", h)
@@ -281,120 +281,122 @@
 	if h := f.holder("allotter"); h != "b" {
 		t.Errorf("%q holds it, want the cold one, since no other stands", h)
 	}
-	f.do("a", f.m["a"].Switch(f.now, Warm))
-	f.do("b", f.m["b"].Switch(f.now, Draining))
-	f.run(testRules.Renew)
+	f.handleActions("a", f.machines["a"].SetMode(f.now, Warm))
+	f.handleActions("b", f.machines["b"].SetMode(f.now, Draining))
+	f.run(testRules.RenewIntervalMS)
 	if h := f.holder("allotter"); h != "a" {
-		t.Errorf("%q holds it one renewal after the drain, want a: %q", h, f.log)
+		t.Errorf("%q holds it one renewal after the drain, want a: %q", h, f.events)
 	}
-	if _, ok := f.m["b"].May(f.now, PresenceOf("b")); !ok {
+	if _, ok := f.machines["b"].ActiveGrant(f.now, PresenceName("b")); !ok {
 		t.Error("a server that drains is still present")
 	}
-	f.do("b", f.m["b"].Switch(f.now, Warm))
+	f.handleActions("b", f.machines["b"].SetMode(f.now, Warm))
 	f.run(5000)
 	if h := f.holder("allotter"); h != "a" {
 		t.Errorf("%q holds it: who drains does not come back", h)
 	}
 }
 
-func TestYieldIsNotTakenBack(t *testing.T) {
+func TestYieldedDutyGoesToAnotherServer(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.run(1000)
 	h := f.holder("allotter")
-	if err := f.table.Ask("allotter"); err != nil {
+	if err := f.table.RequestYield("allotter"); err != nil {
 		t.Fatal(err)
 	}
-	f.run(2 * testRules.Renew)
+	f.run(2 * testRules.RenewIntervalMS)
 	if o := f.holder("allotter"); o == h || o == "" {
 		t.Errorf("held by %q after %q was asked to yield", o, h)
 	}
 }
 
 // An answer that knows less than this process was told is not believed, and one to a heartbeat long past extends nothing.
-func TestOldAnswersAreNotBelieved(t *testing.T) {
+func TestOutdatedRepliesAreIgnored(t *testing.T) {
 	m := NewMachine(testRules, "a", 1)
-	heartbeat := m.Tick(0)[0].(Send).Heartbeat
-	holds := []Grantee{{Ref{"allotter", 7}, 2000, false}}
-	m.HandleReply(10, HeartbeatReply{No: heartbeat.No, Index: 50, Holds: holds})
-	if _, ok := m.May(20, "allotter"); !ok {
+	heartbeat := m.Tick(0)[0].(SendHeartbeat).Heartbeat
+	grants := []HeldLease{{Ref{"allotter", 7}, 2000, false}}
+	m.HandleReply(10, HeartbeatReply{Seq: heartbeat.Seq, LogIndex: 50, HeldLeases: grants})
+	if _, ok := m.ActiveGrant(20, "allotter"); !ok {
 		t.Fatal("not held")
 	}
-	out := m.HandleReply(30, HeartbeatReply{No: heartbeat.No, Index: 49})
-	if _, ok := m.May(40, "allotter"); !ok || len(out) != 1 || out[0] != (Behind{49, 50}) {
+	out := m.HandleReply(30, HeartbeatReply{Seq: heartbeat.Seq, LogIndex: 49})
+	if _, ok := m.ActiveGrant(40, "allotter"); !ok || len(out) != 1 || out[0] != (StaleReply{49, 50}) {
 		t.Errorf("an older answer took the duty away: %v", out)
 	}
-	_, until, _ := m.Until("allotter")
-	m.Hurry()
+	_, until, _ := m.LeaseEnd("allotter")
+	m.ExpediteHeartbeat()
 	m.Tick(1000) // another heartbeat; the answer is to the first one
-	m.HandleReply(1010, HeartbeatReply{No: heartbeat.No, Index: 60, Holds: holds})
-	if _, now, _ := m.Until("allotter"); now != until {
+	m.HandleReply(1010, HeartbeatReply{Seq: heartbeat.Seq, LogIndex: 60, HeldLeases: grants})
+	if _, now, _ := m.LeaseEnd("allotter"); now != until {
 		t.Errorf("an answer to the first heartbeat moved the end from %v to %v", until, now)
 	}
-	if _, ok := m.May(until, "allotter"); ok {
+	if _, ok := m.ActiveGrant(until, "allotter"); ok {
 		t.Error("held at its end")
 	}
 	m.Tick(until)
-	m.HandleReply(until+1, HeartbeatReply{No: 2, Index: 61, Holds: holds})
-	if _, ok := m.May(until+2, "allotter"); ok {
+	m.HandleReply(until+1, HeartbeatReply{Seq: 2, LogIndex: 61, HeldLeases: grants})
+	if _, ok := m.ActiveGrant(until+2, "allotter"); ok {
 		t.Error("an epoch that was given up is held again")
 	}
 }
 
 // A fleet that comes as one is granted its presences in several steps, each bounded, and one that goes as one lapses likewise.
-func TestOrdersOfAFleetAreBounded(t *testing.T) {
-	const fleet = 2*MaxOrders + 7
-	g := &Grantor{Rules: Rules{Renew: 300, Presence: 2000, Duties: []Terms{{Name: "allotter", TTL: 2000}}}, Seed: 1}
+func TestOrdersPerTickAreBounded(t *testing.T) {
+	const servers = 2*MaxOrdersPerTick + 7
+	g := &Grantor{Rules: Rules{RenewIntervalMS: 300, PresenceTTLMS: 2000, Duties: []DutyRule{{Name: "allotter", TTLMS: 2000}}}, Seed: 1}
 	table, now := NewTable(), 1000.0
-	g.Lead(1, now)
-	for i := range fleet {
-		who := fmt.Sprintf("os-%d#1", i)
-		g.Take(now, Heartbeat{From: who, No: 1, Stands: []string{PresenceOf(who)}}, table)
+	g.StartTerm(1, now)
+	for i := range servers {
+		process := fmt.Sprintf("os-%d#1", i)
+		g.HandleHeartbeat(now, Heartbeat{From: process, Seq: 1, Candidacies: []string{PresenceName(process)}}, table)
 	}
 	steps := func(until func() bool) (n int) {
 		for ; !until(); n++ {
 			orders := g.Tick(now, table)
-			if len(orders) == 0 || len(orders) > MaxOrders {
+			if len(orders) == 0 || len(orders) > MaxOrdersPerTick {
 				t.Fatalf("%d orders at once", len(orders))
 			}
 			for _, o := range orders {
 				if err := table.Apply(o, 1); err != nil {
 					t.Fatal(err)
 				}
-				g.Done(now, o, table)
+				g.HandleOrderResult(now, o, table)
 			}
 			now++
 		}
 		return n
 	}
-	if n := steps(func() bool { return table.Present() == fleet }); n != 3 {
+	if n := steps(func() bool { return table.CountPresent() == servers }); n != 3 {
 		t.Errorf("all are present after %d steps", n)
 	}
 	if orders := g.Tick(now, table); len(orders) > 0 {
 		t.Errorf("%d orders though nothing is due", len(orders))
 	}
-	now += 10 * g.Presence
-	if n := steps(func() bool { return table.Present() == 0 }); n != 3 {
+	now += 10 * g.PresenceTTLMS
+	if n := steps(func() bool { return table.CountPresent() == 0 }); n != 3 {
 		t.Errorf("all have lapsed after %d steps", n)
 	}
 }
 
 // What a process stands for is what its latest heartbeat says, whatever others stand for.
-func TestLatestHeartbeatSaysWhatAProcessStandsFor(t *testing.T) {
-	g := &Grantor{Rules: Rules{Renew: 300, Presence: 2000, Duties: []Terms{{Name: "allotter", TTL: 2000}, {Name: "settler", TTL: 2000}}}, Seed: 1}
+func TestLatestHeartbeatReplacesCandidacies(t *testing.T) {
+	g := &Grantor{Rules: Rules{RenewIntervalMS: 300, PresenceTTLMS: 2000, Duties: []DutyRule{{Name: "allotter", TTLMS: 2000}, {Name: "settler", TTLMS: 2000}}}, Seed: 1}
 	table, now := NewTable(), 1000.0
-	g.Lead(1, now)
-	stands := func(who string, names ...string) { g.Take(now, Heartbeat{From: who, Stands: names}, table) }
-	stands("a", "allotter", "settler", PresenceOf("a"))
-	stands("b", "allotter", PresenceOf("b"))
-	stands("a", "settler")
-	now += 2 * g.Renew
-	stands("a", "settler")
-	stands("b", "allotter", PresenceOf("b"))
+	g.StartTerm(1, now)
+	heartbeat := func(process string, names ...string) {
+		g.HandleHeartbeat(now, Heartbeat{From: process, Candidacies: names}, table)
+	}
+	heartbeat("a", "allotter", "settler", PresenceName("a"))
+	heartbeat("b", "allotter", PresenceName("b"))
+	heartbeat("a", "settler")
+	now += 2 * g.RenewIntervalMS
+	heartbeat("a", "settler")
+	heartbeat("b", "allotter", PresenceName("b"))
 	got := map[string]string{}
 	for _, o := range g.Tick(now, table) {
 		got[o.Name] = o.Holder
 	}
-	want := map[string]string{"allotter": "b", "settler": "a", PresenceOf("b"): "b"}
+	want := map[string]string{"allotter": "b", "settler": "a", PresenceName("b"): "b"}
 	if !maps.Equal(got, want) {
 		t.Errorf("granted %v, %v is wanted", got, want)
 	}
--- a/internal/duty/explore_test.go
+++ b/internal/duty/explore_test.go
@@ -17,207 +17,207 @@
 // runs at the worst rate that the terms allow. A leader may be replaced at any time, and the one before may go on
 // hearing messages without knowing of it.
 
-var exploreRules = Rules{Bounds: Bounds{Rate: 0.1, Margin: 10}, Renew: 250, Cool: 0, ColdWait: 0, Duties: []Terms{{"d", 1000}}}
+var exploreRules = Rules{ClockBounds: ClockBounds{MaxDrift: 0.1, MarginMS: 10}, RenewIntervalMS: 250, CooldownMS: 0, ColdWaitMS: 0, Duties: []DutyRule{{"d", 1000}}}
 
 const (
-	timeStep = 400.0
-	mostMail = 5 // messages that can still come at the start; the oldest is lost for good
-	liveMail = 3 // and in the exploration
+	timeStepMS        = 400.0
+	maxPrefixMessages = 5 // messages that can still come at the start; the oldest is lost for good
+	maxSearchMessages = 3 // and in the exploration
 )
 
-type mail struct {
+type message struct {
 	to        int // candidate, or -1: the copy
 	heartbeat Heartbeat
-	told      HeartbeatReply
+	reply     HeartbeatReply
 }
 
-type world struct {
-	true_  float64
-	rates  [4]float64 // of the candidates, the leader, and the next leader
-	m      [2]*Machine
-	g      *Grantor
-	old    *Grantor // the leader before, and the table as it knew it
-	oldT   *Table
-	t      *Table
-	index  uint64
-	oldIdx uint64
-	mail   []mail
-	plant  string
-	room   int
-	told   [2]uint64 // the latest heartbeat that the leader took from each
+type model struct {
+	trueTime       float64
+	clockRates     [4]float64 // of the candidates, the leader, and the next leader
+	machines       [2]*Machine
+	grantor        *Grantor
+	formerGrantor  *Grantor // the leader before, and the table as it knew it
+	formerTable    *Table
+	table          *Table
+	logIndex       uint64
+	formerLogIndex uint64
+	messages       []message
+	injectedBug    string
+	maxMessages    int
+	handledSeq     [2]uint64 // the latest heartbeat that the leader took from each
 }
 
-var who = [2]string{"a#1", "b#1"}
+var candidateIDs = [2]string{"a#1", "b#1"}
 
-func newWorld(rates [4]float64, plant string) *world {
-	w := &world{rates: rates, t: NewTable(), plant: plant, true_: 10000, room: mostMail}
-	for i := range w.m {
-		w.m[i] = NewMachine(exploreRules, who[i], 1)
-		w.m[i].spread = func() float64 { return 1 }
-		w.m[i].Plant = plant
+func newModel(rates [4]float64, injectedBug string) *model {
+	w := &model{clockRates: rates, table: NewTable(), injectedBug: injectedBug, trueTime: 10000, maxMessages: maxPrefixMessages}
+	for i := range w.machines {
+		w.machines[i] = NewMachine(exploreRules, candidateIDs[i], 1)
+		w.machines[i].jitter = func() float64 { return 1 }
+		w.machines[i].InjectedBug = injectedBug
 	}
-	w.g = &Grantor{Rules: exploreRules, Seed: 1, Plant: plant}
-	w.g.Lead(1, w.clock(2)-exploreRules.Renew*2)
+	w.grantor = &Grantor{Rules: exploreRules, Seed: 1, InjectedBug: injectedBug}
+	w.grantor.StartTerm(1, w.clock(2)-exploreRules.RenewIntervalMS*2)
 	return w
 }
 
-// begin goes the steps before an exploration.
-func (w *world) begin(prefix []string) {
+// takePrefix goes the steps before an exploration.
+func (w *model) takePrefix(prefix []string) {
 	for _, s := range prefix {
 		w.step(s)
 	}
-	w.room = liveMail
-	w.mail = w.mail[max(len(w.mail)-w.room, 0):]
+	w.maxMessages = maxSearchMessages
+	w.messages = w.messages[max(len(w.messages)-w.maxMessages, 0):]
 }
 
-func (w *world) clock(part int) float64 { return w.true_ * w.rates[part] }
+func (w *model) clock(participant int) float64 { return w.trueTime * w.clockRates[participant] }
 
-func (w *world) clone() *world {
+func (w *model) clone() *model {
 	c := *w
-	for i, m := range w.m {
+	for i, m := range w.machines {
 		n := *m
-		n.held = map[string]*holding{}
-		for k, h := range m.held {
+		n.leases = map[string]*localLease{}
+		for k, h := range m.leases {
 			v := *h
-			n.held[k] = &v
+			n.leases[k] = &v
 		}
-		n.past, n.gives, n.cool = maps.Clone(m.past), maps.Clone(m.gives), maps.Clone(m.cool)
-		c.m[i] = &n
+		n.endedEpochs, n.pendingReleases, n.cooldownUntil = maps.Clone(m.endedEpochs), maps.Clone(m.pendingReleases), maps.Clone(m.cooldownUntil)
+		c.machines[i] = &n
 	}
-	c.g, c.t = w.g.clone(), w.t.Clone()
-	if w.old != nil {
-		c.old, c.oldT = w.old.clone(), w.oldT.Clone()
+	c.grantor, c.table = w.grantor.clone(), w.table.Clone()
+	if w.formerGrantor != nil {
+		c.formerGrantor, c.formerTable = w.formerGrantor.clone(), w.formerTable.Clone()
 	}
-	c.mail = slices.Clone(w.mail)
+	c.messages = slices.Clone(w.messages)
 	return &c
 }
 
 func (g *Grantor) clone() *Grantor {
 	n := *g
-	n.heard, n.free, n.asked = maps.Clone(g.heard), maps.Clone(g.free), maps.Clone(g.asked)
-	n.given, n.deaf, n.shun = maps.Clone(g.given), maps.Clone(g.deaf), maps.Clone(g.shun)
-	n.stands = map[string]map[string]stand{}
-	for k, v := range g.stands {
-		n.stands[k] = maps.Clone(v)
+	n.lastRenewals, n.vacantSince, n.pendingOrders = maps.Clone(g.lastRenewals), maps.Clone(g.vacantSince), maps.Clone(g.pendingOrders)
+	n.grantTimes, n.unknownToHolder, n.excluded = maps.Clone(g.grantTimes), maps.Clone(g.unknownToHolder), maps.Clone(g.excluded)
+	n.candidates = map[string]map[string]candidacy{}
+	for k, v := range g.candidates {
+		n.candidates[k] = maps.Clone(v)
 	}
 	return &n
 }
 
-func (w *world) post(m mail) {
-	w.mail = append(w.mail, m)
-	w.mail = slices.Clone(w.mail[max(len(w.mail)-w.room, 0):])
+func (w *model) send(m message) {
+	w.messages = append(w.messages, m)
+	w.messages = slices.Clone(w.messages[max(len(w.messages)-w.maxMessages, 0):])
 }
 
-// act does what a machine wants done; a holder that is asked to yield has nothing under way.
-func (w *world) act(i int, actions []Action) {
+// handleActions does what a machine wants done; a holder that is asked to yield has nothing under way.
+func (w *model) handleActions(i int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Send:
-			w.post(mail{to: -1, heartbeat: a.Heartbeat})
-		case Yields:
-			w.act(i, w.m[i].Quiet(w.clock(i), a.Ref))
+		case SendHeartbeat:
+			w.send(message{to: -1, heartbeat: a.Heartbeat})
+		case YieldRequested:
+			w.handleActions(i, w.machines[i].Quiesced(w.clock(i), a.Ref))
 		}
 	}
 }
 
-// carry carries orders out, as the log does, and tells those that were granted something.
-func (w *world) carry(orders []Order) {
+// applyOrders carries orders out, as the log does, and tells those that were granted something.
+func (w *model) applyOrders(orders []Order) {
 	for _, o := range orders {
-		w.index++
-		err := w.t.Apply(o, w.g.term)
-		w.g.Done(w.clock(2), o, w.t)
+		w.logIndex++
+		err := w.table.Apply(o, w.grantor.term)
+		w.grantor.HandleOrderResult(w.clock(2), o, w.table)
 		if err == nil && o.Kind == Grant {
-			for i := range who {
-				if who[i] == o.Holder && w.told[i] > 0 {
-					w.post(mail{to: i, told: w.g.Answer(who[i], w.told[i], w.index, w.t)})
+			for i := range candidateIDs {
+				if candidateIDs[i] == o.Holder && w.handledSeq[i] > 0 {
+					w.send(message{to: i, reply: w.grantor.Reply(candidateIDs[i], w.handledSeq[i], w.logIndex, w.table)})
 				}
 			}
 		}
 	}
 }
 
-var deliver = [mostMail]string{"deliver 0", "deliver 1", "deliver 2", "deliver 3", "deliver 4"}
+var deliverSteps = [maxPrefixMessages]string{"deliver 0", "deliver 1", "deliver 2", "deliver 3", "deliver 4"}
 
 // The steps that the world can take.
-func (w *world) steps() []string {
+func (w *model) steps() []string {
 	s := []string{"time", "run 0", "run 1", "turn", "lead"}
-	for i, l := range w.mail {
-		if l.to >= 0 && l.told.Index < w.m[l.to].seen {
+	for i, l := range w.messages {
+		if l.to >= 0 && l.reply.LogIndex < w.machines[l.to].seenIndex {
 			continue // it changes nothing
 		}
-		s = append(s, deliver[i])
-		if w.old != nil && w.plant == PlantUnproven && w.mail[i].to < 0 {
+		s = append(s, deliverSteps[i])
+		if w.formerGrantor != nil && w.injectedBug == BugUnproven && w.messages[i].to < 0 {
 			s = append(s, fmt.Sprintf("deliver-old %d", i))
 		}
 	}
-	if l := w.t.Leases["d"]; l != nil && l.Holder != "" && !l.Yield {
+	if l := w.table.Leases["d"]; l != nil && l.Holder != "" && !l.Yield {
 		s = append(s, "ask")
 	}
 	return s
 }
 
-func (w *world) step(s string) {
+func (w *model) step(s string) {
 	name, arg, _ := strings.Cut(s, " ")
 	n := 0
 	fmt.Sscan(arg, &n)
 	switch name {
 	case "time":
-		w.true_ += timeStep
+		w.trueTime += timeStepMS
 	case "run": // it may never run: then it stands still, and what it believes goes by its clock alone
-		w.m[n].Hurry()
-		w.act(n, w.m[n].Tick(w.clock(n)))
+		w.machines[n].ExpediteHeartbeat()
+		w.handleActions(n, w.machines[n].Tick(w.clock(n)))
 	case "turn":
-		w.carry(w.g.Tick(w.clock(2), w.t))
-		w.carry(w.g.Tick(w.clock(2), w.t))
+		w.applyOrders(w.grantor.Tick(w.clock(2), w.table))
+		w.applyOrders(w.grantor.Tick(w.clock(2), w.table))
 	case "lead": // another copy leads, with another clock
-		term := w.g.term
-		if w.plant == PlantUnproven { // else it answers nothing that counts
-			w.old, w.oldT, w.oldIdx = w.g, w.t.Clone(), w.index
+		term := w.grantor.term
+		if w.injectedBug == BugUnproven { // else it answers nothing that counts
+			w.formerGrantor, w.formerTable, w.formerLogIndex = w.grantor, w.table.Clone(), w.logIndex
 		}
-		w.rates[2], w.rates[3] = w.rates[3], w.rates[2]
-		g := &Grantor{Rules: exploreRules, Seed: 1, Plant: w.plant}
-		w.index++
-		g.Lead(term+1, w.clock(2))
-		w.g, w.told = g, [2]uint64{}
+		w.clockRates[2], w.clockRates[3] = w.clockRates[3], w.clockRates[2]
+		g := &Grantor{Rules: exploreRules, Seed: 1, InjectedBug: w.injectedBug}
+		w.logIndex++
+		g.StartTerm(term+1, w.clock(2))
+		w.grantor, w.handledSeq = g, [2]uint64{}
 	case "ask":
-		w.index++
-		w.t.Ask("d")
+		w.logIndex++
+		w.table.RequestYield("d")
 	case "deliver", "deliver-old": // a message stays: it may come again
-		m := w.mail[n]
+		m := w.messages[n]
 		if m.to >= 0 {
-			w.act(m.to, w.m[m.to].HandleReply(w.clock(m.to), m.told))
+			w.handleActions(m.to, w.machines[m.to].HandleReply(w.clock(m.to), m.reply))
 			return
 		}
-		i := slices.Index(who[:], m.heartbeat.From)
+		i := slices.Index(candidateIDs[:], m.heartbeat.From)
 		if name == "deliver-old" { // only a leader that needs no proof answers
-			w.old.Take(w.clock(3), m.heartbeat, w.oldT)
-			w.post(mail{to: i, told: w.old.Answer(m.heartbeat.From, m.heartbeat.No, w.oldIdx, w.oldT)})
+			w.formerGrantor.HandleHeartbeat(w.clock(3), m.heartbeat, w.formerTable)
+			w.send(message{to: i, reply: w.formerGrantor.Reply(m.heartbeat.From, m.heartbeat.Seq, w.formerLogIndex, w.formerTable)})
 			return
 		}
-		w.told[i] = max(w.told[i], m.heartbeat.No)
-		w.carry(w.g.Take(w.clock(2), m.heartbeat, w.t))
-		w.index++ // the entry that proves it
-		w.post(mail{to: i, told: w.g.Answer(m.heartbeat.From, m.heartbeat.No, w.index, w.t)})
+		w.handledSeq[i] = max(w.handledSeq[i], m.heartbeat.Seq)
+		w.applyOrders(w.grantor.HandleHeartbeat(w.clock(2), m.heartbeat, w.table))
+		w.logIndex++ // the entry that proves it
+		w.send(message{to: i, reply: w.grantor.Reply(m.heartbeat.From, m.heartbeat.Seq, w.logIndex, w.table)})
 	}
 }
 
-// broken tells what must never be so.
-func (w *world) broken() string {
-	a, hasA := w.m[0].May(w.clock(0), "d")
-	b, hasB := w.m[1].May(w.clock(1), "d")
+// violation tells what must never be so.
+func (w *model) violation() string {
+	a, hasA := w.machines[0].ActiveGrant(w.clock(0), "d")
+	b, hasB := w.machines[1].ActiveGrant(w.clock(1), "d")
 	if hasA && hasB {
 		return fmt.Sprintf("two holders: a of epoch %d and b of epoch %d", a.Epoch, b.Epoch)
 	}
 	for i, r := range []Ref{a, b} {
-		if has := []bool{hasA, hasB}[i]; has && w.t.Last < r.Epoch {
+		if has := []bool{hasA, hasB}[i]; has && w.table.LastEpoch < r.Epoch {
 			return fmt.Sprintf("epoch %d was never granted", r.Epoch)
 		}
 	}
 	return ""
 }
 
-// key tells worlds apart that can go on differently.
-func (w *world) key() uint64 {
+// stateHash tells worlds apart that can go on differently.
+func (w *model) stateHash() uint64 {
 	b := make([]byte, 0, 1024)
 	num := func(v uint64) { b = binary.LittleEndian.AppendUint64(b, v) }
 	flo := func(v float64) { num(math.Float64bits(math.Round(v * 8))) }
@@ -235,28 +235,28 @@
 			num(r.Epoch)
 		}
 	}
-	for i, m := range w.m {
+	for i, m := range w.machines {
 		now := w.clock(i)
-		num(m.no)
-		num(m.seen)
-		for _, l := range w.mail { // times of heartbeats that can still be answered
-			for _, no := range []uint64{l.heartbeat.No, l.told.No} {
-				if at := m.sent[no%keptHeartbeats]; no > 0 && at.no == no {
+		num(m.heartbeatSeq)
+		num(m.seenIndex)
+		for _, l := range w.messages { // times of heartbeats that can still be answered
+			for _, seq := range []uint64{l.heartbeat.Seq, l.reply.Seq} {
+				if at := m.sentHeartbeats[seq%heartbeatHistorySize]; seq > 0 && at.no == seq {
 					flo(max(now-at.at, -1))
 				}
 			}
 		}
-		if hd := m.held["d"]; hd != nil {
+		if hd := m.leases["d"]; hd != nil {
 			num(hd.ref.Epoch)
 			flo(max(hd.until-now, 0))
-			str(hd.cause)
+			str(hd.yieldCause)
 		}
-		num(m.past["d"])
-		num(m.gives["d"].Epoch)
-		flag(now >= m.cool["d"])
+		num(m.endedEpochs["d"])
+		num(m.pendingReleases["d"].Epoch)
+		flag(now >= m.cooldownUntil["d"])
 	}
 	table := func(t *Table) {
-		num(t.Last)
+		num(t.LastEpoch)
 		if l := t.Leases["d"]; l != nil {
 			str(l.Holder)
 			num(l.Epoch)
@@ -265,40 +265,40 @@
 	}
 	grantor := func(g *Grantor, now float64) {
 		num(g.term)
-		flo(min(now-g.since, 5000))
-		flo(min(now-g.heard["d"].at, 5000))
-		num(g.heard["d"].epoch)
-		flo(min(now-g.given["d"].at, 5000))
-		num(g.deaf["d"])
-		str(g.shun["d"].who)
-		flag(now < g.shun["d"].until)
-		for _, p := range who {
-			s, there := g.stands["d"][p]
+		flo(min(now-g.leaderSince, 5000))
+		flo(min(now-g.lastRenewals["d"].at, 5000))
+		num(g.lastRenewals["d"].epoch)
+		flo(min(now-g.grantTimes["d"].at, 5000))
+		num(g.unknownToHolder["d"])
+		str(g.excluded["d"].process)
+		flag(now < g.excluded["d"].until)
+		for _, p := range candidateIDs {
+			s, there := g.candidates["d"][p]
 			flag(there)
 			if there {
 				flo(min(now-s.at, 5000))
 			}
 		}
 	}
-	table(w.t)
-	grantor(w.g, w.clock(2))
-	num(w.index)
-	num(w.told[0])
-	num(w.told[1])
-	if w.old != nil && w.plant == PlantUnproven {
-		table(w.oldT)
-		num(w.oldIdx)
+	table(w.table)
+	grantor(w.grantor, w.clock(2))
+	num(w.logIndex)
+	num(w.handledSeq[0])
+	num(w.handledSeq[1])
+	if w.formerGrantor != nil && w.injectedBug == BugUnproven {
+		table(w.formerTable)
+		num(w.formerLogIndex)
 	}
-	for _, m := range w.mail {
+	for _, m := range w.messages {
 		num(uint64(m.to + 1))
-		num(m.heartbeat.No)
+		num(m.heartbeat.Seq)
 		str(m.heartbeat.From)
-		refs(m.heartbeat.Renews)
-		refs(m.heartbeat.Gives)
-		num(uint64(len(m.heartbeat.Stands)))
-		num(m.told.No)
-		num(m.told.Index)
-		for _, g := range m.told.Holds {
+		refs(m.heartbeat.Renewals)
+		refs(m.heartbeat.Releases)
+		num(uint64(len(m.heartbeat.Candidacies)))
+		num(m.reply.Seq)
+		num(m.reply.LogIndex)
+		for _, g := range m.reply.HeldLeases {
 			num(g.Epoch)
 			flag(g.Yield)
 		}
@@ -310,35 +310,35 @@
 
 // explore looks at every order of steps up to a depth; it returns a way to what must not be, and how many worlds it saw.
 // A world that was seen with as many steps to go is not gone on from again.
-func explore(w *world, depth int) (way []string, why string, seen int) {
-	togo := map[uint64]int8{}
-	var down func(w *world, left int) string
-	down = func(w *world, left int) string {
-		if why := w.broken(); why != "" {
-			return why
+func explore(w *model, depth int) (path []string, violation string, states int) {
+	stepsLeft := map[uint64]int8{}
+	var search func(w *model, left int) string
+	search = func(w *model, left int) string {
+		if violation := w.violation(); violation != "" {
+			return violation
 		}
-		k := w.key()
-		if had, known := togo[k]; left == 0 || known && int(had) >= left {
+		k := w.stateHash()
+		if had, known := stepsLeft[k]; left == 0 || known && int(had) >= left {
 			return ""
 		}
-		togo[k] = int8(left)
+		stepsLeft[k] = int8(left)
 		for _, s := range w.steps() {
 			c := w.clone()
 			c.step(s)
-			if why := down(c, left-1); why != "" {
-				way = append(way, s)
-				return why
+			if violation := search(c, left-1); violation != "" {
+				path = append(path, s)
+				return violation
 			}
 		}
 		return ""
 	}
-	why = down(w, depth)
-	slices.Reverse(way)
-	return way, why, len(togo)
+	violation = search(w, depth)
+	slices.Reverse(path)
+	return path, violation, len(stepsLeft)
 }
 
 // Starts of the exploration: a holds the duty, or is about to hear of it, and b stands for it.
-var starts = map[string][]string{
+var startingSteps = map[string][]string{
 	"nobody":  nil,
 	"granted": {"run 0", "deliver 0", "run 1", "deliver 2", "turn"},
 	"held":    {"run 0", "deliver 0", "turn", "deliver 2", "run 1", "deliver 3"},
@@ -347,53 +347,53 @@
 }
 
 // Worst rates: holders that run slow hold longer, leaders that run fast wait less.
-var worstRates = [][4]float64{{0.9, 0.9, 1.1, 1.1}, {0.9, 1.1, 1.1, 0.9}, {1.1, 0.9, 0.9, 1.1}}
+var extremeClockRates = [][4]float64{{0.9, 0.9, 1.1, 1.1}, {0.9, 1.1, 1.1, 0.9}, {1.1, 0.9, 0.9, 1.1}}
 
 func TestEveryOrderOfStepsKeepsOneHolder(t *testing.T) {
-	for name, prefix := range starts {
-		for _, rates := range worstRates[:2] {
+	for name, prefix := range startingSteps {
+		for _, rates := range extremeClockRates[:2] {
 			t.Run(fmt.Sprint(name, rates), func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(rates, "")
-				w.begin(prefix)
-				way, why, seen := explore(w, exploreDepth)
-				if why != "" {
-					t.Fatalf("%s after %q and %q", why, prefix, way)
+				w := newModel(rates, "")
+				w.takePrefix(prefix)
+				path, violation, states := explore(w, exploreDepth)
+				if violation != "" {
+					t.Fatalf("%s after %q and %q", violation, prefix, path)
 				}
-				t.Logf("%d worlds to depth %d", seen, exploreDepth)
+				t.Logf("%d worlds to depth %d", states, exploreDepth)
 			})
 		}
 	}
 }
 
 // Each planted bug is found, with the shortest way to it.
-func TestPlantedBugsAreFound(t *testing.T) {
-	for plant, start := range map[string]string{PlantLateDeadline: "late", PlantHastyLeader: "held", PlantUnproven: "led"} {
-		t.Run(plant, func(t *testing.T) {
+func TestInjectedBugsAreFound(t *testing.T) {
+	for injectedBug, start := range map[string]string{BugDeadlineFromReply: "late", BugHastyLeader: "held", BugUnproven: "led"} {
+		t.Run(injectedBug, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(worstRates[0], plant)
-			w.begin(starts[start])
-			var way []string
-			var why string
-			seen := 0
-			for depth := 4; depth <= 8 && why == ""; depth++ { // shallow first, so that the way is short
-				way, why, seen = explore(w, depth)
+			w := newModel(extremeClockRates[0], injectedBug)
+			w.takePrefix(startingSteps[start])
+			var path []string
+			var violation string
+			states := 0
+			for depth := 4; depth <= 8 && violation == ""; depth++ { // shallow first, so that the way is short
+				path, violation, states = explore(w, depth)
 			}
-			if why == "" {
-				t.Fatalf("not found in %d worlds", seen)
+			if violation == "" {
+				t.Fatalf("not found in %d worlds", states)
 			}
-			t.Logf("%s after %q, %q; %d worlds", why, starts[start], way, seen)
+			t.Logf("%s after %q, %q; %d worlds", violation, startingSteps[start], path, states)
 		})
 	}
 }
 
 // Long ways, drawn by a seed, where the exhaustive search ends.
-func TestLongWaysKeepOneHolder(t *testing.T) {
+func TestRandomStepsKeepOneHolder(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		rates := worstRates[seed%uint64(len(worstRates))]
-		w := newWorld(rates, "")
-		var way []string
+		rates := extremeClockRates[seed%uint64(len(extremeClockRates))]
+		w := newModel(rates, "")
+		var path []string
 		epochs, last := 0, uint64(0)
 		for range 150 {
 			steps := w.steps()
@@ -402,15 +402,15 @@
 				s = "turn"
 			}
 			w.step(s)
-			way = append(way, s)
-			if why := w.broken(); why != "" {
-				t.Fatalf("seed %d: %s after %q", seed, why, way)
+			path = append(path, s)
+			if violation := w.violation(); violation != "" {
+				t.Fatalf("seed %d: %s after %q", seed, violation, path)
 			}
-			if w.t.Last < last {
-				t.Fatalf("seed %d: the epoch fell from %d to %d", seed, last, w.t.Last)
+			if w.table.LastEpoch < last {
+				t.Fatalf("seed %d: the epoch fell from %d to %d", seed, last, w.table.LastEpoch)
 			}
-			if w.t.Last > last {
-				epochs, last = epochs+1, w.t.Last
+			if w.table.LastEpoch > last {
+				epochs, last = epochs+1, w.table.LastEpoch
 			}
 		}
 		if seed == 0 && epochs == 0 {
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -10,25 +10,25 @@
 
 // Errors of the table. They are final: the same order is refused again.
 var (
-	ErrStale  = errors.New("duty: stale epoch") // the epoch is not the one in force, or nobody's is
-	ErrHeld   = errors.New("duty: held")
-	ErrFrozen = errors.New("duty: frozen")
-	ErrTerm   = errors.New("duty: decided by an earlier leader")
+	ErrStale     = errors.New("duty: stale epoch") // the epoch is not the one in force, or nobody's is
+	ErrHeld      = errors.New("duty: held")
+	ErrFrozen    = errors.New("duty: frozen")
+	ErrOtherTerm = errors.New("duty: decided by an earlier leader")
 )
 
 // presencePrefix marks leases by which a server's process shows that it is there.
 const presencePrefix = "server/"
 
-// PresenceOf is the name of the lease that shows that a process is there.
-func PresenceOf(who string) string { return presencePrefix + who }
+// PresenceName is the name of the lease that shows that a process is there.
+func PresenceName(process string) string { return presencePrefix + process }
 
-// PresentWho is the way back; "" where the lease is no presence.
-func PresentWho(name string) string {
-	who, ok := strings.CutPrefix(name, presencePrefix)
+// PresenceProcess is the way back; "" where the lease is no presence.
+func PresenceProcess(name string) string {
+	process, ok := strings.CutPrefix(name, presencePrefix)
 	if !ok {
 		return ""
 	}
-	return who
+	return process
 }
 
 // Ref names one grant.
@@ -41,18 +41,18 @@
 type Lease struct {
 	Holder string  `json:"holder,omitempty"` // the process that holds it; "": nobody
 	Epoch  uint64  `json:"epoch"`            // of the last grant
-	TTL    float64 `json:"ttl"`
+	TTLMS  float64 `json:"ttl"`
 	Yield  bool    `json:"yield,omitempty"` // an operator asked the holder to give it up
 }
 
 // Table is what all copies agree on. Every method is one step of the log: the same steps give the same table. It knows
 // no time: whose time is up is the leader's finding, and comes in as a step like any other.
 type Table struct {
-	Last   uint64            `json:"last"` // the highest epoch ever granted, of any duty; it only grows
-	Leases map[string]*Lease `json:"leases"`
-	Frozen map[string]bool   `json:"frozen,omitempty"`
+	LastEpoch uint64            `json:"last"` // the highest epoch ever granted, of any duty; it only grows
+	Leases    map[string]*Lease `json:"leases"`
+	Frozen    map[string]bool   `json:"frozen,omitempty"`
 
-	held map[string]map[string]bool // names of the leases in force, by holder; nil: not built yet
+	leasesByHolder map[string]map[string]bool // names of the leases in force, by holder; nil: not built yet
 }
 
 // NewTable is an empty table.
@@ -60,7 +60,7 @@
 
 // Clone copies a table, for a snapshot.
 func (t *Table) Clone() *Table {
-	c := &Table{Last: t.Last, Leases: make(map[string]*Lease, len(t.Leases)), Frozen: maps.Clone(t.Frozen)}
+	c := &Table{LastEpoch: t.LastEpoch, Leases: make(map[string]*Lease, len(t.Leases)), Frozen: maps.Clone(t.Frozen)}
 	for k, v := range t.Leases {
 		l := *v
 		c.Leases[k] = &l
@@ -72,7 +72,7 @@
 const (
 	Grant   = "grant"
 	Release = "release"
-	Lapse   = "lapse" // the holder's time is up
+	Expire  = "lapse" // the holder's time is up
 )
 
 // Order is one step that the grantor wants in the log. Term is the leader's, in which it decided: an order that another
@@ -82,14 +82,14 @@
 	Name   string  `json:"n"`
 	Holder string  `json:"h,omitempty"`
 	Epoch  uint64  `json:"e"` // the lease's as the grantor saw it
-	TTL    float64 `json:"t,omitempty"`
+	TTLMS  float64 `json:"t,omitempty"`
 	Term   uint64  `json:"term"`
 }
 
 // Apply carries an order out, at the log's term.
 func (t *Table) Apply(o Order, term uint64) error {
 	if o.Term != term {
-		return ErrTerm
+		return ErrOtherTerm
 	}
 	l := t.Leases[o.Name]
 	switch o.Kind {
@@ -103,19 +103,19 @@
 		if l != nil && l.Epoch != o.Epoch {
 			return ErrStale // granted and given back since the grantor looked
 		}
-		t.Last++
-		t.Leases[o.Name] = &Lease{Holder: o.Holder, Epoch: t.Last, TTL: o.TTL}
-		t.index(o.Holder, o.Name)
+		t.LastEpoch++
+		t.Leases[o.Name] = &Lease{Holder: o.Holder, Epoch: t.LastEpoch, TTLMS: o.TTLMS}
+		t.addToIndex(o.Holder, o.Name)
 		return nil
-	case Release, Lapse:
+	case Release, Expire:
 		if l == nil || l.Holder == "" || l.Epoch != o.Epoch {
 			return ErrStale
 		}
-		if delete(t.held[l.Holder], o.Name); len(t.held[l.Holder]) == 0 {
-			delete(t.held, l.Holder)
+		if delete(t.leasesByHolder[l.Holder], o.Name); len(t.leasesByHolder[l.Holder]) == 0 {
+			delete(t.leasesByHolder, l.Holder)
 		}
 		l.Holder, l.Yield = "", false
-		if PresentWho(o.Name) != "" {
+		if PresenceProcess(o.Name) != "" {
 			delete(t.Leases, o.Name) // epochs are of the whole table, so that one that comes back gets a higher one
 		}
 		return nil
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// Ask notes that an operator wants the holder to give a duty up.
-func (t *Table) Ask(name string) error {
+// RequestYield notes that an operator wants the holder to give a duty up.
+func (t *Table) RequestYield(name string) error {
 	l := t.Leases[name]
 	if l == nil || l.Holder == "" {
 		return fmt.Errorf("duty: nobody holds %s", name)
@@ -159,13 +159,13 @@
 	}
 }
 
-// HeldBy lists a process's grants, by name.
-func (t *Table) HeldBy(who string) (names []string) {
-	if t.indexed() {
-		return slices.Sorted(maps.Keys(t.held[who]))
+// LeasesHeldBy lists a process's grants, by name.
+func (t *Table) LeasesHeldBy(process string) (names []string) {
+	if t.useIndex() {
+		return slices.Sorted(maps.Keys(t.leasesByHolder[process]))
 	}
 	for name, l := range t.Leases {
-		if l.Holder == who {
+		if l.Holder == process {
 			names = append(names, name)
 		}
 	}
@@ -173,51 +173,51 @@
 	return names
 }
 
-// DutiesHeldBy counts a process's grants, its presence left out.
-func (t *Table) DutiesHeldBy(who string) (n int) {
-	for _, name := range t.HeldBy(who) {
-		if PresentWho(name) == "" {
+// CountDutiesHeldBy counts a process's grants, its presence left out.
+func (t *Table) CountDutiesHeldBy(process string) (n int) {
+	for _, name := range t.LeasesHeldBy(process) {
+		if PresenceProcess(name) == "" {
 			n++
 		}
 	}
 	return n
 }
 
-// Present counts the processes whose presence is in force.
-func (t *Table) Present() (n int) {
+// CountPresent counts the processes whose presence is in force.
+func (t *Table) CountPresent() (n int) {
 	for name, l := range t.Leases {
-		if l.Holder != "" && PresentWho(name) != "" {
+		if l.Holder != "" && PresenceProcess(name) != "" {
 			n++
 		}
 	}
 	return n
 }
 
-// walkUpTo is the number of leases that are walked rather than found by an index.
-const walkUpTo = 32
+// maxUnindexedLeases is the number of leases that are walked rather than found by an index.
+const maxUnindexedLeases = 32
 
-// indexed tells whether the index of leases by holder is there; it is built where a table has grown large, also after it was
+// useIndex tells whether the index of leases by holder is there; it is built where a table has grown large, also after it was
 // read from a snapshot.
-func (t *Table) indexed() bool {
-	if t.held != nil || len(t.Leases) <= walkUpTo {
-		return t.held != nil
+func (t *Table) useIndex() bool {
+	if t.leasesByHolder != nil || len(t.Leases) <= maxUnindexedLeases {
+		return t.leasesByHolder != nil
 	}
-	t.held = map[string]map[string]bool{}
+	t.leasesByHolder = map[string]map[string]bool{}
 	for name, l := range t.Leases {
 		if l.Holder != "" {
-			t.index(l.Holder, name)
+			t.addToIndex(l.Holder, name)
 		}
 	}
 	return true
 }
 
-// index adds a lease in force to the index, where there is one.
-func (t *Table) index(holder, name string) {
-	if t.held == nil {
+// addToIndex adds a lease in force to the index, where there is one.
+func (t *Table) addToIndex(holder, name string) {
+	if t.leasesByHolder == nil {
 		return
 	}
-	if t.held[holder] == nil {
-		t.held[holder] = map[string]bool{}
+	if t.leasesByHolder[holder] == nil {
+		t.leasesByHolder[holder] = map[string]bool{}
 	}
-	t.held[holder][name] = true
+	t.leasesByHolder[holder][name] = true
 }
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -10,8 +10,8 @@
 )
 
 // What is no whole message is an error: too large, of no bytes, malformed, cut short, and one whose sender stalls in it.
-func TestNoWholeMessage(t *testing.T) {
-	whole, err := Append(nil, map[string]int{"n": 7}, 100)
+func TestReaderRejectsInvalidMessages(t *testing.T) {
+	valid, err := Append(nil, map[string]int{"n": 7}, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,13 +22,13 @@
 		b     []byte
 		stall bool
 	}{
-		"whole":     {whole, false},
+		"whole":     {valid, false},
 		"too large": {[]byte{0, 0, 1, 0}, false},
 		"huge":      {[]byte{0xff, 0xff, 0xff, 0xff}, false},
 		"no bytes":  {[]byte{0, 0, 0, 0}, false},
 		"malformed": {[]byte{0, 0, 0, 1, '{'}, false},
-		"cut short": {whole[:len(whole)-1], false},
-		"stalled":   {whole[:len(whole)-1], true},
+		"cut short": {valid[:len(valid)-1], false},
+		"stalled":   {valid[:len(valid)-1], true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -132,7 +132,7 @@
 	open := map[key]*Span{}
 	var all []*Span
 	for _, e := range o.Events {
-		if duty.PresentWho(e.Duty) != "" {
+		if duty.PresenceProcess(e.Duty) != "" {
 			continue
 		}
 		k := key{e.Duty, e.Who, e.Epoch}
@@ -218,7 +218,7 @@
 			entries[e.Index] = e
 			continue
 		}
-		if e.Text == state.Compare { // its memory may be spoilt: differing looks at that
+		if e.Text == state.OpCompareDigests { // its memory may be spoilt: differing looks at that
 			continue
 		}
 		if first.Term != e.Term || first.Text != e.Text || first.Cause != e.Cause || first.Duty != e.Duty || first.Epoch != e.Epoch {
@@ -294,7 +294,7 @@
 			latest[e.Who] = s
 			all = append(all, s)
 		case trace.Ended:
-			if duty.PresentWho(e.Duty) == e.Who {
+			if duty.PresenceProcess(e.Duty) == e.Who {
 				if s := latest[e.Who]; s != nil {
 					s.to = min(s.to, e.At)
 					delete(latest, e.Who)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -127,7 +127,7 @@
 	}
 	good := []trace.Event{grant(1, 1, "d", "a#1"), held(2, 100, "a#1", 1), acted(5, 2, 1),
 		{At: 6, Who: "a#1", What: trace.Act, Text: "mark", Duty: "d", Epoch: 1, Began: 4, N: 1},
-		{At: 100, Who: "a#1", What: trace.Ended, Duty: "d", Epoch: 1, Cause: duty.CauseLate},
+		{At: 100, Who: "a#1", What: trace.Ended, Duty: "d", Epoch: 1, Cause: duty.CauseExpired},
 		{At: 110, Who: "s01", What: trace.Applied, Index: 3, Term: 1, Text: "orders", Cause: "lapse d "}, grant(111, 4, "d", "b#1"), held(112, 300, "b#1", 2),
 		acted(113, 5, 2), {At: 114, Who: "b#1", What: trace.Act, Text: "mark", Duty: "d", Epoch: 2, Began: 112, N: 2},
 		{At: 120, Who: "a#1", What: trace.Share, Amount: 60, Until: 200}, {At: 130, Who: "a#1", What: trace.Share, Amount: 30, Until: 200},
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -107,7 +107,7 @@
 	if err := os.MkdirAll(s.Out, 0o755); err != nil {
 		return nil, err
 	}
-	r := &run{Setup: s, one: clock.Steady(), starter: make(chan func()), rng: rand.New(rand.NewPCG(s.Seed, 9)), bootAt: time.Now()}
+	r := &run{Setup: s, one: clock.Monotonic(), starter: make(chan func()), rng: rand.New(rand.NewPCG(s.Seed, 9)), bootAt: time.Now()}
 	over := make(chan struct{})
 	defer close(over)
 	go func() {
--- a/internal/lab/scale/check.go
+++ b/internal/lab/scale/check.go
@@ -102,7 +102,7 @@
 	applied := map[uint64]float64{}
 	for _, e := range events {
 		switch {
-		case e.What == trace.Applied && e.Text == state.Change && e.Cause == "":
+		case e.What == trace.Applied && e.Text == state.OpChangeRecords && e.Cause == "":
 			applied[e.N] = e.At
 		case e.What == trace.Agreed:
 			at, ok := applied[e.N]
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -31,7 +31,7 @@
 
 // terms are the terms of sessions of servers that stand for no duty.
 func terms(renew, presence float64) duty.Rules {
-	return duty.Rules{Bounds: duty.Bounds{Rate: clockRate, Margin: marginMs}, Renew: renew, Presence: presence}
+	return duty.Rules{ClockBounds: duty.ClockBounds{MaxDrift: clockRate, MarginMS: marginMs}, RenewIntervalMS: renew, PresenceTTLMS: presence}
 }
 
 // boundary is a link between two places.
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	defer f.close()
-	r := &run{fleet: f, steady: clock.Steady(), out: out}
+	r := &run{fleet: f, steady: clock.Monotonic(), out: out}
 	o := &outcome{setup: s, zoneOf: map[string]string{}}
 	for _, p := range append(append([]*process(nil), f.relays...), f.servers...) {
 		o.zoneOf[p.name] = p.zone
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -20,11 +20,11 @@
 	b.mu.Lock()
 	b.items = append(b.items, x)
 	b.mu.Unlock()
-	b.Poke()
+	b.Wake()
 }
 
-// Poke wakes the owner without a message.
-func (b *Box[T]) Poke() {
+// Wake wakes the owner without a message.
+func (b *Box[T]) Wake() {
 	select {
 	case b.Ready <- struct{}{}:
 	default:
@@ -38,8 +38,8 @@
 	return len(b.items)
 }
 
-// Take empties the box into buf.
-func (b *Box[T]) Take(buf []T) []T {
+// TakeAll empties the box into buf.
+func (b *Box[T]) TakeAll(buf []T) []T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	buf = append(buf[:0], b.items...)
--- a/internal/net/cold_test.go
+++ b/internal/net/cold_test.go
@@ -24,7 +24,7 @@
 // The ramp holds for their sum: no more runs at once than the settings let a cold server have, as long as it is cold.
 func TestColdServerUnderThirtyRouters(t *testing.T) {
 	set := settings
-	set.Cores, set.Callers, set.JustStarted, set.Cold, set.ColdShare = 4, many, true, 3*time.Second, 0.25
+	set.Cores, set.Callers, set.JustStarted, set.WarmupPeriod, set.ColdSpeedShare = 4, many, true, 3*time.Second, 0.25
 	x := newExecutor(t)
 	h := withExecutorBy(t, clock.System(), set, x, "127.0.0.1:1")
 	x.want("JOIN", "0")
@@ -57,7 +57,7 @@
 	answers := make(chan string, many*1000)
 	for i := range many {
 		p := h.router()
-		wait.Go(func() { followAdvice(p, i, began.Add(set.Cold/2), answers) })
+		wait.Go(func() { followAdvice(p, i, began.Add(set.WarmupPeriod/2), answers) })
 	}
 	wait.Wait()
 	close(answers)
@@ -66,8 +66,8 @@
 		count[a]++
 	}
 	// By the settings' own ramp, half way to being warm.
-	share := set.ColdShare + (1-set.ColdShare)*0.5
-	n := float64(set.Cores) * (1 + (set.FallMultiple-1)*share)
+	share := set.ColdSpeedShare + (1-set.ColdSpeedShare)*0.5
+	n := float64(set.Cores) * (1 + (set.MaxRunningPerCore-1)*share)
 	mu.Lock()
 	defer mu.Unlock()
 	if most > allowed(n) || most == 0 {
@@ -109,10 +109,10 @@
 // all, in the mean of the span that the settings name, stay within the sum of their shares.
 func TestThirtyServersBesideAColdVault(t *testing.T) {
 	set := settings
-	set.BelowShare, set.CallSpan, set.JustStarted, set.Cold, set.ColdShare = 2, 500*time.Millisecond, true, 10*time.Second, 0.25
+	set.DownstreamShare, set.CallPeriod, set.JustStarted, set.WarmupPeriod, set.ColdSpeedShare = 2, 500*time.Millisecond, true, 10*time.Second, 0.25
 	set.Classes = append([]policy.Class(nil), set.Classes...)
 	set.Classes[0].SkipWorth = 0 // every request needs its call
-	below := &coldVault{span: set.CallSpan}
+	below := &coldVault{span: set.CallPeriod}
 	at := newVault(t, below.serve)
 	var executors []*executorPeer
 	var houses []*house
@@ -133,11 +133,11 @@
 			}
 		}()
 	}
-	time.Sleep(4 * set.CallSpan)
-	n := float64(many) * set.BelowShare
+	time.Sleep(4 * set.CallPeriod)
+	n := float64(many) * set.DownstreamShare
 	mean, calls := below.most()
 	if mean > float64(allowed(n)) {
-		t.Errorf("%.1f calls in hand in the mean of %s, with %.0f allowed and %d by chance", mean, set.CallSpan, n, allowed(n))
+		t.Errorf("%.1f calls in hand in the mean of %s, with %.0f allowed and %d by chance", mean, set.CallPeriod, n, allowed(n))
 	}
 	if calls < many {
 		t.Errorf("%d calls were made by %d servers", calls, many)
--- a/internal/net/fronts_test.go
+++ b/internal/net/fronts_test.go
@@ -92,9 +92,9 @@
 		mu.Unlock()
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfor %s", 4+len(body), body)
 	})
-	set := config.UWSGI{Servers: []string{"127.0.0.1:1", at}, MaxResult: 4096}
+	set := config.UWSGI{Servers: []string{"127.0.0.1:1", at}, MaxResultBytes: 4096}
 	h := build(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
-	h.core.Up(false)
+	h.core.RunnerStarted(false)
 	byRESP, byUWSGI := mixed(h)
 	mu.Lock()
 	defer mu.Unlock()
@@ -105,9 +105,9 @@
 func TestBrokenServerIsNotTriedAgain(t *testing.T) {
 	var heard atomic.Int32
 	broken := func(conn net.Conn, _ map[string]string, _ string) { heard.Add(1) }
-	set := config.UWSGI{Servers: []string{uwsgiServer(t, broken), uwsgiServer(t, broken)}, MaxResult: 4096}
+	set := config.UWSGI{Servers: []string{uwsgiServer(t, broken), uwsgiServer(t, broken)}, MaxResultBytes: 4096}
 	h := build(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
-	h.core.Up(false)
+	h.core.RunnerStarted(false)
 	if status, _, _ := h.gateway(packet("b", "ORDER_CLASS", "book-delivery"), false).answers(); status != http.StatusBadGateway {
 		t.Errorf("status %d, want 502", status)
 	}
@@ -119,7 +119,7 @@
 // Whatever is no packet gets one answer: cut short, malformed, too large, too slow.
 func TestWhatIsNoPacketGetsOneAnswer(t *testing.T) {
 	h := build(t, newIdleRunner(t), nil, config.UWSGI{}, nil)
-	slow := build(t, newIdleRunner(t), nil, config.UWSGI{ReadMs: 20}, nil)
+	slow := build(t, newIdleRunner(t), nil, config.UWSGI{ReadTimeoutMS: 20}, nil)
 	whole := packet("body", "ORDER_CLASS", "book-delivery")
 	for _, c := range []struct {
 		name, bytes string
@@ -153,7 +153,7 @@
 	x.want("EXEC", id(1))
 	half := h.gateway(packet("b", "ORDER_CLASS", "book-delivery")[:20], false)
 	left := make(chan struct{})
-	go func() { h.core.Leave(clock.System().Now(), 1500, h.resp, h.uw); close(left) }()
+	go func() { h.core.Shutdown(clock.System().Now(), 1500, h.resp, h.uw); close(left) }()
 	p.want("0", "closing")
 	booking := h.gateway(packet("c", "ORDER_CLASS", "book-delivery", "ORDER_ID", id(3)), false)
 	x.want("EXEC", id(3))
@@ -203,5 +203,5 @@
 }
 
 func newIdleRunner(t *testing.T) *uwsgi.Runner {
-	return uwsgi.NewRunner(config.UWSGI{Servers: []string{"127.0.0.1:1"}, MaxResult: 4096}, clock.System(), zerolog.Nop())
+	return uwsgi.NewRunner(config.UWSGI{Servers: []string{"127.0.0.1:1"}, MaxResultBytes: 4096}, clock.System(), zerolog.Nop())
 }
--- a/internal/net/keyed_test.go
+++ b/internal/net/keyed_test.go
@@ -218,10 +218,10 @@
 	path, ln := filepath.Join(t.TempDir(), "n1.handover"), newExecutor(t).ln.(*net.TCPListener)
 	gone := make(chan struct{})
 	_, err := handover.New(path, map[string]*net.TCPListener{"there": ln}, func() []byte {
-		text, err := json.Marshal(h.core.HandOn())
+		text, err := json.Marshal(h.core.ExportKeyedAttempts())
 		must(t, err)
 		return text
-	}, func() { h.core.TakeBack(); h.core.Then(func() { close(gone) }) }, zerolog.Nop())
+	}, func() { h.core.ResumeKeyedAttempts(); h.core.AfterPendingEvents(func() { close(gone) }) }, zerolog.Nop())
 	must(t, err)
 	sockets, tie, err := handover.Take(path)
 	if must(t, err); len(sockets) != 1 {
@@ -231,7 +231,7 @@
 	p.pay(3, 3, start, "cc", "a") // the second does not serve yet
 	x.want("EXEC", id(3))
 	text, told := handover.Serving(tie)
-	var ties []core.Tie
+	var ties []core.KeyedAttempt
 	if err := json.Unmarshal(text, &ties); err != nil || !told || len(ties) != 3 {
 		t.Fatalf("told %v: %s, %v", told, text, err)
 	}
@@ -243,7 +243,7 @@
 	h2 := withExecutorBy(t, clk, set, x2, "127.0.0.1:1")
 	x2.welcome(0)
 	x2.pass()
-	h2.core.Inherit(ties)
+	h2.core.ImportKeyedAttempts(ties)
 	q := h2.router()
 	q.pay(11, 11, start, "aa", "a")
 	q.want("11", "done", "", odd)
--- a/internal/net/operator_test.go
+++ b/internal/net/operator_test.go
@@ -15,8 +15,8 @@
 
 // operators opens the operators' address of a house; what it returns makes one call there.
 func (h *house) operators(most int) (address string, call func(method, path string) (status int, body string)) {
-	f, err := operator.Listen("127.0.0.1:0", most, operator.Calls{Ready: h.core.Ready, Drain: h.core.Away,
-		Figures: func() any { return h.core.Figures() }}, zerolog.Nop())
+	f, err := operator.Listen("127.0.0.1:0", most, operator.Calls{Ready: h.core.Ready, Drain: h.core.ForceUnhealthy,
+		Figures: func() any { return h.core.Metrics() }}, zerolog.Nop())
 	must(h.t, err)
 	go f.Serve()
 	h.t.Cleanup(func() { f.Close(h.t.Context()) })
@@ -67,13 +67,13 @@
 	x.want("EXEC", id(2))
 	p.req(3, 3, "nobodys", "", "b")
 	p.want("3", "later")
-	figures := func() (f core.Figures) {
+	figures := func() (f core.Metrics) {
 		t.Helper()
 		_, text := call("GET", "/-/metrics")
 		must(t, json.Unmarshal([]byte(text), &f))
 		return f
 	}
-	if f := figures(); f.Active != 1 || f.Tries != 1 || f.OK["book-delivery"] != 0 {
+	if f := figures(); f.Active != 1 || f.Attempts != 1 || f.OK["book-delivery"] != 0 {
 		t.Errorf("with one running: %+v", f)
 	}
 	x.notice("EXIT", id(2)+" success 1", "A")
@@ -85,7 +85,7 @@
 	x.want("EXEC", id(4))
 	p.send("ABORT", "4")
 	ask("5", "sick") // so that the ABORT was read
-	if f := figures(); f.Active != 0 || f.Tries != 2 {
+	if f := figures(); f.Active != 0 || f.Attempts != 2 {
 		t.Errorf("with its caller gone: %+v", f)
 	}
 	call("PUT", "/-/resume")
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -35,10 +35,10 @@
 		{Name: "tank-level", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second, Worth: 1, LateValue: 1, Calls: true, SkipWorth: 0.5},
 		{Name: "book-delivery", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second, Worth: 4, LateValue: 1, Safety: policy.Unsafe},
 	},
-	Servers: 2, Callers: 2, Cores: 50, MemoryKB: 1e6, RunFactor: 4, FallMultiple: 8, FallSpan: 3 * time.Second,
-	FreshFor: 200 * time.Millisecond, DrainGrace: 2500 * time.Millisecond, PassesDeadline: true, MarksRetry: true,
-	Below: true, BelowShare: 100, CallSpan: 5 * time.Second, MaxPause: time.Second, Hint: policy.HintCredit,
-	BusyGauge: 0, RunnableGauge: 1, MemoryGauge: 2, ConnGauge: 3, ColdShare: 1,
+	Servers: 2, Callers: 2, Cores: 50, MemoryKB: 1e6, RunMemoryFactor: 4, MaxRunningPerCore: 8, MaxRunningPeriod: 3 * time.Second,
+	SharedResultTTL: 200 * time.Millisecond, DrainGrace: 2500 * time.Millisecond, PassesDeadline: true, MarksRetry: true,
+	HasDownstream: true, DownstreamShare: 100, CallPeriod: 5 * time.Second, MaxRetryAfter: time.Second, Hint: policy.HintCredit,
+	BusyGauge: 0, RunnableGauge: 1, MemoryGauge: 2, ConnectionGauge: 3, ColdSpeedShare: 1,
 }
 
 func must(t *testing.T, err error) {
@@ -59,12 +59,12 @@
 	vault *vault.Client
 }
 
-func build(t *testing.T, runner core.Runner, below core.Below, set config.UWSGI, hand func(*core.Core)) *house {
+func build(t *testing.T, runner core.Runner, below core.Downstream, set config.UWSGI, hand func(*core.Core)) *house {
 	return buildBy(t, clock.System(), settings, runner, below, set, hand)
 }
 
 // buildBy builds a house by a clock and settings of the test's own.
-func buildBy(t *testing.T, clk *clock.Clock, settings policy.Settings, runner core.Runner, below core.Below, set config.UWSGI, hand func(*core.Core)) *house {
+func buildBy(t *testing.T, clk *clock.Clock, settings policy.Settings, runner core.Runner, below core.Downstream, set config.UWSGI, hand func(*core.Core)) *house {
 	c := core.New(clk, zerolog.Nop(), settings, 1, runner, below, nil)
 	if hand != nil {
 		hand(c)
@@ -73,10 +73,10 @@
 	ln, err := accept.Listen("127.0.0.1:0", zerolog.Nop())
 	must(t, err)
 	h.resp = respfront.New(ln, 64, c, clk, zerolog.Nop())
-	set.Conns, set.KB = 64, 10
-	set.MaxBody, set.MaxResult = 4096, 4096
-	if set.ReadMs == 0 {
-		set.ReadMs = 1e6
+	set.MaxConnections, set.DefaultRequestKB = 64, 10
+	set.MaxBodyBytes, set.MaxResultBytes = 4096, 4096
+	if set.ReadTimeoutMS == 0 {
+		set.ReadTimeoutMS = 1e6
 	}
 	ln, err = accept.Listen("127.0.0.1:0", zerolog.Nop())
 	must(t, err)
@@ -95,7 +95,7 @@
 
 // withExecutorRoom also bounds what may be kept of keyed tries, in bytes.
 func withExecutorRoom(t *testing.T, clk *clock.Clock, settings policy.Settings, x *executorPeer, room int) *house {
-	return executorHouse(t, clk, settings, x, "127.0.0.1:1", func(c *core.Core) { c.Room(room) })
+	return executorHouse(t, clk, settings, x, "127.0.0.1:1", func(c *core.Core) { c.SetKeyTableBytes(room) })
 }
 
 func withExecutorBy(t *testing.T, clk *clock.Clock, settings policy.Settings, x *executorPeer, vaultAt string, change ...func(*executor.Link)) *house {
@@ -106,11 +106,11 @@
 	var c *core.Core
 	link := executor.New(x.ln.Addr().String(), zerolog.Nop(), func(cold, another bool) {
 		if another {
-			c.Anew(cold)
+			c.RunnerReplaced(cold)
 		}
-		c.Up(cold)
+		c.RunnerStarted(cold)
 	})
-	link.Silent = time.Hour // the script answers only while a test asks it to
+	link.ReadTimeout = time.Hour // the script answers only while a test asks it to
 	for _, c := range change {
 		c(link)
 	}
--- a/internal/net/rare_test.go
+++ b/internal/net/rare_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	left = make(chan struct{})
 	go func() {
-		h.core.Leave(start, 1200, h.resp)
+		h.core.Shutdown(start, 1200, h.resp)
 		close(left)
 	}()
 	p.want("0", "closing")
@@ -77,7 +77,7 @@
 	p.want("1", "healthy")
 	front, left := &looked{Front: h.resp}, make(chan struct{})
 	go func() {
-		h.core.Yield(start, front)
+		h.core.YieldToSuccessor(start, front)
 		close(left)
 	}()
 	p.want("0", "closing")
@@ -235,7 +235,7 @@
 // begun beside the first as before.
 func TestAnotherExecutorIsCold(t *testing.T) {
 	set := settings
-	set.Cores, set.ColdShare, set.Cold = 1, 0, time.Hour
+	set.Cores, set.ColdSpeedShare, set.WarmupPeriod = 1, 0, time.Hour
 	x := newExecutor(t)
 	h := withExecutorBy(t, clock.System(), set, x, "127.0.0.1:1")
 	x.welcome(0)
@@ -258,7 +258,7 @@
 	x.say("WELCOME booting 0")
 	x.pass()
 	handled := make(chan struct{})
-	h.core.Then(func() { close(handled) })
+	h.core.AfterPendingEvents(func() { close(handled) })
 	<-handled
 	p.req(3, 3, "book-delivery", "", "c")
 	x.want("EXEC", id(3))
--- a/internal/net/respfront/codec.go
+++ b/internal/net/respfront/codec.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	mostBody   = 2 << 10 // bytes of a body, by the protocol
-	mostNumber = 1 << 53 // up to here a floating-point number tells whole ones apart
+	maxBodyBytes    = 2 << 10 // bytes of a body, by the protocol
+	maxExactInteger = 1 << 53 // up to here a floating-point number tells whole ones apart
 )
 
-// errValue marks a request that can be read, and whose figures make no sense.
-var errValue = errors.New("value out of range")
+// errInvalidValue marks a request that can be read, and whose figures make no sense.
+var errInvalidValue = errors.New("value out of range")
 
 // fields are the pairs that go with a request: a=1,b=2.
 type fields map[string]string
@@ -41,45 +41,45 @@
 // number reads a figure of 0 or more that has to be there.
 func (f fields) number(key string, err *error) float64 {
 	x, e := strconv.ParseFloat(f[key], 64)
-	if !(e == nil && x >= 0 && x < mostNumber) && *err == nil { // so that NaN is out too
-		*err = fmt.Errorf("%w: field %q", errValue, key)
+	if !(e == nil && x >= 0 && x < maxExactInteger) && *err == nil { // so that NaN is out too
+		*err = fmt.Errorf("%w: field %q", errInvalidValue, key)
 	}
 	return x
 }
 
-// request reads REQ TAG CLASS FIELDS BODY. It keeps no part of the arguments but the body.
-func request(args [][]byte, now float64) (*core.Request, error) {
+// parseRequest reads REQ TAG CLASS FIELDS BODY. It keeps no part of the arguments but the body.
+func parseRequest(args [][]byte, now float64) (*core.Request, error) {
 	if len(args) < 4 || len(args) > 5 {
 		return nil, errors.New("REQ takes a tag, a class, fields and a body")
 	}
 	f, err := parseFields(args[3])
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errValue, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidValue, err)
 	}
 	q := &core.Request{
-		ID: strings.Clone(f["id"]), Class: string(args[2]), At: f.number("at", &err), From: int64(f.number("from", &err)),
+		ID: strings.Clone(f["id"]), Class: string(args[2]), ArrivedAt: f.number("at", &err), Caller: int64(f.number("from", &err)),
 		Retry: f["retry"] == "1", KB: f.number("kb", &err), Rank: f.number("rank", &err), Key: strings.Clone(f["key"]),
-		Once: strings.Clone(f["once"]), For: strings.Clone(f["tenant"]),
+		IdempotencyKey: strings.Clone(f["once"]), Tenant: strings.Clone(f["tenant"]),
 	}
-	for key, to := range map[string]*float64{"wait": &q.Wait, "cost": &q.Cost} { // may be absent, and are above 0
-		if _, told := f[key]; told {
-			if *to = f.number(key, &err); *to == 0 && err == nil {
-				err = fmt.Errorf("%w: field %q", errValue, key)
+	for key, target := range map[string]*float64{"wait": &q.WaitMS, "cost": &q.CostMS} { // may be absent, and are above 0
+		if _, present := f[key]; present {
+			if *target = f.number(key, &err); *target == 0 && err == nil {
+				err = fmt.Errorf("%w: field %q", errInvalidValue, key)
 			}
 		}
 	}
-	if _, told := f["once"]; told && q.Once == "" && err == nil {
-		err = fmt.Errorf("%w: field %q", errValue, "once")
+	if _, present := f["once"]; present && q.IdempotencyKey == "" && err == nil {
+		err = fmt.Errorf("%w: field %q", errInvalidValue, "once")
 	}
 	if e := q.Check(now); e != nil && err == nil {
-		err = fmt.Errorf("%w: %w", errValue, e)
+		err = fmt.Errorf("%w: %w", errInvalidValue, e)
 	}
 	switch {
 	case err != nil:
-	case !wireID(q.ID):
-		err = fmt.Errorf(`%w: field "id" is not 16 hex digits`, errValue)
-	case len(args) == 5 && len(args[4]) > mostBody:
-		err = fmt.Errorf("%w: the body is too long", errValue)
+	case !isRequestID(q.ID):
+		err = fmt.Errorf(`%w: field "id" is not 16 hex digits`, errInvalidValue)
+	case len(args) == 5 && len(args[4]) > maxBodyBytes:
+		err = fmt.Errorf("%w: the body is too long", errInvalidValue)
 	}
 	if err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 	return q, nil
 }
 
-func wireID(s string) bool {
+func isRequestID(s string) bool {
 	if len(s) != 16 {
 		return false
 	}
@@ -102,8 +102,8 @@
 	return true
 }
 
-// word is what an outcome is called on this wire.
-func word(o core.Outcome) string {
+// outcomeName is what an outcome is called on this wire.
+func outcomeName(o core.Outcome) string {
 	switch o.Verdict {
 	case core.Served:
 		return "done"
@@ -114,22 +114,22 @@
 }
 
 // appendAnswer writes TAG WORD FIELDS BODY.
-func appendAnswer(b []byte, tag uint64, say float64, says bool, o core.Outcome) []byte {
-	parts := 3
+func appendAnswer(b []byte, tag uint64, hint float64, hasHint bool, o core.Outcome) []byte {
+	elements := 3
 	if o.Verdict == core.Served {
-		parts = 4
+		elements = 4
 	}
-	b = redcon.AppendArray(b, parts)
+	b = redcon.AppendArray(b, elements)
 	b = redcon.AppendBulk(b, strconv.AppendUint(nil, tag, 10))
-	b = redcon.AppendBulkString(b, word(o))
+	b = redcon.AppendBulkString(b, outcomeName(o))
 	var f []byte
-	if says {
-		f = fmt.Appendf(f, ",say=%s", strconv.FormatFloat(say, 'f', -1, 64))
+	if hasHint {
+		f = fmt.Appendf(f, ",say=%s", strconv.FormatFloat(hint, 'f', -1, 64))
 	}
-	if o.Verdict == core.Refused && o.After > 0 {
-		f = fmt.Appendf(f, ",after=%d", int64(math.Ceil(o.After)))
+	if o.Verdict == core.Refused && o.RetryAfterMS > 0 {
+		f = fmt.Appendf(f, ",after=%d", int64(math.Ceil(o.RetryAfterMS)))
 	}
-	if o.Verdict == core.Refused && o.Last {
+	if o.Verdict == core.Refused && o.NoRetry {
 		f = append(f, ",last=1"...)
 	}
 	if len(f) > 0 {
@@ -142,16 +142,16 @@
 	return b
 }
 
-func appendHealth(b []byte, tag uint64, say float64, says, good bool) []byte {
+func appendHealth(b []byte, tag uint64, hint float64, hasHint, healthy bool) []byte {
 	state := "sick"
-	if good {
+	if healthy {
 		state = "healthy"
 	}
 	b = redcon.AppendArray(b, 3)
 	b = redcon.AppendBulk(b, strconv.AppendUint(nil, tag, 10))
 	b = redcon.AppendBulkString(b, state)
-	if says {
-		return redcon.AppendBulkString(b, "say="+strconv.FormatFloat(say, 'f', -1, 64))
+	if hasHint {
+		return redcon.AppendBulkString(b, "say="+strconv.FormatFloat(hint, 'f', -1, 64))
 	}
 	return redcon.AppendBulk(b, nil)
 }
