--- a/internal/net/respfront/front.go
+++ b/internal/net/respfront/front.go
@@ -29,25 +29,25 @@
 )
 
 const (
-	mostOpen   = 32        // open requests on a connection, by the protocol
-	mostUnsent = 512 << 10 // bytes of answers that wait for a slow reader; its connection ends then
-	sweepMs    = 500       // how often idle connections are looked for
-	idleMs     = 5000      // a connection that carries nothing for so long is asked to close, whoever holds it
-	closeMs    = 1000      // and closed so long after the asking: some never heed it
-	mostFaults = 8         // requests that make no sense, after which a connection ends
-	faultPause = 50.0      // milliseconds for which no more is read after each of them
-
-	firstFor = 2 * time.Second // a new connection sends its first whole command within this
-	wholeFor = 2 * time.Second // and any command is whole so long after it began
+	maxOpenRequests       = 32        // open requests on a connection, by the protocol
+	maxUnsentBytes        = 512 << 10 // bytes of answers that wait for a slow reader; its connection ends then
+	sweepIntervalMS       = 500       // how often idle connections are looked for
+	idleTimeoutMS         = 5000      // a connection that carries nothing for so long is asked to close, whoever holds it
+	closeGraceMS          = 1000      // and closed so long after the asking: some never heed it
+	maxInvalidRequests    = 8         // requests that make no sense, after which a connection ends
+	invalidRequestDelayMS = 50.0      // milliseconds for which no more is read after each of them
+
+	firstCommandTimeout = 2 * time.Second // a new connection sends its first whole command within this
+	commandTimeout      = 2 * time.Second // and any command is whole so long after it began
 )
 
 // Front accepts routers.
 type Front struct {
-	core  *core.Core
-	clock *clock.Clock
-	log   zerolog.Logger
-	ln    *accept.Listener
-	most  int // connections
+	core     *core.Core
+	clock    *clock.Clock
+	log      zerolog.Logger
+	ln       *accept.Listener
+	maxConns int // connections
 
 	mu       sync.Mutex
 	conns    map[*conn]bool
@@ -56,8 +56,8 @@
 }
 
 // New makes a front on a listening socket; Serve has to be called next.
-func New(ln *accept.Listener, most int, c *core.Core, clk *clock.Clock, log zerolog.Logger) *Front {
-	return &Front{core: c, clock: clk, log: log, ln: ln, most: most, conns: map[*conn]bool{}}
+func New(ln *accept.Listener, maxConns int, c *core.Core, clk *clock.Clock, log zerolog.Logger) *Front {
+	return &Front{core: c, clock: clk, log: log, ln: ln, maxConns: maxConns, conns: map[*conn]bool{}}
 }
 
 // Addr is where the front listens.
@@ -65,52 +65,52 @@
 
 // Serve accepts connections until the front is shut.
 func (f *Front) Serve() {
-	f.clock.After(sweepMs, f.sweep)
-	f.ln.Serve(f.welcome)
+	f.clock.After(sweepIntervalMS, f.sweepIdle)
+	f.ln.Serve(f.addConn)
 }
 
-func (f *Front) welcome(nc net.Conn) {
-	c := &conn{front: f, nc: nc, open: map[uint64]*core.Handler{}, kick: make(chan struct{}, 1), used: f.clock.Now(), since: time.Now()}
+func (f *Front) addConn(nc net.Conn) {
+	c := &conn{front: f, nc: nc, openRequests: map[uint64]*core.Handler{}, wakeup: make(chan struct{}, 1), lastUsedMS: f.clock.Now(), waitingSince: time.Now()}
 	var err error
 	if c.raw, err = nc.(*net.TCPConn).SyscallConn(); err != nil {
 		nc.Close() // it is closed already
 		return
 	}
 	f.mu.Lock()
-	if len(f.conns) >= f.most && !f.makeRoom() {
+	if len(f.conns) >= f.maxConns && !f.evictIdle() {
 		f.mu.Unlock()
 		nc.Close() // nothing was read; routers hold to fewer
 		return
 	}
 	f.conns[c] = true
 	if f.draining {
-		c.closing()
+		c.sendClosing()
 	}
 	f.mu.Unlock()
-	go c.write()
-	go c.read()
+	go c.writeLoop()
+	go c.readLoop()
 }
 
-// makeRoom gives up the connection that is missed least: one that never sent a command, the oldest of these
+// evictIdle gives up the connection that is missed least: one that never sent a command, the oldest of these
 // first, so that a router that has just connected has time to speak; else the one that was idle for longest.
 // Guards against clients that open connections and say nothing, or nothing more.
-func (f *Front) makeRoom() bool {
-	var worst *conn
+func (f *Front) evictIdle() bool {
+	var victim *conn
 	for c := range f.conns {
-		if c.idleSince(f.clock.Now()) && (worst == nil || c.missedLess(worst)) {
-			worst = c
+		if c.idleSince(f.clock.Now()) && (victim == nil || c.evictBefore(victim)) {
+			victim = c
 		}
 	}
-	return worst != nil && f.end(worst)
+	return victim != nil && f.closeIfIdle(victim)
 }
 
-// end closes a connection with nothing open. What has just come on it would be a request cut off, so then it
+// closeIfIdle closes a connection with nothing open. What has just come on it would be a request cut off, so then it
 // is left alone: bytes still in the socket, a part of a command that was read, or a whole one that is being taken. Its
 // lock is held from the first look to the decision, after which nothing more is taken; the reader takes bytes from the
 // socket under the same lock, so a command is seen in one of these places. One that crosses the close on the wire is
 // sent once more by who sent it. The front's lock is held.
-func (f *Front) end(c *conn) bool {
-	if !c.giveUp() {
+func (f *Front) closeIfIdle(c *conn) bool {
+	if !c.stopIfIdle() {
 		return false
 	}
 	c.nc.Close() // not under its lock, for which the reader may wait
@@ -118,16 +118,16 @@
 	return true
 }
 
-// giveUp takes nothing more from a connection on which nothing is open.
-func (c *conn) giveUp() bool {
+// stopIfIdle takes nothing more from a connection on which nothing is open.
+func (c *conn) stopIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.within || len(c.open) > 0 || c.writing || len(c.out) > 0 || !accept.Quiet(c.nc) {
+	if c.inCommand || len(c.openRequests) > 0 || c.writing || len(c.unsent) > 0 || !accept.Quiet(c.nc) {
 		return false
 	}
 	c.broken = true
-	if c.spoke && !c.told {
-		c.told = true
+	if c.receivedCommand && !c.closingSent {
+		c.closingSent = true
 		c.raw.Write(func(fd uintptr) bool { // nothing waits before it, so there is room; else it goes without
 			syscall.Write(int(fd), appendClosing(nil))
 			return true
@@ -143,12 +143,12 @@
 	defer f.mu.Unlock()
 	f.draining = true
 	for c := range f.conns {
-		c.closing()
+		c.sendClosing()
 	}
 }
 
-// Shut closes the listener once its queue is empty.
-func (f *Front) Shut() { f.ln.Shut() }
+// StopAccepting closes the listener once its queue is empty.
+func (f *Front) StopAccepting() { f.ln.Shut() }
 
 // Yield leaves new connections to the process that shares the socket, and asks all routers to go there.
 func (f *Front) Yield() {
@@ -161,7 +161,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if c.unsettled() {
+		if c.hasPendingData() {
 			return false
 		}
 	}
@@ -183,32 +183,32 @@
 	}
 }
 
-// sweep asks for the end of what was idle for longer than the module wants, or than anyone needs. Who heeds it
+// sweepIdle asks for the end of what was idle for longer than the module wants, or than anyone needs. Who heeds it
 // closes the connection himself, so that no request crosses the close; who does not is closed a while later.
-func (f *Front) sweep() {
+func (f *Front) sweepIdle() {
 	f.mu.Lock()
 	closed := f.closed
-	after := float64(idleMs)
-	if wanted := f.core.CloseIdle(); wanted > 0 {
-		after = min(after, wanted)
+	idleAfterMS := float64(idleTimeoutMS)
+	if moduleIdleMS := f.core.IdleCloseAfterMS(); moduleIdleMS > 0 {
+		idleAfterMS = min(idleAfterMS, moduleIdleMS)
 	}
 	now := f.clock.Now()
 	for c := range f.conns {
 		switch {
-		case closed || !c.idleSince(now-after):
-		case !c.wasTold(now - closeMs):
-			c.closing()
+		case closed || !c.idleSince(now-idleAfterMS):
+		case !c.closingSentBy(now - closeGraceMS):
+			c.sendClosing()
 		default:
-			f.end(c)
+			f.closeIfIdle(c)
 		}
 	}
 	f.mu.Unlock()
 	if !closed {
-		f.clock.After(sweepMs, f.sweep)
+		f.clock.After(sweepIntervalMS, f.sweepIdle)
 	}
 }
 
-func (f *Front) leave(c *conn) {
+func (f *Front) removeConn(c *conn) {
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
@@ -216,99 +216,99 @@
 
 // conn is one connection: one goroutine reads it, one writes it, and answers come from handlers in any order.
 type conn struct {
-	front *Front
-	nc    net.Conn
-	raw   syscall.RawConn
-	kick  chan struct{}
+	front  *Front
+	nc     net.Conn
+	raw    syscall.RawConn
+	wakeup chan struct{}
 
 	// The reader's own.
-	since  time.Time // when the command that is being read began, or the waiting for the first
-	faults int
+	waitingSince    time.Time // when the command that is being read began, or the waiting for the first
+	invalidRequests int
 
-	forged atomic.Bool // a request came that the executor does not know, before any was served
+	forgedSeen atomic.Bool // a request came that the executor does not know, before any was served
 
-	mu      sync.Mutex
-	within  bool // a part of a command was read, or a whole one is being taken; only the reader sets it
-	open    map[uint64]*core.Handler
-	out     []byte
-	writing bool
-	told    bool // 'closing' was sent
-	toldAt  float64
-	ended   bool // no more is read
-	broken  bool
-	spoke   bool    // a whole command came
-	served  bool    // one of its requests was
-	used    float64 // when a command or an answer last passed
+	mu              sync.Mutex
+	inCommand       bool // a part of a command was read, or a whole one is being taken; only the reader sets it
+	openRequests    map[uint64]*core.Handler
+	unsent          []byte
+	writing         bool
+	closingSent     bool // 'closing' was sent
+	closingSentMS   float64
+	readDone        bool // no more is read
+	broken          bool
+	receivedCommand bool    // a whole command came
+	servedRequest   bool    // one of its requests was
+	lastUsedMS      float64 // when a command or an answer last passed
 }
 
-// errFaults ends the reading of a connection. What was read before is owed its answer all the same.
-var errFaults = errors.New("too many requests that make no sense")
+// errTooManyInvalid ends the reading of a connection. What was read before is owed its answer all the same.
+var errTooManyInvalid = errors.New("too many requests that make no sense")
 
 // Read bounds for how long a command may be on its way.
 func (c *conn) Read(b []byte) (n int, err error) {
-	within := c.within
+	wasInCommand := c.inCommand
 	for n == 0 && err == nil {
-		c.nc.SetReadDeadline(c.limit())
-		if n, err = c.take(b); errors.Is(err, os.ErrDeadlineExceeded) {
-			n, err = c.last(b)
+		c.nc.SetReadDeadline(c.commandDeadline())
+		if n, err = c.readWait(b); errors.Is(err, os.ErrDeadlineExceeded) {
+			n, err = c.readAfterDeadline(b)
 		}
 	}
-	if !within && c.spoke {
-		c.since = time.Now()
+	if !wasInCommand && c.receivedCommand {
+		c.waitingSince = time.Now()
 	}
 	return n, err
 }
 
-// limit is when a command has to be whole, or the first of a connection. Half a command keeps a place and a buffer; of a
+// commandDeadline is when a command has to be whole, or the first of a connection. Half a command keeps a place and a buffer; of a
 // router that was served here, or whose requests are open, it is taken for one on a network that is cut, and its rest is
 // waited for as long as routers keep connections: what it completes is then owed an answer.
-func (c *conn) limit() time.Time {
+func (c *conn) commandDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case !c.spoke:
-		return c.since.Add(firstFor)
-	case !c.within:
+	case !c.receivedCommand:
+		return c.waitingSince.Add(firstCommandTimeout)
+	case !c.inCommand:
 		return time.Time{}
-	case c.served || len(c.open) > 0:
-		return c.since.Add(max(wholeFor, c.front.core.Rests()))
+	case c.servedRequest || len(c.openRequests) > 0:
+		return c.waitingSince.Add(max(commandTimeout, c.front.core.CallerIdleTimeout()))
 	}
-	return c.since.Add(wholeFor)
+	return c.waitingSince.Add(commandTimeout)
 }
 
-// take reads what there is.
-func (c *conn) take(b []byte) (n int, err error) {
-	closed := c.raw.Read(func(fd uintptr) bool {
-		n, err = c.pull(fd, b)
+// readWait reads what there is.
+func (c *conn) readWait(b []byte) (n int, err error) {
+	closedErr := c.raw.Read(func(fd uintptr) bool {
+		n, err = c.readNonblocking(fd, b)
 		return err != syscall.EAGAIN
 	})
-	if closed != nil {
-		return 0, closed
+	if closedErr != nil {
+		return 0, closedErr
 	}
 	return n, err
 }
 
-// last takes what came before the time was up. A process that got no time meanwhile finds both at once, and the library
+// readAfterDeadline takes what came before the time was up. A process that got no time meanwhile finds both at once, and the library
 // looks at the time first: a whole request would be closed on. Where there is nothing, no more is taken from now on, or,
 // with neither bytes nor an error, the limit is a later one by now.
-func (c *conn) last(b []byte) (n int, err error) {
-	closed := c.raw.Control(func(fd uintptr) {
-		if n, err = c.pull(fd, b); err != syscall.EAGAIN {
+func (c *conn) readAfterDeadline(b []byte) (n int, err error) {
+	closedErr := c.raw.Control(func(fd uintptr) {
+		if n, err = c.readNonblocking(fd, b); err != syscall.EAGAIN {
 			return
 		}
 		n, err = 0, nil
-		if limit := c.limit(); !limit.IsZero() && !limit.After(time.Now()) {
+		if deadline := c.commandDeadline(); !deadline.IsZero() && !deadline.After(time.Now()) {
 			err = os.ErrDeadlineExceeded
 		}
 	})
-	if closed != nil {
-		return 0, closed
+	if closedErr != nil {
+		return 0, closedErr
 	}
 	return n, err
 }
 
-// pull reads once, without waiting. That bytes were taken out of the socket is noted in the same step.
-func (c *conn) pull(fd uintptr, b []byte) (n int, err error) {
+// readNonblocking reads once, without waiting. That bytes were taken out of the socket is noted in the same step.
+func (c *conn) readNonblocking(fd uintptr, b []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.broken {
@@ -316,39 +316,39 @@
 	}
 	for n, err = syscall.Read(int(fd), b); err == syscall.EINTR; n, err = syscall.Read(int(fd), b) {
 	}
-	c.within = c.within || n > 0
+	c.inCommand = c.inCommand || n > 0
 	if n == 0 && err == nil {
 		err = io.EOF
 	}
 	return max(n, 0), err
 }
 
-// read takes commands until the router ends the connection or sends what is none.
-func (c *conn) read() {
-	err := c.commands()
+// readLoop takes commands until the router ends the connection or sends what is none.
+func (c *conn) readLoop() {
+	err := c.readCommands()
 	c.mu.Lock()
-	c.ended = true
-	var left []*core.Handler
-	c.within = false
-	plain := err == io.EOF || err == io.ErrUnexpectedEOF // between two commands, or within one
-	if !plain && !errors.Is(err, os.ErrDeadlineExceeded) && err != errFaults {
+	c.readDone = true
+	var abandoned []*core.Handler
+	c.inCommand = false
+	orderly := err == io.EOF || err == io.ErrUnexpectedEOF // between two commands, or within one
+	if !orderly && !errors.Is(err, os.ErrDeadlineExceeded) && err != errTooManyInvalid {
 		// Broken, or not understood: nobody reads answers here any more. After a plain end the router may
 		// still do so, and an answer that nobody wants does no harm. The same holds where a command got stuck, or
 		// too many made no sense: what was read before is owed its answer, and the connection ends after that.
 		c.broken = true
-		for tag, l := range c.open {
-			left = append(left, l)
-			delete(c.open, tag)
+		for tag, handler := range c.openRequests {
+			abandoned = append(abandoned, handler)
+			delete(c.openRequests, tag)
 		}
 	}
 	c.mu.Unlock()
-	for _, l := range left {
-		l.Gone()
+	for _, handler := range abandoned {
+		handler.CallerGone()
 	}
-	c.wake()
+	c.wakeWriter()
 }
 
-func (c *conn) commands() (err error) {
+func (c *conn) readCommands() (err error) {
 	defer func() {
 		if p := recover(); p != nil { // one connection's fault must not end the others
 			err = fmt.Errorf("malformed command: %v", p)
@@ -360,21 +360,21 @@
 	r := bufio.NewReaderSize(c, 4096)
 	for {
 		c.mu.Lock()
-		c.within = r.Buffered() > 0
+		c.inCommand = r.Buffered() > 0
 		c.mu.Unlock()
-		c.since = time.Now()
-		if err := c.next(r); err != nil {
+		c.waitingSince = time.Now()
+		if err := c.readCommand(r); err != nil {
 			return err
 		}
 	}
 }
 
-// next reads one command and takes it.
-func (c *conn) next(r *bufio.Reader) error {
+// readCommand reads one command and takes it.
+func (c *conn) readCommand(r *bufio.Reader) error {
 	if _, err := r.Peek(1); err != nil { // so that a connection without one holds no buffer
 		return err
 	}
-	b := pool.Get(mostFrame)
+	b := pool.Get(maxFrameBytes)
 	defer pool.Put(b)
 	frame, err := readFrame(r, b)
 	if err != nil {
@@ -385,12 +385,12 @@
 		return err
 	}
 	c.mu.Lock()
-	c.spoke, c.used = true, c.front.clock.Now()
+	c.receivedCommand, c.lastUsedMS = true, c.front.clock.Now()
 	c.mu.Unlock()
-	return c.command(cmd.Args)
+	return c.handleCommand(cmd.Args)
 }
 
-func (c *conn) command(args [][]byte) error {
+func (c *conn) handleCommand(args [][]byte) error {
 	if len(args) < 2 {
 		return errors.New("no tag")
 	}
@@ -400,14 +400,14 @@
 	}
 	switch {
 	case bytes.Equal(args[0], []byte("REQ")):
-		return c.request(tag, args)
+		return c.handleRequest(tag, args)
 	case bytes.Equal(args[0], []byte("ABORT")):
 		c.mu.Lock()
-		l := c.open[tag]
-		delete(c.open, tag)
+		handler := c.openRequests[tag]
+		delete(c.openRequests, tag)
 		c.mu.Unlock()
-		if l != nil {
-			l.Gone()
+		if handler != nil {
+			handler.CallerGone()
 		}
 		return nil
 	case bytes.Equal(args[0], []byte("HEALTH")):
@@ -419,177 +419,177 @@
 			}
 			deep = f["deep"] == "1"
 		}
-		c.front.core.Health(deep, func(good bool) {
-			say, says := c.front.core.Say()
-			c.send(func(b []byte) []byte { return appendHealth(b, tag, say, says, good) })
+		c.front.core.Health(deep, func(healthy bool) {
+			hint, hasHint := c.front.core.Hint()
+			c.enqueue(func(b []byte) []byte { return appendHealth(b, tag, hint, hasHint, healthy) })
 		})
 		return nil
 	}
 	return fmt.Errorf("unknown command %q", args[0])
 }
 
-func (c *conn) request(tag uint64, args [][]byte) error {
-	q, err := request(args, c.front.clock.Now())
-	if errors.Is(err, errValue) {
-		return c.fault(tag, err)
+func (c *conn) handleRequest(tag uint64, args [][]byte) error {
+	q, err := parseRequest(args, c.front.clock.Now())
+	if errors.Is(err, errInvalidValue) {
+		return c.rejectInvalid(tag, err)
 	}
 	if err != nil {
 		return err
 	}
-	if c.forged.Load() { // guards against a flood of them, which would take the room of true ones
-		return c.fault(tag, errFaults)
+	if c.forgedSeen.Load() { // guards against a flood of them, which would take the room of true ones
+		return c.rejectInvalid(tag, errTooManyInvalid)
 	}
 	q.Body = pool.Copy(q.Body) // the arguments are redcon's
 	c.mu.Lock()
-	_, twice := c.open[tag]
-	crowded := len(c.open) >= mostOpen
-	if !twice && !crowded {
-		c.open[tag] = nil // the answer may come before Open returns
+	_, inUse := c.openRequests[tag]
+	full := len(c.openRequests) >= maxOpenRequests
+	if !inUse && !full {
+		c.openRequests[tag] = nil // the answer may come before Open returns
 	}
 	c.mu.Unlock()
-	if twice {
+	if inUse {
 		return fmt.Errorf("tag %d is in use", tag)
 	}
-	if crowded {
-		c.answer(tag, core.Outcome{Verdict: core.Refused, After: 1})
+	if full {
+		c.sendAnswer(tag, core.Outcome{Verdict: core.Refused, RetryAfterMS: 1})
 		return nil
 	}
-	l := c.front.core.Open(q, func(o core.Outcome) { c.answer(tag, o) })
+	handler := c.front.core.Open(q, func(o core.Outcome) { c.sendAnswer(tag, o) })
 	c.mu.Lock()
-	if _, still := c.open[tag]; still {
-		c.open[tag] = l
+	if _, pending := c.openRequests[tag]; pending {
+		c.openRequests[tag] = handler
 	}
 	c.mu.Unlock()
 	return nil
 }
 
-// fault answers a request whose figures make no sense; none of it gets to the module. Who sends many is read
+// rejectInvalid answers a request whose figures make no sense; none of it gets to the module. Who sends many is read
 // slowly, and then no more: guards against clients that send the same again as soon as it is turned away.
-func (c *conn) fault(tag uint64, err error) error {
+func (c *conn) rejectInvalid(tag uint64, err error) error {
 	c.mu.Lock()
-	_, twice := c.open[tag]
+	_, inUse := c.openRequests[tag]
 	c.mu.Unlock()
-	if twice {
+	if inUse {
 		return err
 	}
-	if c.faults++; c.faults > mostFaults {
-		return errFaults
+	if c.invalidRequests++; c.invalidRequests > maxInvalidRequests {
+		return errTooManyInvalid
 	}
-	c.answer(tag, core.Outcome{Verdict: core.Failed})
-	rested := make(chan struct{})
-	c.front.clock.After(faultPause, func() { close(rested) })
-	<-rested
+	c.sendAnswer(tag, core.Outcome{Verdict: core.Failed})
+	delayed := make(chan struct{})
+	c.front.clock.After(invalidRequestDelayMS, func() { close(delayed) })
+	<-delayed
 	return nil
 }
 
-// answer gives a request its one answer.
-func (c *conn) answer(tag uint64, o core.Outcome) {
-	say, says := c.front.core.Say()
-	c.send(func(b []byte) []byte {
-		delete(c.open, tag)
-		c.used = c.front.clock.Now()
-		c.served = c.served || o.Verdict == core.Served
-		o.Forged = o.Forged && !c.served
-		return appendAnswer(b, tag, say, says, o)
+// sendAnswer gives a request its one answer.
+func (c *conn) sendAnswer(tag uint64, o core.Outcome) {
+	hint, hasHint := c.front.core.Hint()
+	c.enqueue(func(b []byte) []byte {
+		delete(c.openRequests, tag)
+		c.lastUsedMS = c.front.clock.Now()
+		c.servedRequest = c.servedRequest || o.Verdict == core.Served
+		o.UnknownRequest = o.UnknownRequest && !c.servedRequest
+		return appendAnswer(b, tag, hint, hasHint, o)
 	})
-	if o.Forged && !c.forged.Swap(true) {
+	if o.UnknownRequest && !c.forgedSeen.Swap(true) {
 		// What came beside it is most likely as false: it fails, but for what runs already.
 		c.mu.Lock()
-		var beside []*core.Handler
-		for _, l := range c.open {
-			if l != nil {
-				beside = append(beside, l)
+		var others []*core.Handler
+		for _, handler := range c.openRequests {
+			if handler != nil {
+				others = append(others, handler)
 			}
 		}
 		c.mu.Unlock()
-		for _, l := range beside {
-			l.Spurn()
+		for _, handler := range others {
+			handler.FailUnlessStarted()
 		}
 	}
 }
 
-// send queues bytes for the writer and never waits.
-func (c *conn) send(add func([]byte) []byte) {
+// enqueue queues bytes for the writer and never waits.
+func (c *conn) enqueue(appendTo func([]byte) []byte) {
 	c.mu.Lock()
-	c.out = add(c.out)
-	full := !c.broken && len(c.out) > mostUnsent
-	if c.broken = c.broken || full; c.broken {
-		c.out = nil
+	c.unsent = appendTo(c.unsent)
+	overflow := !c.broken && len(c.unsent) > maxUnsentBytes
+	if c.broken = c.broken || overflow; c.broken {
+		c.unsent = nil
 	}
 	c.mu.Unlock()
-	if full {
+	if overflow {
 		c.nc.Close() // it does not read its answers
 	}
-	c.wake()
+	c.wakeWriter()
 }
 
-func (c *conn) wake() {
+func (c *conn) wakeWriter() {
 	select {
-	case c.kick <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// closing asks the router for no new requests.
-func (c *conn) closing() {
+// sendClosing asks the router for no new requests.
+func (c *conn) sendClosing() {
 	c.mu.Lock()
-	told := c.told
-	if !told {
-		c.told, c.toldAt = true, c.front.clock.Now()
+	sent := c.closingSent
+	if !sent {
+		c.closingSent, c.closingSentMS = true, c.front.clock.Now()
 	}
 	c.mu.Unlock()
-	if !told {
-		c.send(appendClosing)
+	if !sent {
+		c.enqueue(appendClosing)
 	}
 }
 
 func (c *conn) idleSince(ms float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.open) == 0 && !c.within && !c.writing && len(c.out) == 0 && c.used <= ms
+	return len(c.openRequests) == 0 && !c.inCommand && !c.writing && len(c.unsent) == 0 && c.lastUsedMS <= ms
 }
 
-func (c *conn) wasTold(ms float64) bool {
+func (c *conn) closingSentBy(ms float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.told && c.toldAt <= ms
+	return c.closingSent && c.closingSentMS <= ms
 }
 
-// missedLess orders idle connections by how little their end would harm.
-func (c *conn) missedLess(o *conn) bool {
-	spoke, used := c.state()
-	otherSpoke, otherUsed := o.state()
-	if spoke != otherSpoke {
-		return !spoke
+// evictBefore orders idle connections by how little their end would harm.
+func (c *conn) evictBefore(other *conn) bool {
+	received, lastUsedMS := c.activity()
+	otherReceived, otherLastUsedMS := other.activity()
+	if received != otherReceived {
+		return !received
 	}
-	return used < otherUsed
+	return lastUsedMS < otherLastUsedMS
 }
 
-func (c *conn) state() (spoke bool, used float64) {
+func (c *conn) activity() (receivedCommand bool, lastUsedMS float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.spoke, c.used
+	return c.receivedCommand, c.lastUsedMS
 }
 
-func (c *conn) unsettled() bool {
+func (c *conn) hasPendingData() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.broken && (c.writing || len(c.out) > 0 || !c.ended && (c.within || !accept.Quiet(c.nc)))
+	return !c.broken && (c.writing || len(c.unsent) > 0 || !c.readDone && (c.inCommand || !accept.Quiet(c.nc)))
 }
 
-// write sends what is queued, and closes the connection when nothing more can come.
-func (c *conn) write() {
-	defer c.front.leave(c)
+// writeLoop sends what is queued, and closes the connection when nothing more can come.
+func (c *conn) writeLoop() {
+	defer c.front.removeConn(c)
 	defer c.nc.Close()
 	var buf []byte
-	for range c.kick {
+	for range c.wakeup {
 		for {
 			c.mu.Lock()
-			buf, c.out = c.out, buf[:0]
+			buf, c.unsent = c.unsent, buf[:0]
 			c.writing = len(buf) > 0
-			over := c.broken || c.ended && len(c.open) == 0 && len(buf) == 0
+			finished := c.broken || c.readDone && len(c.openRequests) == 0 && len(buf) == 0
 			c.mu.Unlock()
-			if over {
+			if finished {
 				return
 			}
 			if len(buf) == 0 {
@@ -598,12 +598,12 @@
 			if _, err := c.nc.Write(buf); err != nil {
 				c.mu.Lock()
 				c.broken = true
-				left := c.open
-				c.open = map[uint64]*core.Handler{}
+				abandoned := c.openRequests
+				c.openRequests = map[uint64]*core.Handler{}
 				c.mu.Unlock()
-				for _, l := range left {
-					if l != nil {
-						l.Gone()
+				for _, handler := range abandoned {
+					if handler != nil {
+						handler.CallerGone()
 					}
 				}
 				return
--- a/internal/net/stories_test.go
+++ b/internal/net/stories_test.go
@@ -86,7 +86,7 @@
 // notice is sent again.
 func TestSilentLinkIsMadeAnew(t *testing.T) {
 	x := newExecutor(t)
-	h := withExecutor(t, x, "127.0.0.1:1", func(l *executor.Link) { l.Silent = 2 * time.Second })
+	h := withExecutor(t, x, "127.0.0.1:1", func(l *executor.Link) { l.ReadTimeout = 2 * time.Second })
 	x.welcome(0)
 	x.pass()
 	p := h.router()
@@ -228,16 +228,16 @@
 		result string
 	}{
 		{"ok", reply(200, ""), 1e6, policy.OK, "body"}, {"full", reply(503, "1"), 1e6, policy.Full, ""},
-		{"a 503 that proves nothing", reply(503, ""), 1e6, policy.Failed, ""}, {"moot", reply(409, "1"), 1e6, policy.Moot, ""},
+		{"a 503 that proves nothing", reply(503, ""), 1e6, policy.Failed, ""}, {"moot", reply(409, "1"), 1e6, policy.NotRun, ""},
 		{"failed", reply(500, ""), 1e6, policy.Failed, ""}, {"overdue", reply(504, ""), 1e6, policy.TimedOut, ""},
-		{"own limit", hang, 20, policy.TimedOut, ""}, {"broken", broken, 1e6, policy.CutOff, ""},
+		{"own limit", hang, 20, policy.TimedOut, ""}, {"broken", broken, 1e6, policy.InvalidReply, ""},
 	} {
 		got, body := vault.New(newVault(t, c.do), clock.System()).Call(t.Context(), id(1), c.maxMs, []byte("x"))
 		if got != c.want || string(body) != c.result {
 			t.Errorf("%s: %v %q, want %v %q", c.name, got, body, c.want, c.result)
 		}
 	}
-	if got, _ := vault.New("127.0.0.1:1", clock.System()).Call(context.Background(), id(1), 1e6, nil); got != policy.Unreached {
+	if got, _ := vault.New("127.0.0.1:1", clock.System()).Call(context.Background(), id(1), 1e6, nil); got != policy.Unreachable {
 		t.Errorf("refused: %v", got)
 	}
 }
@@ -256,15 +256,15 @@
 		{"a second copy behind", good + strings.Replace(good, "body", "evil", 1), false, policy.OK},
 		{"noise behind", good + "\x00\xff\x17noise", false, policy.OK},
 		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", false, policy.OK},
-		{"noise", "\x00\xff\x17noise\r\n\r\n", false, policy.CutOff},
-		{"no end of 1xx heads", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100), false, policy.CutOff},
-		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Y: z\r\n", 20000), false, policy.CutOff},
-		{"a head cut short", "HTTP/1.1 200 OK\r\nConte", true, policy.CutOff},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nbody", false, policy.CutOff},
-		{"a negative length", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nbody", false, policy.CutOff},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 2\r\n\r\nbody", false, policy.CutOff},
-		{"a body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody", true, policy.CutOff},
-		{"a body of no told length", "HTTP/1.1 200 OK\r\n\r\nbody", true, policy.CutOff},
+		{"noise", "\x00\xff\x17noise\r\n\r\n", false, policy.InvalidReply},
+		{"no end of 1xx heads", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100), false, policy.InvalidReply},
+		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Y: z\r\n", 20000), false, policy.InvalidReply},
+		{"a head cut short", "HTTP/1.1 200 OK\r\nConte", true, policy.InvalidReply},
+		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nbody", false, policy.InvalidReply},
+		{"a negative length", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nbody", false, policy.InvalidReply},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 2\r\n\r\nbody", false, policy.InvalidReply},
+		{"a body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody", true, policy.InvalidReply},
+		{"a body of no told length", "HTTP/1.1 200 OK\r\n\r\nbody", true, policy.InvalidReply},
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		must(t, err)
@@ -322,8 +322,8 @@
 	x.want("DIAG")
 	y := newExecutor(t)
 	y.n = x.n
-	h.link.Move(y.ln.Addr().String())
-	h.vault.Move(newVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "from the new") }))
+	h.link.SetAddress(y.ln.Addr().String())
+	h.vault.SetAddress(newVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "from the new") }))
 	y.welcome(1)
 	y.pass()
 	y.say("DIAGNOSED %s success", y.want("DIAG").words[1])
--- a/internal/net/uwsgi/codec.go
+++ b/internal/net/uwsgi/codec.go
@@ -18,22 +18,22 @@
 // The variables that tell what a request is. A gateway sets them itself; it must not take them from its
 // callers' headers. All but the class may be absent.
 const (
-	varClass = "ORDER_CLASS" // else the path names it: /book-delivery
-	varID    = "ORDER_ID"    // 16 hex digits; else one is drawn
-	varAt    = "ORDER_AT"    // when it reached the machine, in Unix milliseconds; else now
-	varWait  = "ORDER_WAIT"  // how long the caller waits from then, in milliseconds; else the class's deadline
-	varFrom  = "ORDER_FROM"  // the number of the caller
-	varRetry = "ORDER_RETRY" // 1: a further try
-	varKey   = "ORDER_KEY"   // what a read is about
-	varKB    = "ORDER_KB"    // memory booked while it is held
-	varRank  = "ORDER_RANK"
-	varOnce  = "ORDER_ONCE"   // in keyed classes: the same for all tries of one request
-	varFor   = "ORDER_TENANT" // the tenant
-	varCost  = "ORDER_COST"   // the work to expect, in milliseconds on one core
+	varClass          = "ORDER_CLASS" // else the path names it: /book-delivery
+	varID             = "ORDER_ID"    // 16 hex digits; else one is drawn
+	varArrival        = "ORDER_AT"    // when it reached the machine, in Unix milliseconds; else now
+	varWait           = "ORDER_WAIT"  // how long the caller waits from then, in milliseconds; else the class's deadline
+	varCaller         = "ORDER_FROM"  // the number of the caller
+	varRetry          = "ORDER_RETRY" // 1: a further try
+	varKey            = "ORDER_KEY"   // what a read is about
+	varKB             = "ORDER_KB"    // memory booked while it is held
+	varRank           = "ORDER_RANK"
+	varIdempotencyKey = "ORDER_ONCE"   // in keyed classes: the same for all tries of one request
+	varTenant         = "ORDER_TENANT" // the tenant
+	varCost           = "ORDER_COST"   // the work to expect, in milliseconds on one core
 )
 
-// mostVars is the largest size that the header can tell.
-const mostVars = 1<<16 - 1
+// maxVarsBytes is the largest size that the header can tell.
+const maxVarsBytes = 1<<16 - 1
 
 var (
 	errMalformed = errors.New("malformed packet")
@@ -47,17 +47,17 @@
 }
 
 // readPacket reads one packet whose body has at most so many bytes.
-func readPacket(r io.Reader, mostBody int) (*packet, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+func readPacket(r io.Reader, maxBodyBytes int) (*packet, error) {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
-	if head[0] != 0 || head[3] != 0 {
-		return nil, fmt.Errorf("%w: modifiers %d and %d are not for requests", errMalformed, head[0], head[3])
+	if header[0] != 0 || header[3] != 0 {
+		return nil, fmt.Errorf("%w: modifiers %d and %d are not for requests", errMalformed, header[0], header[3])
 	}
-	block := make([]byte, binary.LittleEndian.Uint16(head[1:3]))
+	block := make([]byte, binary.LittleEndian.Uint16(header[1:3]))
 	if _, err := io.ReadFull(r, block); err != nil {
-		return nil, noEOF(err)
+		return nil, unexpectedEOF(err)
 	}
 	vars, err := parseVars(block)
 	if err != nil {
@@ -69,28 +69,28 @@
 			return nil, fmt.Errorf("%w: CONTENT_LENGTH is not a length", errMalformed)
 		}
 	}
-	if length > mostBody {
+	if length > maxBodyBytes {
 		return nil, fmt.Errorf("%w: a body of %d bytes", errOversized, length)
 	}
 	body := pool.Get(length)
 	if _, err := io.ReadFull(r, body); err != nil {
 		pool.Put(body)
-		return nil, noEOF(err)
+		return nil, unexpectedEOF(err)
 	}
 	return &packet{vars, body}, nil
 }
 
 // ReadPacket reads one request as a server does: its variables and its body.
-func ReadPacket(r io.Reader, mostBody int) (map[string]string, []byte, error) {
-	p, err := readPacket(r, mostBody)
+func ReadPacket(r io.Reader, maxBodyBytes int) (map[string]string, []byte, error) {
+	p, err := readPacket(r, maxBodyBytes)
 	if err != nil {
 		return nil, nil, err
 	}
 	return p.vars, p.body, nil
 }
 
-// noEOF tells an end within a packet from one before it.
-func noEOF(err error) error {
+// unexpectedEOF tells an end within a packet from one before it.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -99,7 +99,7 @@
 
 func parseVars(b []byte) (map[string]string, error) {
 	vars := map[string]string{}
-	word := func() (string, bool) {
+	readString := func() (string, bool) {
 		if len(b) < 2 {
 			return "", false
 		}
@@ -112,11 +112,11 @@
 		return s, true
 	}
 	for len(b) > 0 {
-		k, ok := word()
+		k, ok := readString()
 		if !ok || k == "" {
 			return nil, fmt.Errorf("%w: a variable's name", errMalformed)
 		}
-		v, ok := word()
+		v, ok := readString()
 		if !ok {
 			return nil, fmt.Errorf("%w: the value of %q", errMalformed, k)
 		}
@@ -133,7 +133,7 @@
 		names = append(names, k)
 		size += 4 + len(k) + len(v)
 	}
-	if size > mostVars {
+	if size > maxVarsBytes {
 		return b, fmt.Errorf("%w: variables of %d bytes", errOversized, size)
 	}
 	sort.Strings(names)
--- a/internal/net/uwsgi/front.go
+++ b/internal/net/uwsgi/front.go
@@ -25,28 +25,28 @@
 )
 
 const (
-	lingerFor  = 200 * time.Millisecond // an answer given before all was read gets so long to be taken
-	lingerMost = 1 << 20
-	writeFor   = 2 * time.Second // a caller that does not read its answer holds nothing for longer
-	midRank    = 0.5
+	lingerTimeout  = 200 * time.Millisecond // an answer given before all was read gets so long to be taken
+	maxLingerBytes = 1 << 20
+	writeTimeout   = 2 * time.Second // a caller that does not read its answer holds nothing for longer
+	defaultRank    = 0.5
 )
 
 // Front takes requests from gateways, one on each connection.
 type Front struct {
-	set   config.UWSGI
-	core  *core.Core
-	clock *clock.Clock
-	log   zerolog.Logger
-	ln    *accept.Listener
+	settings config.UWSGI
+	core     *core.Core
+	clock    *clock.Clock
+	log      zerolog.Logger
+	ln       *accept.Listener
 
-	mu      sync.Mutex
-	conns   map[net.Conn]bool // true while the request is being read
-	shutAll bool
+	mu           sync.Mutex
+	conns        map[net.Conn]bool // true while the request is being read
+	shuttingDown bool
 }
 
 // New makes a front on a listening socket; Serve has to be called next.
-func New(ln *accept.Listener, set config.UWSGI, c *core.Core, clk *clock.Clock, log zerolog.Logger) *Front {
-	return &Front{set: set, core: c, clock: clk, log: log, ln: ln, conns: map[net.Conn]bool{}}
+func New(ln *accept.Listener, settings config.UWSGI, c *core.Core, clk *clock.Clock, log zerolog.Logger) *Front {
+	return &Front{settings: settings, core: c, clock: clk, log: log, ln: ln, conns: map[net.Conn]bool{}}
 }
 
 // Addr is where the front listens.
@@ -57,8 +57,8 @@
 	f.ln.Serve(func(conn net.Conn) {
 		f.mu.Lock()
 		open := len(f.conns)
-		full := open >= f.set.Conns
-		if open >= 2*f.set.Conns { // even those to be turned away hold a descriptor each for a while
+		full := open >= f.settings.MaxConnections
+		if open >= 2*f.settings.MaxConnections { // even those to be turned away hold a descriptor each for a while
 			f.mu.Unlock()
 			conn.Close()
 			return
@@ -73,11 +73,11 @@
 				conn.Close()
 			}()
 			if full {
-				respond(conn, http.StatusServiceUnavailable, 1, nil)
+				writeResponse(conn, http.StatusServiceUnavailable, 1, nil)
 				linger(conn)
 				return
 			}
-			f.serve(conn)
+			f.serveConn(conn)
 		}()
 	})
 }
@@ -85,12 +85,12 @@
 // Drain does nothing: each connection carries one request, and the module decides on those that still come.
 func (f *Front) Drain() {}
 
-// Shut closes the listener, and ends the reading of what is not yet a whole request: its caller hears 408.
-func (f *Front) Shut() {
+// StopAccepting closes the listener, and ends the reading of what is not yet a whole request: its caller hears 408.
+func (f *Front) StopAccepting() {
 	f.ln.Shut()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shutAll = true
+	f.shuttingDown = true
 	for conn, reading := range f.conns {
 		if reading {
 			conn.SetReadDeadline(time.Now())
@@ -118,23 +118,23 @@
 	}
 }
 
-// serve reads one request and gives it one answer, whatever it looks like.
-func (f *Front) serve(conn net.Conn) {
-	reached := f.clock.Now()
+// serveConn reads one request and gives it one answer, whatever it looks like.
+func (f *Front) serveConn(conn net.Conn) {
+	arrivedMS := f.clock.Now()
 	f.mu.Lock()
-	limit := time.Now()
-	if !f.shutAll {
-		limit = limit.Add(clock.Duration(f.set.ReadMs))
+	deadline := time.Now()
+	if !f.shuttingDown {
+		deadline = deadline.Add(clock.Duration(f.settings.ReadTimeoutMS))
 	}
-	conn.SetReadDeadline(limit)
+	conn.SetReadDeadline(deadline)
 	f.mu.Unlock()
-	p, err := readPacket(conn, f.set.MaxBody)
+	p, err := readPacket(conn, f.settings.MaxBodyBytes)
 	if err == io.EOF {
 		return // nothing was sent
 	}
 	var q *core.Request
 	if err == nil {
-		if q, err = f.request(p, reached); err != nil {
+		if q, err = f.parseRequest(p, arrivedMS); err != nil {
 			pool.Put(p.body)
 		}
 	}
@@ -145,7 +145,7 @@
 			status = http.StatusRequestTimeout
 		}
 		f.log.Debug().Err(err).Int("status", status).Msg("no uwsgi request")
-		respond(conn, status, 0, nil)
+		writeResponse(conn, status, 0, nil)
 		linger(conn)
 		return
 	}
@@ -156,36 +156,36 @@
 	f.mu.Unlock()
 	answered := make(chan struct{})
 	handler := f.core.Open(q, func(o core.Outcome) {
-		status, after := status(o)
-		respond(conn, status, after, o.Result)
+		status, retryAfterS := httpStatus(o)
+		writeResponse(conn, status, retryAfterS, o.Result)
 		close(answered)
 	})
 	// The caller's close ends the waiting; what it sends besides is none of the request.
-	left := make(chan struct{})
+	disconnected := make(chan struct{})
 	go func() {
 		io.Copy(io.Discard, conn)
-		close(left)
+		close(disconnected)
 	}()
 	select {
 	case <-answered:
-	case <-left:
-		handler.Gone()
+	case <-disconnected:
+		handler.CallerGone()
 		return
 	}
 	linger(conn)
 }
 
-// request reads the variables of a packet.
-func (f *Front) request(p *packet, reached float64) (*core.Request, error) {
+// parseRequest reads the variables of a packet.
+func (f *Front) parseRequest(p *packet, arrivedMS float64) (*core.Request, error) {
 	v := p.vars
-	q := &core.Request{ID: v[varID], Class: v[varClass], At: reached, Retry: v[varRetry] == "1", KB: f.set.KB,
-		Rank: midRank, Key: v[varKey], Once: v[varOnce], For: v[varFor], Body: p.body}
+	q := &core.Request{ID: v[varID], Class: v[varClass], ArrivedAt: arrivedMS, Retry: v[varRetry] == "1", KB: f.settings.DefaultRequestKB,
+		Rank: defaultRank, Key: v[varKey], IdempotencyKey: v[varIdempotencyKey], Tenant: v[varTenant], Body: p.body}
 	if q.Class == "" {
-		at := v["PATH_INFO"]
-		if at == "" {
-			at, _, _ = strings.Cut(v["REQUEST_URI"], "?")
+		uri := v["PATH_INFO"]
+		if uri == "" {
+			uri, _, _ = strings.Cut(v["REQUEST_URI"], "?")
 		}
-		q.Class = path.Base(at)
+		q.Class = path.Base(uri)
 	}
 	if q.ID == "" {
 		var b [8]byte
@@ -198,7 +198,7 @@
 	for _, n := range []struct {
 		name string
 		to   *float64
-	}{{varAt, &q.At}, {varWait, &q.Wait}, {varFrom, &from}, {varKB, &q.KB}, {varRank, &q.Rank}, {varCost, &q.Cost}} {
+	}{{varArrival, &q.ArrivedAt}, {varWait, &q.WaitMS}, {varCaller, &from}, {varKB, &q.KB}, {varRank, &q.Rank}, {varCost, &q.CostMS}} {
 		s := v[n.name]
 		if s == "" {
 			continue
@@ -209,39 +209,39 @@
 		}
 		*n.to = x
 	}
-	q.From = int64(from)
-	if err := q.Check(reached); err != nil {
+	q.Caller = int64(from)
+	if err := q.Check(arrivedMS); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	q.At = min(q.At, reached) // a gateway whose clock is ahead must not lengthen the wait
+	q.ArrivedAt = min(q.ArrivedAt, arrivedMS) // a gateway whose clock is ahead must not lengthen the wait
 	return q, nil
 }
 
-// status maps an outcome; after is in seconds.
-func status(o core.Outcome) (status, after int) {
+// httpStatus maps an outcome; after is in seconds.
+func httpStatus(o core.Outcome) (httpStatus, retryAfterS int) {
 	switch {
 	case o.Verdict == core.Served:
 		return http.StatusOK, 0
-	case o.Verdict == core.Refused && o.Unknown:
+	case o.Verdict == core.Refused && o.UnknownClass:
 		return http.StatusNotFound, 0
 	case o.Verdict == core.Refused:
-		return http.StatusServiceUnavailable, max(int(math.Ceil(o.After/1000)), 1)
+		return http.StatusServiceUnavailable, max(int(math.Ceil(o.RetryAfterMS/1000)), 1)
 	case o.Verdict == core.Overdue:
 		return http.StatusGatewayTimeout, 0
 	}
 	return http.StatusBadGateway, 0
 }
 
-// respond writes the one answer.
-func respond(conn net.Conn, status, after int, body []byte) {
+// writeResponse writes the one answer.
+func writeResponse(conn net.Conn, status, retryAfterS int, body []byte) {
 	b := pool.Get(pool.Size)[:0]
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
-	if after > 0 {
-		b = fmt.Appendf(b, "Retry-After: %d\r\n", after)
+	if retryAfterS > 0 {
+		b = fmt.Appendf(b, "Retry-After: %d\r\n", retryAfterS)
 	}
 	b = append(b, "Content-Type: application/octet-stream\r\nConnection: close\r\n\r\n"...)
 	b = append(b, body...)
-	conn.SetWriteDeadline(time.Now().Add(writeFor))
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	conn.Write(b)
 	pool.Put(b)
 }
@@ -252,6 +252,6 @@
 	if t, ok := conn.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	conn.SetReadDeadline(time.Now().Add(lingerFor))
-	io.Copy(io.Discard, io.LimitReader(conn, lingerMost))
+	conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.Copy(io.Discard, io.LimitReader(conn, maxLingerBytes))
 }
--- a/internal/net/uwsgi/runner.go
+++ b/internal/net/uwsgi/runner.go
@@ -23,33 +23,33 @@
 
 // Runner runs requests by sending them to uwsgi servers.
 type Runner struct {
-	servers    atomic.Pointer[[]string]
-	mostResult int
-	clock      *clock.Clock
-	log        zerolog.Logger
-	dialer     net.Dialer
-	next       atomic.Uint32
+	servers        atomic.Pointer[[]string]
+	maxResultBytes int
+	clock          *clock.Clock
+	log            zerolog.Logger
+	dialer         net.Dialer
+	nextServer     atomic.Uint32
 }
 
 // NewRunner makes a runner behind the core.
-func NewRunner(set config.UWSGI, clk *clock.Clock, log zerolog.Logger) *Runner {
-	r := &Runner{mostResult: set.MaxResult, clock: clk, log: log}
-	r.Move(set.Servers)
+func NewRunner(settings config.UWSGI, clk *clock.Clock, log zerolog.Logger) *Runner {
+	r := &Runner{maxResultBytes: settings.MaxResultBytes, clock: clk, log: log}
+	r.SetServers(settings.Servers)
 	return r
 }
 
-// Move sends what starts from now on to other servers.
-func (r *Runner) Move(servers []string) { r.servers.Store(&servers) }
+// SetServers sends what starts from now on to other servers.
+func (r *Runner) SetServers(servers []string) { r.servers.Store(&servers) }
 
 // Start sends the request on, and tells the end.
 func (r *Runner) Start(a *core.Attempt) {
 	go func() {
-		begun := r.clock.Now()
+		startedMS := r.clock.Now()
 		outcome, result, err := r.run(a)
 		if err != nil {
 			r.log.Warn().Err(err).Str("id", a.Request.ID).Msg("run failed")
 		}
-		a.Notify(core.Notice{Ended: true, Outcome: outcome, Took: r.clock.Now() - begun, Body: result})
+		a.Notify(core.Notice{Ended: true, Outcome: outcome, TookMS: r.clock.Now() - startedMS, Body: result})
 	}()
 }
 
@@ -69,19 +69,19 @@
 		varWait: strconv.FormatInt(int64(math.Max(a.Due-r.clock.Now(), 1)), 10),
 	})
 	if err != nil {
-		return policy.Moot, nil, err
+		return policy.NotRun, nil, err
 	}
 	var conn net.Conn
-	first, servers := r.next.Add(1), *r.servers.Load()
+	first, servers := r.nextServer.Add(1), *r.servers.Load()
 	err = errors.New("no uwsgi server is left")
 	for i := range servers {
-		at := servers[(int(first)+i)%len(servers)]
-		if conn, err = r.dialer.DialContext(ctx, "tcp", at); err == nil {
+		address := servers[(int(first)+i)%len(servers)]
+		if conn, err = r.dialer.DialContext(ctx, "tcp", address); err == nil {
 			break
 		}
 	}
 	if err != nil {
-		return policy.Moot, nil, err
+		return policy.NotRun, nil, err
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
@@ -89,11 +89,11 @@
 	if _, err := (&net.Buffers{head, q.Body}).WriteTo(conn); err != nil {
 		return policy.Failed, nil, err
 	}
-	return r.response(conn)
+	return r.readResponse(conn)
 }
 
-// response reads the HTTP response of a server.
-func (r *Runner) response(conn net.Conn) (policy.Outcome, []byte, error) {
+// readResponse reads the HTTP response of a server.
+func (r *Runner) readResponse(conn net.Conn) (policy.Outcome, []byte, error) {
 	resp, err := http.ReadResponse(bufio.NewReaderSize(conn, 4096), nil)
 	if err != nil {
 		return policy.Failed, nil, err
@@ -102,8 +102,8 @@
 	if resp.StatusCode != http.StatusOK {
 		return policy.Failed, nil, fmt.Errorf("the server answered %s", resp.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(r.mostResult)+1))
-	if err == nil && len(body) > r.mostResult {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(r.maxResultBytes)+1))
+	if err == nil && len(body) > r.maxResultBytes {
 		err = errors.New("the result is too long")
 	}
 	if err != nil {
@@ -118,11 +118,11 @@
 // Skip is for runs that make calls.
 func (r *Runner) Skip(*core.Attempt, uint64) {}
 
-// Drop lets the run go on to its end or its due time: to break it off would not undo it.
-func (r *Runner) Drop(*core.Attempt) {}
+// Abandon lets the run go on to its end or its due time: to break it off would not undo it.
+func (r *Runner) Abandon(*core.Attempt) {}
 
-// Meter tells nothing: a uwsgi server has no gauges, and the module then counts its own starts.
-func (r *Runner) Meter(func([]float64)) {}
+// ReadGauges tells nothing: a uwsgi server has no gauges, and the module then counts its own starts.
+func (r *Runner) ReadGauges(func([]float64)) {}
 
 // Diagnose can't tell.
 func (r *Runner) Diagnose(func(bool)) bool { return false }
--- a/internal/net/vault/vault.go
+++ b/internal/net/vault/vault.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	mostReply   = 64 << 10 // bytes of a reply's body; true ones are a few KiB
-	mostHeads   = 16 << 10 // bytes of all heads before it
-	mostInterim = 8        // 1xx heads before the final one
-	unseen      = "X-Refused-Unseen"
+	maxReplyBytes       = 64 << 10 // bytes of a reply's body; true ones are a few KiB
+	maxHeaderBytes      = 16 << 10 // bytes of all heads before it
+	maxInterimResponses = 8        // 1xx heads before the final one
+	refusedUnseenHeader = "X-Refused-Unseen"
 )
 
 // Client makes the calls.
@@ -41,18 +41,18 @@
 // New makes a client of one vault.
 func New(address string, clk *clock.Clock) *Client { return &Client{address: address, clock: clk} }
 
-// Move sends the calls to come to a new address; those under way go on where they are.
-func (c *Client) Move(address string) {
+// SetAddress sends the calls to come to a new address; those under way go on where they are.
+func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.address = address
 }
 
 // Call makes one call and tells how it ended. The reply's buffer is the caller's.
-func (c *Client) Call(ctx context.Context, id string, maxMs float64, body []byte) (policy.Outcome, []byte) {
+func (c *Client) Call(ctx context.Context, id string, timeoutMS float64, body []byte) (policy.Outcome, []byte) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := c.clock.After(maxMs, func() { cancel(context.DeadlineExceeded) })
+	timer := c.clock.After(timeoutMS, func() { cancel(context.DeadlineExceeded) })
 	defer timer.Stop()
 
 	c.mu.Lock()
@@ -60,46 +60,46 @@
 	c.mu.Unlock()
 	conn, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return policy.Unreached, nil // never connected, so no call ran, whatever ended the dialing
+		return policy.Unreachable, nil // never connected, so no call ran, whatever ended the dialing
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
-	outcome, reply := exchange(conn, id, maxMs, body)
-	if !stop() && outcome == policy.CutOff && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+	outcome, reply := roundTrip(conn, id, timeoutMS, body)
+	if !stop() && outcome == policy.InvalidReply && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		outcome = policy.TimedOut
 	}
 	return outcome, reply
 }
 
-// exchange sends one call on a connection and reads the reply; a break tells nothing about what ran.
-func exchange(conn net.Conn, id string, maxMs float64, body []byte) (policy.Outcome, []byte) {
+// roundTrip sends one call on a connection and reads the reply; a break tells nothing about what ran.
+func roundTrip(conn net.Conn, id string, timeoutMS float64, body []byte) (policy.Outcome, []byte) {
 	b := pool.Get(pool.Size)[:0]
 	b = fmt.Appendf(b, "POST /v2/read HTTP/1.1\r\nHost: vault\r\nX-Ticket: %s\r\nX-Max-Ms: %d\r\nContent-Length: %d\r\n\r\n",
-		id, int64(max(math.Ceil(maxMs), 1)), len(body))
+		id, int64(max(math.Ceil(timeoutMS), 1)), len(body))
 	b = append(b, body...)
 	_, err := conn.Write(b)
 	pool.Put(b)
 	if err != nil {
-		return policy.CutOff, nil
+		return policy.InvalidReply, nil
 	}
 	// Guards against heads without end, and against replies that keep coming.
-	resp, err := finalHead(bufio.NewReaderSize(io.LimitReader(conn, mostHeads+mostReply), 4096))
+	resp, err := readFinalResponse(bufio.NewReaderSize(io.LimitReader(conn, maxHeaderBytes+maxReplyBytes), 4096))
 	if err != nil {
-		return policy.CutOff, nil
+		return policy.InvalidReply, nil
 	}
 	reply, err := readBody(resp) // never closed: to close a body of 3 GB reads it to its end
 	if err != nil {
 		pool.Put(reply)
-		return policy.CutOff, nil
+		return policy.InvalidReply, nil
 	}
 	var outcome policy.Outcome
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return policy.OK, reply
-	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(unseen) == "1":
+	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(refusedUnseenHeader) == "1":
 		outcome = policy.Full
-	case resp.StatusCode == http.StatusConflict && resp.Header.Get(unseen) == "1":
-		outcome = policy.Moot
+	case resp.StatusCode == http.StatusConflict && resp.Header.Get(refusedUnseenHeader) == "1":
+		outcome = policy.NotRun
 	case resp.StatusCode == http.StatusGatewayTimeout:
 		outcome = policy.TimedOut
 	default:
@@ -109,9 +109,9 @@
 	return outcome, nil
 }
 
-// finalHead reads past the 1xx heads, which come before the answer and are none.
-func finalHead(r *bufio.Reader) (*http.Response, error) {
-	for range mostInterim + 1 {
+// readFinalResponse reads past the 1xx heads, which come before the answer and are none.
+func readFinalResponse(r *bufio.Reader) (*http.Response, error) {
+	for range maxInterimResponses + 1 {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil || resp.StatusCode >= http.StatusOK {
 			return resp, err
@@ -128,7 +128,7 @@
 func readBody(resp *http.Response) ([]byte, error) {
 	n := resp.ContentLength
 	switch {
-	case n > mostReply:
+	case n > maxReplyBytes:
 		return nil, errors.New("reply too long")
 	case n >= 0:
 		b := pool.Get(int(n))
@@ -137,8 +137,8 @@
 	case len(resp.TransferEncoding) == 0:
 		return nil, errors.New("no length")
 	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, mostReply+1))
-	if err == nil && len(b) > mostReply {
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
+	if err == nil && len(b) > maxReplyBytes {
 		err = errors.New("reply too long")
 	}
 	return b, err
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -6,7 +6,7 @@
 // Size holds every body and result that the platform's protocol allows, with the words round them.
 const Size = 8 << 10
 
-var free = sync.Pool{New: func() any { return new([Size]byte) }}
+var buffers = sync.Pool{New: func() any { return new([Size]byte) }}
 
 // Get lends a buffer of n bytes. What is larger than the one size comes from the heap and goes back there:
 // it is rare, and would keep the pool from having one size.
@@ -14,7 +14,7 @@
 	if n > Size {
 		return make([]byte, n)
 	}
-	return free.Get().(*[Size]byte)[:n]
+	return buffers.Get().(*[Size]byte)[:n]
 }
 
 // Copy lends a buffer that holds the same bytes.
@@ -27,6 +27,6 @@
 // Put takes a buffer back. The caller must not hold any part of it after.
 func Put(b []byte) {
 	if cap(b) == Size {
-		free.Put((*[Size]byte)(b[:Size]))
+		buffers.Put((*[Size]byte)(b[:Size]))
 	}
 }
--- a/internal/publish/publish.go
+++ b/internal/publish/publish.go
@@ -19,19 +19,19 @@
 
 // Bounds of a version.
 const (
-	MostFiles = 16
-	MostBytes = 256 << 10
-	keep      = 8 // versions that are remembered
+	MaxFiles    = 16
+	MaxBytes    = 256 << 10
+	maxVersions = 8 // versions that are remembered
 )
 
-// Sum is one line of a manifest.
-type Sum struct{ Digest, Name string }
+// ManifestEntry is one line of a manifest.
+type ManifestEntry struct{ Digest, Name string }
 
-var digest = regexp.MustCompile(`^[0-9a-f]{64}$`)
+var digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
 // ParseManifest reads a manifest. Its names are of files in its own folder.
-func ParseManifest(text []byte) ([]Sum, error) {
-	var sums []Sum
+func ParseManifest(text []byte) ([]ManifestEntry, error) {
+	var entries []ManifestEntry
 	if len(text) > 0 && text[len(text)-1] != '\n' {
 		return nil, errors.New("the last line is not whole")
 	}
@@ -40,24 +40,24 @@
 		d, name, ok := strings.Cut(s.Text(), " ")
 		name = strings.TrimPrefix(strings.TrimPrefix(name, " "), "*")
 		switch {
-		case !ok || !digest.MatchString(d):
+		case !ok || !digestPattern.MatchString(d):
 			return nil, fmt.Errorf("line %d: no sha256 digest and name", line)
 		case name == "" || name != filepath.Base(name) || name == "." || name == "..":
 			return nil, fmt.Errorf("line %d: %q is no file in the manifest's folder", line, name)
-		case slices.ContainsFunc(sums, func(o Sum) bool { return o.Name == name }):
+		case slices.ContainsFunc(entries, func(o ManifestEntry) bool { return o.Name == name }):
 			return nil, fmt.Errorf("line %d: %q stands twice", line, name)
 		}
-		sums = append(sums, Sum{d, name})
+		entries = append(entries, ManifestEntry{d, name})
 	}
 	switch {
 	case s.Err() != nil:
 		return nil, s.Err()
-	case len(sums) == 0:
+	case len(entries) == 0:
 		return nil, errors.New("names no file")
-	case len(sums) > MostFiles:
-		return nil, fmt.Errorf("names %d files, %d at most", len(sums), MostFiles)
+	case len(entries) > MaxFiles:
+		return nil, fmt.Errorf("names %d files, %d at most", len(entries), MaxFiles)
 	}
-	return sums, nil
+	return entries, nil
 }
 
 // File is one file of a version.
@@ -67,9 +67,9 @@
 }
 
 // Match tells whether files are what a manifest says, and names the first that is not.
-func Match(sums []Sum, files []File) error {
+func Match(entries []ManifestEntry, files []File) error {
 	size := 0
-	for i, s := range sums {
+	for i, s := range entries {
 		if i >= len(files) || files[i].Name != s.Name {
 			return fmt.Errorf("%s is missing", s.Name)
 		}
@@ -78,8 +78,8 @@
 			return fmt.Errorf("%s is not what the manifest says: it is being written, or was changed without it", s.Name)
 		}
 	}
-	if size > MostBytes {
-		return fmt.Errorf("%d bytes in all, %d at most", size, MostBytes)
+	if size > MaxBytes {
+		return fmt.Errorf("%d bytes in all, %d at most", size, MaxBytes)
 	}
 	return nil
 }
@@ -134,55 +134,55 @@
 }
 
 // Publish adds a version after the one that the publisher knew. The same files again are no new version.
-func (b *History) Publish(files []File, after, epoch uint64) (uint64, error) {
+func (b *History) Publish(files []File, known, epoch uint64) (uint64, error) {
 	last := b.Latest()
 	switch {
-	case last.No != after:
-		return 0, fmt.Errorf("publish: version %d is out, and the publisher knew %d", last.No, after)
-	case len(files) == 0 || len(files) > MostFiles:
+	case last.No != known:
+		return 0, fmt.Errorf("publish: version %d is out, and the publisher knew %d", last.No, known)
+	case len(files) == 0 || len(files) > MaxFiles:
 		return 0, fmt.Errorf("publish: %d files", len(files))
 	case last.No > 0 && Digest(last.Files) == Digest(files):
 		return last.No, nil
 	}
 	b.Versions = append(b.Versions, Version{No: last.No + 1, Epoch: epoch, Files: files})
-	if len(b.Versions) > keep {
-		b.Versions = slices.Clone(b.Versions[len(b.Versions)-keep:])
+	if len(b.Versions) > maxVersions {
+		b.Versions = slices.Clone(b.Versions[len(b.Versions)-maxVersions:])
 	}
 	return last.No + 1, nil
 }
 
-// Say books what a process made of a version; it may not speak of one that was never out.
-func (b *History) Say(who string, w Acknowledgement) error {
-	if w.No == 0 || w.No > b.Latest().No {
-		return fmt.Errorf("publish: there is no version %d", w.No)
+// Acknowledge books what a process made of a version; it may not speak of one that was never out.
+func (b *History) Acknowledge(process string, ack Acknowledgement) error {
+	if ack.No == 0 || ack.No > b.Latest().No {
+		return fmt.Errorf("publish: there is no version %d", ack.No)
 	}
-	if len(w.Reason) > 512 {
-		w.Reason = w.Reason[:512]
+	if len(ack.Reason) > 512 {
+		ack.Reason = ack.Reason[:512]
 	}
-	b.Acknowledgements[who] = w
+	b.Acknowledgements[process] = ack
 	return nil
 }
 
 // Drop forgets a process that is gone.
-func (b *History) Drop(who string) { delete(b.Acknowledgements, who) }
+func (b *History) Drop(process string) { delete(b.Acknowledgements, process) }
 
-// Keeper decides on a server's side which version is in force: the latest that it could take whole.
-type Keeper struct {
-	InForce uint64
-	Looked  uint64 // the latest that was looked at
+// VersionSelector decides on a server's side which version is in force: the latest that it could take whole.
+type VersionSelector struct {
+	InForce     uint64
+	LastChecked uint64 // the latest that was looked at
 }
 
 // Offer looks at a version by the server's own check and returns the word on it; fresh: it was not looked at before.
-func (k *Keeper) Offer(v Version, check func([]File) error) (w Acknowledgement, fresh bool) {
-	if v.No <= k.Looked {
+func (k *VersionSelector) Offer(v Version, check func([]File) error) (ack Acknowledgement, isNew bool) {
+	if v.No <= k.LastChecked {
 		return Acknowledgement{}, false
 	}
-	k.Looked = v.No
-	w.No = v.No
+	k.LastChecked = v.No
+	ack.No = v.No
 	if err := check(v.Files); err != nil {
-		w.Reason = err.Error()
-		return w, true
+		ack.Reason = err.Error()
+		return ack, true
 	}
 	k.InForce = v.No
-	return w, true
+	return ack, true
 }
--- a/internal/settle/settle.go
+++ b/internal/settle/settle.go
@@ -29,24 +29,24 @@
 	State State  `json:"s,omitempty"`
 }
 
-// Ledger is the record. Its methods are steps of the log.
-type Ledger struct {
-	Seq     uint64             `json:"seq"`
-	Effects map[string]*Effect `json:"effects"`
-	Most    int                `json:"-"`
+// EffectLog is the record. Its methods are steps of the log.
+type EffectLog struct {
+	Seq        uint64             `json:"seq"`
+	Effects    map[string]*Effect `json:"effects"`
+	MaxEffects int                `json:"-"`
 
 	order []string // ids by Seq
 	open  map[string]*Effect
 }
 
-// NewLedger is an empty record for so many effects.
-func NewLedger(most int) *Ledger {
-	return &Ledger{Effects: map[string]*Effect{}, Most: most, open: map[string]*Effect{}}
+// NewEffectLog is an empty record for so many effects.
+func NewEffectLog(maxEffects int) *EffectLog {
+	return &EffectLog{Effects: map[string]*Effect{}, MaxEffects: maxEffects, open: map[string]*Effect{}}
 }
 
-// Restored completes a record that was read from a snapshot.
-func (b *Ledger) Restored(most int) {
-	b.Most, b.order, b.open = most, nil, map[string]*Effect{}
+// RebuildIndexes completes a record that was read from a snapshot.
+func (b *EffectLog) RebuildIndexes(maxEffects int) {
+	b.MaxEffects, b.order, b.open = maxEffects, nil, map[string]*Effect{}
 	if b.Effects == nil {
 		b.Effects = map[string]*Effect{}
 	}
@@ -65,27 +65,27 @@
 }
 
 // Clone copies a record.
-func (b *Ledger) Clone() *Ledger {
-	c := &Ledger{Seq: b.Seq, Effects: make(map[string]*Effect, len(b.Effects))}
+func (b *EffectLog) Clone() *EffectLog {
+	c := &EffectLog{Seq: b.Seq, Effects: make(map[string]*Effect, len(b.Effects))}
 	for id, e := range b.Effects {
 		v := *e
 		c.Effects[id] = &v
 	}
-	c.Restored(b.Most)
+	c.RebuildIndexes(b.MaxEffects)
 	return c
 }
 
 // Begin records an effect; false: it was begun before. Where keep is set, nothing is forgotten to make room: that is
 // the settler's, by age.
-func (b *Ledger) Begin(id, owner string, epoch uint64, keep bool) (bool, error) {
+func (b *EffectLog) Begin(id, owner string, epoch uint64, keepAll bool) (bool, error) {
 	if b.Effects[id] != nil {
 		return false, nil
 	}
-	for len(b.Effects) >= b.Most {
-		if keep {
-			return false, fmt.Errorf("%w: %d", ErrFull, b.Most)
+	for len(b.Effects) >= b.MaxEffects {
+		if keepAll {
+			return false, fmt.Errorf("%w: %d", ErrFull, b.MaxEffects)
 		}
-		b.forget(b.order[0])
+		b.remove(b.order[0])
 		b.order = b.order[1:]
 	}
 	b.Seq++
@@ -98,13 +98,13 @@
 	return true, nil
 }
 
-func (b *Ledger) forget(id string) {
+func (b *EffectLog) remove(id string) {
 	delete(b.Effects, id)
 	delete(b.open, id)
 }
 
 // End books how an effect ended; what was settled, or is another's, stays as it is.
-func (b *Ledger) End(id, owner string, ok bool) bool {
+func (b *EffectLog) End(id, owner string, ok bool) bool {
 	e := b.open[id]
 	if e == nil || e.Owner != owner {
 		return false
@@ -121,7 +121,7 @@
 type Live func(owner string, epoch uint64) bool
 
 // Orphans lists effects begun by processes that are gone, the oldest first, at most so many.
-func (b *Ledger) Orphans(live Live, most int) []string {
+func (b *EffectLog) Orphans(live Live, limit int) []string {
 	var ids []string
 	for id, e := range b.open {
 		if !live(e.Owner, e.Epoch) {
@@ -134,11 +134,11 @@
 		}
 		return 1
 	})
-	return ids[:min(len(ids), most)]
+	return ids[:min(len(ids), limit)]
 }
 
-// Settle marks effects as of unknown outcome, as far as their process is gone now. Nothing runs one.
-func (b *Ledger) Settle(ids []string, live Live) (settled int) {
+// Resolve marks effects as of unknown outcome, as far as their process is gone now. Nothing runs one.
+func (b *EffectLog) Resolve(ids []string, live Live) (settled int) {
 	for _, id := range ids {
 		if e := b.open[id]; e != nil && !live(e.Owner, e.Epoch) {
 			e.State = Unknown
@@ -150,44 +150,44 @@
 }
 
 // Prune forgets effects up to a number that have ended.
-func (b *Ledger) Prune(upTo uint64) (pruned int) {
+func (b *EffectLog) Prune(upTo uint64) (pruned int) {
 	b.order = slices.DeleteFunc(b.order, func(id string) bool {
 		e := b.Effects[id]
 		if e.Seq > upTo || b.open[id] != nil {
 			return false
 		}
-		b.forget(id)
+		b.remove(id)
 		pruned++
 		return true
 	})
 	return pruned
 }
 
-// Ages tells which effects have reached an age, by the settler's own clock alone: an effect is as old as the time since
+// AgeTracker tells which effects have reached an age, by the settler's own clock alone: an effect is as old as the time since
 // the settler first saw its number passed, at least. A new settler begins anew, so what it prunes is older still.
-type Ages struct {
-	marks []mark
+type AgeTracker struct {
+	observations []observation
 }
 
-type mark struct {
+type observation struct {
 	seq uint64
 	at  float64
 }
 
-// Note notes that the count stands at a number.
-func (a *Ages) Note(now float64, seq uint64) {
-	if n := len(a.marks); n > 0 && a.marks[n-1].seq == seq {
+// Observe notes that the count stands at a number.
+func (a *AgeTracker) Observe(now float64, seq uint64) {
+	if n := len(a.observations); n > 0 && a.observations[n-1].seq == seq {
 		return // nothing new: these are as old as the first note says
 	}
-	a.marks = append(a.marks, mark{seq, now})
+	a.observations = append(a.observations, observation{seq, now})
 }
 
-// Due is the number up to which all effects are older than keep, in ms of true time, on a clock that may run fast by
+// OlderThan is the number up to which all effects are older than keep, in ms of true time, on a clock that may run fast by
 // rate; 0: none is.
-func (a *Ages) Due(now, keep, rate float64) (seq uint64) {
-	for len(a.marks) > 0 && now-a.marks[0].at >= keep*(1+rate) {
-		seq = a.marks[0].seq
-		a.marks = a.marks[1:]
+func (a *AgeTracker) OlderThan(now, ageMS, drift float64) (seq uint64) {
+	for len(a.observations) > 0 && now-a.observations[0].at >= ageMS*(1+drift) {
+		seq = a.observations[0].seq
+		a.observations = a.observations[1:]
 	}
 	return seq
 }
--- a/internal/settle/settle_test.go
+++ b/internal/settle/settle_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-func TestEffectsOfServersThatAreGone(t *testing.T) {
-	b := NewLedger(10)
-	here := map[string]uint64{"a": 1, "b": 2}
-	live := func(who string, epoch uint64) bool { return here[who] == epoch }
+func TestOrphanedEffectsAreResolved(t *testing.T) {
+	b := NewEffectLog(10)
+	present := map[string]uint64{"a": 1, "b": 2}
+	live := func(owner string, epoch uint64) bool { return present[owner] == epoch }
 	for _, id := range []string{"1", "2", "3"} {
 		if fresh, err := b.Begin(id, "a", 1, true); !fresh || err != nil {
 			t.Fatal(id, fresh, err)
@@ -25,17 +25,17 @@
 	if o := b.Orphans(live, 10); len(o) != 0 {
 		t.Errorf("orphans %q while all are there", o)
 	}
-	delete(here, "a")
+	delete(present, "a")
 	orphans := b.Orphans(live, 10)
 	if !slices.Equal(orphans, []string{"2", "3"}) {
 		t.Fatalf("orphans %q", orphans)
 	}
-	here["a"] = 1
-	if n := b.Settle([]string{"2"}, live); n != 0 {
+	present["a"] = 1
+	if n := b.Resolve([]string{"2"}, live); n != 0 {
 		t.Error("settled, though its process is there")
 	}
-	here["a"] = 9 // back, but what it began in its first presence nobody watched in between
-	if n := b.Settle(append(orphans, "4", "none"), live); n != 2 {
+	present["a"] = 9 // back, but what it began in its first presence nobody watched in between
+	if n := b.Resolve(append(orphans, "4", "none"), live); n != 2 {
 		t.Errorf("settled %d", n)
 	}
 	if b.Effects["2"].State != Unknown || b.End("2", "a", true) || b.Effects["2"].State != Unknown {
@@ -53,8 +53,8 @@
 	}
 }
 
-func TestFullRecordForgetsNothingYoung(t *testing.T) {
-	b := NewLedger(2)
+func TestFullLogRefusesEffects(t *testing.T) {
+	b := NewEffectLog(2)
 	b.Begin("1", "a", 1, true)
 	b.Begin("2", "a", 1, true)
 	if fresh, err := b.Begin("3", "a", 1, true); fresh || !errors.Is(err, ErrFull) {
@@ -65,20 +65,20 @@
 	}
 }
 
-func TestAgesCountFromWhenTheSettlerSawThem(t *testing.T) {
-	var a Ages
-	a.Note(0, 5)
-	a.Note(400, 5)
-	a.Note(500, 9)
+func TestAgesCountFromFirstObservation(t *testing.T) {
+	var a AgeTracker
+	a.Observe(0, 5)
+	a.Observe(400, 5)
+	a.Observe(500, 9)
 	for at, want := range map[float64]uint64{1000: 0, 1099: 0} {
-		if got := a.Due(at, 1000, 0.1); got != want {
+		if got := a.OlderThan(at, 1000, 0.1); got != want {
 			t.Errorf("at %v: %d", at, got)
 		}
 	}
-	if got := a.Due(1100, 1000, 0.1); got != 5 {
+	if got := a.OlderThan(1100, 1000, 0.1); got != 5 {
 		t.Errorf("%d, want 5", got)
 	}
-	if got := a.Due(1601, 1000, 0.1); got != 9 {
+	if got := a.OlderThan(1601, 1000, 0.1); got != 9 {
 		t.Errorf("%d, want 9", got)
 	}
 }
--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -8,22 +8,22 @@
 	"slices"
 )
 
-// Parts is in how many parts copies compare what they hold, one at a time.
-const Parts = 16
+// DigestPartitions is in how many parts copies compare what they hold, one at a time.
+const DigestPartitions = 16
 
-// partOf is a record's part: FNV-1a by hand, since the library's wants a copy of each key.
-func partOf(key string) uint64 {
+// partitionOf is a record's part: FNV-1a by hand, since the library's wants a copy of each key.
+func partitionOf(key string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(key) {
 		h = (h ^ uint64(key[i])) * 1099511628211
 	}
-	return h % Parts
+	return h % DigestPartitions
 }
 
 // Digest sums a part of what the state holds, as it stands in memory: a bit that was spoilt there shows, whoever spoilt it. Copies
 // that carried out the same entries have the same sums.
-func (s *State) Digest(part uint64) (sum uint64) {
-	part %= Parts
+func (s *State) Digest(partition uint64) (sum uint64) {
+	partition %= DigestPartitions
 	var b []byte
 	add := func(kind, key string, v any) {
 		text, err := json.Marshal(v)
@@ -32,33 +32,33 @@
 		}
 		b = append(append(append(b[:0], kind...), 0), key...)
 		b = append(append(b, 0), text...)
-		full := sha256.Sum256(b)
-		sum += binary.BigEndian.Uint64(full[:])
+		hash := sha256.Sum256(b)
+		sum += binary.BigEndian.Uint64(hash[:])
 	}
-	addAll(part, "value", s.Values, add)
-	addAll(part, "effect", s.Effects.Effects, add)
-	addAll(part, "lease", s.Duties.Leases, add)
-	addAll(part, "share", s.Shares.Shares, add)
-	addAll(part, "word", s.Config.Acknowledgements, add)
-	addAll(part, "mark", s.Marks, add)
-	addAll(part, "stale", s.Stale, add)
+	addAll(partition, "value", s.Values, add)
+	addAll(partition, "effect", s.Effects.Effects, add)
+	addAll(partition, "lease", s.Duties.Leases, add)
+	addAll(partition, "share", s.Allocations.Shares, add)
+	addAll(partition, "word", s.Config.Acknowledgements, add)
+	addAll(partition, "mark", s.Counters, add)
+	addAll(partition, "stale", s.StaleRefusals, add)
 	if s.Records.Revision() > 0 {
-		sum += s.Records.Table().PartDigest(part).Sum64()
+		sum += s.Records.Table().ShardDigest(partition).Sum64()
 	}
-	if part == 0 {
+	if partition == 0 {
 		if r := s.Records.Revision(); r > 0 {
 			add("whole", "records", r)
 		}
 		add("whole", "frozen", slices.Sorted(maps.Keys(s.Duties.Frozen)))
-		add("whole", "counts", []any{s.Duties.Last, s.Shares.Pool, s.Shares.Version, s.Effects.Seq})
+		add("whole", "counts", []any{s.Duties.LastEpoch, s.Allocations.Pool, s.Allocations.Version, s.Effects.Seq})
 		add("whole", "version", s.Config.Latest())
 	}
 	return sum
 }
 
-func addAll[V any](part uint64, kind string, of map[string]V, add func(kind, key string, v any)) {
-	for key, v := range of {
-		if partOf(key) == part {
+func addAll[V any](partition uint64, kind string, entries map[string]V, add func(kind, key string, v any)) {
+	for key, v := range entries {
+		if partitionOf(key) == partition {
 			add(kind, key, v)
 		}
 	}
--- a/internal/state/slopes_test.go
+++ b/internal/state/slopes_test.go
@@ -16,8 +16,8 @@
 	recordSizes = []int{30000, 100000, 240000, 477000}
 )
 
-// entry is a command as the log has it.
-func entry(tb testing.TB, c Command) []byte {
+// encodeEntry is a command as the log has it.
+func encodeEntry(tb testing.TB, c Command) []byte {
 	tb.Helper()
 	b, err := json.Marshal(c)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return b
 }
 
-// apply carries an entry out as a copy does: it is decoded, then applied.
-func apply(tb testing.TB, s *State, b []byte) Result {
+// applyEntry carries an entry out as a copy does: it is decoded, then applied.
+func applyEntry(tb testing.TB, s *State, b []byte) Result {
 	tb.Helper()
 	var c Command
 	if err := json.Unmarshal(b, &c); err != nil {
@@ -40,33 +40,33 @@
 	return r
 }
 
-func process(i int) string { return fmt.Sprintf("os-%04d#%016x", i, i) }
+func processID(i int) string { return fmt.Sprintf("os-%04d#%016x", i, i) }
 
-// withServers is a state with so many processes present.
-func withServers(tb testing.TB, n int) *State {
+// stateWithServers is a state with so many processes present.
+func stateWithServers(tb testing.TB, n int) *State {
 	s := New()
 	for i := range n {
-		apply(tb, s, entry(tb, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: duty.PresenceOf(process(i)), Holder: process(i), TTL: 3000, Term: 1}}}))
+		applyEntry(tb, s, encodeEntry(tb, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: duty.PresenceName(processID(i)), Holder: processID(i), TTLMS: 3000, Term: 1}}}))
 	}
-	apply(tb, s, entry(tb, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: "allotter", Holder: process(0), TTL: 3000, Term: 1}}}))
+	applyEntry(tb, s, encodeEntry(tb, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: "allotter", Holder: processID(0), TTLMS: 3000, Term: 1}}}))
 	return s
 }
 
-// withRecords is a state with so many records.
-func withRecords(tb testing.TB, n int) *State {
+// stateWithRecords is a state with so many records.
+func stateWithRecords(tb testing.TB, n int) *State {
 	s := New()
 	for i := 0; i < n; {
 		var c records.Change
 		for range min(records.MaxChangeKeys, n-i) {
-			c.Puts = append(c.Puts, tenant(i, 0))
+			c.Puts = append(c.Puts, tenantPut(i, 0))
 			i++
 		}
-		apply(tb, s, entry(tb, Command{Op: Change, Change: &c}))
+		applyEntry(tb, s, encodeEntry(tb, Command{Op: OpChangeRecords, Change: &c}))
 	}
 	return s
 }
 
-func tenant(i, version int) records.Put {
+func tenantPut(i, version int) records.Put {
 	return records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i)}, Value: fmt.Appendf(nil, `{"share":0.0000025,"limit":%d.5}`, version%500)}
 }
 
@@ -74,14 +74,14 @@
 func BenchmarkRestarts(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			s := withServers(b, n)
+			s := stateWithServers(b, n)
 			i := 0
 			for b.Loop() {
 				i++
-				who := process(1 + i%(n-1))
-				name := duty.PresenceOf(who)
-				apply(b, s, entry(b, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Lapse, Name: name, Epoch: s.Duties.Leases[name].Epoch, Term: 1}}}))
-				apply(b, s, entry(b, Command{Op: Orders, Orders: []duty.Order{{Kind: duty.Grant, Name: name, Holder: who, TTL: 3000, Term: 1}}}))
+				process := processID(1 + i%(n-1))
+				name := duty.PresenceName(process)
+				applyEntry(b, s, encodeEntry(b, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Expire, Name: name, Epoch: s.Duties.Leases[name].Epoch, Term: 1}}}))
+				applyEntry(b, s, encodeEntry(b, Command{Op: OpLeaseOrders, Orders: []duty.Order{{Kind: duty.Grant, Name: name, Holder: process, TTLMS: 3000, Term: 1}}}))
 			}
 		})
 	}
@@ -91,11 +91,11 @@
 func BenchmarkMarks(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			s := withServers(b, n)
-			under := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
-			act := entry(b, Command{Op: Act, Fence: &under, Do: []Command{{Op: Mark}}})
+			s := stateWithServers(b, n)
+			fence := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
+			act := encodeEntry(b, Command{Op: OpFenced, Fence: &fence, Batch: []Command{{Op: OpIncrementCounter}}})
 			for b.Loop() {
-				apply(b, s, act)
+				applyEntry(b, s, act)
 			}
 		})
 	}
@@ -105,21 +105,21 @@
 func BenchmarkShares(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			s := withServers(b, n)
-			under := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
-			apply(b, s, entry(b, Command{Op: Act, Fence: &under, Do: []Command{{Op: Pool, Amount: int64(n) * 1000}}}))
-			fleet, bytes := []allot.Need{}, 0
+			s := stateWithServers(b, n)
+			fence := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
+			applyEntry(b, s, encodeEntry(b, Command{Op: OpFenced, Fence: &fence, Batch: []Command{{Op: OpSetPool, Amount: int64(n) * 1000}}}))
+			fleet, bytes := []allot.ProcessNeed{}, 0
 			for i := 0; b.Loop(); i++ {
-				var do []Command
+				var batch []Command
 				for j := range n {
-					do = append(do, Command{Op: Share, Who: process(j), Amount: int64(100 + i%2*10)})
+					batch = append(batch, Command{Op: OpSetAllocation, Process: processID(j), Amount: int64(100 + i%2*10)})
 				}
-				act := entry(b, Command{Op: Act, Fence: &under, Do: do})
-				apply(b, s, act)
+				act := encodeEntry(b, Command{Op: OpFenced, Fence: &fence, Batch: batch})
+				applyEntry(b, s, act)
 				bytes = len(act)
 			}
-			for _, who := range s.Shares.Whos() {
-				fleet = append(fleet, allot.Need{Who: who, Share: *s.Shares.Shares[who]})
+			for _, process := range s.Allocations.Processes() {
+				fleet = append(fleet, allot.ProcessNeed{Who: process, Share: *s.Allocations.Shares[process]})
 			}
 			text, err := json.Marshal(fleet)
 			if err != nil {
@@ -135,14 +135,14 @@
 func BenchmarkBookings(b *testing.B) {
 	for _, n := range []int{1000, 8000, 30000, 60000} {
 		b.Run(fmt.Sprintf("kept=%d", n), func(b *testing.B) {
-			s := withServers(b, 12)
-			who, next := process(0), 0
-			epoch := s.Duties.Leases[duty.PresenceOf(who)].Epoch
+			s := stateWithServers(b, 12)
+			process, next := processID(0), 0
+			epoch := s.Duties.Leases[duty.PresenceName(process)].Epoch
 			book := func() {
 				next++
 				id := fmt.Sprintf("%016x", next)
-				apply(b, s, entry(b, Command{Op: Begin, Key: id, Who: who, Epoch: epoch, Keep: true}))
-				apply(b, s, entry(b, Command{Op: End, Who: who, IDs: []string{id}}))
+				applyEntry(b, s, encodeEntry(b, Command{Op: OpBeginEffect, Key: id, Process: process, Epoch: epoch, NoEviction: true}))
+				applyEntry(b, s, encodeEntry(b, Command{Op: OpEndEffects, Process: process, EffectIDs: []string{id}}))
 			}
 			for range n {
 				book()
@@ -163,11 +163,11 @@
 func BenchmarkChanges(b *testing.B) {
 	for _, n := range recordSizes {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
-			s := withRecords(b, n)
+			s := stateWithRecords(b, n)
 			bytes := 0
 			for i := 0; b.Loop(); i++ {
-				e := entry(b, Command{Op: Change, Change: &records.Change{Puts: []records.Put{tenant(i*3%n, i), tenant((i*3+1)%n, i), tenant((i*3+2)%n, i)}}})
-				apply(b, s, e)
+				e := encodeEntry(b, Command{Op: OpChangeRecords, Change: &records.Change{Puts: []records.Put{tenantPut(i*3%n, i), tenantPut((i*3+1)%n, i), tenantPut((i*3+2)%n, i)}}})
+				applyEntry(b, s, e)
 				bytes = len(e)
 			}
 			b.ReportMetric(float64(bytes), "entry-bytes")
@@ -178,16 +178,16 @@
 // BenchmarkSnapshots measures a copy's snapshot by its records: the pause in which it is frozen, and the writing beside.
 func BenchmarkSnapshots(b *testing.B) {
 	for _, n := range recordSizes {
-		s := withRecords(b, n)
+		s := stateWithRecords(b, n)
 		b.Run(fmt.Sprintf("freeze/records=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				s.Keep()
+				s.Snapshot()
 			}
 		})
 		b.Run(fmt.Sprintf("write/records=%d", n), func(b *testing.B) {
 			size := 0
 			for b.Loop() {
-				text, err := json.Marshal(s.Keep())
+				text, err := json.Marshal(s.Snapshot())
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -202,7 +202,7 @@
 func BenchmarkComparing(b *testing.B) {
 	for _, n := range recordSizes {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
-			s := withRecords(b, n)
+			s := stateWithRecords(b, n)
 			for i := uint64(0); b.Loop(); i++ {
 				s.Digest(i)
 			}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	mostEffects  = 1 << 16    // remembered at once
-	oldEffects   = "effects/" // where earlier versions kept them among the keys
-	mostMarks    = 256
-	orphansAtOne = 256 // effects settled in one step
+	maxEffects           = 1 << 16    // remembered at once
+	legacyEffectPrefix   = "effects/" // where earlier versions kept them among the keys
+	maxCounters          = 256
+	maxOrphansPerCommand = 256 // effects settled in one step
 )
 
 // Kinds of commands.
 const (
-	Set                = "set"
-	Delete             = "delete"
-	Begin              = "begin"  // an effect is about to run
-	End                = "end"    // effects have ended
-	Orders             = "orders" // the grantor's
-	Act                = "act"    // under a duty
-	Ask                = "ask"    // an operator wants a duty given up
-	Freeze             = "freeze" // or not to be granted
-	Thaw               = "thaw"
-	Ack                = "ack"  // a process uses no more than its share
-	AcknowledgeVersion = "word" // what a process made of a version
+	OpSet                   = "set"
+	OpDelete                = "delete"
+	OpBeginEffect           = "begin"  // an effect is about to run
+	OpEndEffects            = "end"    // effects have ended
+	OpLeaseOrders           = "orders" // the grantor's
+	OpFenced                = "act"    // under a duty
+	OpRequestYield          = "ask"    // an operator wants a duty given up
+	OpFreezeDuty            = "freeze" // or not to be granted
+	OpUnfreezeDuty          = "thaw"
+	OpAcknowledgeAllocation = "ack"  // a process uses no more than its share
+	OpAcknowledgeVersion    = "word" // what a process made of a version
 
-	Change = "change" // of records
+	OpChangeRecords = "change" // of records
 
-	Compare = "compare" // all copies look at a part of what they hold
+	OpCompareDigests = "compare" // all copies look at a part of what they hold
 
 	// What may be done in an act.
-	Mark    = "mark" // count one up
-	Share   = "share"
-	Pool    = "pool"
-	Settle  = "settle"
-	Prune   = "prune"
-	Publish = "publish"
+	OpIncrementCounter = "mark" // count one up
+	OpSetAllocation    = "share"
+	OpSetPool          = "pool"
+	OpResolveEffects   = "settle"
+	OpPruneEffects     = "prune"
+	OpPublishVersion   = "publish"
 )
 
 // Command is one entry of the log. Earlier versions wrote Op, Key and Value alone, and their logs are read.
@@ -57,224 +57,224 @@
 	Key   string `json:"key,omitempty"` // of a value; an effect's id
 	Value []byte `json:"value,omitempty"`
 
-	Who    string                   `json:"who,omitempty"`   // the process that speaks
-	Epoch  uint64                   `json:"epoch,omitempty"` // of its presence, for Begin; a version, for Ack
-	Keep   bool                     `json:"keep,omitempty"`  // forget no effect to make room
-	Orders []duty.Order             `json:"orders,omitempty"`
-	Fence  *duty.Ref                `json:"fence,omitempty"` // the grant under which an act is done
-	Do     []Command                `json:"do,omitempty"`    // the act
-	IDs    []string                 `json:"ids,omitempty"`
-	Failed []string                 `json:"failed,omitempty"` // for End: ids of effects that failed; IDs has the others
-	Amount int64                    `json:"amount,omitempty"`
-	Seq    uint64                   `json:"seq,omitempty"`
-	Files  []publish.File           `json:"files,omitempty"`
-	Said   *publish.Acknowledgement `json:"said,omitempty"`
+	Process         string                   `json:"who,omitempty"`   // the process that speaks
+	Epoch           uint64                   `json:"epoch,omitempty"` // of its presence, for Begin; a version, for Ack
+	NoEviction      bool                     `json:"keep,omitempty"`  // forget no effect to make room
+	Orders          []duty.Order             `json:"orders,omitempty"`
+	Fence           *duty.Ref                `json:"fence,omitempty"` // the grant under which an act is done
+	Batch           []Command                `json:"do,omitempty"`    // the act
+	EffectIDs       []string                 `json:"ids,omitempty"`
+	FailedIDs       []string                 `json:"failed,omitempty"` // for End: ids of effects that failed; EffectIDs has the others
+	Amount          int64                    `json:"amount,omitempty"`
+	Seq             uint64                   `json:"seq,omitempty"`
+	Files           []publish.File           `json:"files,omitempty"`
+	Acknowledgement *publish.Acknowledgement `json:"said,omitempty"`
 
 	Change *records.Change `json:"change,omitempty"`
 }
 
 // Result is what a command came to.
 type Result struct {
-	Fresh bool     `json:"fresh,omitempty"` // Set, Delete, Begin: the key was absent
-	N     uint64   `json:"n,omitempty"`     // Mark: the count; Settle, Prune: how many; Publish: the version; Change: the revision; Compare: the digest
-	Stale bool     `json:"stale,omitempty"` // refused: the epoch is not the one in force
-	Error string   `json:"error,omitempty"` // refused, and nothing was changed
-	Part  []string `json:"part,omitempty"`  // Orders: "" or the refusal of each
+	WasAbsent bool     `json:"fresh,omitempty"` // Set, Delete, Begin: the key was absent
+	Value     uint64   `json:"n,omitempty"`     // Mark: the count; Settle, Prune: how many; Publish: the version; Change: the revision; Compare: the digest
+	Stale     bool     `json:"stale,omitempty"` // refused: the epoch is not the one in force
+	Error     string   `json:"error,omitempty"` // refused, and nothing was changed
+	Refusals  []string `json:"part,omitempty"`  // Orders: "" or the refusal of each
 }
 
 // State is the whole.
 type State struct {
-	Values  map[string][]byte
-	Duties  *duty.Table
-	Shares  *allot.Ledger
-	Effects *settle.Ledger
-	Config  *publish.History
-	Records *records.Set
-	Marks   map[string]uint64 // by duty
-	Stale   map[string]uint64 // acts refused for their epoch, by duty
+	Values        map[string][]byte
+	Duties        *duty.Table
+	Allocations   *allot.Allocations
+	Effects       *settle.EffectLog
+	Config        *publish.History
+	Records       *records.Set
+	Counters      map[string]uint64 // by duty
+	StaleRefusals map[string]uint64 // acts refused for their epoch, by duty
 
-	Plant string // a planted bug; "": none
+	InjectedBug string // a planted bug; "": none
 }
 
 // New is the empty state.
 func New() *State {
-	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Shares: allot.NewLedger(),
-		Effects: settle.NewLedger(mostEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
-		Marks: map[string]uint64{}, Stale: map[string]uint64{}}
+	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Allocations: allot.NewAllocations(),
+		Effects: settle.NewEffectLog(maxEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
+		Counters: map[string]uint64{}, StaleRefusals: map[string]uint64{}}
 }
 
-// Live tells whether a process's presence of an epoch is in force.
-func (s *State) Live(who string, epoch uint64) bool {
-	l := s.Duties.Leases[duty.PresenceOf(who)]
-	return l != nil && l.Holder == who && l.Epoch == epoch
+// PresenceInForce tells whether a process's presence of an epoch is in force.
+func (s *State) PresenceInForce(process string, epoch uint64) bool {
+	l := s.Duties.Leases[duty.PresenceName(process)]
+	return l != nil && l.Holder == process && l.Epoch == epoch
 }
 
 // Apply carries out one entry of the log, written in a leader's term.
 func (s *State) Apply(c Command, term uint64) Result {
 	switch c.Op {
-	case Set:
-		_, there := s.Values[c.Key]
+	case OpSet:
+		_, exists := s.Values[c.Key]
 		s.Values[c.Key] = c.Value
-		return Result{Fresh: !there}
-	case Delete:
-		_, there := s.Values[c.Key]
+		return Result{WasAbsent: !exists}
+	case OpDelete:
+		_, exists := s.Values[c.Key]
 		delete(s.Values, c.Key)
-		return Result{Fresh: !there}
-	case Begin:
-		id := strings.TrimPrefix(c.Key, oldEffects)
-		if c.Who != "" && !s.Live(c.Who, c.Epoch) {
-			return Result{Stale: true, Error: fmt.Sprintf("state: the presence %d of %s is not in force", c.Epoch, c.Who)}
+		return Result{WasAbsent: !exists}
+	case OpBeginEffect:
+		id := strings.TrimPrefix(c.Key, legacyEffectPrefix)
+		if c.Process != "" && !s.PresenceInForce(c.Process, c.Epoch) {
+			return Result{Stale: true, Error: fmt.Sprintf("state: the presence %d of %s is not in force", c.Epoch, c.Process)}
 		}
-		fresh, err := s.Effects.Begin(id, c.Who, c.Epoch, c.Keep)
-		return Result{Fresh: fresh, Error: text(err)}
-	case End:
+		fresh, err := s.Effects.Begin(id, c.Process, c.Epoch, c.NoEviction)
+		return Result{WasAbsent: fresh, Error: errorText(err)}
+	case OpEndEffects:
 		n := uint64(0)
-		for i, ids := range [][]string{c.IDs, c.Failed} {
+		for i, ids := range [][]string{c.EffectIDs, c.FailedIDs} {
 			for _, id := range ids {
-				if s.Effects.End(id, c.Who, i == 0) {
+				if s.Effects.End(id, c.Process, i == 0) {
 					n++
 				}
 			}
 		}
-		return Result{N: n}
-	case Orders:
+		return Result{Value: n}
+	case OpLeaseOrders:
 		var r Result
 		for _, o := range c.Orders {
-			r.Part = append(r.Part, text(s.order(o, term)))
+			r.Refusals = append(r.Refusals, errorText(s.applyLeaseOrder(o, term)))
 		}
 		return r
-	case Change:
+	case OpChangeRecords:
 		if c.Change == nil {
 			return Result{Error: "state: no change"}
 		}
 		commit, err := s.Records.Apply(*c.Change)
-		return Result{N: commit.Revision, Error: text(err)}
-	case Compare:
-		return Result{N: s.Digest(c.Seq)}
-	case Ask:
-		return Result{Error: text(s.Duties.Ask(c.Key))}
-	case Freeze, Thaw:
-		s.Duties.Freeze(c.Key, c.Op == Freeze)
+		return Result{Value: commit.Revision, Error: errorText(err)}
+	case OpCompareDigests:
+		return Result{Value: s.Digest(c.Seq)}
+	case OpRequestYield:
+		return Result{Error: errorText(s.Duties.RequestYield(c.Key))}
+	case OpFreezeDuty, OpUnfreezeDuty:
+		s.Duties.Freeze(c.Key, c.Op == OpFreezeDuty)
 		return Result{}
-	case Ack:
-		s.Shares.Ack(c.Who, c.Epoch)
+	case OpAcknowledgeAllocation:
+		s.Allocations.Acknowledge(c.Process, c.Epoch)
 		return Result{}
-	case AcknowledgeVersion:
-		if c.Said == nil {
+	case OpAcknowledgeVersion:
+		if c.Acknowledgement == nil {
 			return Result{Error: "state: no word"}
 		}
-		return Result{Error: text(s.Config.Say(c.Who, *c.Said))}
-	case Act:
-		return s.act(c)
+		return Result{Error: errorText(s.Config.Acknowledge(c.Process, *c.Acknowledgement))}
+	case OpFenced:
+		return s.applyFenced(c)
 	}
 	return Result{Error: fmt.Sprintf("state: unknown command %q", c.Op)}
 }
 
-// order carries out one of the grantor's, with what hangs on a process's presence.
-func (s *State) order(o duty.Order, term uint64) error {
+// applyLeaseOrder carries out one of the grantor's, with what hangs on a process's presence.
+func (s *State) applyLeaseOrder(o duty.Order, term uint64) error {
 	if err := s.Duties.Apply(o, term); err != nil {
 		return err
 	}
-	if who := duty.PresentWho(o.Name); who != "" {
+	if process := duty.PresenceProcess(o.Name); process != "" {
 		if o.Kind == duty.Grant {
-			s.Shares.Join(who)
+			s.Allocations.AddProcess(process)
 		} else {
-			s.Shares.Drop(who)
-			s.Config.Drop(who)
+			s.Allocations.RemoveProcess(process)
+			s.Config.Drop(process)
 		}
 	}
 	return nil
 }
 
-// act checks the epoch and carries the act out, whole or not at all, in this one step.
-func (s *State) act(c Command) Result {
+// applyFenced checks the epoch and carries the act out, whole or not at all, in this one step.
+func (s *State) applyFenced(c Command) Result {
 	if c.Fence == nil {
 		return Result{Error: "state: an act without an epoch"}
 	}
-	if err := s.Duties.Fence(*c.Fence); err != nil && s.Plant != duty.PlantUnfenced {
-		if s.Stale[c.Fence.Name]++; len(s.Stale) > mostMarks {
-			clear(s.Stale) // names are made up
+	if err := s.Duties.Fence(*c.Fence); err != nil && s.InjectedBug != duty.BugUnfenced {
+		if s.StaleRefusals[c.Fence.Name]++; len(s.StaleRefusals) > maxCounters {
+			clear(s.StaleRefusals) // names are made up
 		}
 		return Result{Stale: true, Error: err.Error()}
 	}
 	// Shares are the one thing that can be refused after a part was done. To copy them costs as much as the fleet is large,
 	// so it is done only where an act touches them.
-	shares := s.Shares
-	if slices.ContainsFunc(c.Do, func(d Command) bool { return d.Op == Share || d.Op == Pool }) {
-		s.Shares = shares.Clone()
+	allocations := s.Allocations
+	if slices.ContainsFunc(c.Batch, func(d Command) bool { return d.Op == OpSetAllocation || d.Op == OpSetPool }) {
+		s.Allocations = allocations.Clone()
 	}
 	var r Result
-	for _, d := range c.Do {
-		n, err := s.do(d, *c.Fence)
+	for _, d := range c.Batch {
+		n, err := s.execute(d, *c.Fence)
 		if err != nil {
-			s.Shares = shares
+			s.Allocations = allocations
 			return Result{Error: err.Error()}
 		}
-		r.N = n
+		r.Value = n
 	}
 	return r
 }
 
-func (s *State) do(c Command, under duty.Ref) (uint64, error) {
+func (s *State) execute(c Command, fence duty.Ref) (uint64, error) {
 	switch c.Op {
-	case Mark:
-		if len(s.Marks) >= mostMarks && s.Marks[under.Name] == 0 {
+	case OpIncrementCounter:
+		if len(s.Counters) >= maxCounters && s.Counters[fence.Name] == 0 {
 			return 0, errors.New("state: too many marks")
 		}
-		s.Marks[under.Name]++
-		return s.Marks[under.Name], nil
-	case Share:
-		return 0, s.Shares.Set(c.Who, c.Amount, s.Plant == duty.PlantEarlyGrowth)
-	case Pool:
-		return 0, s.Shares.SetPool(c.Amount)
-	case Settle:
-		if len(c.IDs) > orphansAtOne {
-			return 0, fmt.Errorf("state: %d effects to settle in one step, %d at most", len(c.IDs), orphansAtOne)
+		s.Counters[fence.Name]++
+		return s.Counters[fence.Name], nil
+	case OpSetAllocation:
+		return 0, s.Allocations.SetTarget(c.Process, c.Amount, s.InjectedBug == duty.BugEarlyGrowth)
+	case OpSetPool:
+		return 0, s.Allocations.SetPool(c.Amount)
+	case OpResolveEffects:
+		if len(c.EffectIDs) > maxOrphansPerCommand {
+			return 0, fmt.Errorf("state: %d effects to settle in one step, %d at most", len(c.EffectIDs), maxOrphansPerCommand)
 		}
-		return uint64(s.Effects.Settle(c.IDs, s.Live)), nil
-	case Prune:
+		return uint64(s.Effects.Resolve(c.EffectIDs, s.PresenceInForce)), nil
+	case OpPruneEffects:
 		return uint64(s.Effects.Prune(c.Seq)), nil
-	case Publish:
-		return s.Config.Publish(c.Files, c.Seq, under.Epoch)
+	case OpPublishVersion:
+		return s.Config.Publish(c.Files, c.Seq, fence.Epoch)
 	}
 	return 0, fmt.Errorf("state: %q is no act", c.Op)
 }
 
-func text(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-// Kept is the state's form in a snapshot. Values and Order are all that earlier versions wrote.
-type Kept struct {
-	Values  map[string][]byte `json:"values"`
-	Order   []string          `json:"order,omitempty"`
-	Duties  *duty.Table       `json:"duties,omitempty"`
-	Shares  *allot.Ledger     `json:"shares,omitempty"`
-	Effects *settle.Ledger    `json:"effects,omitempty"`
-	Config  *publish.History  `json:"config,omitempty"`
-	Records *records.Frozen   `json:"records,omitempty"`
-	Marks   map[string]uint64 `json:"marks,omitempty"`
-	Stale   map[string]uint64 `json:"stale,omitempty"`
+// Snapshot is the state's form in a snapshot. Values and Order are all that earlier versions wrote.
+type Snapshot struct {
+	Values        map[string][]byte    `json:"values"`
+	EffectOrder   []string             `json:"order,omitempty"`
+	Duties        *duty.Table          `json:"duties,omitempty"`
+	Allocations   *allot.Allocations   `json:"shares,omitempty"`
+	Effects       *settle.EffectLog    `json:"effects,omitempty"`
+	Config        *publish.History     `json:"config,omitempty"`
+	Records       *records.SetSnapshot `json:"records,omitempty"`
+	Counters      map[string]uint64    `json:"marks,omitempty"`
+	StaleRefusals map[string]uint64    `json:"stale,omitempty"`
 }
 
-// Keep copies the state, so that it can be written while commands go on.
-func (s *State) Keep() *Kept {
-	return &Kept{Values: maps.Clone(s.Values), Duties: s.Duties.Clone(), Shares: s.Shares.Clone(), Effects: s.Effects.Clone(),
-		Config: s.Config.Clone(), Records: s.Records.Freeze(), Marks: maps.Clone(s.Marks), Stale: maps.Clone(s.Stale)}
+// Snapshot copies the state, so that it can be written while commands go on.
+func (s *State) Snapshot() *Snapshot {
+	return &Snapshot{Values: maps.Clone(s.Values), Duties: s.Duties.Clone(), Allocations: s.Allocations.Clone(), Effects: s.Effects.Clone(),
+		Config: s.Config.Clone(), Records: s.Records.Snapshot(), Counters: maps.Clone(s.Counters), StaleRefusals: maps.Clone(s.StaleRefusals)}
 }
 
-// Read takes the state of a snapshot, in today's form or an earlier one.
-func Read(b []byte) (*State, error) {
-	var k Kept
+// ReadSnapshot takes the state of a snapshot, in today's form or an earlier one.
+func ReadSnapshot(b []byte) (*State, error) {
+	var k Snapshot
 	if err := json.Unmarshal(b, &k); err != nil {
 		return nil, err
 	}
 	s := New()
 	for key, v := range k.Values {
-		if !strings.HasPrefix(key, oldEffects) {
+		if !strings.HasPrefix(key, legacyEffectPrefix) {
 			s.Values[key] = v
 		}
 	}
@@ -284,8 +284,8 @@
 			s.Duties.Frozen = map[string]bool{}
 		}
 	}
-	if k.Shares != nil && k.Shares.Shares != nil {
-		s.Shares = k.Shares
+	if k.Allocations != nil && k.Allocations.Shares != nil {
+		s.Allocations = k.Allocations
 	}
 	if k.Config != nil {
 		s.Config = k.Config
@@ -294,20 +294,20 @@
 		}
 	}
 	if k.Records != nil {
-		s.Records = k.Records.Thaw(records.DefaultLimits)
+		s.Records = k.Records.Restore(records.DefaultLimits)
 	}
 	if k.Effects != nil {
 		s.Effects = k.Effects
-		s.Effects.Restored(mostEffects)
+		s.Effects.RebuildIndexes(maxEffects)
 	}
-	for _, key := range k.Order {
-		s.Effects.Begin(strings.TrimPrefix(key, oldEffects), "", 0, false)
+	for _, key := range k.EffectOrder {
+		s.Effects.Begin(strings.TrimPrefix(key, legacyEffectPrefix), "", 0, false)
 	}
-	if k.Marks != nil {
-		s.Marks = k.Marks
+	if k.Counters != nil {
+		s.Counters = k.Counters
 	}
-	if k.Stale != nil {
-		s.Stale = k.Stale
+	if k.StaleRefusals != nil {
+		s.StaleRefusals = k.StaleRefusals
 	}
 	return s, nil
 }
--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -116,7 +116,7 @@
 		return h, nil, err
 	}
 	directory := r.directory.State()
-	return Backup{Kind: backupKind, Format: backupFormat, ClusterName: directory.Name, ClusterGeneration: directory.Set, SourceID: s.o.ID, Index: m.Index, Term: m.Term,
+	return Backup{Kind: backupKind, Format: backupFormat, ClusterName: directory.ClusterName, ClusterGeneration: directory.ClusterGeneration, SourceID: s.o.ID, Index: m.Index, Term: m.Term,
 		Bytes: n, SHA256: hex.EncodeToString(sum.Sum(nil))}, content, nil
 }
 
@@ -165,7 +165,7 @@
 		_, err = f.Write(append(header, '\n'))
 	}
 	if err == nil {
-		_, err = io.Copy(f, r.Rest(deadlineConn{conn}))
+		_, err = io.Copy(f, r.Remainder(deadlineConn{conn}))
 	}
 	if err == nil {
 		err = f.Sync()
@@ -237,7 +237,7 @@
 	if h, err = ReadBackup(backup, &content); err != nil {
 		return h, err
 	}
-	if _, err := state.Read(content.Bytes()); err != nil {
+	if _, err := state.ReadSnapshot(content.Bytes()); err != nil {
 		return h, fmt.Errorf("%w: %v", ErrInvalidBackup, err)
 	}
 	processID, err := disk.NewRandomID()
--- a/internal/store/disk/disk_test.go
+++ b/internal/store/disk/disk_test.go
@@ -56,7 +56,7 @@
 	if err := f.Set([]byte("LastVoteCand"), []byte("127.0.0.1:1")); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.RecordPeerDirectories(map[string]admit.Mark{"b": {Folder: "x", Life: 2, Last: 7}}); err != nil {
+	if err := f.RecordPeerDirectories(map[string]admit.DirectoryState{"b": {DirectoryID: "x", OpenCount: 2, LastIndex: 7}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Close(); err != nil {
@@ -69,17 +69,17 @@
 	dir := newFilledDirectory(t, 50)
 	f := mustOpenDirectory(t, dir, "q")
 	m := f.State()
-	if m.Life != 2 || m.Last != 50 || m.Term != 9 || m.Proc != "q" || m.Folder == "" || f.Empty() || !f.IsVoter() {
+	if m.OpenCount != 2 || m.LastIndex != 50 || m.Term != 9 || m.ProcessID != "q" || m.DirectoryID == "" || f.Empty() || !f.IsVoter() {
 		t.Errorf("%+v", m)
 	}
-	if peers, err := f.PeerDirectories(); err != nil || peers["b"].Last != 7 {
+	if peers, err := f.PeerDirectories(); err != nil || peers["b"].LastIndex != 7 {
 		t.Errorf("%+v %v", peers, err)
 	}
-	if err := f.RecordJoin(admit.Mark{Joined: 40, Set: 2, Name: "n"}); err != nil || f.IsVoter() {
+	if err := f.RecordJoin(admit.DirectoryState{JoinIndex: 40, ClusterGeneration: 2, ClusterName: "n"}); err != nil || f.IsVoter() {
 		t.Errorf("join as a non-voter: %v", err)
 	}
 	f.Close()
-	if f = mustOpenDirectory(t, dir, "r"); f.IsVoter() || f.State().Joined != 40 || f.State().Set != 2 || f.State().Name != "n" || f.State().Folder != m.Folder {
+	if f = mustOpenDirectory(t, dir, "r"); f.IsVoter() || f.State().JoinIndex != 40 || f.State().ClusterGeneration != 2 || f.State().ClusterName != "n" || f.State().DirectoryID != m.DirectoryID {
 		t.Errorf("non-voter after a restart: %+v", f.State())
 	}
 	if err := f.RecordVoter(); err != nil {
@@ -94,7 +94,7 @@
 	}
 	f.Close()
 	r, err := Verify(dir)
-	if err != nil || r.Corruption != "" || r.Entries != 50 || r.Directory.Life != 4 || r.PeerDirectories["b"].Life != 2 {
+	if err != nil || r.Corruption != "" || r.Entries != 50 || r.Directory.OpenCount != 4 || r.PeerDirectories["b"].OpenCount != 2 {
 		t.Errorf("%+v %v", r, err)
 	}
 	n := 0
@@ -232,7 +232,7 @@
 		t.Errorf("%v", err)
 	}
 	f := mustOpenDirectory(t, dir, "p")
-	if m := f.State(); m.Last != 600 || m.Term != 31 || m.Life != 1 {
+	if m := f.State(); m.LastIndex != 600 || m.Term != 31 || m.OpenCount != 1 {
 		t.Errorf("%+v", m)
 	}
 	var e raft.Log
@@ -329,7 +329,7 @@
 			t.Fatal(err)
 		}
 		f.Close()
-		if f = mustOpenDirectory(t, dir, "p"); f.State().Last != 30 {
+		if f = mustOpenDirectory(t, dir, "p"); f.State().LastIndex != 30 {
 			t.Errorf("%+v", f.State())
 		}
 		f.Close()
--- a/internal/store/disk/folder.go
+++ b/internal/store/disk/folder.go
@@ -51,7 +51,7 @@
 	Path      string
 	Snapshots *raft.FileSnapshotStore
 
-	state            admit.Mark
+	state            admit.DirectoryState
 	voter, soleVoter bool
 }
 
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	f.state.Proc = processID
+	f.state.ProcessID = processID
 	name, err := f.readValue(directoryIDKey)
 	if errors.Is(err, ErrNotFound) {
 		var id string
@@ -96,12 +96,12 @@
 	if err != nil {
 		return err
 	}
-	f.state.Folder = string(name)
+	f.state.DirectoryID = string(name)
 	if name, err = f.readValue(clusterNameKey); err != nil && !errors.Is(err, ErrNotFound) {
 		return err
 	}
-	f.state.Name = string(name)
-	for key, target := range map[string]*uint64{openCountKey: &f.state.Life, joinIndexKey: &f.state.Joined, clusterGenerationKey: &f.state.Set, "CurrentTerm": &f.state.Term} {
+	f.state.ClusterName = string(name)
+	for key, target := range map[string]*uint64{openCountKey: &f.state.OpenCount, joinIndexKey: &f.state.JoinIndex, clusterGenerationKey: &f.state.ClusterGeneration, "CurrentTerm": &f.state.Term} {
 		if *target, err = f.readUint64(key); err != nil {
 			return err
 		}
@@ -115,38 +115,38 @@
 		return err
 	}
 	f.soleVoter = soleVoter == 1
-	f.voter = f.state.Joined == 0 || voter == 1
-	if f.state.Last, err = f.LastIndex(); err != nil {
+	f.voter = f.state.JoinIndex == 0 || voter == 1
+	if f.state.LastIndex, err = f.LastIndex(); err != nil {
 		return err
 	}
-	f.state.Last = max(f.state.Last, snapshotIndex)
-	f.state.Life++
-	return f.storeUint64(openCountKey, f.state.Life)
+	f.state.LastIndex = max(f.state.LastIndex, snapshotIndex)
+	f.state.OpenCount++
+	return f.storeUint64(openCountKey, f.state.OpenCount)
 }
 
 // State returns the state of the directory when it was opened.
-func (f *Directory) State() admit.Mark { return f.state }
+func (f *Directory) State() admit.DirectoryState { return f.state }
 
 // Empty reports whether raft never wrote anything to the directory.
-func (f *Directory) Empty() bool { return f.state.Last == 0 && f.state.Term == 0 }
+func (f *Directory) Empty() bool { return f.state.LastIndex == 0 && f.state.Term == 0 }
 
 // IsVoter reports whether the replica may vote with this directory: it was there when the cluster was bootstrapped, or has become
 // a voter since it joined.
 func (f *Directory) IsVoter() bool { return f.voter }
 
 // RecordJoin records that the replica joined a cluster as a non-voter, as of a log index.
-func (f *Directory) RecordJoin(m admit.Mark) error {
-	err := f.storeValues(map[string][]byte{joinIndexKey: encodeUint64(m.Joined), clusterGenerationKey: encodeUint64(m.Set), clusterNameKey: []byte(m.Name)})
+func (f *Directory) RecordJoin(m admit.DirectoryState) error {
+	err := f.storeValues(map[string][]byte{joinIndexKey: encodeUint64(m.JoinIndex), clusterGenerationKey: encodeUint64(m.ClusterGeneration), clusterNameKey: []byte(m.ClusterName)})
 	if err != nil {
 		return err
 	}
-	f.state.Joined, f.state.Set, f.state.Name, f.voter = m.Joined, m.Set, m.Name, false
+	f.state.JoinIndex, f.state.ClusterGeneration, f.state.ClusterName, f.voter = m.JoinIndex, m.ClusterGeneration, m.ClusterName, false
 	return nil
 }
 
 // RecordClusterName records the name of the cluster that is about to be bootstrapped.
 func (f *Directory) RecordClusterName(name string) error {
-	f.state.Name = name
+	f.state.ClusterName = name
 	return f.storeValue(clusterNameKey, []byte(name))
 }
 
@@ -156,12 +156,12 @@
 // RecordNewCluster records that operators start a cluster from this directory: they recover its own, or create one with a new
 // name.
 func (f *Directory) RecordNewCluster(name string) error {
-	err := f.storeValues(map[string][]byte{clusterGenerationKey: encodeUint64(f.state.Set + 1), soleVoterKey: encodeUint64(1), voterKey: encodeUint64(1), clusterNameKey: []byte(name)})
+	err := f.storeValues(map[string][]byte{clusterGenerationKey: encodeUint64(f.state.ClusterGeneration + 1), soleVoterKey: encodeUint64(1), voterKey: encodeUint64(1), clusterNameKey: []byte(name)})
 	if err != nil {
 		return err
 	}
-	f.state.Set++
-	f.state.Name = name
+	f.state.ClusterGeneration++
+	f.state.ClusterName = name
 	f.soleVoter, f.voter = true, true
 	return nil
 }
@@ -179,7 +179,7 @@
 func (f *Directory) RecordVoter() error { return f.storeUint64(voterKey, 1) }
 
 // PeerDirectories reads the recorded directory states of other replicas.
-func (f *Directory) PeerDirectories() (map[string]admit.Mark, error) {
+func (f *Directory) PeerDirectories() (map[string]admit.DirectoryState, error) {
 	b, err := f.readValue(peerDirectoriesKey)
 	if errors.Is(err, ErrNotFound) {
 		return nil, nil
@@ -187,12 +187,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var m map[string]admit.Mark
+	var m map[string]admit.DirectoryState
 	return m, json.Unmarshal(b, &m)
 }
 
 // RecordPeerDirectories records the directory states of other replicas.
-func (f *Directory) RecordPeerDirectories(m map[string]admit.Mark) error {
+func (f *Directory) RecordPeerDirectories(m map[string]admit.DirectoryState) error {
 	b, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -267,14 +267,14 @@
 // Report describes the contents of a data directory, for operators.
 type Report struct {
 	LogSummary
-	Dir             string                `json:"dir"`
-	Format          int                   `json:"format"`
-	Directory       admit.Mark            `json:"mark"`
-	Voter           bool                  `json:"votes"`
-	Snapshots       []Snapshot            `json:"snapshots"`
-	PeerDirectories map[string]admit.Mark `json:"remembers"` // directory states of other replicas
-	Quarantined     []string              `json:"aside,omitempty"`
-	Corruption      string                `json:"damage,omitempty"`
+	Dir             string                          `json:"dir"`
+	Format          int                             `json:"format"`
+	Directory       admit.DirectoryState            `json:"mark"`
+	Voter           bool                            `json:"votes"`
+	Snapshots       []Snapshot                      `json:"snapshots"`
+	PeerDirectories map[string]admit.DirectoryState `json:"remembers"` // directory states of other replicas
+	Quarantined     []string                        `json:"aside,omitempty"`
+	Corruption      string                          `json:"damage,omitempty"`
 }
 
 // Snapshot describes one snapshot in a data directory.
@@ -318,16 +318,16 @@
 	}
 	f := &Directory{Log: l}
 	if name, err := l.readValue(directoryIDKey); err == nil {
-		r.Directory.Folder = string(name)
+		r.Directory.DirectoryID = string(name)
 	}
-	r.Directory.Life, _ = l.readUint64(openCountKey)
-	r.Directory.Joined, _ = l.readUint64(joinIndexKey)
-	r.Directory.Set, _ = l.readUint64(clusterGenerationKey)
+	r.Directory.OpenCount, _ = l.readUint64(openCountKey)
+	r.Directory.JoinIndex, _ = l.readUint64(joinIndexKey)
+	r.Directory.ClusterGeneration, _ = l.readUint64(clusterGenerationKey)
 	if name, err := l.readValue(clusterNameKey); err == nil {
-		r.Directory.Name = string(name)
+		r.Directory.ClusterName = string(name)
 	}
 	voter, _ := l.readUint64(voterKey)
-	r.Directory.Term, r.Directory.Last, r.Voter = r.LogSummary.Term, r.LogSummary.LastIndex, r.Directory.Joined == 0 || voter == 1
+	r.Directory.Term, r.Directory.LastIndex, r.Voter = r.LogSummary.Term, r.LogSummary.LastIndex, r.Directory.JoinIndex == 0 || voter == 1
 	if r.PeerDirectories, err = f.PeerDirectories(); err != nil {
 		return corrupt(err)
 	}
@@ -349,7 +349,7 @@
 	if err != nil {
 		return corrupt(err)
 	}
-	r.Directory.Last = max(r.Directory.Last, snapshotIndex)
+	r.Directory.LastIndex = max(r.Directory.LastIndex, snapshotIndex)
 	return r, nil
 }
 
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -37,8 +37,8 @@
 		r.Error = err.Error()
 	} else {
 		r = m.state.Apply(c, l.Term)
-		if c.Op == state.Compare {
-			m.digest = admit.Digest{At: l.Index, Part: c.Seq, Sum: r.N}
+		if c.Op == state.OpCompareDigests {
+			m.digest = admit.Digest{Index: l.Index, Partition: c.Seq, Sum: r.Value}
 		}
 	}
 	m.index = l.Index
@@ -61,7 +61,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state, m.index, m.digest = state.New(), 0, admit.Digest{}
-	m.state.Plant = m.injectedBug
+	m.state.InjectedBug = m.injectedBug
 	m.notifyChanged()
 }
 
@@ -71,13 +71,13 @@
 }
 
 // persistedState is a point-in-time copy of the state that raft writes to a snapshot.
-type persistedState struct{ *state.Kept }
+type persistedState struct{ *state.Snapshot }
 
 // Snapshot copies the state so that it can be persisted while further commands are applied.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return persistedState{m.state.Keep()}, nil
+	return persistedState{m.state.Snapshot()}, nil
 }
 
 // Restore replaces the state with that of a snapshot.
@@ -87,13 +87,13 @@
 	if err != nil {
 		return err
 	}
-	s, err := state.Read(b)
+	s, err := state.ReadSnapshot(b)
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.Plant = m.injectedBug
+	s.InjectedBug = m.injectedBug
 	m.state = s
 	m.notifyChanged()
 	return nil
@@ -101,7 +101,7 @@
 
 // Persist writes the snapshot to sink as JSON.
 func (k persistedState) Persist(sink raft.SnapshotSink) error {
-	if err := json.NewEncoder(sink).Encode(k.Kept); err != nil {
+	if err := json.NewEncoder(sink).Encode(k.Snapshot); err != nil {
 		sink.Cancel()
 		return err
 	}
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -101,13 +101,13 @@
 		if frame.Send(conn, c, maxClaimBytes) != nil {
 			return
 		}
-		var response admit.Word
+		var response admit.Response
 		if r.Next(&response) != nil || response.From != id {
 			return
 		}
 		s.mu.Lock()
-		if s.joiner.Claim.Folder == c.Folder && s.joiner.Rejoin == c.Rejoin { // otherwise the response belongs to an earlier claim
-			s.joiner.Take(response)
+		if s.joiner.Claim.DirectoryID == c.DirectoryID && s.joiner.RejoinReason == c.RejoinReason { // otherwise the response belongs to an earlier claim
+			s.joiner.AddResponse(response)
 		}
 		s.mu.Unlock()
 		s.wakeDecisionLoop()
@@ -126,7 +126,7 @@
 func (s *Store) currentClaim() admit.Claim {
 	if r := s.active.Load(); r != nil {
 		// The term is read first: an index reported with an earlier term already existed in that term.
-		s.joiner.Term, s.joiner.Last = r.raft.CurrentTerm(), r.raft.LastIndex()
+		s.joiner.Term, s.joiner.LastIndex = r.raft.CurrentTerm(), r.raft.LastIndex()
 		s.joiner.Digest = s.fsm.latestDigest()
 	}
 	return s.joiner.Claim
@@ -153,10 +153,10 @@
 func (s *Store) decide() {
 	s.mu.Lock()
 	phase := s.phase
-	s.joiner.Waited = s.o.Steady.Now() > s.verificationStartMS+allPeersWaitMS
+	s.joiner.WaitElapsed = s.o.Steady.Now() > s.verificationStartMS+allPeersWaitMS
 	d, reason := s.joiner.Decide()
-	joinState := s.joiner.JoinedAt()
-	if phase == PhaseVerifying && d == admit.Wait && s.phaseReason != reason {
+	joinState := s.joiner.JoinedState()
+	if phase == PhaseVerifying && d == admit.DecisionWait && s.phaseReason != reason {
 		s.setPhase(PhaseVerifying, reason)
 	}
 	s.mu.Unlock()
@@ -166,21 +166,21 @@
 	running := phase == PhaseRunning
 	var err error
 	switch {
-	case d == admit.Leave:
+	case d == admit.DecisionStop:
 		err = errors.Join(errors.New(reason), s.stopParticipating(false))
-	case d == admit.Rejoin:
+	case d == admit.DecisionRequestRejoin:
 		if err = s.stopParticipating(false); err == nil {
 			s.requestRejoin(reason)
 		}
-	case d == admit.Renew:
+	case d == admit.DecisionResetDirectory:
 		err = s.replaceDirectory(joinState)
-	case d == admit.Start && !running:
+	case d == admit.DecisionStart && !running:
 		err = s.participate(nil)
-	case d == admit.Begin && !running:
+	case d == admit.DecisionBootstrap && !running:
 		s.mu.Lock()
-		s.verifier.Know(s.joiner.Folders())
-		f, name := s.directory, s.joiner.NewName()
-		s.joiner.Name = name
+		s.verifier.RememberDirectories(s.joiner.PeerDirectories())
+		f, name := s.directory, s.joiner.NewClusterName()
+		s.joiner.ClusterName = name
 		s.mu.Unlock()
 		if err = s.savePeers(); err == nil {
 			err = f.RecordClusterName(name)
@@ -200,13 +200,13 @@
 func (s *Store) requestRejoin(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.joiner.Rejoin, s.joiner.Runs = reason, false
-	s.joiner.Forget()
+	s.joiner.RejoinReason, s.joiner.Running = reason, false
+	s.joiner.ClearResponses()
 	s.setPhase(PhaseRejoining, reason)
 }
 
 // replaceDirectory quarantines the data directory and continues with an empty one, as a non-voter.
-func (s *Store) replaceDirectory(joinState admit.Mark) error {
+func (s *Store) replaceDirectory(joinState admit.DirectoryState) error {
 	s.mu.Lock()
 	f := s.directory
 	s.mu.Unlock()
@@ -224,7 +224,7 @@
 	if err = errors.Join(corruption, err); err != nil {
 		return err
 	}
-	s.o.Events.Warn().Str("copy", s.o.ID).Str("aside", quarantined).Uint64("joined", joinState.Joined).Msg("rejoins with an empty data directory")
+	s.o.Events.Warn().Str("copy", s.o.ID).Str("aside", quarantined).Uint64("joined", joinState.JoinIndex).Msg("rejoins with an empty data directory")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.setPhase(PhaseVerifying, "rejoined as a non-voter")
@@ -250,7 +250,7 @@
 // recordRegainedVote records that the node has become a voter again: it has applied all entries up to its join index, and its
 // latest configuration lists it as a voter, so that configuration was written after it joined.
 func (s *Store) recordRegainedVote(r *participation) {
-	joinIndex := r.directory.State().Joined
+	joinIndex := r.directory.State().JoinIndex
 	if r.voter.Load() || r.raft.AppliedIndex() <= joinIndex {
 		return
 	}
@@ -277,14 +277,14 @@
 		if string(m.ID) == s.o.ID {
 			continue
 		}
-		if c, live := s.verifier.Latest(string(m.ID), nowMS); live && c.Runs {
+		if c, live := s.verifier.LatestClaim(string(m.ID), nowMS); live && c.Running {
 			digests[string(m.ID)] = c.Digest
-			lagging = lagging || c.Digest.At != ownDigest.At
+			lagging = lagging || c.Digest.Index != ownDigest.Index
 		}
 	}
-	divergent, split := admit.Differ(ownDigest.At, digests, voters)
+	divergent, split := admit.FindDivergent(ownDigest.Index, digests, voters)
 	for _, id := range divergent {
-		s.verifier.Suspect(id)
+		s.verifier.MarkDivergent(id)
 	}
 	due := nowMS >= s.nextCompareMS && !lagging || nowMS >= s.nextCompareMS+compareGraceMS
 	if due {
@@ -293,10 +293,10 @@
 	partition := s.partition
 	s.mu.Unlock()
 	if split && !s.effectsHalted.Swap(true) {
-		s.o.Events.Error().Uint64("at", ownDigest.At).Uint64("part", ownDigest.Part).Msg("replicas differ and no state has a majority: no further effects are begun")
+		s.o.Events.Error().Uint64("at", ownDigest.Index).Uint64("part", ownDigest.Partition).Msg("replicas differ and no state has a majority: no further effects are begun")
 	}
 	for _, id := range divergent {
-		s.o.Events.Error().Str("copy", id).Uint64("at", ownDigest.At).Uint64("part", ownDigest.Part).Msg("replica state differs from the majority")
+		s.o.Events.Error().Str("copy", id).Uint64("at", ownDigest.Index).Uint64("part", ownDigest.Partition).Msg("replica state differs from the majority")
 		if id == s.o.ID {
 			if err := s.stopParticipating(true); err == nil {
 				s.requestRejoin("the state of this replica differs from that of a majority")
@@ -307,14 +307,14 @@
 		}
 	}
 	if due {
-		s.Propose(state.Command{Op: state.Compare, Seq: partition}) // the result is not awaited: claims carry the digests
+		s.Propose(state.Command{Op: state.OpCompareDigests, Seq: partition}) // the result is not awaited: claims carry the digests
 	}
 }
 
 // updateVoters demotes voters that request to rejoin, and promotes non-voters that have caught up.
 func (s *Store) updateVoters(r *participation) {
 	s.mu.Lock()
-	rejoining := s.verifier.Asks(s.o.Steady.Now())
+	rejoining := s.verifier.RejoinRequests(s.o.Steady.Now())
 	s.mu.Unlock()
 	for _, m := range r.raft.GetConfiguration().Configuration().Servers {
 		id := string(m.ID)
@@ -347,7 +347,7 @@
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.verifier.Gone(id, connID)
+		s.verifier.ConnectionClosed(id, connID)
 	}()
 	r := frame.NewReader(conn, claimIdleTimeout, maxClaimBytes)
 	for s.ctx.Err() == nil {
@@ -358,7 +358,7 @@
 		if id == "" {
 			id = c.ID
 		}
-		if c.ID != id || s.o.Peers[c.ID] == "" || c.ID == s.o.ID || len(c.Folder)+len(c.Proc)+len(c.Name) > 96 {
+		if c.ID != id || s.o.Peers[c.ID] == "" || c.ID == s.o.ID || len(c.DirectoryID)+len(c.ProcessID)+len(c.ClusterName) > 96 {
 			return // not one of this node's peers
 		}
 		response, err := s.handleClaim(connID, c)
@@ -369,20 +369,20 @@
 }
 
 // handleClaim verifies a claim and, on the leader, tracks how far a non-voter has caught up.
-func (s *Store) handleClaim(connID uint64, c admit.Claim) (admit.Word, error) {
+func (s *Store) handleClaim(connID uint64, c admit.Claim) (admit.Response, error) {
 	v, m, r := s.clusterView(c.ID)
 	_, isLeader := s.Leadership()
 	s.mu.Lock()
-	w, persist := s.verifier.Hear(s.o.Steady.Now(), connID, c, v)
+	w, persist := s.verifier.HandleClaim(s.o.Steady.Now(), connID, c, v)
 	s.peersChanged = s.peersChanged || !persist
-	isLearner := isLeader && v.Of[c.ID] != (admit.Member{}) && !m.Votes && w.Verdict != admit.Elsewhere && w.Verdict != admit.Stranger
-	if isLearner && w.Verdict == admit.Good && c.Rejoin == "" {
+	isLearner := isLeader && v.Members[c.ID] != (admit.Member{}) && !m.Voter && w.Verdict != admit.VerdictOtherAddress && w.Verdict != admit.VerdictOtherCluster
+	if isLearner && w.Verdict == admit.VerdictAccepted && c.RejoinReason == "" {
 		l := s.learners[c.ID]
 		if l == nil {
 			l = &admit.Learner{}
 			s.learners[c.ID] = l
 		}
-		if l.Report(c, v.Last) {
+		if l.Report(c, v.LastIndex) {
 			s.caughtUp[c.ID] = true
 		}
 	} else {
@@ -396,10 +396,10 @@
 		}
 	}
 	s.wakeDecisionLoop()
-	if isLearner && c.Rejoin != "" {
+	if isLearner && c.RejoinReason != "" {
 		// Only committed changes count: a later committed entry proves that the demotion is committed.
 		if err := r.raft.Barrier(writeTimeout).Error(); err == nil {
-			w.Joined = v.Last
+			w.JoinIndex = v.LastIndex
 		}
 	}
 	return w, nil
@@ -411,16 +411,16 @@
 	if r == nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return admit.View{Begun: s.directory == nil || !s.joiner.Fresh || s.joiner.Joined > 0, Last: s.joiner.Last, Folder: s.joiner.Folder, Set: s.joiner.Set, Name: s.joiner.Name}, m, nil
+		return admit.View{Bootstrapped: s.directory == nil || !s.joiner.Fresh || s.joiner.JoinIndex > 0, LastIndex: s.joiner.LastIndex, DirectoryID: s.joiner.DirectoryID, ClusterGeneration: s.joiner.ClusterGeneration, ClusterName: s.joiner.ClusterName}, m, nil
 	}
 	directory := r.directory.State()
-	v.Folder, v.Set, v.Name = directory.Folder, directory.Set, directory.Name
-	v.Last = r.raft.LastIndex() // read before the configuration: any later promotion to voter has a higher index
-	v.Begun, v.Of = v.Last > 0, map[string]admit.Member{}
+	v.DirectoryID, v.ClusterGeneration, v.ClusterName = directory.DirectoryID, directory.ClusterGeneration, directory.ClusterName
+	v.LastIndex = r.raft.LastIndex() // read before the configuration: any later promotion to voter has a higher index
+	v.Bootstrapped, v.Members = v.LastIndex > 0, map[string]admit.Member{}
 	for _, c := range r.raft.GetConfiguration().Configuration().Servers {
-		v.Of[string(c.ID)] = admit.Member{Addr: string(c.Address), Votes: c.Suffrage == raft.Voter}
+		v.Members[string(c.ID)] = admit.Member{Addr: string(c.Address), Voter: c.Suffrage == raft.Voter}
 	}
-	return v, v.Of[id], r
+	return v, v.Members[id], r
 }
 
 // savePeersIfChanged saves the known peers if they have changed.
@@ -438,7 +438,7 @@
 	s.savePeersMu.Lock()
 	defer s.savePeersMu.Unlock()
 	s.mu.Lock()
-	f, peers := s.directory, maps.Clone(s.verifier.Marks)
+	f, peers := s.directory, maps.Clone(s.verifier.Directories)
 	s.peersChanged = false
 	s.mu.Unlock()
 	if f == nil {
@@ -449,17 +449,17 @@
 
 // Status describes a replica.
 type Status struct {
-	ID        string     `json:"id"`
-	Addr      string     `json:"addr"`
-	Phase     string     `json:"phase"`
-	Reason    string     `json:"why,omitempty"`
-	Leader    string     `json:"leader,omitempty"` // as this replica knows it
-	IsLeader  bool       `json:"leads"`
-	Voter     bool       `json:"votes"`
-	Applied   uint64     `json:"applied"`
-	Halted    bool       `json:"halted,omitempty"` // replicas differ and no state has a majority: no effect is begun
-	Directory admit.Mark `json:"mark"`
-	Members   []Member   `json:"members,omitempty"`
+	ID        string               `json:"id"`
+	Addr      string               `json:"addr"`
+	Phase     string               `json:"phase"`
+	Reason    string               `json:"why,omitempty"`
+	Leader    string               `json:"leader,omitempty"` // as this replica knows it
+	IsLeader  bool                 `json:"leads"`
+	Voter     bool                 `json:"votes"`
+	Applied   uint64               `json:"applied"`
+	Halted    bool                 `json:"halted,omitempty"` // replicas differ and no state has a majority: no effect is begun
+	Directory admit.DirectoryState `json:"mark"`
+	Members   []Member             `json:"members,omitempty"`
 }
 
 // Member is what a replica knows of one member of its cluster.
@@ -483,15 +483,15 @@
 	nowMS := s.o.Steady.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st.Phase, st.Reason, st.Directory, st.Halted = s.phase, s.phaseReason, s.currentClaim().Mark, s.effectsHalted.Load()
+	st.Phase, st.Reason, st.Directory, st.Halted = s.phase, s.phaseReason, s.currentClaim().DirectoryState, s.effectsHalted.Load()
 	st.Directory.Term = max(st.Directory.Term, term)
-	for _, id := range slices.Sorted(maps.Keys(v.Of)) {
-		m := Member{ID: id, Addr: v.Of[id].Addr, Votes: v.Of[id].Votes, Alive: id == s.o.ID, Last: v.Last}
+	for _, id := range slices.Sorted(maps.Keys(v.Members)) {
+		m := Member{ID: id, Addr: v.Members[id].Addr, Votes: v.Members[id].Voter, Alive: id == s.o.ID, Last: v.LastIndex}
 		if id != s.o.ID {
 			var c admit.Claim
-			c, m.Alive = s.verifier.Latest(id, nowMS)
-			m.Last = c.Last
-			m.Lag = max(v.Last, c.Last) - c.Last
+			c, m.Alive = s.verifier.LatestClaim(id, nowMS)
+			m.Last = c.LastIndex
+			m.Lag = max(v.LastIndex, c.LastIndex) - c.LastIndex
 		}
 		st.Members = append(st.Members, m)
 	}
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -156,7 +156,7 @@
 	s.write("a", "k")
 	for _, id := range []string{"a", "b", "c"} {
 		s.waitValues(id, "k")
-		if st := s.nodes[id].Status(); st.Directory.Joined != 0 || len(s.quarantined(id)) > 0 {
+		if st := s.nodes[id].Status(); st.Directory.JoinIndex != 0 || len(s.quarantined(id)) > 0 {
 			t.Errorf("%s rejoined: %+v", id, st)
 		}
 	}
@@ -222,8 +222,8 @@
 			s.stop("c")
 			loseState(t, s, outdated)
 			s.start("c")
-			st := s.waitStatus("c", "want it to be a voter again", func(st Status) bool { return isVoter(st) && st.Directory.Joined > 0 })
-			if st.Directory.Life != 1 || len(s.quarantined("c")) == 0 {
+			st := s.waitStatus("c", "want it to be a voter again", func(st Status) bool { return isVoter(st) && st.Directory.JoinIndex > 0 })
+			if st.Directory.OpenCount != 1 || len(s.quarantined("c")) == 0 {
 				t.Errorf("%+v, quarantined %q", st, s.quarantined("c"))
 			}
 			s.waitValues("c", append(keys, "before")...)
@@ -260,7 +260,7 @@
 		t.Errorf("%+v", st)
 	}
 	s.start("b")
-	s.waitStatus("c", "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.Joined > 0 })
+	s.waitStatus("c", "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.JoinIndex > 0 })
 	s.waitValues("c", "k")
 }
 
@@ -280,7 +280,7 @@
 	s.stop("b", "c")
 	o := Options{ID: "a", Dir: s.dirs["a"], Peers: maps.Clone(s.peers)}
 	r, err := RecoverCluster(o)
-	if err != nil || r.Directory.Set != 1 {
+	if err != nil || r.Directory.ClusterGeneration != 1 {
 		t.Fatalf("%+v %v", r, err)
 	}
 	s.start("a")
@@ -288,7 +288,9 @@
 	s.write("a", "anew")
 	s.start("b", "c") // they have more entries, and were a majority of the old cluster
 	for _, id := range []string{"b", "c"} {
-		s.waitStatus(id, "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.Joined > 0 && st.Directory.Set == 1 })
+		s.waitStatus(id, "want it to be a voter again after rejoining", func(st Status) bool {
+			return isVoter(st) && st.Directory.JoinIndex > 0 && st.Directory.ClusterGeneration == 1
+		})
 		s.waitValues(id, "k", "anew")
 		if _, there := s.nodes[id].Get("only b and c"); there {
 			t.Errorf("%s has an entry that the recovery discarded", id)
@@ -375,7 +377,7 @@
 	if st.Phase != PhaseVerifying || len(restored.quarantined("c")) > 0 {
 		t.Errorf("%+v", st)
 	}
-	if a, b := restored.nodes["a"].Status().Directory.Name, restored.nodes["b"].Status().Directory.Name; a != b || a == h.ClusterName {
+	if a, b := restored.nodes["a"].Status().Directory.ClusterName, restored.nodes["b"].Status().Directory.ClusterName; a != b || a == h.ClusterName {
 		t.Errorf("clusters %q, %q; the old one is %q", a, b, h.ClusterName)
 	}
 	restored.write("b", "anew")
@@ -417,11 +419,11 @@
 		if target == "" {
 			t.Fatal("no replica with the wanted role")
 		}
-		before := s.nodes[target].Status().Directory.Joined
+		before := s.nodes[target].Status().Directory.JoinIndex
 		if s.nodes[target].CorruptMemory(uint64(round+3)) == "" {
 			t.Fatal("no effect to corrupt")
 		}
-		s.waitStatus(target, "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.Joined > before })
+		s.waitStatus(target, "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.JoinIndex > before })
 		s.waitValues(target, "k")
 		s.waitVoters("a", "b", "c")
 	}
@@ -598,8 +600,8 @@
 	n := s.nodes["a"]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.verifier.Marks) != 2 || n.verifier.Marks["b"].Folder == "f" || n.verifier.Marks["c"].Folder == "f" {
-		t.Errorf("%+v", n.verifier.Marks)
+	if len(n.verifier.Directories) != 2 || n.verifier.Directories["b"].DirectoryID == "f" || n.verifier.Directories["c"].DirectoryID == "f" {
+		t.Errorf("%+v", n.verifier.Directories)
 	}
 }
 
--- a/internal/store/rates_test.go
+++ b/internal/store/rates_test.go
@@ -139,10 +139,10 @@
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
 			measureRate(b, float64(rate), func(leader *Store, i int) error {
 				id := fmt.Sprintf("%016x", i)
-				if err := proposeAndWait(leader, state.Command{Op: state.Begin, Key: id}); err != nil {
+				if err := proposeAndWait(leader, state.Command{Op: state.OpBeginEffect, Key: id}); err != nil {
 					return err
 				}
-				return proposeAndWait(leader, state.Command{Op: state.End, IDs: []string{id}})
+				return proposeAndWait(leader, state.Command{Op: state.OpEndEffects, EffectIDs: []string{id}})
 			})
 		})
 	}
@@ -158,7 +158,7 @@
 					c.Puts = append(c.Puts, records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i%1000*3+k)},
 						Value: fmt.Appendf(nil, `{"share":0.0000025,"limit":%d.5}`, i%500)})
 				}
-				return proposeAndWait(leader, state.Command{Op: state.Change, Change: &c})
+				return proposeAndWait(leader, state.Command{Op: state.OpChangeRecords, Change: &c})
 			})
 		})
 	}
@@ -171,9 +171,9 @@
 			measureRate(b, float64(rate), func(leader *Store, i int) error {
 				term, _ := leader.Leadership()
 				serverID := fmt.Sprintf("os-%04d#%016x", i%4300, i)
-				name := duty.PresenceOf(serverID)
-				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: serverID, TTL: 3000, Term: term}
-				if err := proposeAndWait(leader, state.Command{Op: state.Orders, Orders: []duty.Order{grant}}); err != nil {
+				name := duty.PresenceName(serverID)
+				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: serverID, TTLMS: 3000, Term: term}
+				if err := proposeAndWait(leader, state.Command{Op: state.OpLeaseOrders, Orders: []duty.Order{grant}}); err != nil {
 					return err
 				}
 				epoch := uint64(0)
@@ -182,8 +182,8 @@
 						epoch = l.Epoch
 					}
 				})
-				expiry := duty.Order{Kind: duty.Lapse, Name: name, Holder: serverID, Epoch: epoch, Term: term}
-				return proposeAndWait(leader, state.Command{Op: state.Orders, Orders: []duty.Order{expiry}})
+				expiry := duty.Order{Kind: duty.Expire, Name: name, Holder: serverID, Epoch: epoch, Term: term}
+				return proposeAndWait(leader, state.Command{Op: state.OpLeaseOrders, Orders: []duty.Order{expiry}})
 			})
 		})
 	}
--- a/internal/store/resolve.go
+++ b/internal/store/resolve.go
@@ -29,10 +29,10 @@
 		return report, err
 	case report.Corruption != "":
 		return report, errors.New(report.Corruption)
-	case report.Directory.Last == 0:
+	case report.Directory.LastIndex == 0:
 		return report, fmt.Errorf("store: %s is empty: there is nothing to recover from", o.Dir)
 	case !report.Voter:
-		return report, fmt.Errorf("store: %s joined at log index %d and had not caught up: choose the directory of a voter", o.Dir, report.Directory.Joined)
+		return report, fmt.Errorf("store: %s joined at log index %d and had not caught up: choose the directory of a voter", o.Dir, report.Directory.JoinIndex)
 	}
 	processID, err := disk.NewRandomID()
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 	// This comes last: if recovery is interrupted, the directory still belongs to the old cluster and recovery can be
 	// repeated.
-	if err := f.RecordNewCluster(report.Directory.Name); err != nil {
+	if err := f.RecordNewCluster(report.Directory.ClusterName); err != nil {
 		return report, err
 	}
 	report.Directory = f.State()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -90,8 +90,8 @@
 
 	mu                  sync.Mutex
 	directory           *disk.Directory // nil: its contents are corrupt
-	joiner              admit.Seeker
-	verifier            *admit.Witness
+	joiner              admit.Joiner
+	verifier            *admit.Verifier
 	learners            map[string]*admit.Learner
 	caughtUp            map[string]bool // by id of non-voter
 	phase               string
@@ -119,7 +119,7 @@
 		o.Log = io.Discard
 	}
 	if o.Steady == nil {
-		o.Steady = clock.Steady()
+		o.Steady = clock.Monotonic()
 	}
 	if o.CompareIntervalMS == 0 {
 		o.CompareIntervalMS = defaultCompareIntervalMS
@@ -140,9 +140,9 @@
 	s := &Store{o: o, processID: processID, fsm: newStateMachine(), decisionDue: make(chan struct{}, 1), learners: map[string]*admit.Learner{},
 		caughtUp: map[string]bool{}, phase: PhaseVerifying, phaseChanged: make(chan struct{})}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.fsm.onApply, s.fsm.injectedBug, s.fsm.state.Plant = o.OnApply, o.InjectedBug, o.InjectedBug
+	s.fsm.onApply, s.fsm.injectedBug, s.fsm.state.InjectedBug = o.OnApply, o.InjectedBug, o.InjectedBug
 	s.mux = newMultiplexer(ln, map[byte]func(net.Conn){purposeWrites: s.serveWrite, purposeClaims: s.serveClaims, purposeStatus: s.serveStatus, purposeBackup: s.serveBackup}, o.AddressOverrides)
-	corruption, err := s.openDirectory(admit.Mark{})
+	corruption, err := s.openDirectory(admit.DirectoryState{})
 	if err == nil && corruption != nil && len(o.Peers) < 2 {
 		err = corruption // no peer to rebuild it from
 	}
@@ -167,7 +167,7 @@
 }
 
 // openDirectory opens the data directory. Corruption is returned apart from err: the node requests to rejoin then.
-func (s *Store) openDirectory(joinState admit.Mark) (corruption error, err error) {
+func (s *Store) openDirectory(joinState admit.DirectoryState) (corruption error, err error) {
 	f, err := disk.OpenDirectory(s.o.Dir, s.processID, s.o.Log, disk.Options{OnFailure: s.diskFailed})
 	if corrupt := (*disk.CorruptionError)(nil); errors.As(err, &corrupt) {
 		corruption, err = corrupt, nil
@@ -175,9 +175,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var peers map[string]admit.Mark
+	var peers map[string]admit.DirectoryState
 	if f != nil {
-		if joinState.Joined > 0 {
+		if joinState.JoinIndex > 0 {
 			err = f.RecordJoin(joinState)
 		}
 		if err == nil {
@@ -192,21 +192,21 @@
 	defer s.mu.Unlock()
 	s.directory = f
 	if s.verifier == nil || len(peers) > 0 {
-		s.verifier = admit.NewWitness(s.o.ID, peers)
+		s.verifier = admit.NewVerifier(s.o.ID, peers)
 	} else {
 		s.peersChanged = true // the known peers have to be saved in the new directory
 	}
-	s.joiner = admit.Seeker{Strict: s.o.Strict, Plant: s.o.InjectedBug}
+	s.joiner = admit.Joiner{Strict: s.o.Strict, InjectedBug: s.o.InjectedBug}
 	s.joiner.ID, s.joiner.Addr = s.o.ID, s.o.Peers[s.o.ID]
 	for id := range s.o.Peers {
 		if id != s.o.ID {
-			s.joiner.Others = append(s.joiner.Others, id)
+			s.joiner.Peers = append(s.joiner.Peers, id)
 		}
 	}
 	if f != nil {
-		s.joiner.Mark, s.joiner.Fresh, s.joiner.Sole = f.State(), f.Empty(), f.SoleVoter()
+		s.joiner.DirectoryState, s.joiner.Fresh, s.joiner.SoleVoter = f.State(), f.Empty(), f.SoleVoter()
 	} else {
-		s.joiner.Proc, s.joiner.Rejoin = s.processID, corruption.Error()
+		s.joiner.ProcessID, s.joiner.RejoinReason = s.processID, corruption.Error()
 		s.setPhase(PhaseRejoining, corruption.Error())
 	}
 	return corruption, nil
@@ -219,10 +219,10 @@
 	s.mu.Unlock()
 	r := &participation{directory: f}
 	r.voter.Store(f.IsVoter())
-	raftLayer := s.mux.openRaftLayer(f.State().Name)
+	raftLayer := s.mux.openRaftLayer(f.State().ClusterName)
 	r.transport = raft.NewNetworkTransport(raftLayer, 3, writeTimeout, s.o.Log)
 	r.voteFilter = newVoteFilter(r.transport, r.voter.Load)
-	empty := f.Empty() && f.State().Joined == 0
+	empty := f.Empty() && f.State().JoinIndex == 0
 	var err error
 	if r.raft, err = raft.NewRaft(s.o.raftConfig(), s.fsm, f, f, f.Snapshots, r.voteFilter); err != nil {
 		r.voteFilter.Close()
@@ -238,8 +238,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.joiner.Fresh, s.joiner.Runs = false, true
-	s.joiner.Forget()
+	s.joiner.Fresh, s.joiner.Running = false, true
+	s.joiner.ClearResponses()
 	s.setPhase(PhaseRunning, "")
 	return nil
 }
@@ -314,19 +314,19 @@
 
 // Set writes a key.
 func (s *Store) Set(key string, value []byte) error {
-	_, err := s.write(state.Command{Op: state.Set, Key: key, Value: value})
+	_, err := s.write(state.Command{Op: state.OpSet, Key: key, Value: value})
 	return err
 }
 
 // Delete removes a key.
 func (s *Store) Delete(key string) error {
-	_, err := s.write(state.Command{Op: state.Delete, Key: key})
+	_, err := s.write(state.Command{Op: state.OpDelete, Key: key})
 	return err
 }
 
 // Begin records that an effect begins; it returns false if the effect is recorded already.
 func (s *Store) Begin(id string) (bool, error) {
-	return s.write(state.Command{Op: state.Begin, Key: id})
+	return s.write(state.Command{Op: state.OpBeginEffect, Key: id})
 }
 
 // Snapshot writes a snapshot of the state to the node's data directory.
@@ -358,7 +358,7 @@
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
-	return err == nil && r.Fresh, err
+	return err == nil && r.WasAbsent, err
 }
 
 func (s *Store) forward(c state.Command) (r state.Result, err error) {
@@ -383,7 +383,7 @@
 	if err != nil || response.Error != "" {
 		return r, fmt.Errorf("%w: %v %s", ErrNoQuorum, err, response.Error)
 	}
-	return state.Result{Fresh: response.Fresh, Error: response.Refused}, nil
+	return state.Result{WasAbsent: response.Fresh, Error: response.Refused}, nil
 }
 
 func (s *Store) apply(c state.Command) (state.Result, error) { return s.Propose(c)() }
@@ -392,7 +392,7 @@
 // After an error the command may or may not be applied. Commands proposed by one goroutine are applied in that order.
 func (s *Store) Propose(c state.Command) func() (state.Result, error) {
 	b, err := json.Marshal(c)
-	if err == nil && c.Op == state.Begin && s.effectsHalted.Load() {
+	if err == nil && c.Op == state.OpBeginEffect && s.effectsHalted.Load() {
 		err = ErrReplicasDiverged
 	}
 	if err != nil {
@@ -494,7 +494,7 @@
 		return
 	}
 	r, err := s.apply(c)
-	response := writeResponse{Fresh: r.Fresh, Refused: r.Error}
+	response := writeResponse{Fresh: r.WasAbsent, Refused: r.Error}
 	if err != nil {
 		response.Error = err.Error()
 	}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	return &Log{who: who, own: own, one: clock.Steady(), f: f, write: bufio.NewWriter(f)}, nil
+	return &Log{who: who, own: own, one: clock.Monotonic(), f: f, write: bufio.NewWriter(f)}, nil
 }
 
 // Add writes an event, whole and at once: the process may be killed at any time. until is a time of the process's own
--- a/policy/api.go
+++ b/policy/api.go
@@ -49,39 +49,39 @@
 
 // Settings is all that an instance is told at its start.
 type Settings struct {
-	Classes        []Class
-	Tenants        []Tenant
-	Servers        int     // instances of this tier at the start
-	Callers        int     // callers of this tier at the start
-	Cores          int     // cores of this machine
-	MemoryKB       float64 // memory for held and running requests and remembered entries
-	EntryKB        float64 // memory of one remembered entry
-	RunFactor      float64 // memory of a running request over that of a held one
-	FreshFor       time.Duration
-	JustStarted    bool          // the instance starts cold
-	Cold           time.Duration // it is warm after this at the latest
-	ColdShare      float64       // part of its speed that a cold instance begins with
-	FallMultiple   float64       // running requests a core that a warm instance survives
-	FallSpan       time.Duration // the span over which they are averaged
-	AnswerSlack    time.Duration
-	DrainGrace     time.Duration
-	Tick           time.Duration // shortest gap between two calls of Handle
-	PassesDeadline bool          // Arrived.Left is told
-	MarksRetry     bool          // Arrived.Resent is told
-	Below          bool          // there is something below to call
-	BelowShare     float64       // this instance's share of calls that what lies below survives; 0: not told
-	CallSpan       time.Duration // the span over which these calls are averaged
-	Linger         time.Duration // a call given up stays there so long at most
-	Hint           Hint
-	HintFor        time.Duration // how long a caller remembers the hint
-	Idle           time.Duration // callers close idle connections after this; 0: not told
-	MaxPause       time.Duration // longest advice to stay away that is heeded; 0: none is
-	OverShareWorth float64       // worth of a request over its tenant's share, as a part of its class's
-	WorthByWork    bool          // worth counts for each unit of work
-	BusyGauge      int           // place of each gauge in Woke.Gauges; -1: absent
-	RunnableGauge  int
-	MemoryGauge    int
-	ConnGauge      int
+	Classes           []Class
+	Tenants           []Tenant
+	Servers           int     // instances of this tier at the start
+	Callers           int     // callers of this tier at the start
+	Cores             int     // cores of this machine
+	MemoryKB          float64 // memory for held and running requests and remembered entries
+	EntryKB           float64 // memory of one remembered entry
+	RunMemoryFactor   float64 // memory of a running request over that of a held one
+	SharedResultTTL   time.Duration
+	JustStarted       bool          // the instance starts cold
+	WarmupPeriod      time.Duration // it is warm after this at the latest
+	ColdSpeedShare    float64       // part of its speed that a cold instance begins with
+	MaxRunningPerCore float64       // running requests a core that a warm instance survives
+	MaxRunningPeriod  time.Duration // the span over which they are averaged
+	AnswerSlack       time.Duration
+	DrainGrace        time.Duration
+	Tick              time.Duration // shortest gap between two calls of Handle
+	PassesDeadline    bool          // Arrived.TimeLeft is told
+	MarksRetry        bool          // Arrived.IsRetry is told
+	HasDownstream     bool          // there is something below to call
+	DownstreamShare   float64       // this instance's share of calls that what lies below survives; 0: not told
+	CallPeriod        time.Duration // the span over which these calls are averaged
+	AbandonedCallTime time.Duration // a call given up stays there so long at most
+	Hint              Hint
+	HintTTL           time.Duration // how long a caller remembers the hint
+	IdleTimeout       time.Duration // callers close idle connections after this; 0: not told
+	MaxRetryAfter     time.Duration // longest advice to stay away that is heeded; 0: none is
+	OverShareWorth    float64       // worth of a request over its tenant's share, as a part of its class's
+	WorthByWork       bool          // worth counts for each unit of work
+	BusyGauge         int           // place of each gauge in Woke.Gauges; -1: absent
+	RunnableGauge     int
+	MemoryGauge       int
+	ConnectionGauge   int
 }
 
 // Outcome is how a run or a call ended.
@@ -93,10 +93,10 @@
 	Failed
 	Full
 	TimedOut
-	Unreached
-	CutOff
+	Unreachable
+	InvalidReply
 	Cancelled
-	Moot
+	NotRun
 )
 
 // Event is something that reached the instance.
@@ -104,27 +104,27 @@
 
 // Arrived tells that a request was read and is now held.
 type Arrived struct {
-	ID       ID
-	Class    string
-	Tenant   string
-	Caller   int64
-	Size     time.Duration // expected work; 0: not told
-	Waited   time.Duration // how long ago it reached the machine
-	Left     time.Duration // how long its caller still waits; 0: not told
-	KB       float64       // memory while held
-	Rank     float64       // place among all requests, 0 (least worth) to 1
-	Key      string        // what it is about; empty: not told
-	Write    bool
-	Resent   bool // known to be a further try
-	Original ID   // the remembered request that it repeats
-	Repeats  bool // Original is set
+	ID          ID
+	Class       string
+	Tenant      string
+	Caller      int64
+	Size        time.Duration // expected work; 0: not told
+	Waited      time.Duration // how long ago it reached the machine
+	TimeLeft    time.Duration // how long its caller still waits; 0: not told
+	KB          float64       // memory while held
+	Rank        float64       // place among all requests, 0 (least worth) to 1
+	Key         string        // what it is about; empty: not told
+	Write       bool
+	IsRetry     bool // known to be a further try
+	Original    ID   // the remembered request that it repeats
+	HasOriginal bool // Original is set
 }
 
 // Finished tells that a run, or a shared result, is over.
 type Finished struct {
-	ID      ID
-	Outcome Outcome
-	Took    time.Duration
+	ID       ID
+	Outcome  Outcome
+	Duration time.Duration
 }
 
 // CallNeeded tells that a running request stands at a call.
@@ -132,9 +132,9 @@
 
 // CallReturned tells how a call ended.
 type CallReturned struct {
-	ID      ID
-	Outcome Outcome
-	Took    time.Duration
+	ID       ID
+	Outcome  Outcome
+	Duration time.Duration
 }
 
 // CallerGone tells that nobody waits for the request.
@@ -142,12 +142,12 @@
 
 // DrainNotice tells that the instance will be stopped.
 type DrainNotice struct {
-	Left time.Duration
-	Ago  time.Duration // how long ago the notice came
+	TimeLeft time.Duration
+	Age      time.Duration // how long ago the notice came
 }
 
-// Woke is the answer to WakeAt.
-type Woke struct {
+// TimerFired is the answer to SetTimer.
+type TimerFired struct {
 	Token  uint64
 	Gauges []float64
 }
@@ -158,7 +158,7 @@
 func (CallReturned) event() {}
 func (CallerGone) event()   {}
 func (DrainNotice) event()  {}
-func (Woke) event()         {}
+func (TimerFired) event()   {}
 
 // Action is something that the host has to do, in the order given.
 type Action interface{ action() }
@@ -171,25 +171,25 @@
 
 // Refuse turns a request away that never ran.
 type Refuse struct {
-	ID      ID
-	Pause   time.Duration // advice to stay away; 0: none
-	NoRetry bool          // advice not to try elsewhere
+	ID         ID
+	RetryAfter time.Duration // advice to stay away; 0: none
+	NoRetry    bool          // advice not to try elsewhere
 }
 
 // Fail answers a request with an error that promises nothing.
 type Fail struct{ ID ID }
 
-// Remember puts a request in the table of repeats.
-type Remember struct {
-	ID   ID
-	Span time.Duration
+// StoreKey puts a request in the table of repeats.
+type StoreKey struct {
+	ID  ID
+	TTL time.Duration
 }
 
-// Forget takes a request out of the table.
-type Forget struct{ ID ID }
+// DeleteKey takes a request out of the table.
+type DeleteKey struct{ ID ID }
 
-// CallOut makes the call that a request waits for.
-type CallOut struct {
+// MakeCall makes the call that a request waits for.
+type MakeCall struct {
 	ID      ID
 	MaxWait time.Duration
 }
@@ -200,34 +200,34 @@
 // Health sets what checks hear from now on.
 type Health struct {
 	Shallow bool // answer from this setting alone
-	Good    bool
+	Healthy bool
 }
 
-// Advise sets the hint sent with every answer from now on.
-type Advise struct{ Value float64 }
+// SetHint sets the hint sent with every answer from now on.
+type SetHint struct{ Value float64 }
 
 // CloseIdle closes connections that carried nothing for this long.
 type CloseIdle struct{ After time.Duration }
 
-// WakeAt asks for a Woke event.
-type WakeAt struct {
+// SetTimer asks for a Woke event.
+type SetTimer struct {
 	At    time.Duration
 	Token uint64
 }
 
-// Note is a line for the operators' log.
-type Note struct{ Text string }
+// LogLine is a line for the operators' log.
+type LogLine struct{ Text string }
 
 func (Start) action()       {}
 func (ShareResult) action() {}
 func (Refuse) action()      {}
 func (Fail) action()        {}
-func (Remember) action()    {}
-func (Forget) action()      {}
-func (CallOut) action()     {}
+func (StoreKey) action()    {}
+func (DeleteKey) action()   {}
+func (MakeCall) action()    {}
 func (SkipCall) action()    {}
 func (Health) action()      {}
-func (Advise) action()      {}
+func (SetHint) action()     {}
 func (CloseIdle) action()   {}
-func (WakeAt) action()      {}
-func (Note) action()        {}
+func (SetTimer) action()    {}
+func (LogLine) action()     {}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// BenchmarkHandleFullHold measures one arrival and one end while the hold is full.
-func BenchmarkHandleFullHold(b *testing.B) {
+// BenchmarkHandleFullQueue measures one arrival and one end while the hold is full.
+func BenchmarkHandleFullQueue(b *testing.B) {
 	set := testSettings()
 	set.Cores, set.MemoryKB = 64, 1e9
 	n, err := New(set, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	now, next := time.Hour, ID(0)
+	now, lastID := time.Hour, ID(0)
 	arrive := func() Event {
-		next++
-		return iron(next)
+		lastID++
+		return safeRequest(lastID)
 	}
 	for range 500 {
 		n.Handle(now, []Event{arrive(), gauges(1, 64, 0)})
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -15,9 +15,9 @@
 			{Name: "order", Aim: time.Second, Deadline: 3 * time.Second, Worth: 5,
 				Safety: policy.Keyed, KeyTTL: 10 * time.Second},
 		},
-		Cores: 2, MemoryKB: 1 << 20, EntryKB: 1, RunFactor: 4, FallMultiple: 5, FallSpan: 2 * time.Second,
+		Cores: 2, MemoryKB: 1 << 20, EntryKB: 1, RunMemoryFactor: 4, MaxRunningPerCore: 5, MaxRunningPeriod: 2 * time.Second,
 		Tick: time.Millisecond, DrainGrace: time.Second,
-		BusyGauge: 0, RunnableGauge: -1, MemoryGauge: -1, ConnGauge: -1,
+		BusyGauge: 0, RunnableGauge: -1, MemoryGauge: -1, ConnectionGauge: -1,
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -33,19 +33,19 @@
 				fmt.Println("turn away", a.ID)
 			case policy.Fail:
 				fmt.Println("answer with an error", a.ID)
-			case policy.WakeAt:
-				// Set a timer; then: n.Handle(a.At, []policy.Event{policy.Woke{Token: a.Token, Gauges: gauges}})
+			case policy.SetTimer:
+				// Set a timer; then: n.Handle(a.At, []policy.Event{policy.TimerFired{Token: a.Token, Gauges: gauges}})
 			}
 		}
 	}
 	carryOut(n.Handle(now, []policy.Event{
-		policy.Woke{Gauges: []float64{1}},
+		policy.TimerFired{Gauges: []float64{1}},
 		policy.Arrived{ID: 1, Class: "read", KB: 20},
 		policy.Arrived{ID: 2, Class: "read", KB: 20},
 		policy.Arrived{ID: 3, Class: "read", KB: 20},
 		policy.Arrived{ID: 4, Class: "order", KB: 20},
 	}))
-	carryOut(n.Handle(now+100*time.Millisecond, []policy.Event{policy.Finished{ID: 4, Took: 100 * time.Millisecond}}))
+	carryOut(n.Handle(now+100*time.Millisecond, []policy.Event{policy.Finished{ID: 4, Duration: 100 * time.Millisecond}}))
 	// Output:
 	// run 4
 	// run 1
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -7,53 +7,53 @@
 	"time"
 )
 
-func TestRunningWorkIsAnsweredByItsDueTime(t *testing.T) {
-	r := newRig(t, nil)
-	a := iron(1)
-	a.Left = 300 * ms
-	r.do(a)
+func TestRunningRequestIsAnsweredByItsDeadline(t *testing.T) {
+	r := newHarness(t, nil)
+	a := safeRequest(1)
+	a.TimeLeft = 300 * ms
+	r.handle(a)
 	r.want(r.after(290 * ms))
 	r.want(r.after(8*ms), "Fail 1") // a tick before it is due
 	r.want(r.after(500*ms, done(1)))
 }
 
-func TestDueTimeWithoutToldWait(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.Classes[0].LateValue = 1 })
-	full(r)
-	a := iron(3)
-	a.Left, a.Waited = 0, 1000*ms
-	r.do(a)
+func TestDeadlineOfClassAppliesWithoutCallerTimeout(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { s.Classes[0].LateValue = 1 })
+	fillCores(r)
+	a := safeRequest(3)
+	a.TimeLeft, a.Waited = 0, 1000*ms
+	r.handle(a)
 	var got []string
 	for range 110 {
 		got = append(got, r.after(20*ms, gauges(1, 2, 0))...)
 	}
-	if !has(got, "Refuse 3") {
+	if !contains(got, "Refuse 3") {
 		t.Errorf("no answer 3.2 s after it reached the machine: %q", got)
 	}
 	a.ID, a.Waited = 4, 9000*ms
-	r.want(r.do(a), "Refuse 4") // already due when read
+	r.want(r.handle(a), "Refuse 4") // already due when read
 }
 
-func TestWakesGoOnWhenOneComesEarly(t *testing.T) {
+func TestTimerIsSetAgainAfterFiringEarly(t *testing.T) {
 	// A host with a coarser clock wakes the instance just before the time asked for, which once
 	// left requests without an answer: no further wake was asked for.
-	r := newRig(t, nil)
-	var wake WakeAt
-	next := func(events ...Event) {
+	r := newHarness(t, nil)
+	var timer SetTimer
+	handle := func(events ...Event) {
 		for _, a := range r.n.Handle(r.now, events) {
-			if w, ok := a.(WakeAt); ok {
-				wake = w
+			if w, ok := a.(SetTimer); ok {
+				timer = w
 			}
 		}
 	}
-	a := iron(1)
-	a.Left = 200 * ms
-	next(Woke{Token: 1}, a)
+	a := safeRequest(1)
+	a.TimeLeft = 200 * ms
+	handle(TimerFired{Token: 1}, a)
 	for range 40 {
-		asked := wake
-		r.now = wake.At - 1
-		next(Woke{Token: wake.Token})
-		if wake == asked {
+		previous := timer
+		r.now = timer.At - 1
+		handle(TimerFired{Token: timer.Token})
+		if timer == previous {
 			t.Fatal("no wake was asked for after one came early")
 		}
 		if r.now > 1000*time.Second+time.Second {
@@ -62,64 +62,64 @@
 	}
 }
 
-func TestWakesOftenOnlyWhileSomethingIsHeld(t *testing.T) {
+func TestTimerIntervalIsShortOnlyWhileRequestsAreQueued(t *testing.T) {
 	// A timer costs in each of hundreds of servers; held work waits for the gauge.
-	for _, held := range []bool{false, true} {
-		r := newRig(t, nil)
-		full(r)
-		if held {
-			r.do(iron(3))
+	for _, withQueued := range []bool{false, true} {
+		r := newHarness(t, nil)
+		fillCores(r)
+		if withQueued {
+			r.handle(safeRequest(3))
 		}
-		wakes, token, at := 0, uint64(0), time.Duration(0)
+		timers, token, at := 0, uint64(0), time.Duration(0)
 		end := r.now + 300*ms
 		for r.now < end {
 			r.now += 2 * ms
 			var events []Event
 			if at > 0 && r.now >= at {
-				events, at = []Event{Woke{Token: token, Gauges: []float64{1, 2, 0}}}, 0
-				wakes++
+				events, at = []Event{TimerFired{Token: token, Gauges: []float64{1, 2, 0}}}, 0
+				timers++
 			}
 			for _, a := range r.n.Handle(r.now, events) {
-				if w, ok := a.(WakeAt); ok {
+				if w, ok := a.(SetTimer); ok {
 					token, at = w.Token, w.At
 				}
 			}
 		}
-		if held && wakes < 10 || !held && wakes > 4 {
-			t.Errorf("held %v: %d wakes in 300 ms", held, wakes)
+		if withQueued && timers < 10 || !withQueued && timers > 4 {
+			t.Errorf("held %v: %d wakes in 300 ms", withQueued, timers)
 		}
 	}
 }
 
-func TestLostWakeIsAskedForAgain(t *testing.T) {
-	r := newRig(t, nil)
-	asked := false
+func TestLostTimerIsSetAgain(t *testing.T) {
+	r := newHarness(t, nil)
+	timerSet := false
 	r.now += time.Second // no Woke came
-	for _, a := range r.n.Handle(r.now, []Event{iron(1)}) {
-		if w, ok := a.(WakeAt); ok && w.At > r.now {
-			asked = true
+	for _, a := range r.n.Handle(r.now, []Event{safeRequest(1)}) {
+		if w, ok := a.(SetTimer); ok && w.At > r.now {
+			timerSet = true
 		}
 	}
-	if !asked {
+	if !timerSet {
 		t.Error("a timer that never came is waited for for ever")
 	}
 }
 
-func TestRepeatOfHeldTakesItsPlace(t *testing.T) {
-	r := newRig(t, nil)
-	full(r)
-	r.want(r.do(gold(3)), "Remember 3 8.004s")
-	r.want(r.do(goldAgain(4, 3)), "Refuse 3", "Forget 3", "Remember 4 8.004s")
+func TestRepeatReplacesQueuedRequest(t *testing.T) {
+	r := newHarness(t, nil)
+	fillCores(r)
+	r.want(r.handle(keyedRequest(3)), "Remember 3 8.004s")
+	r.want(r.handle(keyedRepeat(4, 3)), "Refuse 3", "Forget 3", "Remember 4 8.004s")
 	r.want(starts(r.after(ms, done(1))), "Start 4")
 	r.want(starts(r.after(ms, done(2))))
 }
 
-func TestRepeatOfRunning(t *testing.T) {
+func TestRepeatOfRunningRequestGetsItsOutcome(t *testing.T) {
 	for _, outcome := range []Outcome{OK, Failed} {
-		r := newRig(t, nil)
-		r.do(gold(1))
-		r.want(r.do(goldAgain(2, 1)))
-		got := r.after(100*ms, Finished{ID: 1, Outcome: outcome, Took: 100 * ms})
+		r := newHarness(t, nil)
+		r.handle(keyedRequest(1))
+		r.want(r.handle(keyedRepeat(2, 1)))
+		got := r.after(100*ms, Finished{ID: 1, Outcome: outcome, Duration: 100 * ms})
 		if outcome == OK {
 			r.want(got, "Share 2")
 		} else {
@@ -128,30 +128,30 @@
 	}
 }
 
-func TestRepeatOfEnded(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(gold(1), gold(2))
+func TestRepeatOfEndedRequestNeverRuns(t *testing.T) {
+	r := newHarness(t, nil)
+	r.handle(keyedRequest(1), keyedRequest(2))
 	r.after(100*ms, done(1), Finished{ID: 2, Outcome: Failed})
-	r.want(r.after(4000*ms, goldAgain(3, 1), goldAgain(4, 2)), "Share 3", "Fail 4")
-	r.want(r.after(ms, goldAgain(5, 77)), "Share 5") // one we no longer know has run, or is held
+	r.want(r.after(4000*ms, keyedRepeat(3, 1), keyedRepeat(4, 2)), "Share 3", "Fail 4")
+	r.want(r.after(ms, keyedRepeat(5, 77)), "Share 5") // one we no longer know has run, or is held
 }
 
-func TestTwoOfOneKeyInOneBatch(t *testing.T) {
-	r := newRig(t, nil)
-	got := r.do(goldAgain(1, 2), goldAgain(2, 1))
+func TestMutualRepeatsInOneBatchStartOnce(t *testing.T) {
+	r := newHarness(t, nil)
+	got := r.handle(keyedRepeat(1, 2), keyedRepeat(2, 1))
 	if len(starts(got)) != 1 {
 		t.Errorf("want one start: %q", got)
 	}
-	if has(got, "Start 1") == has(got, "Refuse 1") || has(got, "Start 2") == has(got, "Refuse 2") {
+	if contains(got, "Start 1") == contains(got, "Refuse 1") || contains(got, "Start 2") == contains(got, "Refuse 2") {
 		t.Errorf("each is started or refused: %q", got)
 	}
 }
 
-func TestTwoRepeatsOfOneHeldInOneBatch(t *testing.T) {
-	r := newRig(t, nil)
-	full(r)
-	r.do(gold(3))
-	r.do(goldAgain(4, 3), goldAgain(5, 3))
+func TestTwoRepeatsOfQueuedRequestStartOnce(t *testing.T) {
+	r := newHarness(t, nil)
+	fillCores(r)
+	r.handle(keyedRequest(3))
+	r.handle(keyedRepeat(4, 3), keyedRepeat(5, 3))
 	got := r.after(ms, done(1), done(2))
 	if len(starts(got)) != 1 {
 		t.Errorf("one effect, so one start: %q", got)
@@ -159,62 +159,62 @@
 }
 
 func TestRepeatAfterRefusalRuns(t *testing.T) {
-	r := newRig(t, nil)
-	full(r)
-	r.do(gold(3))
+	r := newHarness(t, nil)
+	fillCores(r)
+	r.handle(keyedRequest(3))
 	got := []string{}
 	for range 50 {
 		got = append(got, r.after(20*ms, gauges(1, 2, 0))...)
 	}
 	r.want(got, "Refuse 3", "Forget 3")
-	r.want(starts(r.do(gold(4), done(1))), "Start 4")
+	r.want(starts(r.handle(keyedRequest(4), done(1))), "Start 4")
 }
 
-func TestOverdueRepeatFails(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(gold(1))
-	b := goldAgain(2, 1)
-	b.Left = 100 * ms
-	r.do(b)
+func TestCoalescedRepeatFailsAtItsDeadline(t *testing.T) {
+	r := newHarness(t, nil)
+	r.handle(keyedRequest(1))
+	b := keyedRepeat(2, 1)
+	b.TimeLeft = 100 * ms
+	r.handle(b)
 	r.want(r.after(99*ms), "Fail 2")
 }
 
-func TestSharedReads(t *testing.T) {
-	fresh := func(s *Settings) { s.FreshFor = 500 * ms }
-	read := func(id, first ID) Arrived {
-		a := iron(id)
-		a.Key, a.Original, a.Repeats = "k", first, first != 0
+func TestEqualReadsShareOneResult(t *testing.T) {
+	shareResults := func(s *Settings) { s.SharedResultTTL = 500 * ms }
+	read := func(id, original ID) Arrived {
+		a := safeRequest(id)
+		a.Key, a.Original, a.HasOriginal = "k", original, original != 0
 		return a
 	}
-	r := newRig(t, fresh)
-	r.do(read(1, 0))
-	r.want(r.do(read(2, 1)))
+	r := newHarness(t, shareResults)
+	r.handle(read(1, 0))
+	r.want(r.handle(read(2, 1)))
 	r.want(r.after(100*ms, done(1)), "Share 2")
 	r.want(r.after(100*ms, read(3, 1)), "Share 3")
 	r.want(starts(r.after(600*ms, read(4, 1))), "Start 4") // no longer fresh
 	// The one they wait for fails: the next of them runs.
-	r.do(read(5, 4))
+	r.handle(read(5, 4))
 	r.want(starts(r.after(10*ms, Finished{ID: 4, Outcome: Failed})), "Start 5")
 	// A write is not shared.
 	w := read(6, 0)
 	w.Write = true
-	for _, s := range r.do(w) {
+	for _, s := range r.handle(w) {
 		if strings.HasPrefix(s, "Remember") {
 			t.Error("a write was remembered for reads")
 		}
 	}
 }
 
-func TestMemoryIsNeverOverrun(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.MemoryKB = 1000 })
-	full(r)
+func TestQueuedRequestsStayWithinMemory(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { s.MemoryKB = 1000 })
+	fillCores(r)
 	refused := 0
 	for id := ID(10); id < 200; id++ {
-		a := gold(id)
+		a := keyedRequest(id)
 		if id%3 == 0 {
-			a = iron(id)
+			a = safeRequest(id)
 		}
-		for _, s := range r.do(a) {
+		for _, s := range r.handle(a) {
 			if strings.HasPrefix(s, "Refuse") {
 				refused++
 			}
@@ -231,11 +231,11 @@
 	}
 }
 
-func TestFloodOfKeysGivesWayWithTime(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.MemoryKB, s.EntryKB = 500, 40 })
+func TestKeyTableStaysWithinMemoryAndExpires(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { s.MemoryKB, s.EntryKB = 500, 40 })
 	ran, refused := 0, 0
 	for id := ID(1); id < 2000; id++ {
-		for _, s := range r.after(20*ms, gold(id), gauges(0.1, 0, 0)) {
+		for _, s := range r.after(20*ms, keyedRequest(id), gauges(0.1, 0, 0)) {
 			switch s[:5] {
 			case "Start":
 				ran++
@@ -257,205 +257,205 @@
 	}
 }
 
-func TestDrain(t *testing.T) {
-	r := newRig(t, nil)
-	full(r)
-	r.do(gold(3))
-	r.want(r.do(DrainNotice{Left: 2000 * ms}), "Health false")
-	r.want(starts(r.after(100*ms, iron(4), done(1))), "Start 3")
-	late := iron(5)
+func TestDrainRefusesAfterGraceAndAnswersBeforeStop(t *testing.T) {
+	r := newHarness(t, nil)
+	fillCores(r)
+	r.handle(keyedRequest(3))
+	r.want(r.handle(DrainNotice{TimeLeft: 2000 * ms}), "Health false")
+	r.want(starts(r.after(100*ms, safeRequest(4), done(1))), "Start 3")
+	late := safeRequest(5)
 	r.want(r.after(600*ms, late), "Refuse 5") // reached the machine after the grace
-	early := gold(6)
+	early := keyedRequest(6)
 	early.Waited = 300 * ms // it came within the grace and was read late
 	r.want(starts(r.after(10*ms, early, done(2))), "Start 6")
 	var got []string
 	for range 70 {
 		got = append(got, r.after(20*ms, gauges(1, 2, 0))...)
 	}
-	if !has(got, "Fail 3") || !has(got, "Fail 6") {
+	if !contains(got, "Fail 3") || !contains(got, "Fail 6") {
 		t.Errorf("running work was not answered before the stop: %q", got)
 	}
-	r.want(r.do(iron(7)), "Refuse 7")
+	r.want(r.handle(safeRequest(7)), "Refuse 7")
 }
 
 func TestDrainWithoutTimeAnswersAtOnce(t *testing.T) {
-	r := newRig(t, nil)
-	full(r)
-	r.do(iron(3))
-	r.want(r.do(DrainNotice{Left: 20 * ms}), "Health false", "Fail 1", "Fail 2", "Refuse 3")
+	r := newHarness(t, nil)
+	fillCores(r)
+	r.handle(safeRequest(3))
+	r.want(r.handle(DrainNotice{TimeLeft: 20 * ms}), "Health false", "Fail 1", "Fail 2", "Refuse 3")
 }
 
-func TestCallIsRepeatedOnlyWhereItProvablyNeverRan(t *testing.T) {
-	for o := Failed; o <= Moot; o++ {
-		r := newRig(t, nil)
-		r.do(gold(1))
+func TestCallIsRetriedOnlyIfItProvablyNeverRan(t *testing.T) {
+	for o := Failed; o <= NotRun; o++ {
+		r := newHarness(t, nil)
+		r.handle(keyedRequest(1))
 		r.want(r.after(10*ms, CallNeeded{1}), "Call 1")
 		var got []string
-		r.do(CallReturned{ID: 1, Outcome: o})
+		r.handle(CallReturned{ID: 1, Outcome: o})
 		got = append(got, r.after(0)...)
 		for range 20 {
 			got = append(got, r.after(20*ms)...)
 		}
-		again := has(got, "Call 1")
-		if proven := o == Full || o == Unreached || o == Moot; again != proven {
-			t.Errorf("outcome %d: repeated %v", o, again)
+		retried := contains(got, "Call 1")
+		if proven := o == Full || o == Unreachable || o == NotRun; retried != proven {
+			t.Errorf("outcome %d: repeated %v", o, retried)
 		}
 	}
 }
 
-func TestFailedCallEndsOrIsLeftOut(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(gold(1), iron(2))
+func TestFailedCallIsSkippedOnlyIfOptional(t *testing.T) {
+	r := newHarness(t, nil)
+	r.handle(keyedRequest(1), safeRequest(2))
 	r.after(10*ms, CallNeeded{1}, CallNeeded{2})
 	r.want(r.after(10*ms, CallReturned{ID: 1, Outcome: TimedOut}, CallReturned{ID: 2, Outcome: TimedOut}),
 		"Fail 1", "Skip 2")
 	// What may not be left out is never left out.
-	r = newRig(t, func(s *Settings) { s.Classes[0].SkipWorth = 0 })
-	r.do(iron(2))
+	r = newHarness(t, func(s *Settings) { s.Classes[0].SkipWorth = 0 })
+	r.handle(safeRequest(2))
 	r.after(10*ms, CallNeeded{2})
 	r.want(r.after(10*ms, CallReturned{ID: 2, Outcome: TimedOut}), "Fail 2")
 }
 
-func TestBreakerLeavesCallsOutAndTestsAgain(t *testing.T) {
-	r := newRig(t, nil)
-	for id := ID(1); id <= breakAfter; id++ {
-		r.do(iron(id))
-		r.do(CallNeeded{id})
-		r.do(CallReturned{ID: id, Outcome: TimedOut})
+func TestBreakerSkipsCallsUntilProbeSucceeds(t *testing.T) {
+	r := newHarness(t, nil)
+	for id := ID(1); id <= breakerFailures; id++ {
+		r.handle(safeRequest(id))
+		r.handle(CallNeeded{id})
+		r.handle(CallReturned{ID: id, Outcome: TimedOut})
 		r.after(10*ms, done(id))
 	}
-	r.do(iron(50))
-	r.want(r.do(CallNeeded{50}), "Skip 50")
-	r.after(breakSpan, done(50))
-	r.do(iron(51), iron(52))
-	r.want(r.do(CallNeeded{51}, CallNeeded{52}), "Call 51", "Skip 52")
-	r.do(CallReturned{ID: 51, Outcome: OK})
-	r.do(done(51), done(52))
-	r.do(iron(53))
-	r.want(r.do(CallNeeded{53}), "Call 53")
+	r.handle(safeRequest(50))
+	r.want(r.handle(CallNeeded{50}), "Skip 50")
+	r.after(breakerOpenTime, done(50))
+	r.handle(safeRequest(51), safeRequest(52))
+	r.want(r.handle(CallNeeded{51}, CallNeeded{52}), "Call 51", "Skip 52")
+	r.handle(CallReturned{ID: 51, Outcome: OK})
+	r.handle(done(51), done(52))
+	r.handle(safeRequest(53))
+	r.want(r.handle(CallNeeded{53}), "Call 53")
 }
 
-func TestCallThatEarnsNothingIsNotMade(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(gold(1))
+func TestCallIsNotMadeAfterAim(t *testing.T) {
+	r := newHarness(t, nil)
+	r.handle(keyedRequest(1))
 	r.want(r.after(1100*ms, CallNeeded{1}), "Fail 1")
 }
 
-func TestGoneAtEachStage(t *testing.T) {
-	r := newRig(t, nil)
-	full(r)
-	r.do(gold(3))
-	r.want(r.do(CallerGone{3}), "Forget 3")
-	r.want(r.do(CallerGone{1}))
-	r.want(starts(r.after(ms, done(1), iron(4))), "Start 4")
-	r.do(CallNeeded{4})
-	r.want(r.do(CallerGone{4}))
+func TestCallerGoneInEachState(t *testing.T) {
+	r := newHarness(t, nil)
+	fillCores(r)
+	r.handle(keyedRequest(3))
+	r.want(r.handle(CallerGone{3}), "Forget 3")
+	r.want(r.handle(CallerGone{1}))
+	r.want(starts(r.after(ms, done(1), safeRequest(4))), "Start 4")
+	r.handle(CallNeeded{4})
+	r.want(r.handle(CallerGone{4}))
 	r.want(r.after(3*time.Second, Finished{ID: 4, Outcome: Cancelled}), "Fail 2")
-	r.do(done(2))
+	r.handle(done(2))
 	if r.n.running != 0 || r.n.calling != 0 || r.n.memory != 0 {
 		t.Errorf("running %d, at calls %d, memory %v", r.n.running, r.n.calling, r.n.memory)
 	}
 }
 
-func TestStrayEventsChangeNothing(t *testing.T) {
-	r := newRig(t, nil)
-	r.want(r.do(done(9), CallNeeded{9}, CallReturned{ID: 9}, CallerGone{9}))
-	full(r)
-	r.want(r.do(iron(1)))             // an ID that is known
-	r.want(r.do(CallReturned{ID: 1})) // not at a call
-	r.now -= time.Hour                // a clock that goes backwards stands still
-	r.want(r.do(iron(3)))
+func TestUnexpectedEventsAreIgnored(t *testing.T) {
+	r := newHarness(t, nil)
+	r.want(r.handle(done(9), CallNeeded{9}, CallReturned{ID: 9}, CallerGone{9}))
+	fillCores(r)
+	r.want(r.handle(safeRequest(1)))      // an ID that is known
+	r.want(r.handle(CallReturned{ID: 1})) // not at a call
+	r.now -= time.Hour                    // a clock that goes backwards stands still
+	r.want(r.handle(safeRequest(3)))
 	r.now += time.Hour
-	r.want(r.do(Arrived{ID: 4, Class: "tin", KB: 1}), "Refuse 4")
+	r.want(r.handle(Arrived{ID: 4, Class: "tin", KB: 1}), "Refuse 4")
 	if r.n.running != 2 {
 		t.Errorf("%d running", r.n.running)
 	}
 }
 
-// sharedBelow makes all classes call one shared dependency, with a share under one call.
-func sharedBelow(s *Settings) {
+// limitedCalls makes all classes call one shared dependency, with a share under one call.
+func limitedCalls(s *Settings) {
 	for i := range s.Classes {
 		s.Classes[i].SkipWorth = 0
 	}
-	s.BelowShare, s.CallSpan, s.Linger = 0.5, 5*time.Second, 200*ms
+	s.DownstreamShare, s.CallPeriod, s.AbandonedCallTime = 0.5, 5*time.Second, 200*ms
 }
 
-// mostBelow plays a minute of arrivals with a dependency that takes so long for a call, and gives the
+// maxConcurrentCalls plays a minute of arrivals with a dependency that takes so long for a call, and gives the
 // highest mean of calls in hand over the span of the rule, those given up included, and how many were
 // served.
-func mostBelow(t *testing.T, set func(*Settings), took func(now time.Duration) time.Duration) (float64, int) {
-	r := newRig(t, set)
+func maxConcurrentCalls(t *testing.T, set func(*Settings), took func(concurrent time.Duration) time.Duration) (float64, int) {
+	r := newHarness(t, set)
 	const step = 10 * ms
-	span := int(r.n.set.CallSpan / step)
-	type call struct{ back, given time.Duration }
-	out := map[ID]call{}
-	var lingering []time.Duration
-	var inHand []int
-	next, served, most := ID(0), 0, 0.0
+	window := int(r.n.set.CallPeriod / step)
+	type call struct{ replyAt, abandonAt time.Duration }
+	pending := map[ID]call{}
+	var abandoned []time.Duration
+	var concurrency []int
+	lastID, served, highest := ID(0), 0, 0.0
 	for i := range 6000 {
 		r.now += step
-		events := []Event{Woke{Token: uint64(i), Gauges: []float64{0.3, 0, 0}}}
+		events := []Event{TimerFired{Token: uint64(i), Gauges: []float64{0.3, 0, 0}}}
 		if i%10 == 0 {
-			next++
-			a := iron(next)
-			if next%3 == 0 {
-				a = gold(next)
+			lastID++
+			a := safeRequest(lastID)
+			if lastID%3 == 0 {
+				a = keyedRequest(lastID)
 			}
 			events = append(events, a)
 		}
-		for id := ID(1); id <= next; id++ {
-			c, ok := out[id]
+		for id := ID(1); id <= lastID; id++ {
+			c, ok := pending[id]
 			switch {
-			case !ok || min(c.back, c.given) > r.now:
-			case c.back <= c.given:
-				delete(out, id)
+			case !ok || min(c.replyAt, c.abandonAt) > r.now:
+			case c.replyAt <= c.abandonAt:
+				delete(pending, id)
 				served++
-				events = append(events, CallReturned{ID: id, Outcome: OK, Took: 50 * ms}, done(id))
+				events = append(events, CallReturned{ID: id, Outcome: OK, Duration: 50 * ms}, done(id))
 			default:
-				delete(out, id)
-				lingering = append(lingering, c.given+r.n.set.Linger)
-				events = append(events, CallReturned{ID: id, Outcome: TimedOut, Took: 50 * ms})
+				delete(pending, id)
+				abandoned = append(abandoned, c.abandonAt+r.n.set.AbandonedCallTime)
+				events = append(events, CallReturned{ID: id, Outcome: TimedOut, Duration: 50 * ms})
 			}
 		}
 		actions := append([]Action(nil), r.n.Handle(r.now, events)...)
 		for len(actions) > 0 {
-			var more []Event
+			var followUps []Event
 			for _, a := range actions {
 				switch a := a.(type) {
 				case Start:
-					more = append(more, CallNeeded(a))
-				case CallOut:
-					out[a.ID] = call{r.now + took(r.now), r.now + a.MaxWait}
+					followUps = append(followUps, CallNeeded(a))
+				case MakeCall:
+					pending[a.ID] = call{r.now + took(r.now), r.now + a.MaxWait}
 				case Fail:
-					if _, ok := out[a.ID]; ok {
-						delete(out, a.ID)
-						lingering = append(lingering, r.now+r.n.set.Linger)
+					if _, ok := pending[a.ID]; ok {
+						delete(pending, a.ID)
+						abandoned = append(abandoned, r.now+r.n.set.AbandonedCallTime)
 					}
-					more = append(more, Finished{ID: a.ID, Outcome: Cancelled})
+					followUps = append(followUps, Finished{ID: a.ID, Outcome: Cancelled})
 				}
 			}
 			actions = nil
-			if len(more) > 0 {
-				actions = append(actions, r.n.Handle(r.now, more)...)
+			if len(followUps) > 0 {
+				actions = append(actions, r.n.Handle(r.now, followUps)...)
 			}
 		}
-		now := len(out)
-		for _, until := range lingering {
+		concurrent := len(pending)
+		for _, until := range abandoned {
 			if until > r.now {
-				now++
+				concurrent++
 			}
 		}
-		inHand = append(inHand, now)
+		concurrency = append(concurrency, concurrent)
 		sum := 0
-		for _, k := range inHand[max(len(inHand)-span, 0):] {
+		for _, k := range concurrency[max(len(concurrency)-window, 0):] {
 			sum += k
 		}
-		most = max(most, float64(sum)/float64(span))
+		highest = max(highest, float64(sum)/float64(window))
 	}
-	return most, served
+	return highest, served
 }
 
-func TestCallsBelowStayWithinTheShare(t *testing.T) {
+func TestDownstreamCallsStayWithinShare(t *testing.T) {
 	// A shared dependency that slowed fell over: runs stood at calls up to the ceiling of the crowd.
 	slows := func(now time.Duration) time.Duration {
 		if now > 1010*time.Second && now < 1030*time.Second {
@@ -463,47 +463,47 @@
 		}
 		return 40 * ms
 	}
-	dead := func(time.Duration) time.Duration { return time.Hour }
-	most, served := mostBelow(t, sharedBelow, slows)
-	if most > 0.5 || served < 150 {
-		t.Errorf("slow for a while: %.2f calls in hand, %d of 600 served", most, served)
+	silent := func(time.Duration) time.Duration { return time.Hour }
+	highest, served := maxConcurrentCalls(t, limitedCalls, slows)
+	if highest > 0.5 || served < 150 {
+		t.Errorf("slow for a while: %.2f calls in hand, %d of 600 served", highest, served)
 	}
-	if most, _ = mostBelow(t, sharedBelow, dead); most > 0.5 {
-		t.Errorf("never answers: %.2f calls in hand", most)
+	if highest, _ = maxConcurrentCalls(t, limitedCalls, silent); highest > 0.5 {
+		t.Errorf("never answers: %.2f calls in hand", highest)
 	}
-	tiny := func(s *Settings) { sharedBelow(s); s.BelowShare = 0.1 }
-	if most, served = mostBelow(t, tiny, slows); most > 0.1 || served < 8 {
-		t.Errorf("a share of 0.1: %.3f calls in hand, %d served", most, served)
+	tiny := func(s *Settings) { limitedCalls(s); s.DownstreamShare = 0.1 }
+	if highest, served = maxConcurrentCalls(t, tiny, slows); highest > 0.1 || served < 8 {
+		t.Errorf("a share of 0.1: %.3f calls in hand, %d served", highest, served)
 	}
 }
 
-func TestNoStartWhereTheCallWouldHaveNoRoom(t *testing.T) {
-	r := newRig(t, func(s *Settings) { sharedBelow(s); s.BelowShare, s.Classes[0].Calls = 0.3, false })
-	r.do(gold(1))
-	r.do(CallNeeded{1})
+func TestRunIsNotStartedWithoutRoomForItsCall(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { limitedCalls(s); s.DownstreamShare, s.Classes[0].Calls = 0.3, false })
+	r.handle(keyedRequest(1))
+	r.handle(CallNeeded{1})
 	r.after(900 * ms) // the call stands for as long as the share allows
-	r.want(starts(r.do(gold(2), iron(3))), "Start 3")
-	r.after(10*ms, CallReturned{ID: 1, Outcome: TimedOut, Took: 900 * ms}, Finished{ID: 1, Outcome: Cancelled})
-	r.want(starts(r.after(8*time.Second, gold(4))), "Start 4")
+	r.want(starts(r.handle(keyedRequest(2), safeRequest(3))), "Start 3")
+	r.after(10*ms, CallReturned{ID: 1, Outcome: TimedOut, Duration: 900 * ms}, Finished{ID: 1, Outcome: Cancelled})
+	r.want(starts(r.after(8*time.Second, keyedRequest(4))), "Start 4")
 }
 
 // A dependency that slowed took the room for calls: runs stood waiting for it while their class may do without.
-func TestNoRoomForACallLeavesItOut(t *testing.T) {
-	r := newRig(t, func(s *Settings) { sharedBelow(s); s.BelowShare, s.Classes[1].SkipWorth = 0.3, 0.3 })
+func TestOptionalCallIsSkippedWithoutRoom(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { limitedCalls(s); s.DownstreamShare, s.Classes[1].SkipWorth = 0.3, 0.3 })
 	for i := range r.n.set.Classes {
 		if c := r.n.classes[i]; c.Name == "iron" {
 			c.SkipWorth = 0.3
 		}
 	}
-	r.do(gold(1), iron(2))
-	r.do(CallNeeded{1})
-	r.after(900*ms, iron(3))
+	r.handle(keyedRequest(1), safeRequest(2))
+	r.handle(CallNeeded{1})
+	r.after(900*ms, safeRequest(3))
 	r.want(r.after(ms, CallNeeded{3}), "Skip 3")
 }
 
-// mixedBelow is a shared dependency whose calls gold can't leave out and iron can.
-func mixedBelow(s *Settings) {
-	sharedBelow(s)
+// limitedOptionalCalls is a shared dependency whose calls gold can't leave out and iron can.
+func limitedOptionalCalls(s *Settings) {
+	limitedCalls(s)
 	for i := range s.Classes {
 		if s.Classes[i].Name == "iron" {
 			s.Classes[i].SkipWorth = 0.3
@@ -513,80 +513,80 @@
 
 // In a slow spell calls that could be left out took the room of the whole span, and requests whose calls
 // could not be failed for seconds.
-func TestOptionalCallsLeaveRoomToThoseThatCant(t *testing.T) {
-	r := newRig(t, mixedBelow)
-	id, out := ID(0), 0
-	slow := func(a Arrived) bool {
+func TestOptionalCallsLeaveRoomForRequiredCalls(t *testing.T) {
+	r := newHarness(t, limitedOptionalCalls)
+	id, optionalCalls := ID(0), 0
+	runWithCall := func(a Arrived) bool {
 		id++
 		a.ID = id
-		r.do(a)
-		if !has(r.do(CallNeeded{id}), fmt.Sprint("Call ", id)) {
+		r.handle(a)
+		if !contains(r.handle(CallNeeded{id}), fmt.Sprint("Call ", id)) {
 			r.after(10*ms, done(id))
 			return false
 		}
-		r.after(100*ms, CallReturned{ID: id, Outcome: OK, Took: 100 * ms}, done(id))
+		r.after(100*ms, CallReturned{ID: id, Outcome: OK, Duration: 100 * ms}, done(id))
 		return true
 	}
 	for range 40 { // some five spans of the rule; the optional calls alone would fill the room
 		r.after(400 * ms)
 		for range 3 {
-			if slow(iron(0)) {
-				out++
+			if runWithCall(safeRequest(0)) {
+				optionalCalls++
 			}
 		}
-		if !slow(gold(0)) {
+		if !runWithCall(keyedRequest(0)) {
 			t.Fatalf("at %v no room for a call that can't be left out", r.now)
 		}
 	}
-	if out < 10 {
-		t.Errorf("%d optional calls made, though there was room", out)
+	if optionalCalls < 10 {
+		t.Errorf("%d optional calls made, though there was room", optionalCalls)
 	}
 }
 
 // A slow spell taught a long time for a call; calls were left out for it long after the spell, since what is
 // left out takes no time that could correct it.
-func TestTimeOfCallsIsForgottenWhileTheyAreLeftOut(t *testing.T) {
-	r := newRig(t, mixedBelow)
+func TestCallTimeDecaysWhileCallsAreSkipped(t *testing.T) {
+	r := newHarness(t, limitedOptionalCalls)
 	learned := float64(700 * ms)
-	r.n.callRun = learned
+	r.n.meanCallTime = learned
 	r.after(2 * time.Second)
-	if r.n.callRun != learned {
-		t.Errorf("forgotten though no call was left out: %v", time.Duration(r.n.callRun))
+	if r.n.meanCallTime != learned {
+		t.Errorf("forgotten though no call was left out: %v", time.Duration(r.n.meanCallTime))
 	}
 	for id := ID(1); id < 200; id++ {
-		r.n.breakEnd = r.now + time.Second // what leaves it out here is the breaker
-		r.do(iron(id))
-		r.want(r.do(CallNeeded{id}), fmt.Sprint("Skip ", id))
+		r.n.breakerEnd = r.now + time.Second // what leaves it out here is the breaker
+		r.handle(safeRequest(id))
+		r.want(r.handle(CallNeeded{id}), fmt.Sprint("Skip ", id))
 		r.after(100*ms, done(id))
 	}
-	if got, want := time.Duration(r.n.callRun), callBackoff/skipPatience; got != want {
+	if got, want := time.Duration(r.n.meanCallTime), callBackoff/optionalCallTimes; got != want {
 		t.Errorf("after 20 s without a call: %v, want %v", got, want)
 	}
 }
 
 // A reply that came spoilt proves nothing: only what may run twice makes its call again, and once.
-func TestSpoiltCallIsMadeOnceMoreWhereThatIsSafe(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(gold(1), iron(2))
+func TestCallWithInvalidReplyIsRetriedOnceIfSafe(t *testing.T) {
+	r := newHarness(t, nil)
+	r.handle(keyedRequest(1), safeRequest(2))
 	r.after(10*ms, CallNeeded{1}, CallNeeded{2})
-	r.want(r.after(10*ms, CallReturned{ID: 1, Outcome: CutOff}, CallReturned{ID: 2, Outcome: CutOff}), "Fail 1")
+	r.want(r.after(10*ms, CallReturned{ID: 1, Outcome: InvalidReply}, CallReturned{ID: 2, Outcome: InvalidReply}), "Fail 1")
 	var got []string
 	for range 20 {
 		got = append(got, r.after(10*ms)...)
 	}
-	if !has(got, "Call 2") {
+	if !contains(got, "Call 2") {
 		t.Errorf("the call was not made again: %q", got)
 	}
-	r.want(r.after(10*ms, CallReturned{ID: 2, Outcome: CutOff}), "Skip 2")
+	r.want(r.after(10*ms, CallReturned{ID: 2, Outcome: InvalidReply}), "Skip 2")
 }
 
 // Replies that never came held the room for calls for half of the time left, so that others had none.
-func TestOptionalCallIsNotWaitedForLong(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(iron(1))
+func TestOptionalCallHasShortTimeLimit(t *testing.T) {
+	r := newHarness(t, nil)
+	r.handle(safeRequest(1))
 	r.now += 10 * ms
 	for _, a := range r.n.Handle(r.now, []Event{CallNeeded{1}}) {
-		if c, ok := a.(CallOut); ok && c.MaxWait > skipPatience*callBackoff {
+		if c, ok := a.(MakeCall); ok && c.MaxWait > optionalCallTimes*callBackoff {
 			t.Errorf("a call that may be left out is waited for %v", c.MaxWait)
 		} else if ok {
 			return
@@ -597,55 +597,55 @@
 
 // A few clients more patient than the rest made each try of the others look like a further one, though the
 // site marks these: the fleet then seemed short, and refusals asked for no other server.
-func TestShortWaitIsNoFurtherTryWhereThoseAreMarked(t *testing.T) {
+func TestShortWaitIsNoRetryWhereRetriesAreMarked(t *testing.T) {
 	for _, marked := range []bool{false, true} {
-		r := newRig(t, func(s *Settings) { s.MarksRetry = marked })
-		full(r)
-		refused, last := 0, 0
+		r := newHarness(t, func(s *Settings) { s.MarksRetry = marked })
+		fillCores(r)
+		refused, noRetry := 0, 0
 		for id := ID(10); id < 210; id++ {
-			a := iron(id)
-			a.Waited, a.Left = 100*ms, 1500*ms
+			a := safeRequest(id)
+			a.Waited, a.TimeLeft = 100*ms, 1500*ms
 			if id%50 == 0 {
-				a.Left = 3000 * ms
+				a.TimeLeft = 3000 * ms
 			}
 			r.now += 20 * ms
 			for _, act := range r.n.Handle(r.now, []Event{a, gauges(1, 2, 0)}) {
-				if no, ok := act.(Refuse); ok {
+				if refusal, ok := act.(Refuse); ok {
 					refused++
-					if no.NoRetry {
-						last++
+					if refusal.NoRetry {
+						noRetry++
 					}
 				}
 			}
 		}
-		if refused == 0 || (last == 0) != marked {
-			t.Errorf("marked %v: %d of %d refusals ask for no further try", marked, last, refused)
+		if refused == 0 || (noRetry == 0) != marked {
+			t.Errorf("marked %v: %d of %d refusals ask for no further try", marked, noRetry, refused)
 		}
 	}
 }
 
-// blockedBelow leaves gold, which can't do without its call, with no room for one.
-func blockedBelow(t *testing.T) *rig {
-	r := newRig(t, func(s *Settings) {
-		sharedBelow(s)
-		s.BelowShare, s.Classes[0].Calls, s.Hint = 0.3, false, HintWeight
+// newBlockedHarness leaves gold, which can't do without its call, with no room for one.
+func newBlockedHarness(t *testing.T) *harness {
+	r := newHarness(t, func(s *Settings) {
+		limitedCalls(s)
+		s.DownstreamShare, s.Classes[0].Calls, s.Hint = 0.3, false, HintWeight
 	})
-	r.do(gold(1))
-	r.do(CallNeeded{1})
+	r.handle(keyedRequest(1))
+	r.handle(CallNeeded{1})
 	r.after(900 * ms)
 	return r
 }
 
 // While what lies below was slow, the requests that must call it filled the hold, and all others were refused.
-func TestClassWithNoRoomForCallsLeavesTheHoldToOthers(t *testing.T) {
-	r := blockedBelow(t)
-	r.want(starts(r.do(iron(2), iron(3), gauges(1, 3, 0))), "Start 2", "Start 3")
+func TestClassWithoutRoomForCallsDoesNotFillQueueOfOthers(t *testing.T) {
+	r := newBlockedHarness(t)
+	r.want(starts(r.handle(safeRequest(2), safeRequest(3), gauges(1, 3, 0))), "Start 2", "Start 3")
 	var got []string
 	for id := ID(4); id < 8; id++ {
-		got = append(got, r.after(ms, gold(id), gauges(1, 3, 0))...)
+		got = append(got, r.after(ms, keyedRequest(id), gauges(1, 3, 0))...)
 	}
-	got = append(got, r.after(ms, iron(8), iron(9), gauges(1, 3, 0))...)
-	if has(got, "Refuse 8") || has(got, "Refuse 9") {
+	got = append(got, r.after(ms, safeRequest(8), safeRequest(9), gauges(1, 3, 0))...)
+	if contains(got, "Refuse 8") || contains(got, "Refuse 9") {
 		t.Errorf("refused behind what can't run: %q", got)
 	}
 	refused := 0
@@ -660,11 +660,11 @@
 }
 
 // The same requests, refused unrun, had the callers told to stay away from idle cores.
-func TestWhatLiesBelowSendsNoCallersAway(t *testing.T) {
-	r := blockedBelow(t)
+func TestDownstreamLimitDoesNotShedCallers(t *testing.T) {
+	r := newBlockedHarness(t)
 	refused := 0
 	for id := ID(10); id < 110; id++ {
-		for _, s := range r.after(20*ms, gold(id), gauges(0, 1, 0)) {
+		for _, s := range r.after(20*ms, keyedRequest(id), gauges(0, 1, 0)) {
 			if strings.HasPrefix(s, "Refuse") {
 				refused++
 			}
@@ -679,37 +679,37 @@
 }
 
 // One call that was to be tried again kept the whole class from its cores.
-func TestCallThatIsTriedAgainHoldsNoStartBack(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(gold(1))
-	r.do(CallNeeded{1})
+func TestCallRetryDoesNotDelayStarts(t *testing.T) {
+	r := newHarness(t, nil)
+	r.handle(keyedRequest(1))
+	r.handle(CallNeeded{1})
 	r.after(ms, CallReturned{ID: 1, Outcome: Full})
-	r.want(starts(r.after(ms, gold(2))), "Start 2")
+	r.want(starts(r.after(ms, keyedRequest(2))), "Start 2")
 }
 
 // A count of calls that faded left half of the share unused: calls were left out that had room.
-func TestSteadyCallsMayUseMostOfTheShare(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.BelowShare, s.CallSpan, s.Linger = 1, 5*time.Second, 200*ms })
+func TestSteadyCallsUseMostOfShare(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { s.DownstreamShare, s.CallPeriod, s.AbandonedCallTime = 1, 5*time.Second, 200*ms })
 	for id := ID(1); id <= 200; id++ { // six tenths of a call in hand for 20 s
-		r.want(starts(r.do(iron(id), gauges(0, 0, 0))), fmt.Sprint("Start ", id))
-		r.want(r.do(CallNeeded{id}), fmt.Sprint("Call ", id))
-		r.after(60*ms, CallReturned{ID: id, Took: 60 * ms}, Finished{ID: id, Took: 60 * ms})
+		r.want(starts(r.handle(safeRequest(id), gauges(0, 0, 0))), fmt.Sprint("Start ", id))
+		r.want(r.handle(CallNeeded{id}), fmt.Sprint("Call ", id))
+		r.after(60*ms, CallReturned{ID: id, Duration: 60 * ms}, Finished{ID: id, Duration: 60 * ms})
 		r.now += 40 * ms
 	}
 }
 
 // While the vault had room for half of the calls, tries again of those that may be left out took it from the
 // others, which gave up after four.
-func TestFullBelowGivesItsRoomToThoseThatCannotDoWithout(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(gold(1), iron(2))
+func TestFullDownstreamIsLeftToRequiredCalls(t *testing.T) {
+	r := newHarness(t, nil)
+	r.handle(keyedRequest(1), safeRequest(2))
 	r.want(r.after(10*ms, CallNeeded{1}, CallNeeded{2}), "Call 1", "Call 2")
 	r.want(r.after(ms, CallReturned{ID: 2, Outcome: Full}, CallReturned{ID: 1, Outcome: Full}), "Skip 2")
 	calls := 0
 	for range 80 { // 800 ms of an aim of a second
-		if has(r.after(10*ms), "Call 1") {
+		if contains(r.after(10*ms), "Call 1") {
 			calls++
-			r.do(CallReturned{ID: 1, Outcome: Full})
+			r.handle(CallReturned{ID: 1, Outcome: Full})
 		}
 	}
 	if calls < 5 {
@@ -718,33 +718,33 @@
 }
 
 // Each optional call that found room in a vault nearly full kept out one that can't be left out.
-func TestOptionalCallsWaitOutANeedyOneAtAFullVault(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(gold(1), iron(2))
+func TestOptionalCallsAreSkippedWhileRequiredCallWaits(t *testing.T) {
+	r := newHarness(t, nil)
+	r.handle(keyedRequest(1), safeRequest(2))
 	r.want(r.after(10*ms, CallNeeded{1}), "Call 1")
 	r.want(r.after(ms, CallReturned{ID: 1, Outcome: Full}))
 	r.want(r.after(10*ms, CallNeeded{2}), "Skip 2")
-	r.want(r.after(300*ms, iron(3)), "Call 1", "Start 3")
-	r.do(CallReturned{ID: 1, Outcome: OK})
+	r.want(r.after(300*ms, safeRequest(3)), "Call 1", "Start 3")
+	r.handle(CallReturned{ID: 1, Outcome: OK})
 	r.want(r.after(10*ms, CallNeeded{3}), "Call 3")
 }
 
 // A share smaller than the time for which a call given up lingers allowed no call at all.
 // A server whose share ran out had no bound on its calls: 0 stood for a share that nobody told.
-func TestShareOfNothingAllowsNoCall(t *testing.T) {
-	r := newRig(t, mixedBelow)
-	r.do(iron(1))
-	r.n.SetBelowShare(0)
-	r.want(r.do(CallNeeded{1}), "Skip 1")
-	r.n.SetBelowShare(0.3)
-	r.do(iron(2))
-	r.want(r.do(CallNeeded{2}), "Call 2")
-}
-
-func TestTinyShareAllowsCalls(t *testing.T) {
-	tiny := func(s *Settings) { sharedBelow(s); s.BelowShare = 0.05 }
+func TestZeroShareAllowsNoCall(t *testing.T) {
+	r := newHarness(t, limitedOptionalCalls)
+	r.handle(safeRequest(1))
+	r.n.SetDownstreamShare(0)
+	r.want(r.handle(CallNeeded{1}), "Skip 1")
+	r.n.SetDownstreamShare(0.3)
+	r.handle(safeRequest(2))
+	r.want(r.handle(CallNeeded{2}), "Call 2")
+}
+
+func TestShareBelowAbandonedCallTimeAllowsCalls(t *testing.T) {
+	tiny := func(s *Settings) { limitedCalls(s); s.DownstreamShare = 0.05 }
 	quick := func(time.Duration) time.Duration { return 10 * ms }
-	if most, served := mostBelow(t, tiny, quick); most > 0.05 || served < 8 {
-		t.Errorf("%.3f calls in hand, %d served in a minute", most, served)
+	if highest, served := maxConcurrentCalls(t, tiny, quick); highest > 0.05 || served < 8 {
+		t.Errorf("%.3f calls in hand, %d served in a minute", highest, served)
 	}
 }
--- a/policy/heap.go
+++ b/policy/heap.go
@@ -8,19 +8,19 @@
 
 func (h *orderedHeap[T]) len() int { return len(h.items) }
 
-// top is the first item; the heap must not be empty.
-func (h *orderedHeap[T]) top() T { return h.items[0] }
+// first is the first item; the heap must not be empty.
+func (h *orderedHeap[T]) first() T { return h.items[0] }
 
 func (h *orderedHeap[T]) push(x T) {
 	h.items = append(h.items, x)
 	i := len(h.items) - 1
 	for i > 0 {
-		up := (i - 1) / 2
-		if !h.less(h.items[i], h.items[up]) {
+		parent := (i - 1) / 2
+		if !h.less(h.items[i], h.items[parent]) {
 			break
 		}
-		h.items[i], h.items[up] = h.items[up], h.items[i]
-		i = up
+		h.items[i], h.items[parent] = h.items[parent], h.items[i]
+		i = parent
 	}
 }
 
@@ -33,27 +33,27 @@
 	}
 	h.items[0] = last
 	for i := 0; ; {
-		low := 2*i + 1
-		if low >= len(h.items) {
+		child := 2*i + 1
+		if child >= len(h.items) {
 			break
 		}
-		if low+1 < len(h.items) && h.less(h.items[low+1], h.items[low]) {
-			low++
+		if child+1 < len(h.items) && h.less(h.items[child+1], h.items[child]) {
+			child++
 		}
-		if !h.less(h.items[low], h.items[i]) {
+		if !h.less(h.items[child], h.items[i]) {
 			break
 		}
-		h.items[i], h.items[low] = h.items[low], h.items[i]
-		i = low
+		h.items[i], h.items[child] = h.items[child], h.items[i]
+		i = child
 	}
 	return first
 }
 
 // popLeaf takes out an item that has none behind it.
 func (h *orderedHeap[T]) popLeaf() T {
-	var none T
+	var zero T
 	last := h.items[len(h.items)-1]
-	h.items[len(h.items)-1] = none
+	h.items[len(h.items)-1] = zero
 	h.items = h.items[:len(h.items)-1]
 	return last
 }
