--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -7,58 +7,58 @@
 	"time"
 )
 
-// ledger checks the four rules from the outside: it knows only what was sent and what came back.
-type ledger struct {
-	set     Settings
-	now     time.Duration
-	tries   map[ID]*try
-	entries map[ID]time.Duration // remembered, and until when
-	drainAt time.Duration
-	stopAt  time.Duration
-	born    time.Duration
-	wake    time.Duration // the earliest wake asked for
-	token   uint64
+// checker checks the four rules from the outside: it knows only what was sent and what came back.
+type checker struct {
+	set       Settings
+	now       time.Duration
+	attempts  map[ID]*attempt
+	entries   map[ID]time.Duration // remembered, and until when
+	drainAt   time.Duration
+	stopAt    time.Duration
+	startedAt time.Duration
+	timerAt   time.Duration // the earliest wake asked for
+	token     uint64
 }
 
-type try struct {
-	a         Arrived
-	class     Class
-	reached   time.Duration
-	due       time.Duration
-	job       int // tries of one job share its effect
-	answers   int
-	started   bool
-	running   bool
-	atCall    bool
-	calling   bool
-	replaying bool
-	gone      bool
-	dead      bool // no longer in memory
-	died      time.Duration
-	lastCall  Outcome
-	called    int
+type attempt struct {
+	a            Arrived
+	class        Class
+	reachedAt    time.Duration
+	due          time.Duration
+	job          int // tries of one job share its effect
+	answers      int
+	started      bool
+	running      bool
+	atCall       bool
+	callInFlight bool
+	sharing      bool
+	callerGone   bool
+	ended        bool // no longer in memory
+	endedAt      time.Duration
+	lastOutcome  Outcome
+	callAttempts int
 }
 
-func (l *ledger) fault(format string, args ...any) error {
+func (l *checker) violation(format string, args ...any) error {
 	return fmt.Errorf("at %v: %s", l.now, fmt.Sprintf(format, args...))
 }
 
-func (l *ledger) ranWithin(t *try) bool {
-	for _, o := range l.tries {
-		if o != t && o.job == t.job && o.started && t.reached-o.reached < t.class.KeyTTL {
+func (l *checker) ranWithinTTL(t *attempt) bool {
+	for _, o := range l.attempts {
+		if o != t && o.job == t.job && o.started && t.reachedAt-o.reachedAt < t.class.KeyTTL {
 			return true
 		}
 	}
 	return false
 }
 
-// apply books one action and tells which rule or which part of the contract it breaks.
-func (l *ledger) apply(a Action) error {
-	get := func(id ID) (*try, error) {
-		if t := l.tries[id]; t != nil {
+// record books one action and tells which rule or which part of the contract it breaks.
+func (l *checker) record(a Action) error {
+	get := func(id ID) (*attempt, error) {
+		if t := l.attempts[id]; t != nil {
 			return t, nil
 		}
-		return nil, l.fault("%T names %d, which was never sent", a, id)
+		return nil, l.violation("%T names %d, which was never sent", a, id)
 	}
 	switch a := a.(type) {
 	case Start:
@@ -66,25 +66,25 @@
 		if err != nil {
 			return err
 		}
-		if t.dead && t.died < l.now || t.started {
-			return l.fault("start of %d, which is over or was started", a.ID)
+		if t.ended && t.endedAt < l.now || t.started {
+			return l.violation("start of %d, which is over or was started", a.ID)
 		}
-		if t.class.Safety == Keyed && l.ranWithin(t) {
-			return l.fault("duplicate: %d runs within the window of another try: %+v", a.ID, t)
+		if t.class.Safety == Keyed && l.ranWithinTTL(t) {
+			return l.violation("duplicate: %d runs within the window of another try: %+v", a.ID, t)
 		}
-		if l.drainAt > 0 && t.reached > l.drainAt+l.set.DrainGrace {
-			return l.fault("drain: %d runs, which came after the grace", a.ID)
+		if l.drainAt > 0 && t.reachedAt > l.drainAt+l.set.DrainGrace {
+			return l.violation("drain: %d runs, which came after the grace", a.ID)
 		}
-		t.started, t.running = true, !t.dead
+		t.started, t.running = true, !t.ended
 	case ShareResult:
 		t, err := get(a.ID)
 		if err != nil {
 			return err
 		}
-		if !t.a.Repeats || t.dead && t.died < l.now || t.started {
-			return l.fault("shared result for %d, which repeats nothing, ran or is over", a.ID)
+		if !t.a.HasOriginal || t.ended && t.endedAt < l.now || t.started {
+			return l.violation("shared result for %d, which repeats nothing, ran or is over", a.ID)
 		}
-		t.replaying = true
+		t.sharing = true
 	case Refuse, Fail:
 		id, refused := ID(0), false
 		if r, ok := a.(Refuse); ok {
@@ -98,73 +98,73 @@
 		}
 		t.answers++
 		if t.answers > 1 {
-			return l.fault("%d is answered twice", id)
+			return l.violation("%d is answered twice", id)
 		}
-		if refused && t.class.Safety != Safe && (t.started || t.class.Safety == Keyed && l.ranWithin(t)) {
-			return l.fault("duplicate: %d is refused after it ran", id)
+		if refused && t.class.Safety != Safe && (t.started || t.class.Safety == Keyed && l.ranWithinTTL(t)) {
+			return l.violation("duplicate: %d is refused after it ran", id)
 		}
-		if l.now > t.due+l.set.AnswerSlack && !t.gone {
-			return l.fault("lost: %d is answered %v late", id, l.now-t.due)
+		if l.now > t.due+l.set.AnswerSlack && !t.callerGone {
+			return l.violation("lost: %d is answered %v late", id, l.now-t.due)
 		}
 		if !t.running {
-			t.dead = true
+			t.ended = true
 		}
-	case CallOut:
+	case MakeCall:
 		t, err := get(a.ID)
 		if err != nil {
 			return err
 		}
-		proven := t.lastCall == Full || t.lastCall == Unreached || t.lastCall == Moot ||
-			t.lastCall == CutOff && t.class.Safety == Safe // may run any number of times
-		if t.called > 0 && !proven {
-			return l.fault("duplicate: the call of %d is repeated after outcome %d", a.ID, t.lastCall)
+		proven := t.lastOutcome == Full || t.lastOutcome == Unreachable || t.lastOutcome == NotRun ||
+			t.lastOutcome == InvalidReply && t.class.Safety == Safe // may run any number of times
+		if t.callAttempts > 0 && !proven {
+			return l.violation("duplicate: the call of %d is repeated after outcome %d", a.ID, t.lastOutcome)
 		}
-		if !t.atCall || t.calling {
-			return l.fault("%d does not stand at a call", a.ID)
+		if !t.atCall || t.callInFlight {
+			return l.violation("%d does not stand at a call", a.ID)
 		}
-		t.called++
-		t.calling = true
+		t.callAttempts++
+		t.callInFlight = true
 	case SkipCall:
 		t, err := get(a.ID)
 		if err != nil {
 			return err
 		}
 		if t.class.SkipWorth == 0 {
-			return l.fault("the call of %d may not be left out", a.ID)
+			return l.violation("the call of %d may not be left out", a.ID)
 		}
-		t.atCall, t.calling = false, false
-	case Remember:
+		t.atCall, t.callInFlight = false, false
+	case StoreKey:
 		t, err := get(a.ID)
 		if err != nil {
 			return err
 		}
-		if t.class.Safety == Keyed && l.now+a.Span < t.reached+t.class.KeyTTL {
-			return l.fault("the entry of %d ends before its window", a.ID)
+		if t.class.Safety == Keyed && l.now+a.TTL < t.reachedAt+t.class.KeyTTL {
+			return l.violation("the entry of %d ends before its window", a.ID)
 		}
-		l.entries[a.ID] = l.now + a.Span
-	case Forget:
-		if t := l.tries[a.ID]; t != nil && t.class.Safety == Keyed && t.started {
-			return l.fault("duplicate: the entry of %d is dropped though it ran", a.ID)
+		l.entries[a.ID] = l.now + a.TTL
+	case DeleteKey:
+		if t := l.attempts[a.ID]; t != nil && t.class.Safety == Keyed && t.started {
+			return l.violation("duplicate: the entry of %d is dropped though it ran", a.ID)
 		}
 		delete(l.entries, a.ID)
-	case Advise:
+	case SetHint:
 		if l.set.Hint == HintNone {
-			return l.fault("a hint where there is none")
+			return l.violation("a hint where there is none")
 		}
-	case WakeAt:
+	case SetTimer:
 		if a.At <= l.now-l.set.Tick {
-			return l.fault("a wake in the past")
+			return l.violation("a wake in the past")
 		}
-		if l.wake <= l.now || a.At < l.wake {
-			l.wake, l.token = a.At, a.Token
+		if l.timerAt <= l.now || a.At < l.timerAt {
+			l.timerAt, l.token = a.At, a.Token
 		}
 	}
 	return nil
 }
 
-// after checks what has to hold once all actions of a moment are booked.
-func (l *ledger) after() error {
-	memory, crowd := 0.0, 0
+// checkInvariants checks what has to hold once all actions of a moment are booked.
+func (l *checker) checkInvariants() error {
+	memory, onCores := 0.0, 0
 	for id, until := range l.entries {
 		if until <= l.now {
 			delete(l.entries, id)
@@ -172,35 +172,35 @@
 		}
 		memory += l.set.EntryKB
 	}
-	for id, t := range l.tries {
-		if t.dead {
+	for id, t := range l.attempts {
+		if t.ended {
 			continue
 		}
 		if t.running {
-			memory += t.a.KB * l.set.RunFactor
+			memory += t.a.KB * l.set.RunMemoryFactor
 			if !t.atCall {
-				crowd++
+				onCores++
 			}
 		} else {
 			memory += t.a.KB
 		}
-		if t.answers == 0 && !t.gone && l.now > t.due+l.set.AnswerSlack {
-			return l.fault("lost: %d has no answer", id)
+		if t.answers == 0 && !t.callerGone && l.now > t.due+l.set.AnswerSlack {
+			return l.violation("lost: %d has no answer", id)
 		}
-		if t.answers == 0 && !t.gone && l.stopAt > 0 && l.now >= l.stopAt {
-			return l.fault("drain: %d has no answer at the stop", id)
+		if t.answers == 0 && !t.callerGone && l.stopAt > 0 && l.now >= l.stopAt {
+			return l.violation("drain: %d has no answer at the stop", id)
 		}
 	}
 	if memory > l.set.MemoryKB {
-		return l.fault("fall-over: %.0f kB of %.0f", memory, l.set.MemoryKB)
+		return l.violation("fall-over: %.0f kB of %.0f", memory, l.set.MemoryKB)
 	}
 	share := 1.0
 	if l.set.JustStarted {
-		warm := min(float64(l.now-l.born)/float64(l.set.Cold), 1)
-		share = l.set.ColdShare + (1-l.set.ColdShare)*warm
+		warm := min(float64(l.now-l.startedAt)/float64(l.set.WarmupPeriod), 1)
+		share = l.set.ColdSpeedShare + (1-l.set.ColdSpeedShare)*warm
 	}
-	if float64(crowd) > float64(l.set.Cores)*(1+(l.set.FallMultiple-1)*share) {
-		return l.fault("fall-over: %d run on %d cores", crowd, l.set.Cores)
+	if float64(onCores) > float64(l.set.Cores)*(1+(l.set.MaxRunningPerCore-1)*share) {
+		return l.violation("fall-over: %d run on %d cores", onCores, l.set.Cores)
 	}
 	return nil
 }
@@ -211,8 +211,8 @@
 	s.Classes = append(s.Classes, Class{Name: "lead", Aim: 500 * ms, Deadline: 1500 * ms, Worth: 2,
 		Safety: Unsafe, LateValue: float64(rng.IntN(2)) / 2, Calls: true})
 	s.Hint = Hint(rng.IntN(4))
-	s.FreshFor = time.Duration(rng.IntN(2)) * 400 * ms
-	s.JustStarted, s.Cold = rng.IntN(2) == 0, 5*time.Second
+	s.SharedResultTTL = time.Duration(rng.IntN(2)) * 400 * ms
+	s.JustStarted, s.WarmupPeriod = rng.IntN(2) == 0, 5*time.Second
 	s.PassesDeadline = rng.IntN(2) == 0
 	s.WorthByWork = rng.IntN(2) == 0
 	s.MemoryKB = float64(600 + rng.IntN(3000))
@@ -222,7 +222,7 @@
 		s.RunnableGauge, s.BusyGauge = -1, -1
 	}
 	if rng.IntN(3) == 0 { // calls go to what all servers share, and may not be left out
-		s.BelowShare, s.CallSpan, s.Linger = 0.2+2*rng.Float64(), 2*time.Second, 200*ms
+		s.DownstreamShare, s.CallPeriod, s.AbandonedCallTime = 0.2+2*rng.Float64(), 2*time.Second, 200*ms
 		for i := range s.Classes {
 			s.Classes[i].SkipWorth = 0
 		}
@@ -233,23 +233,23 @@
 	return s
 }
 
-// world sends legal events and carries out the actions. It is no model of a server: what ends,
+// simulation sends legal events and carries out the actions. It is no model of a server: what ends,
 // and how, is drawn blindly.
-type world struct {
-	l     *ledger
-	rng   *rand.Rand
-	n     *Instance
-	next  ID
-	jobs  int
-	order []ID // of the tries, for draws that do not hang on map order
-	log   []string
+type simulation struct {
+	checker *checker
+	rng     *rand.Rand
+	n       *Instance
+	lastID  ID
+	jobs    int
+	ids     []ID // of the tries, for draws that do not hang on map order
+	log     []string
 }
 
-func (w *world) arrival() Event {
-	w.next++
-	c := w.l.set.Classes[w.rng.IntN(len(w.l.set.Classes))]
-	a := Arrived{ID: w.next, Class: c.Name, KB: float64(1 + w.rng.IntN(20)), Key: fmt.Sprint("k", w.rng.IntN(4)),
-		Waited: time.Duration(w.rng.IntN(60)) * ms, Write: w.rng.IntN(4) == 0, Resent: w.rng.IntN(3) == 0}
+func (w *simulation) arrival() Event {
+	w.lastID++
+	c := w.checker.set.Classes[w.rng.IntN(len(w.checker.set.Classes))]
+	a := Arrived{ID: w.lastID, Class: c.Name, KB: float64(1 + w.rng.IntN(20)), Key: fmt.Sprint("k", w.rng.IntN(4)),
+		Waited: time.Duration(w.rng.IntN(60)) * ms, Write: w.rng.IntN(4) == 0, IsRetry: w.rng.IntN(3) == 0}
 	if w.rng.IntN(20) == 0 {
 		a.Waited = c.Deadline + time.Second
 	}
@@ -259,55 +259,55 @@
 	if w.rng.IntN(5) == 0 {
 		a.Tenant = "x"
 	}
-	t := &try{class: c, reached: w.l.now - a.Waited}
+	t := &attempt{class: c, reachedAt: w.checker.now - a.Waited}
 	w.jobs++
 	t.job = w.jobs
-	if len(w.order) > 0 && w.rng.IntN(2) == 0 {
+	if len(w.ids) > 0 && w.rng.IntN(2) == 0 {
 		// A further try of an earlier one; the entry that lived when it reached the machine names it.
-		o := w.l.tries[w.order[len(w.order)-1-w.rng.IntN(min(len(w.order), 8))]]
+		o := w.checker.attempts[w.ids[len(w.ids)-1-w.rng.IntN(min(len(w.ids), 8))]]
 		if o.class.Name == c.Name && c.Safety == Keyed {
 			t.job = o.job
-			t.reached, a.Waited = w.l.now, 0
+			t.reachedAt, a.Waited = w.checker.now, 0
 		}
 	}
-	for _, id := range w.order {
-		o := w.l.tries[id]
-		_, kept := w.l.entries[id]
-		same := o.job == t.job && c.Safety == Keyed && (!o.dead || o.started)
-		reads := c.Safety == Safe && o.class.Name == c.Name && o.a.Key == a.Key && !o.dead && !a.Write
-		if kept && (same || reads) {
-			a.Original, a.Repeats = id, true
+	for _, id := range w.ids {
+		o := w.checker.attempts[id]
+		_, stored := w.checker.entries[id]
+		sameJob := o.job == t.job && c.Safety == Keyed && (!o.ended || o.started)
+		sameRead := c.Safety == Safe && o.class.Name == c.Name && o.a.Key == a.Key && !o.ended && !a.Write
+		if stored && (sameJob || sameRead) {
+			a.Original, a.HasOriginal = id, true
 		}
 	}
-	if c.Safety == Keyed && !a.Repeats {
+	if c.Safety == Keyed && !a.HasOriginal {
 		// A try whose like is held or ran unknown to the table would be the table's failing; the
 		// instance has to remember each keyed try that it holds, so this is a new job.
-		for _, o := range w.l.tries {
-			if o.job == t.job && (!o.dead || o.started && t.reached-o.reached < c.KeyTTL) {
+		for _, o := range w.checker.attempts {
+			if o.job == t.job && (!o.ended || o.started && t.reachedAt-o.reachedAt < c.KeyTTL) {
 				w.jobs++
 				t.job = w.jobs
 				break
 			}
 		}
 	}
-	if w.l.set.PassesDeadline && w.rng.IntN(4) > 0 {
-		a.Left = time.Duration(1 + w.rng.Int64N(int64(c.Deadline)))
+	if w.checker.set.PassesDeadline && w.rng.IntN(4) > 0 {
+		a.TimeLeft = time.Duration(1 + w.rng.Int64N(int64(c.Deadline)))
 	}
-	t.due = t.reached + c.Deadline
-	if a.Left > 0 {
-		t.due = w.l.now + a.Left
+	t.due = t.reachedAt + c.Deadline
+	if a.TimeLeft > 0 {
+		t.due = w.checker.now + a.TimeLeft
 	}
-	t.due = max(t.due, w.l.now)
+	t.due = max(t.due, w.checker.now)
 	t.a = a
-	w.l.tries[a.ID] = t
-	w.order = append(w.order, a.ID)
+	w.checker.attempts[a.ID] = t
+	w.ids = append(w.ids, a.ID)
 	return a
 }
 
 // progress draws what happens to a request next; nil: nothing.
-func (w *world) progress(id ID) Event {
-	t := w.l.tries[id]
-	if t.dead {
+func (w *simulation) progress(id ID) Event {
+	t := w.checker.attempts[id]
+	if t.ended {
 		return nil
 	}
 	roll := w.rng.IntN(100)
@@ -315,85 +315,85 @@
 	if w.rng.IntN(4) == 0 {
 		outcome = Failed
 	}
-	took := w.l.now - t.reached
+	took := w.checker.now - t.reachedAt
 	switch {
-	case roll < 3 && !t.gone && t.answers == 0:
-		t.gone = true
+	case roll < 3 && !t.callerGone && t.answers == 0:
+		t.callerGone = true
 		if !t.running {
-			t.dead, t.died = true, w.l.now
-			delete(w.l.entries, id)
+			t.ended, t.endedAt = true, w.checker.now
+			delete(w.checker.entries, id)
 		}
 		return CallerGone{id}
-	case t.atCall && (t.answers > 0 || t.gone) && !t.calling:
-		t.running, t.dead, t.died = false, true, w.l.now
+	case t.atCall && (t.answers > 0 || t.callerGone) && !t.callInFlight:
+		t.running, t.ended, t.endedAt = false, true, w.checker.now
 		return Finished{id, Cancelled, took}
-	case t.calling && roll < 20:
-		t.calling = false
-		t.lastCall = Outcome(w.rng.IntN(6))
-		if t.lastCall == OK {
-			t.atCall, t.called = false, 0
-		}
-		return CallReturned{id, t.lastCall, took}
-	case t.running && !t.atCall && roll < 8 && w.l.set.Below:
-		t.atCall, t.called = true, 0
+	case t.callInFlight && roll < 20:
+		t.callInFlight = false
+		t.lastOutcome = Outcome(w.rng.IntN(6))
+		if t.lastOutcome == OK {
+			t.atCall, t.callAttempts = false, 0
+		}
+		return CallReturned{id, t.lastOutcome, took}
+	case t.running && !t.atCall && roll < 8 && w.checker.set.HasDownstream:
+		t.atCall, t.callAttempts = true, 0
 		return CallNeeded{id}
-	case t.running && !t.atCall && roll < 16, t.replaying && roll < 16:
-		if t.answers == 0 && !t.gone {
+	case t.running && !t.atCall && roll < 16, t.sharing && roll < 16:
+		if t.answers == 0 && !t.callerGone {
 			t.answers++
 		}
-		t.running, t.dead, t.died = false, true, w.l.now
+		t.running, t.ended, t.endedAt = false, true, w.checker.now
 		return Finished{id, outcome, took}
 	}
 	return nil
 }
 
-func (w *world) step() error {
+func (w *simulation) step() error {
 	// The host calls at events or at the wake asked for, whichever is first, a tick late at most.
-	next := w.l.now + time.Duration(1+w.rng.IntN(10))*w.l.set.Tick
-	if w.l.wake > w.l.now {
-		late := (w.l.wake - w.l.now + w.l.set.Tick - 1) / w.l.set.Tick * w.l.set.Tick
-		next = min(next, w.l.now+late)
+	next := w.checker.now + time.Duration(1+w.rng.IntN(10))*w.checker.set.Tick
+	if w.checker.timerAt > w.checker.now {
+		late := (w.checker.timerAt - w.checker.now + w.checker.set.Tick - 1) / w.checker.set.Tick * w.checker.set.Tick
+		next = min(next, w.checker.now+late)
 	}
-	w.l.now = next
+	w.checker.now = next
 	var events []Event
 	for range w.rng.IntN(3) {
 		events = append(events, w.arrival())
 	}
-	for _, id := range w.order[max(len(w.order)-120, 0):] {
+	for _, id := range w.ids[max(len(w.ids)-120, 0):] {
 		if e := w.progress(id); e != nil {
-			if _, isNew := e.(CallerGone); isNew || w.l.tries[id].started || w.l.tries[id].replaying {
+			if _, callerGone := e.(CallerGone); callerGone || w.checker.attempts[id].started || w.checker.attempts[id].sharing {
 				events = append(events, e)
 			}
 		}
 	}
-	if w.l.drainAt == 0 && w.rng.IntN(2500) == 0 {
+	if w.checker.drainAt == 0 && w.rng.IntN(2500) == 0 {
 		left := time.Duration(w.rng.IntN(3000)) * ms
-		w.l.drainAt, w.l.stopAt = w.l.now, w.l.now+left
-		events = append(events, DrainNotice{Left: left})
+		w.checker.drainAt, w.checker.stopAt = w.checker.now, w.checker.now+left
+		events = append(events, DrainNotice{TimeLeft: left})
 	}
-	if w.l.wake <= w.l.now {
-		events = append(events, Woke{w.l.token, []float64{w.rng.Float64(), float64(w.rng.IntN(12)), w.rng.Float64()}})
+	if w.checker.timerAt <= w.checker.now {
+		events = append(events, TimerFired{w.checker.token, []float64{w.rng.Float64(), float64(w.rng.IntN(12)), w.rng.Float64()}})
 	}
-	for _, a := range w.n.Handle(w.l.now, events) {
+	for _, a := range w.n.Handle(w.checker.now, events) {
 		w.log = append(w.log, fmt.Sprintf("%T%v", a, a))
-		if err := w.l.apply(a); err != nil {
+		if err := w.checker.record(a); err != nil {
 			return err
 		}
 	}
-	return w.l.after()
+	return w.checker.checkInvariants()
 }
 
-func play(seed uint64, steps int) ([]string, error) {
+func simulate(seed uint64, steps int) ([]string, error) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	set := randomSettings(rng)
 	n, err := New(set, seed)
 	if err != nil {
 		return nil, err
 	}
-	w := &world{rng: rng, n: n, l: &ledger{set: set, now: time.Hour, tries: map[ID]*try{},
-		entries: map[ID]time.Duration{}, born: time.Hour}}
+	w := &simulation{rng: rng, n: n, checker: &checker{set: set, now: time.Hour, attempts: map[ID]*attempt{},
+		entries: map[ID]time.Duration{}, startedAt: time.Hour}}
 	for range steps {
-		if w.l.stopAt > 0 && w.l.now+10*w.l.set.Tick >= w.l.stopAt {
+		if w.checker.stopAt > 0 && w.checker.now+10*w.checker.set.Tick >= w.checker.stopAt {
 			break
 		}
 		if err := w.step(); err != nil {
@@ -403,18 +403,18 @@
 	return w.log, nil
 }
 
-func TestRandomSequencesKeepTheRules(t *testing.T) {
+func TestRandomSequencesKeepInvariants(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
-		if _, err := play(seed, 700); err != nil {
+		if _, err := simulate(seed, 700); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameSeedGivesSameActions(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		a, err := play(seed, 400)
-		b, err2 := play(seed, 400)
+		a, err := simulate(seed, 400)
+		b, err2 := simulate(seed, 400)
 		if err != nil || err2 != nil || fmt.Sprint(a) != fmt.Sprint(b) {
 			t.Errorf("seed %d: two runs differ (%v, %v)", seed, err, err2)
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -37,19 +37,19 @@
 		return errors.New("policy: Cores must be 1 or more")
 	case !(set.MemoryKB > 0):
 		return errors.New("policy: MemoryKB must be above 0")
-	case !(set.RunFactor >= 1):
+	case !(set.RunMemoryFactor >= 1):
 		return errors.New("policy: RunFactor must be 1 or more")
-	case !(set.FallMultiple >= 1):
+	case !(set.MaxRunningPerCore >= 1):
 		return errors.New("policy: FallMultiple must be 1 or more")
 	case !(set.EntryKB >= 0):
 		return errors.New("policy: EntryKB must be 0 or more")
-	case set.Tick < 0 || set.DrainGrace < 0 || set.FreshFor < 0 || set.Cold < 0:
+	case set.Tick < 0 || set.DrainGrace < 0 || set.SharedResultTTL < 0 || set.WarmupPeriod < 0:
 		return errors.New("policy: Tick, DrainGrace, FreshFor and Cold must be 0 or more")
-	case !(set.BelowShare >= 0) || set.CallSpan < 0 || set.Linger < 0:
+	case !(set.DownstreamShare >= 0) || set.CallPeriod < 0 || set.AbandonedCallTime < 0:
 		return errors.New("policy: BelowShare, CallSpan and Linger must be 0 or more")
-	case set.Idle < 0 || set.MaxPause < 0 || set.HintFor < 0 || set.FallSpan < 0 || set.AnswerSlack < 0:
+	case set.IdleTimeout < 0 || set.MaxRetryAfter < 0 || set.HintTTL < 0 || set.MaxRunningPeriod < 0 || set.AnswerSlack < 0:
 		return errors.New("policy: Idle, MaxPause, HintFor, FallSpan and AnswerSlack must be 0 or more")
-	case !(set.ColdShare >= 0 && set.ColdShare <= 1):
+	case !(set.ColdSpeedShare >= 0 && set.ColdSpeedShare <= 1):
 		return errors.New("policy: ColdShare must be from 0 to 1")
 	case set.Servers < 0 || set.Callers < 0:
 		return errors.New("policy: Servers and Callers must be 0 or more")
@@ -59,24 +59,24 @@
 	return nil
 }
 
-// SetBelowShare puts another share of the calls below into force, as BelowShare of the settings: a share that is divided
+// SetDownstreamShare puts another share of the calls below into force, as DownstreamShare of the settings: a share that is divided
 // among servers while they run changes more often than settings do. A share of nothing leaves room for no call; in the
 // settings 0 means that no share is told, and calls are not bounded.
-func (n *Instance) SetBelowShare(share float64) {
+func (n *Instance) SetDownstreamShare(share float64) {
 	if share >= 0 && !math.IsInf(share, 0) {
-		n.set.BelowShare = max(share, math.SmallestNonzeroFloat64)
+		n.set.DownstreamShare = max(share, math.SmallestNonzeroFloat64)
 	}
 }
 
 // Restarted tells that the machine has begun anew just now, and cold. What it ran has ended, by events of its own.
-func (n *Instance) Restarted(now time.Duration) { n.set.JustStarted, n.coldFrom = true, now }
+func (n *Instance) Restarted(now time.Duration) { n.set.JustStarted, n.coldSince = true, now }
 
-// BelowTime tells how long calls below were in hand over the span of the rule, and how long that is: their ratio is
+// DownstreamTime tells how long calls below were in hand over the span of the rule, and how long that is: their ratio is
 // what this server has used of its share.
-func (n *Instance) BelowTime() (inHand, span float64) {
-	if n.set.CallSpan <= 0 {
+func (n *Instance) DownstreamTime() (callTime, period float64) {
+	if n.set.CallPeriod <= 0 {
 		return 0, 0
 	}
-	n.countCalls()
-	return n.callTime, float64(n.set.CallSpan)
+	n.updateCallTime()
+	return n.callTime, float64(n.set.CallPeriod)
 }
