--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -16,7 +16,7 @@
 
 // StoreReplica is the store replica whose records an Origin serves.
 type StoreReplica interface {
-	Office() (term uint64, leads bool)
+	Leadership() (term uint64, leads bool)
 	Leader() string
 	Changed() <-chan struct{}
 	View(look func(st *state.State, index uint64))
@@ -52,7 +52,7 @@
 	if !w.IsRelay {
 		return &configwatch.Refusal{RetryMS: 10 * refusalRetryMS, Reason: "copies of the store serve relays alone"}
 	}
-	if _, leads := o.store.Office(); leads {
+	if _, leads := o.store.Leadership(); leads {
 		return nil
 	}
 	r := &configwatch.Refusal{RetryMS: refusalRetryMS, Reason: "this copy does not lead"}
@@ -86,7 +86,7 @@
 	for ctx.Err() == nil {
 		changed := o.store.Changed()
 		o.publish()
-		_, isLeader := o.store.Office()
+		_, isLeader := o.store.Leadership()
 		if wasLeader && !isLeader {
 			o.server.DisconnectAll() // so that relays connect to the new leader
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -92,7 +92,7 @@
 	for _, id := range slices.Sorted(maps.Keys(o.StoreAddresses)) {
 		storeReplicas = append(storeReplicas, distribution.Relay{Name: id, Address: o.StoreAddresses[id]})
 	}
-	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, IsRelay: true, Region: o.Region, Preamble: []byte{store.ForWatches},
+	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, IsRelay: true, Region: o.Region, Preamble: []byte{store.PurposeWatches},
 		Selector: distribution.NewStoreSelector(storeReplicas, o.Seed), Replica: follower{r.replica, r.server},
 		Steady: o.Steady, Log: o.Log, InjectedBug: o.InjectedBug})
 	return r, nil
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -68,7 +68,7 @@
 	id string
 }
 
-func (m fakeStoreReplica) Office() (uint64, bool) {
+func (m fakeStoreReplica) Leadership() (uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return 1, m.leader == m.id
@@ -114,7 +114,7 @@
 				}
 				go func() {
 					var purpose [1]byte
-					if _, err := io.ReadFull(conn, purpose[:]); err != nil || purpose[0] != store.ForWatches {
+					if _, err := io.ReadFull(conn, purpose[:]); err != nil || purpose[0] != store.PurposeWatches {
 						conn.Close()
 						return
 					}
@@ -251,7 +251,7 @@
 		t.Error("the relay without configuration refused no watcher")
 	}
 	r := replica.Open(replica.Options{Name: "direct", Log: zerolog.Nop()})
-	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.ForWatches}, Replica: r, Steady: clock.Monotonic(), Log: zerolog.Nop(),
+	c := configwatch.NewClient(configwatch.ClientOptions{Name: "direct", Preamble: []byte{store.PurposeWatches}, Replica: r, Steady: clock.Monotonic(), Log: zerolog.Nop(),
 		Selector: distribution.NewSelector([]distribution.Relay{{Name: "a", Address: addresses["a"]}}, distribution.Locality{}, 1)})
 	go c.Run(t.Context())
 	waitFor(t, "the store replica refuses an order server", func() bool { return origins["a"].Metrics().Refused > 0 })
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps configuration, inventory, drain marks and the ids of effects begun in a small replicated
-// key-value store: hashicorp/raft over one port a node, its log in a raft-boltdb file. Any node takes reads and
-// writes; a write goes to the leader and returns once a majority has it.
+// Package store is a small replicated key-value store that holds configuration, inventory, drain marks and the ids of effects
+// begun. It runs hashicorp/raft over one port per node and keeps the log in a bolt file. Any node accepts reads and writes; a
+// write is forwarded to the leader and returns once a majority has it.
 package store
 
 import (
@@ -26,94 +26,94 @@
 	"puffinsaddle/internal/store/disk"
 )
 
-// ErrNoQuorum is the error of a write that no majority took. It may still be carried out later.
+// ErrNoQuorum reports a write that was not confirmed by a majority. It may still be applied later.
 var ErrNoQuorum = errors.New("store: no quorum: the write was not confirmed by a majority of the nodes")
 
-// ErrDiffer refuses effects while copies differ and no majority has one state.
-var ErrDiffer = errors.New("store: copies differ and no majority has one state: no effect is begun until operators have decided")
+// ErrReplicasDiverged refuses effects while the replicas' states differ and no state has a majority.
+var ErrReplicasDiverged = errors.New("store: replicas differ and no state has a majority: no effect is begun until operators resolve it")
 
 const (
-	writeFor      = 2 * time.Second
-	mostWrite     = 1 << 20 // bytes of one write
-	closeFor      = time.Second
-	electionEach  = 500.0 // ms
-	snapshotAfter = 8192  // log entries
+	writeTimeout             = 2 * time.Second // for a write to be committed, and for a dial
+	maxWriteBytes            = 1 << 20         // of one write
+	shutdownTimeout          = time.Second     // for raft to shut down
+	defaultElectionTimeoutMS = 500.0
+	snapshotThreshold        = 8192 // log entries
 )
 
-// Options set up one node.
+// Options configure one node.
 type Options struct {
-	ID       string
-	Listen   string
-	Listener net.Listener // in place of Listen; nil: none
-	Dir      string
-	Peers    map[string]string // id and address of each node, this one included; none: Start has to tell them, and nobody is asked
-	Via      map[string]string // addresses of peers that this node reaches elsewhere, and where
-	Strict   bool              // more of the others have to be heard before this node takes part: admit.Seeker
-	Log      io.Writer         // raft's
-	Events   zerolog.Logger
-	Steady   *clock.Clock // nil: the system's
-
-	ElectionMs float64                 // a leader that is not heard for so long, up to twice that, is replaced; 0: 500
-	CompareMs  float64                 // between two parts of the state that copies compare; 0: 1000
-	Told       func(phase, why string) // called at each change of the node's phase; must not wait; nil: nobody asks
-
-	Watch func(index, term uint64, c state.Command, r state.Result) // called for each entry that is applied, in order; must not wait
-	Plant string                                                    // a planted bug, for the laboratory; "": none
+	ID               string
+	Listen           string
+	Listener         net.Listener // in place of Listen; nil: none
+	Dir              string
+	Peers            map[string]string // addresses by node id, this one included; empty: Start sets the members, and no claims are sent
+	AddressOverrides map[string]string // by peer address: the address at which this node reaches it, if it is another one
+	Strict           bool              // more peers have to respond before this node participates: admit.Joiner
+	Log              io.Writer         // raft's log output
+	Events           zerolog.Logger
+	Steady           *clock.Clock // nil: the system's steady clock
+
+	ElectionTimeoutMS float64                    // a leader without contact for one to two of these is replaced; 0: 500
+	CompareIntervalMS float64                    // between two comparisons of the replicas' state; 0: 1000
+	OnPhaseChange     func(phase, reason string) // optional; called at each change of the node's phase; must not block
+
+	OnApply     func(index, term uint64, c state.Command, r state.Result) // optional; called for each applied entry, in log order; must not block
+	InjectedBug string                                                    // a bug injected by the lab; "": none
 }
 
-// raft is the library's configuration.
-func (o Options) raft() *raft.Config {
+// raftConfig returns the configuration of the raft library.
+func (o Options) raftConfig() *raft.Config {
 	conf := raft.DefaultConfig()
-	conf.LocalID, conf.LogOutput, conf.SnapshotThreshold = raft.ServerID(o.ID), o.Log, snapshotAfter
+	conf.LocalID, conf.LogOutput, conf.SnapshotThreshold = raft.ServerID(o.ID), o.Log, snapshotThreshold
 	conf.LogLevel = "WARN"
-	// A leader's end must be found, and another one chosen, before those who hold duties have to give them up.
-	election := clock.Duration(cmp.Or(o.ElectionMs, electionEach))
+	// A failed leader must be detected and replaced before duty holders have to give up their leases.
+	election := clock.Duration(cmp.Or(o.ElectionTimeoutMS, defaultElectionTimeoutMS))
 	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = election, election, election/2
 	return conf
 }
 
-// Store is one node.
+// Store is one node of the replicated store.
 type Store struct {
-	o       Options
-	proc    string // drawn at the start of the process
-	machine *machine
-	layer   *layer
-	ctx     context.Context
-	cancel  context.CancelFunc
-	keeping sync.Mutex // what is remembered of others goes to the disk one writing at a time
-
-	now    atomic.Pointer[running] // nil: this node takes no part
-	kick   chan struct{}           // something changed that a decision may rest on
-	conns  atomic.Uint64
-	claims atomic.Int64 // connections of claims that are served
-	halted atomic.Bool  // copies differ without a majority
-
-	mu        sync.Mutex
-	folder    *disk.Folder // nil: what stands there is damaged
-	seeker    admit.Joiner
-	witness   *admit.Verifier
-	learners  map[string]*admit.Learner
-	promote   map[string]bool // learners that have caught up
-	phase     string
-	why       string
-	began     float64 // when it began to seek
-	compareAt float64 // the next part of the state is compared then
-	part      uint64
-	dirty     bool          // what is remembered of others is newer than what the folder has
-	news      chan struct{} // closed at each change of the claim, or of whether the node takes part
+	o           Options
+	processID   string // random, unique to this process
+	fsm         *stateMachine
+	mux         *multiplexer
+	ctx         context.Context
+	cancel      context.CancelFunc
+	savePeersMu sync.Mutex // serializes saves of the known peers
+
+	active           atomic.Pointer[participation] // nil while this node does not participate
+	decisionDue      chan struct{}                 // signals a change that decisions depend on
+	claimConnIDs     atomic.Uint64
+	claimConnections atomic.Int64 // claim connections being served
+	effectsHalted    atomic.Bool  // replicas differ and no state has a majority
+
+	mu                  sync.Mutex
+	directory           *disk.Directory // nil: its contents are corrupt
+	joiner              admit.Joiner
+	verifier            *admit.Verifier
+	learners            map[string]*admit.Learner
+	caughtUp            map[string]bool // by id of non-voter
+	phase               string
+	phaseReason         string
+	verificationStartMS float64       // when it began to send claims
+	nextCompareMS       float64       // when the next partition of the state is compared
+	partition           uint64        // number of the latest partition to compare; wraps over the partitions of the state
+	peersChanged        bool          // the known peers changed since they were last saved
+	phaseChanged        chan struct{} // closed and replaced at each change of the phase
 }
 
-// running is the part of a node that takes part.
-type running struct {
-	raft   *raft.Raft
-	trans  *raft.NetworkTransport
-	gate   *gate
-	folder *disk.Folder
-	votes  atomic.Bool
+// participation holds what a node has only while it participates.
+type participation struct {
+	raft       *raft.Raft
+	transport  *raft.NetworkTransport
+	voteFilter *voteFilter
+	directory  *disk.Directory
+	voter      atomic.Bool
 }
 
-// Open starts a node from what its folder holds. It takes part once the others say nothing against its folder; Start begins a
-// new set where no peers are named.
+// Open starts a node from its data directory. The node participates once its peers accept the directory. Without peers in the
+// options, Start bootstraps the cluster.
 func Open(o Options) (*Store, error) {
 	if o.Log == nil {
 		o.Log = io.Discard
@@ -121,13 +121,13 @@
 	if o.Steady == nil {
 		o.Steady = clock.Monotonic()
 	}
-	if o.CompareMs == 0 {
-		o.CompareMs = compareEach
+	if o.CompareIntervalMS == 0 {
+		o.CompareIntervalMS = defaultCompareIntervalMS
 	}
 	if len(o.Peers) > 0 && o.Peers[o.ID] == "" {
 		return nil, fmt.Errorf("store: %s is not among its own peers", o.ID)
 	}
-	proc, err := disk.Draw()
+	processID, err := disk.NewRandomID()
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -137,51 +137,51 @@
 			return nil, fmt.Errorf("store: %w", err)
 		}
 	}
-	s := &Store{o: o, proc: proc, machine: newMachine(), kick: make(chan struct{}, 1), learners: map[string]*admit.Learner{},
-		promote: map[string]bool{}, phase: PhaseSeeks, news: make(chan struct{})}
+	s := &Store{o: o, processID: processID, fsm: newStateMachine(), decisionDue: make(chan struct{}, 1), learners: map[string]*admit.Learner{},
+		caughtUp: map[string]bool{}, phase: PhaseVerifying, phaseChanged: make(chan struct{})}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.machine.watch, s.machine.plant, s.machine.state.InjectedBug = o.Watch, o.Plant, o.Plant
-	s.layer = newLayer(ln, map[byte]func(net.Conn){forWrites: s.serveWrite, forClaims: s.serveClaims, forStatus: s.serveStatus, forBackup: s.serveBackup}, o.Via)
-	damage, err := s.open(admit.DirectoryState{})
-	if err == nil && damage != nil && len(o.Peers) < 2 {
-		err = damage // nobody to build it anew from
+	s.fsm.onApply, s.fsm.injectedBug, s.fsm.state.InjectedBug = o.OnApply, o.InjectedBug, o.InjectedBug
+	s.mux = newMultiplexer(ln, map[byte]func(net.Conn){purposeWrites: s.serveWrite, purposeClaims: s.serveClaims, purposeStatus: s.serveStatus, purposeBackup: s.serveBackup}, o.AddressOverrides)
+	corruption, err := s.openDirectory(admit.DirectoryState{})
+	if err == nil && corruption != nil && len(o.Peers) < 2 {
+		err = corruption // no peer to rebuild it from
 	}
 	if err == nil && len(o.Peers) < 2 {
-		err = s.start(o.Peers)
+		err = s.participate(o.Peers)
 	}
 	if err != nil {
 		s.cancel()
-		s.stop(false)
+		s.stopParticipating(false)
 		ln.Close()
-		if s.folder != nil {
-			s.folder.Close()
+		if s.directory != nil {
+			s.directory.Close()
 		}
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	go s.layer.run()
+	go s.mux.run()
 	if len(o.Peers) > 1 {
-		s.began = o.Steady.Now()
-		s.seek()
+		s.verificationStartMS = o.Steady.Now()
+		s.startVerification()
 	}
 	return s, nil
 }
 
-// open opens the folder. A folder that is damaged is no error: the node asks to be joined anew.
-func (s *Store) open(joined admit.DirectoryState) (damage error, err error) {
-	f, err := disk.OpenFolder(s.o.Dir, s.proc, s.o.Log, disk.Options{Fail: s.failed})
-	if bad := (*disk.Damage)(nil); errors.As(err, &bad) {
-		damage, err = bad, nil
+// openDirectory opens the data directory. Corruption is returned apart from err: the node requests to rejoin then.
+func (s *Store) openDirectory(joinState admit.DirectoryState) (corruption error, err error) {
+	f, err := disk.OpenDirectory(s.o.Dir, s.processID, s.o.Log, disk.Options{OnFailure: s.diskFailed})
+	if corrupt := (*disk.CorruptionError)(nil); errors.As(err, &corrupt) {
+		corruption, err = corrupt, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	var marks map[string]admit.DirectoryState
+	var peers map[string]admit.DirectoryState
 	if f != nil {
-		if joined.JoinIndex > 0 {
-			err = f.Join(joined)
+		if joinState.JoinIndex > 0 {
+			err = f.RecordJoin(joinState)
 		}
 		if err == nil {
-			marks, err = f.Marks()
+			peers, err = f.PeerDirectories()
 		}
 		if err != nil {
 			f.Close()
@@ -190,69 +190,69 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.folder = f
-	if s.witness == nil || len(marks) > 0 {
-		s.witness = admit.NewVerifier(s.o.ID, marks)
+	s.directory = f
+	if s.verifier == nil || len(peers) > 0 {
+		s.verifier = admit.NewVerifier(s.o.ID, peers)
 	} else {
-		s.dirty = true // what was remembered goes into the new folder
+		s.peersChanged = true // the known peers have to be saved in the new directory
 	}
-	s.seeker = admit.Joiner{Strict: s.o.Strict, InjectedBug: s.o.Plant}
-	s.seeker.ID, s.seeker.Addr = s.o.ID, s.o.Peers[s.o.ID]
+	s.joiner = admit.Joiner{Strict: s.o.Strict, InjectedBug: s.o.InjectedBug}
+	s.joiner.ID, s.joiner.Addr = s.o.ID, s.o.Peers[s.o.ID]
 	for id := range s.o.Peers {
 		if id != s.o.ID {
-			s.seeker.Peers = append(s.seeker.Peers, id)
+			s.joiner.Peers = append(s.joiner.Peers, id)
 		}
 	}
 	if f != nil {
-		s.seeker.DirectoryState, s.seeker.Fresh, s.seeker.SoleVoter = f.Mark(), f.Fresh(), f.Sole()
+		s.joiner.DirectoryState, s.joiner.Fresh, s.joiner.SoleVoter = f.State(), f.Empty(), f.SoleVoter()
 	} else {
-		s.seeker.ProcessID, s.seeker.RejoinReason = s.proc, damage.Error()
-		s.tell(PhaseAsks, damage.Error())
+		s.joiner.ProcessID, s.joiner.RejoinReason = s.processID, corruption.Error()
+		s.setPhase(PhaseRejoining, corruption.Error())
 	}
-	return damage, nil
+	return corruption, nil
 }
 
-// start lets the node take part, in a new set of these peers where its folder is fresh and any are named.
-func (s *Store) start(peers map[string]string) error {
+// participate makes the node participate. If its directory is empty and peers are given, it bootstraps a new cluster of them.
+func (s *Store) participate(peers map[string]string) error {
 	s.mu.Lock()
-	f := s.folder
+	f := s.directory
 	s.mu.Unlock()
-	r := &running{folder: f}
-	r.votes.Store(f.Votes())
-	lane := s.layer.open(f.Mark().ClusterName)
-	r.trans = raft.NewNetworkTransport(lane, 3, writeFor, s.o.Log)
-	r.gate = newGate(r.trans, r.votes.Load)
-	fresh := f.Fresh() && f.Mark().JoinIndex == 0
+	r := &participation{directory: f}
+	r.voter.Store(f.IsVoter())
+	raftLayer := s.mux.openRaftLayer(f.State().ClusterName)
+	r.transport = raft.NewNetworkTransport(raftLayer, 3, writeTimeout, s.o.Log)
+	r.voteFilter = newVoteFilter(r.transport, r.voter.Load)
+	empty := f.Empty() && f.State().JoinIndex == 0
 	var err error
-	if r.raft, err = raft.NewRaft(s.o.raft(), s.machine, f, f, f.Snap, r.gate); err != nil {
-		r.gate.Close()
-		lane.Close()
+	if r.raft, err = raft.NewRaft(s.o.raftConfig(), s.fsm, f, f, f.Snapshots, r.voteFilter); err != nil {
+		r.voteFilter.Close()
+		raftLayer.Close()
 		return err
 	}
-	f.Run()
-	s.now.Store(r)
-	if fresh && len(peers) > 0 {
+	f.SetRaftRunning()
+	s.active.Store(r)
+	if empty && len(peers) > 0 {
 		if err := s.Start(peers); err != nil {
 			return err
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seeker.Fresh, s.seeker.Running = false, true
-	s.seeker.ClearResponses()
-	s.tell(PhaseRuns, "")
+	s.joiner.Fresh, s.joiner.Running = false, true
+	s.joiner.ClearResponses()
+	s.setPhase(PhaseRunning, "")
 	return nil
 }
 
-// Start begins a new set of these nodes; on a node that has a past it does nothing.
+// Start bootstraps a new cluster of these nodes. It does nothing on a node that already has raft state.
 func (s *Store) Start(peers map[string]string) error {
-	r := s.now.Load()
+	r := s.active.Load()
 	if r == nil {
 		return ErrNoQuorum
 	}
 	var c raft.Configuration
-	for id, at := range peers {
-		c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(id), Address: raft.ServerAddress(at)})
+	for id, address := range peers {
+		c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(id), Address: raft.ServerAddress(address)})
 	}
 	if err := r.raft.BootstrapCluster(c).Error(); err != nil && !errors.Is(err, raft.ErrCantBootstrap) {
 		return fmt.Errorf("store: %w", err)
@@ -260,56 +260,56 @@
 	return nil
 }
 
-// Addr is where the node listens.
-func (s *Store) Addr() string { return s.layer.Addr().String() }
+// Addr returns the address on which the node listens.
+func (s *Store) Addr() string { return s.mux.Addr().String() }
 
-// Ready waits until the node takes part and knows a leader.
+// Ready waits until the node participates and knows a leader.
 func (s *Store) Ready(ctx context.Context) error {
 	for {
 		s.mu.Lock()
-		news := s.news
+		changed := s.phaseChanged
 		s.mu.Unlock()
-		if r := s.now.Load(); r != nil {
-			return r.ready(ctx)
+		if r := s.active.Load(); r != nil {
+			return r.waitLeader(ctx)
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-ctx.Done():
 			return ErrNoQuorum
 		}
 	}
 }
 
-func (r *running) ready(ctx context.Context) error {
-	seen := make(chan raft.Observation, 8)
-	o := raft.NewObserver(seen, false, func(o *raft.Observation) bool { _, ok := o.Data.(raft.LeaderObservation); return ok })
-	r.raft.RegisterObserver(o)
-	defer r.raft.DeregisterObserver(o)
+func (r *participation) waitLeader(ctx context.Context) error {
+	observations := make(chan raft.Observation, 8)
+	observer := raft.NewObserver(observations, false, func(observer *raft.Observation) bool { _, ok := observer.Data.(raft.LeaderObservation); return ok })
+	r.raft.RegisterObserver(observer)
+	defer r.raft.DeregisterObserver(observer)
 	for {
-		if at, _ := r.raft.LeaderWithID(); at != "" {
+		if address, _ := r.raft.LeaderWithID(); address != "" {
 			return nil
 		}
 		select {
-		case <-seen:
+		case <-observations:
 		case <-ctx.Done():
 			return ErrNoQuorum
 		}
 	}
 }
 
-// Get reads a key as this node has it.
+// Get reads a key from this node's state, which may lag the leader's.
 func (s *Store) Get(key string) ([]byte, bool) {
-	s.machine.mu.Lock()
-	defer s.machine.mu.Unlock()
-	v, ok := s.machine.state.Values[key]
+	s.fsm.mu.Lock()
+	defer s.fsm.mu.Unlock()
+	v, ok := s.fsm.state.Values[key]
 	return v, ok
 }
 
-// Changed is closed at the next change that reaches this node.
+// Changed returns a channel that is closed when the next entry is applied on this node.
 func (s *Store) Changed() <-chan struct{} {
-	s.machine.mu.Lock()
-	defer s.machine.mu.Unlock()
-	return s.machine.changed
+	s.fsm.mu.Lock()
+	defer s.fsm.mu.Unlock()
+	return s.fsm.changed
 }
 
 // Set writes a key.
@@ -324,33 +324,33 @@
 	return err
 }
 
-// Begin records that an effect begins; false: it is recorded already.
+// Begin records that an effect begins; it returns false if the effect is recorded already.
 func (s *Store) Begin(id string) (bool, error) {
 	return s.write(state.Command{Op: state.OpBeginEffect, Key: id})
 }
 
-// Snapshot writes the state to the node's folder now.
+// Snapshot writes a snapshot of the state to the node's data directory.
 func (s *Store) Snapshot() error {
-	r := s.now.Load()
+	r := s.active.Load()
 	if r == nil {
 		return ErrNoQuorum
 	}
 	return r.raft.Snapshot().Error()
 }
 
-// answer is the leader's word on a write.
-type answer struct {
+// writeResponse is the leader's response to a forwarded write.
+type writeResponse struct {
 	Fresh   bool   `json:"fresh"`
-	Refused string `json:"refused,omitempty"` // agreed on, and then refused
+	Refused string `json:"refused,omitempty"` // the command was committed, and refused when applied
 	Error   string `json:"error,omitempty"`   // not confirmed
 }
 
-// write hands a command to the leader, here or elsewhere. It is sent once: one that gets no answer may have
-// been taken.
+// write passes a command to the leader, on this node or another. It is sent only once: a command without a response may have
+// been committed.
 func (s *Store) write(c state.Command) (bool, error) {
 	var r state.Result
 	var err error
-	if _, leads := s.Office(); leads {
+	if _, isLeader := s.Leadership(); isLeader {
 		r, err = s.apply(c)
 	} else {
 		r, err = s.forward(c)
@@ -362,48 +362,47 @@
 }
 
 func (s *Store) forward(c state.Command) (r state.Result, err error) {
-	now := s.now.Load()
-	if now == nil {
+	active := s.active.Load()
+	if active == nil {
 		return r, ErrNoQuorum
 	}
-	at, _ := now.raft.LeaderWithID()
-	if at == "" {
+	address, _ := active.raft.LeaderWithID()
+	if address == "" {
 		return r, ErrNoQuorum
 	}
-	conn, err := s.layer.dial(string(at), forWrites, writeFor)
+	conn, err := s.mux.dial(string(address), purposeWrites, writeTimeout)
 	if err != nil {
 		return r, fmt.Errorf("%w: %v", ErrNoQuorum, err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(2 * writeFor))
-	var a answer
+	conn.SetDeadline(time.Now().Add(2 * writeTimeout))
+	var response writeResponse
 	if err = json.NewEncoder(conn).Encode(c); err == nil {
-		err = json.NewDecoder(conn).Decode(&a)
+		err = json.NewDecoder(conn).Decode(&response)
 	}
-	if err != nil || a.Error != "" {
-		return r, fmt.Errorf("%w: %v %s", ErrNoQuorum, err, a.Error)
+	if err != nil || response.Error != "" {
+		return r, fmt.Errorf("%w: %v %s", ErrNoQuorum, err, response.Error)
 	}
-	return state.Result{WasAbsent: a.Fresh, Error: a.Refused}, nil
+	return state.Result{WasAbsent: response.Fresh, Error: response.Refused}, nil
 }
 
 func (s *Store) apply(c state.Command) (state.Result, error) { return s.Propose(c)() }
 
-// Propose hands a command to the log of this node, which has to lead; the function it returns waits for what the
-// command came to. An error leaves open whether it will be carried out. Commands are carried out in the order in which
-// one goroutine proposes them.
+// Propose appends a command to the log of this node, which has to be the leader; the returned function waits for the result.
+// After an error the command may or may not be applied. Commands proposed by one goroutine are applied in that order.
 func (s *Store) Propose(c state.Command) func() (state.Result, error) {
 	b, err := json.Marshal(c)
-	if err == nil && c.Op == state.OpBeginEffect && s.halted.Load() {
-		err = ErrDiffer
+	if err == nil && c.Op == state.OpBeginEffect && s.effectsHalted.Load() {
+		err = ErrReplicasDiverged
 	}
 	if err != nil {
 		return func() (state.Result, error) { return state.Result{}, err }
 	}
-	r := s.now.Load()
+	r := s.active.Load()
 	if r == nil {
 		return func() (state.Result, error) { return state.Result{}, ErrNoQuorum }
 	}
-	f := r.raft.Apply(b, writeFor)
+	f := r.raft.Apply(b, writeTimeout)
 	return func() (state.Result, error) {
 		if err := f.Error(); err != nil {
 			return state.Result{}, fmt.Errorf("%w: %v", ErrNoQuorum, err)
@@ -413,32 +412,32 @@
 	}
 }
 
-// Prove writes an entry that changes nothing; the function it returns waits until a majority has it, which proves that
-// this node led, and knew all that was agreed on, at some time after the call. raft's own VerifyLeader does not: it also
-// counts answers to heartbeats that were sent before the call, and a node that stood still for a while, then reads one,
-// would take itself for the leader that it was.
-func (s *Store) Prove() func() error {
-	r := s.now.Load()
+// ConfirmLeadership appends a barrier entry; the returned function waits until a majority has it, which proves that this node was
+// the leader and had all committed entries at some time after the call. raft's own VerifyLeader does not prove that: it also
+// counts responses to heartbeats sent before the call, so a node that was paused for a while and then reads one would still
+// consider itself the leader.
+func (s *Store) ConfirmLeadership() func() error {
+	r := s.active.Load()
 	if r == nil {
 		return func() error { return ErrNoQuorum }
 	}
-	return r.raft.Barrier(writeFor).Error
+	return r.raft.Barrier(writeTimeout).Error
 }
 
-// Office tells whether this node believes that it leads, and in which term.
-func (s *Store) Office() (term uint64, leads bool) {
-	r := s.now.Load()
+// Leadership returns the current term and whether this node believes that it is the leader in it.
+func (s *Store) Leadership() (term uint64, isLeader bool) {
+	r := s.active.Load()
 	if r == nil {
 		return 0, false
 	}
 	term = r.raft.CurrentTerm()
-	leads = r.raft.State() == raft.Leader
-	return term, leads && term == r.raft.CurrentTerm()
+	isLeader = r.raft.State() == raft.Leader
+	return term, isLeader && term == r.raft.CurrentTerm()
 }
 
-// Leader is the id of the node that leads, for all that this one knows; "": none.
+// Leader returns the id of the leader as this node knows it; "": none.
 func (s *Store) Leader() string {
-	r := s.now.Load()
+	r := s.active.Load()
 	if r == nil {
 		return ""
 	}
@@ -446,91 +445,91 @@
 	return string(id)
 }
 
-// View lets look at the state, which must not be changed or kept; index is a position of the log up to which it holds
-// at least.
-func (s *Store) View(look func(st *state.State, index uint64)) {
+// View calls read with the state, which must not be modified or retained. The state includes at least all entries up to index.
+func (s *Store) View(read func(st *state.State, index uint64)) {
 	index := uint64(0)
-	if r := s.now.Load(); r != nil {
+	if r := s.active.Load(); r != nil {
 		index = r.raft.AppliedIndex()
 	}
-	s.machine.mu.Lock()
-	defer s.machine.mu.Unlock()
-	look(s.machine.state, index)
+	s.fsm.mu.Lock()
+	defer s.fsm.mu.Unlock()
+	read(s.fsm.state, index)
 }
 
-// Spoil changes a bit of what this copy holds in memory, for the laboratory and tests; it tells where.
-func (s *Store) Spoil(pick uint64) string {
-	s.machine.mu.Lock()
-	defer s.machine.mu.Unlock()
-	all := s.machine.state.Effects.Effects
-	if len(all) == 0 {
+// CorruptMemory flips a bit of an effect in this replica's memory, for the lab and tests, and returns the effect's id; "": there
+// was none.
+func (s *Store) CorruptMemory(pick uint64) string {
+	s.fsm.mu.Lock()
+	defer s.fsm.mu.Unlock()
+	effects := s.fsm.state.Effects.Effects
+	if len(effects) == 0 {
 		return ""
 	}
-	ids := slices.Sorted(maps.Keys(all))
+	ids := slices.Sorted(maps.Keys(effects))
 	id := ids[pick%uint64(len(ids))]
-	all[id].Seq ^= 1 << (pick / 7 % 32)
+	effects[id].Seq ^= 1 << (pick / 7 % 32)
 	return id
 }
 
-// ServeSessions hands connections of order servers to serve, which closes them.
+// ServeSessions passes session connections of order servers to serve, which closes them.
 func (s *Store) ServeSessions(serve func(net.Conn)) {
-	s.layer.mu.Lock()
-	defer s.layer.mu.Unlock()
-	s.layer.sessions = serve
+	s.mux.mu.Lock()
+	defer s.mux.mu.Unlock()
+	s.mux.sessions = serve
 }
 
-// ServeWatches hands connections of relays to serve, which closes them.
+// ServeWatches passes watch connections of relays to serve, which closes them.
 func (s *Store) ServeWatches(serve func(net.Conn)) {
-	s.layer.mu.Lock()
-	defer s.layer.mu.Unlock()
-	s.layer.watches = serve
+	s.mux.mu.Lock()
+	defer s.mux.mu.Unlock()
+	s.mux.watches = serve
 }
 
-// serveWrite takes one write from another node.
+// serveWrite applies one write forwarded by another node.
 func (s *Store) serveWrite(conn net.Conn) {
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(2 * writeFor))
+	conn.SetDeadline(time.Now().Add(2 * writeTimeout))
 	var c state.Command
-	if err := json.NewDecoder(io.LimitReader(conn, mostWrite)).Decode(&c); err != nil {
+	if err := json.NewDecoder(io.LimitReader(conn, maxWriteBytes)).Decode(&c); err != nil {
 		return
 	}
 	r, err := s.apply(c)
-	a := answer{Fresh: r.WasAbsent, Refused: r.Error}
+	response := writeResponse{Fresh: r.WasAbsent, Refused: r.Error}
 	if err != nil {
-		a.Error = err.Error()
+		response.Error = err.Error()
 	}
-	json.NewEncoder(conn).Encode(a)
+	json.NewEncoder(conn).Encode(response)
 }
 
-// ErrStuck is the error of a node whose raft did not stop in time.
-var ErrStuck = errors.New("store: raft does not stop")
+// ErrShutdownTimeout reports that raft did not shut down in time.
+var ErrShutdownTimeout = errors.New("store: raft did not shut down in time")
 
-// within waits for an end for so long. Guards against raft's pipelined replication, which can wait for good to send to a
-// peer whose link hung with all of the pipeline in it, and its end waits for that: a process that drains must not.
-func within(d time.Duration, end func() error) error {
+// waitFor waits up to d for shutDown to return. Guards against raft's pipelined replication: it can block forever on sending to a
+// peer whose connection hangs with a full pipeline, and raft's shutdown waits for it. A draining process must not.
+func waitFor(d time.Duration, shutDown func() error) error {
 	done := make(chan error, 1)
-	go func() { done <- end() }()
+	go func() { done <- shutDown() }()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case err := <-done:
 		return err
 	case <-t.C:
-		return ErrStuck
+		return ErrShutdownTimeout
 	}
 }
 
-// Close stops the node. One that leads hands that on first, so that writes wait for no election. Where raft does not
-// stop its log stays open, since it may still write to it; the process is to end.
+// Close stops the node. A leader first transfers its leadership, so that writes need not wait for an election. If raft does not
+// shut down, its log stays open, since raft may still write to it; the process should exit.
 func (s *Store) Close() error {
 	s.cancel()
-	err := s.stop(true)
-	s.layer.Close()
-	if errors.Is(err, ErrStuck) {
+	err := s.stopParticipating(true)
+	s.mux.Close()
+	if errors.Is(err, ErrShutdownTimeout) {
 		return err
 	}
 	s.mu.Lock()
-	f := s.folder
+	f := s.directory
 	s.mu.Unlock()
 	if f != nil {
 		err = errors.Join(err, f.Close())
@@ -538,16 +537,16 @@
 	return err
 }
 
-// stop ends the node's part.
-func (s *Store) stop(hand bool) error {
-	r := s.now.Swap(nil)
+// stopParticipating ends the node's participation. With transferLeadership, a leader first hands over its leadership.
+func (s *Store) stopParticipating(transferLeadership bool) error {
+	r := s.active.Swap(nil)
 	if r == nil {
 		return nil
 	}
-	if hand && r.raft.State() == raft.Leader {
-		r.raft.LeadershipTransfer().Error() // where nobody can take it, an election will tell
+	if transferLeadership && r.raft.State() == raft.Leader {
+		r.raft.LeadershipTransfer().Error() // if no node can take over, an election follows
 	}
-	err := within(closeFor, r.raft.Shutdown().Error)
-	r.gate.Close()
+	err := waitFor(shutdownTimeout, r.raft.Shutdown().Error)
+	r.voteFilter.Close()
 	return err
 }
