--- a/internal/net/accept/accept.go
+++ b/internal/net/accept/accept.go
@@ -1,4 +1,4 @@
-// Package accept takes connections from a listening socket, and gives the socket up without losing any.
+// Package accept accepts connections from a listening socket, and closes the socket without losing connections.
 package accept
 
 import (
@@ -12,12 +12,12 @@
 )
 
 const (
-	pause       = 5 * time.Millisecond
-	lastAccepts = 5 * time.Millisecond // a listener that is to close goes on accepting for so long
-	lastAccept  = time.Second          // what waits in the queue is taken at once, unless it went meanwhile
+	pause       = 5 * time.Millisecond // delay after a failed accept
+	lastAccepts = 5 * time.Millisecond // accepting continues for this long once the listener is to close
+	lastAccept  = time.Second          // limit for an accept from a queue that is not empty; the connection may vanish meanwhile
 )
 
-// Listener accepts connections until it is shut.
+// Listener accepts connections until it is stopped.
 type Listener struct {
 	ln   *net.TCPListener
 	log  zerolog.Logger
@@ -25,11 +25,11 @@
 
 	mu      sync.Mutex
 	serving bool
-	shut    bool // no more than what waits is accepted
-	leave   bool // nor that: another process accepts it
+	shut    bool // only connections in the queue are still accepted
+	leave   bool // not even those: another process accepts them
 }
 
-// Listen opens the listening socket; Serve has to be called next.
+// Listen opens a listening socket; Serve has to be called next.
 func Listen(address string, log zerolog.Logger) (*Listener, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -38,18 +38,18 @@
 	return On(ln.(*net.TCPListener), log), nil
 }
 
-// On takes a socket that listens already.
+// On returns a listener on a socket that is already listening.
 func On(ln *net.TCPListener, log zerolog.Logger) *Listener {
 	return &Listener{ln: ln, log: log, done: make(chan struct{})}
 }
 
-// Socket is the listening socket.
+// Socket returns the listening socket.
 func (l *Listener) Socket() *net.TCPListener { return l.ln }
 
-// Addr is where it listens.
+// Addr returns the address that the listener is bound to.
 func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
 
-// Serve hands each connection to welcome, which must not wait, until the listener is shut.
+// Serve passes each connection to welcome, which must not block, until the listener is stopped.
 func (l *Listener) Serve(welcome func(net.Conn)) {
 	l.mu.Lock()
 	l.serving = true
@@ -66,28 +66,28 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
-			l.log.Warn().Err(err).Msg("accept") // out of descriptors, most likely: some will be freed
+			l.log.Warn().Err(err).Msg("accept") // most likely out of file descriptors; some will be freed
 			time.Sleep(pause)
 		}
 	}
 }
 
-// rest accepts what waits in the queue of a listener whose time is over. A deadline that has passed ends an Accept
-// before it looks, and it may pass between two of them or before the first.
+// rest accepts the connections left in the queue after the listener's deadline. An Accept whose deadline has passed fails
+// without checking the queue, and the deadline may pass between two calls or before the first one.
 func (l *Listener) rest(welcome func(net.Conn)) {
 	for l.waiting() {
 		l.ln.SetDeadline(time.Now().Add(lastAccept))
 		conn, err := l.ln.Accept()
 		if err != nil {
-			l.log.Warn().Err(err).Msg("accept of what was left")
+			l.log.Warn().Err(err).Msg("accept from the remaining queue")
 			return
 		}
 		welcome(conn)
 	}
-	l.ln.Close() // at once: who comes now is refused, and knows that nothing ran
+	l.ln.Close() // at once: later connections are refused, so their clients know that nothing ran
 }
 
-// waiting tells that a connection is in the queue, and that it is ours to accept.
+// waiting reports whether the queue holds a connection that this process has to accept.
 func (l *Listener) waiting() bool {
 	l.mu.Lock()
 	leave := l.leave
@@ -108,15 +108,17 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// Shut closes the socket once its queue is empty. To close it at once would reset connections that the
-// machine has accepted and whose requests are therefore owed answers.
+// Shut closes the socket once its queue is empty. Closing it at once would reset connections that the kernel has already
+// established and whose requests have to be answered.
 func (l *Listener) Shut() { l.end(time.Now().Add(lastAccepts), false) }
 
-// Yield closes our side of a socket that another process accepts from too: what waits in its queue is for that.
+// Yield closes this process's descriptor of a socket that another process also accepts from. Connections in the queue are
+// left to that process.
 func (l *Listener) Yield() { l.end(time.Now(), true) }
 
-// end lets Serve accept up to a time, and what waits then. Where Serve has not begun, it does the same once it does;
-// until then, or until Close, the socket stays open, since to close it would reset what waits.
+// end makes Serve accept until a given time and then, unless leave is set, empty the queue. If Serve has not been called
+// yet, it does so when it is; until then, or until Close, the socket stays open, since closing it would reset the
+// connections in its queue.
 func (l *Listener) end(last time.Time, leave bool) {
 	l.mu.Lock()
 	again := l.shut
--- a/internal/net/accept/accept_test.go
+++ b/internal/net/accept/accept_test.go
@@ -11,7 +11,7 @@
 
 const queued = 20
 
-// queue opens a listening socket with connections waiting in its queue, each with a byte sent.
+// queue opens a listening socket with connections in its queue, on each of which one byte was sent.
 func queue(t *testing.T) (*Listener, []net.Conn) {
 	l, err := Listen("127.0.0.1:0", zerolog.Nop())
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// The notice to leave comes before the accepting began: what waits in the queue was reset.
+// Guards against resetting queued connections when the listener is stopped before Serve is called.
 func TestShutBeforeServingResetsNothing(t *testing.T) {
 	l, conns := queue(t)
 	l.Shut()
@@ -60,7 +60,8 @@
 	}
 }
 
-// The process gets no time between two accepts until its last moment for them has passed: the rest was reset.
+// Guards against resetting queued connections when the deadline for accepting passes while the process is busy between
+// two accepts.
 func TestLateAcceptsEmptyTheQueue(t *testing.T) {
 	l, conns := queue(t)
 	first, passed := make(chan struct{}), make(chan struct{})
@@ -78,7 +79,7 @@
 		l.end(time.Unix(1, 0), false)
 		close(ended)
 	}()
-	for shut := false; !shut; time.Sleep(time.Millisecond) { // the deadline is set right after
+	for shut := false; !shut; time.Sleep(time.Millisecond) { // end sets the deadline next
 		l.mu.Lock()
 		shut = l.shut
 		l.mu.Unlock()
@@ -89,7 +90,7 @@
 	answered(t, conns)
 }
 
-// To a successor that shares the socket, the queue is left.
+// Connections in the queue are left to a successor that shares the socket.
 func TestYieldLeavesTheQueue(t *testing.T) {
 	l, conns := queue(t)
 	f, err := l.Socket().File()
@@ -102,7 +103,7 @@
 		t.Fatal(err)
 	}
 	l.Yield()
-	l.Serve(func(net.Conn) { t.Error("taken from the successor") })
+	l.Serve(func(net.Conn) { t.Error("accepted a connection that belongs to the successor") })
 	go On(other.(*net.TCPListener), zerolog.Nop()).Serve(echo)
 	answered(t, conns)
 	other.Close()
--- a/internal/net/accept/quiet.go
+++ b/internal/net/accept/quiet.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// Quiet tells that a connection is open with nothing to read. It is looked at right before a connection is
-// closed by us: what has come meanwhile is a request that the close would cut off.
+// Quiet reports whether a connection is open and has no input to read. Fronts call it right before they close an idle
+// connection, since closing would cut off a request that has just arrived.
 func Quiet(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/net/cold_test.go
+++ b/internal/net/cold_test.go
@@ -14,14 +14,15 @@
 	"puffinsaddle/policy"
 )
 
-// many is how many processes meet a cold one.
+// many is the number of routers or order servers in these tests.
 const many = 30
 
-// allowed is the most that a budget of n calls may come to: beyond n only chance is borne.
+// allowed returns the largest count that a limit of n on the mean admits: n and about two standard deviations of chance.
 func allowed(n float64) int { return int(n + 2*math.Sqrt(n) + 2) }
 
-// Thirty routers follow what one cold order server tells them, each with all the requests that a connection may have open.
-// The ramp holds for their sum: no more runs at once than the settings let a cold server have, as long as it is cold.
+// Thirty routers send one cold order server as many requests as a connection may have open, and obey the Retry-After times
+// of its refusals. Guards against more requests running at once, over all routers, than the warm-up ramp in the settings
+// allows.
 func TestColdServerUnderThirtyRouters(t *testing.T) {
 	set := settings
 	set.Cores, set.Callers, set.JustStarted, set.WarmupPeriod, set.ColdSpeedShare = 4, many, true, 3*time.Second, 0.25
@@ -37,7 +38,7 @@
 		for c := range x.cmds {
 			switch c.words[0] {
 			case "METER":
-				x.say("METERS %s 0.1 0 0.1 1", c.words[1]) // idle: the ramp alone holds starts back
+				x.say("METERS %s 0.1 0 0.1 1", c.words[1]) // idle, so that only the ramp limits starts
 			case "EXEC":
 				mu.Lock()
 				running++
@@ -65,20 +66,21 @@
 	for a := range answers {
 		count[a]++
 	}
-	// By the settings' own ramp, half way to being warm.
+	// The limit of the ramp in the settings at half of the warm-up.
 	share := set.ColdSpeedShare + (1-set.ColdSpeedShare)*0.5
 	n := float64(set.Cores) * (1 + (set.MaxRunningPerCore-1)*share)
 	mu.Lock()
 	defer mu.Unlock()
 	if most > allowed(n) || most == 0 {
-		t.Errorf("%d ran at once, with %.1f allowed and %d by chance", most, n, allowed(n))
+		t.Errorf("%d requests ran at once; the limit is %.1f, or %d with chance", most, n, allowed(n))
 	}
 	if count["done"] == 0 || count["error"] > 0 {
 		t.Errorf("answers: %v", count)
 	}
 }
 
-// followAdvice plays a router: as many requests as a connection may have, and after a refusal nothing before its time.
+// followAdvice simulates a router that keeps as many requests open as a connection may have, and after a refusal sends none
+// before the Retry-After time.
 func followAdvice(p *routerPeer, router int, until time.Time, answers chan<- string) {
 	const open = 32
 	next, pending := 0, 0
@@ -105,13 +107,13 @@
 	}
 }
 
-// Thirty order servers begin beside one vault that is cold: a call there takes as long as a server waits. The calls in hand of
-// all, in the mean of the span that the settings name, stay within the sum of their shares.
+// Thirty order servers start with one cold vault, which answers no call before the caller's timeout. The mean number of
+// downstream calls in flight over the period in the settings has to stay within the sum of the servers' shares.
 func TestThirtyServersBesideAColdVault(t *testing.T) {
 	set := settings
 	set.DownstreamShare, set.CallPeriod, set.JustStarted, set.WarmupPeriod, set.ColdSpeedShare = 2, 500*time.Millisecond, true, 10*time.Second, 0.25
 	set.Classes = append([]policy.Class(nil), set.Classes...)
-	set.Classes[0].SkipWorth = 0 // every request needs its call
+	set.Classes[0].SkipWorth = 0 // so that every request needs its downstream call
 	below := &coldVault{span: set.CallPeriod}
 	at := newVault(t, below.serve)
 	var executors []*executorPeer
@@ -137,14 +139,14 @@
 	n := float64(many) * set.DownstreamShare
 	mean, calls := below.most()
 	if mean > float64(allowed(n)) {
-		t.Errorf("%.1f calls in hand in the mean of %s, with %.0f allowed and %d by chance", mean, set.CallPeriod, n, allowed(n))
+		t.Errorf("%.1f calls in flight on average over %s; the limit is %.0f, or %d with chance", mean, set.CallPeriod, n, allowed(n))
 	}
 	if calls < many {
-		t.Errorf("%d calls were made by %d servers", calls, many)
+		t.Errorf("%[2]d servers made only %[1]d calls", calls, many)
 	}
 }
 
-// callAlways plays an executor whose runs all need a call.
+// callAlways simulates an executor on which every run makes a downstream call.
 func callAlways(x *executorPeer) {
 	for c := range x.cmds {
 		switch c.words[0] {
@@ -158,7 +160,7 @@
 	}
 }
 
-// coldVault answers no call before its caller gives up, and sums calls in hand over time.
+// coldVault is a fake vault that answers no call before its caller gives up, and records the calls in flight over time.
 type coldVault struct {
 	span time.Duration
 
@@ -167,7 +169,7 @@
 	edges []edge
 }
 
-// edge is a change of the calls in hand.
+// edge is a change of the number of calls in flight.
 type edge struct {
 	at time.Time
 	by int
@@ -190,7 +192,7 @@
 	}
 }
 
-// most is the largest mean of the calls in hand over one span, and how many calls came.
+// most returns the largest mean number of calls in flight over any one period, and the number of calls received.
 func (v *coldVault) most() (mean float64, calls int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/net/fronts_test.go
+++ b/internal/net/fronts_test.go
@@ -17,10 +17,10 @@
 	"puffinsaddle/internal/net/uwsgi"
 )
 
-const each = 60 // requests of each front in the mixed story
+const each = 60 // requests sent to each front by mixed
 
-// mixed sends the same bookings and readings through both fronts at once and counts the answers by kind. One
-// in four is of a class that nobody knows.
+// mixed sends the same unsafe and safe requests to both fronts concurrently and counts the answers by kind. One request in
+// four is of an unknown class.
 func mixed(h *house) (byRESP, byUWSGI map[string]int) {
 	class := func(i int) string { return []string{"book-delivery", "tank-level", "book-delivery", "nobodys"}[i%4] }
 	byRESP, byUWSGI = map[string]int{}, map[string]int{}
@@ -72,7 +72,7 @@
 	}
 }
 
-// The Lab's proof: both fronts, one executor, the same counts, no request run twice.
+// Both fronts on one executor give the same counts of answers, and no request runs twice.
 func TestMixedLoadOnTheExecutor(t *testing.T) {
 	x := newExecutor(t)
 	h := withExecutor(t, x, "127.0.0.1:1")
@@ -82,7 +82,7 @@
 	check(t, byRESP, byUWSGI, starts())
 }
 
-// The same with uwsgi servers behind the core; the first of them is down.
+// The same with uwsgi servers as the runner, the first of which is down.
 func TestMixedLoadOnUWSGIServers(t *testing.T) {
 	var mu sync.Mutex
 	starts := map[string]int{}
@@ -101,7 +101,8 @@
 	check(t, byRESP, byUWSGI, starts)
 }
 
-// A server that takes a booking and breaks off may have booked it: 502, and no second server hears of it.
+// A uwsgi server that breaks off after it received an unsafe request may have run it. The answer has to be 502, and no
+// second server may receive the request.
 func TestBrokenServerIsNotTriedAgain(t *testing.T) {
 	var heard atomic.Int32
 	broken := func(conn net.Conn, _ map[string]string, _ string) { heard.Add(1) }
@@ -112,11 +113,11 @@
 		t.Errorf("status %d, want 502", status)
 	}
 	if heard.Load() != 1 {
-		t.Errorf("%d servers heard of it, want 1", heard.Load())
+		t.Errorf("%d servers received the request, want 1", heard.Load())
 	}
 }
 
-// Whatever is no packet gets one answer: cut short, malformed, too large, too slow.
+// Input that is not a valid packet gets exactly one answer, whether truncated, malformed, too large or too slow.
 func TestWhatIsNoPacketGetsOneAnswer(t *testing.T) {
 	h := build(t, newIdleRunner(t), nil, config.UWSGI{}, nil)
 	slow := build(t, newIdleRunner(t), nil, config.UWSGI{ReadMs: 20}, nil)
@@ -127,17 +128,17 @@
 		h           *house
 		want        int
 	}{
-		{"header cut short", whole[:3], true, h, 400}, {"variables cut short", whole[:20], true, h, 400},
-		{"body cut short", whole[:len(whole)-1], true, h, 400}, {"modifiers", "\x05" + whole[1:], false, h, 400},
-		{"a length beyond the block", "\x00\x04\x00\x00\xff\x00ab", false, h, 400}, {"no value", "\x00\x03\x00\x00\x01\x00a", false, h, 400},
-		{"a length that is none", "\x00\x14\x00\x00\x0e\x00CONTENT_LENGTH\x02\x00-1", false, h, 400},
+		{"truncated header", whole[:3], true, h, 400}, {"truncated variables", whole[:20], true, h, 400},
+		{"truncated body", whole[:len(whole)-1], true, h, 400}, {"unsupported modifiers", "\x05" + whole[1:], false, h, 400},
+		{"variable length beyond the block", "\x00\x04\x00\x00\xff\x00ab", false, h, 400}, {"variable without a value", "\x00\x03\x00\x00\x01\x00a", false, h, 400},
+		{"invalid content length", "\x00\x14\x00\x00\x0e\x00CONTENT_LENGTH\x02\x00-1", false, h, 400},
 		{"too large", packet(strings.Repeat("x", 5000), "ORDER_CLASS", "book-delivery"), false, h, 400},
-		{"a faulty variable", packet("", "ORDER_CLASS", "book-delivery", "ORDER_WAIT", "soon"), false, h, 400},
-		{"no number", packet("", "ORDER_CLASS", "book-delivery", "ORDER_KB", "NaN"), false, h, 400},
+		{"malformed variable", packet("", "ORDER_CLASS", "book-delivery", "ORDER_WAIT", "soon"), false, h, 400},
+		{"not a number", packet("", "ORDER_CLASS", "book-delivery", "ORDER_KB", "NaN"), false, h, 400},
 		{"out of range", packet("", "ORDER_CLASS", "book-delivery", "ORDER_KB", "2e6"), false, h, 400},
-		{"long ago", packet("", "ORDER_CLASS", "book-delivery", "ORDER_AT", "1"), false, h, 400},
-		{"no end of waiting", packet("", "ORDER_CLASS", "book-delivery", "ORDER_WAIT", "1e12"), false, h, 400},
-		{"half a packet and then nothing", whole[:20], false, slow, 408},
+		{"arrival time too long ago", packet("", "ORDER_CLASS", "book-delivery", "ORDER_AT", "1"), false, h, 400},
+		{"wait out of range", packet("", "ORDER_CLASS", "book-delivery", "ORDER_WAIT", "1e12"), false, h, 400},
+		{"partial packet that never continues", whole[:20], false, slow, 408},
 	} {
 		if status, _, _ := c.h.gateway(c.bytes, c.end).answers(); status != c.want {
 			t.Errorf("%s: status %d, want %d", c.name, status, c.want)
@@ -145,7 +146,7 @@
 	}
 }
 
-// A notice to drain finds one booking running, one half read and one still to come: each gets one answer.
+// When a drain begins, one request is running, one is read in part and one is yet to arrive. Each gets one answer.
 func TestDrainAnswersEveryone(t *testing.T) {
 	x, h := serving(t)
 	p := h.router()
@@ -159,17 +160,17 @@
 	x.want("EXEC", id(3))
 	x.notice("EXIT", id(3)+" success 1", "C")
 	if status, _, result := booking.answers(); status != 200 || result != "C" {
-		t.Errorf("the booking got %d %q", status, result)
+		t.Errorf("the request that arrived after the notice got %d %q", status, result)
 	}
-	late := h.router() // comes to a draining server, and is served too
+	late := h.router() // connects to a draining server and is still served
 	late.want("0", "closing")
 	late.req(1, 4, "book-delivery", "", "d")
 	x.want("EXEC", id(4))
 	x.notice("EXIT", id(4)+" success 1", "D")
 	late.want("1", "done", "", "D")
-	p.want("1", "error") // its run never ended
+	p.want("1", "error") // its run did not end before the stop
 	if status, _, _ := half.answers(); status != http.StatusRequestTimeout {
-		t.Errorf("half a packet got %d, want 408", status)
+		t.Errorf("a partial packet got %d, want 408", status)
 	}
 	<-left
 	if _, err := net.Dial("tcp", h.uw.Addr().String()); err == nil {
@@ -177,8 +178,8 @@
 	}
 }
 
-// A gateway that goes away is a caller that has gone: its held request is never run. Overdue and refused
-// requests have statuses of their own.
+// Overdue and refused requests have their own statuses. A gateway that disconnects abandons its request, and a repeat of
+// an unsafe request that was started is not run.
 func TestGatewayGoneOverdueRefused(t *testing.T) {
 	x, h := serving(t)
 	g := h.gateway(packet("a", "ORDER_CLASS", "book-delivery", "ORDER_ID", id(1), "ORDER_WAIT", "1000"), false)
@@ -188,14 +189,14 @@
 	}
 	status, head, _ := h.gateway(packet("b", "ORDER_CLASS", "book-delivery", "ORDER_WAIT", "1"), false).answers()
 	if status != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
-		t.Errorf("hopeless: %d with Retry-After %q, want 503", status, head.Get("Retry-After"))
+		t.Errorf("refused: %d with Retry-After %q, want 503", status, head.Get("Retry-After"))
 	}
 	gone := h.gateway(packet("c", "ORDER_CLASS", "book-delivery", "ORDER_ID", id(2)), false)
 	x.want("EXEC", id(2))
 	gone.conn.Close()
 	x.notice("EXIT", id(2)+" interrupted 1", "")
 	if status, _, _ := h.gateway(packet("c", "ORDER_CLASS", "book-delivery", "ORDER_ID", id(2)), false).answers(); status != 502 {
-		t.Errorf("a booking that was begun before: %d, want 502", status)
+		t.Errorf("repeat of a started request: %d, want 502", status)
 	}
 	if _, err := io.ReadAll(gone.conn); err == nil {
 		t.Error("the closed connection can be read")
--- a/internal/net/handover/handover.go
+++ b/internal/net/handover/handover.go
@@ -1,9 +1,11 @@
-// Package handover passes listening sockets from a running process to the one that replaces it, over a Unix
-// socket in a folder that only these two share. Both then hold the same sockets with the same queues: what one
-// has not accepted the other does, so no connection is lost when the older closes its own.
+// Package handover passes listening sockets from a running process, the predecessor, to the one that replaces it, the
+// successor, over a Unix socket in a directory that only these two use. Both then have the same sockets with the same
+// queues. The successor accepts what the predecessor has not, so no connection is lost when the predecessor closes its
+// descriptors.
 //
-// The newer one sends a byte when it is about to serve. Up to format 1 the older answers the same byte. From 2 on it
-// answers toldAll, a length in eight bytes and what the newer needs to know, as text.
+// The successor sends its format version as one byte when it is about to serve. A predecessor of version 1 or below
+// answers with the same byte. From version 2 on it answers with the byte toldAll, the length of its state in eight bytes
+// (big-endian) and the state.
 package handover
 
 import (
@@ -22,17 +24,17 @@
 )
 
 const (
-	takeFor  = time.Second // a process that does not answer in this time is none
+	takeFor  = time.Second // a predecessor that does not answer within this counts as absent
 	mostText = 4 << 10     // bytes of the addresses
-	mostFD   = 8
+	mostFD   = 8           // descriptors in one message
 
-	tellFor  = 5 * time.Second // what is told may be megabytes
-	mostTold = 1 << 30         // bytes of it
-	format   = 2
-	toldAll  = 3
+	tellFor  = 5 * time.Second // the state may be megabytes
+	mostTold = 1 << 30         // bytes of the state
+	format   = 2               // format version that a successor sends
+	toldAll  = 3               // first byte of an answer that contains the state
 )
 
-// Offer hands the sockets to whoever asks.
+// Offer passes the sockets to each successor that connects.
 type Offer struct {
 	ln         *net.UnixListener
 	successors atomic.Int32
@@ -40,9 +42,9 @@
 	gone       func()
 }
 
-// New offers listening sockets, by the addresses they were opened for, at a path. What stands there is replaced: it is
-// what an earlier process left. Asked for by a successor that is about to serve, know is what that one needs to know; gone
-// is called once it has ended.
+// New offers listening sockets, keyed by the addresses they were opened for, on a Unix socket at path. A file at that path
+// was left by an earlier process and is replaced. When a successor is about to serve, know returns the state that it needs;
+// gone is called once that successor has ended.
 func New(path string, sockets map[string]*net.TCPListener, know func() []byte, gone func(), log zerolog.Logger) (*Offer, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
@@ -51,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ln.SetUnlinkOnClose(false) // by then the successor's may stand there
+	ln.SetUnlinkOnClose(false) // by then the successor's socket may be at the path
 	o := &Offer{ln: ln, know: know, gone: gone}
 	go func() {
 		for {
@@ -70,7 +72,7 @@
 	return o, nil
 }
 
-// give passes the sockets on, and then holds the connection: its end is the end of the successor.
+// give sends the sockets and then keeps the connection, whose end shows that the successor has ended.
 func (o *Offer) give(conn *net.UnixConn, sockets map[string]*net.TCPListener, log zerolog.Logger) {
 	defer conn.Close()
 	var names []string
@@ -96,12 +98,12 @@
 	if n, _ := conn.Read(b[:]); n == 0 {
 		return
 	}
-	defer o.gone() // last of all
+	defer o.gone() // after the successor has ended
 	text := o.know()
 	o.successors.Add(1)
 	defer o.successors.Add(-1)
 	log.Info().Int("bytes", len(text)).Msg("a successor serves")
-	answer := b[:] // an earlier build wants no more
+	answer := b[:] // an earlier build expects only its own byte
 	if b[0] >= format {
 		answer = append(binary.BigEndian.AppendUint64([]byte{toldAll}, uint64(len(text))), text...)
 	}
@@ -110,8 +112,8 @@
 	conn.Read(b[:])
 }
 
-// duplicate keeps a descriptor open while it is sent, whatever closes the listener meanwhile. It touches none of the
-// flags, which the two would share.
+// duplicate returns a copy of a listener's descriptor, which stays open while it is sent even if the listener is closed
+// meanwhile. It changes none of the file status flags, since both descriptors would share them.
 func duplicate(s *net.TCPListener) (fd int, err error) {
 	raw, err := s.SyscallConn()
 	if err != nil {
@@ -123,9 +125,10 @@
 	return fd, err
 }
 
-// Serving tells the process that gave the sockets that this one is about to serve, and waits, for a while, until that has
-// heard it: a notice to leave must not find it unaware. What it tells in turn is the text; false: it told nothing, since it
-// went, or hangs, or is of an earlier build, and may still begin what it will not tell.
+// Serving notifies the predecessor that this process is about to serve, and waits for its answer with a timeout, so that
+// the predecessor knows of its successor before it receives a notice to exit. It returns the predecessor's state. If told is
+// false, the predecessor sent none because it has ended, hangs or is an earlier build, and may still start requests that it
+// does not report.
 func Serving(tie net.Conn) (text []byte, told bool) {
 	tie.SetDeadline(time.Now().Add(takeFor))
 	defer tie.SetDeadline(time.Time{})
@@ -149,28 +152,28 @@
 	return text, err == nil
 }
 
-// Gone waits until the process before this one has ended.
+// Gone waits until the predecessor has ended.
 func Gone(tie net.Conn) {
 	io.Copy(io.Discard, tie)
 }
 
-// Taken tells whether a successor that serves on the sockets is alive. To one that has them and does not serve yet, the
-// queue is not left: it may never come to it.
+// Taken reports whether a successor that serves on the sockets is alive. A successor that has the sockets but does not serve
+// yet does not count, since it may never accept the queued connections.
 func (o *Offer) Taken() bool { return o != nil && o.successors.Load() > 0 }
 
-// Close ends the offer.
+// Close stops offering the sockets.
 func (o *Offer) Close() {
 	if o != nil {
 		o.ln.Close()
 	}
 }
 
-// Take asks the process that offers sockets at a path for them, by their addresses. There may be none; then there
-// are no sockets and no error. The tie must stay open for as long as this process means to succeed the other.
+// Take requests the sockets that a predecessor offers at path, keyed by their addresses. If there is no predecessor, it
+// returns no sockets and no error. The connection tie has to stay open for as long as this process is to be the successor.
 func Take(path string) (sockets map[string]*net.TCPListener, tie net.Conn, err error) {
 	conn, err := net.DialTimeout("unix", path, takeFor)
 	if err != nil {
-		return nil, nil, nil // nobody, or somebody who ended and left his socket behind
+		return nil, nil, nil // no predecessor, or one that ended and left its socket file
 	}
 	defer func() {
 		if err != nil {
@@ -188,7 +191,7 @@
 	}
 	messages, err := syscall.ParseSocketControlMessage(control[:nc])
 	if err != nil || len(messages) != 1 {
-		return nil, nil, fmt.Errorf("handover: %d control messages, %w", len(messages), err)
+		return nil, nil, fmt.Errorf("handover: received %d control messages, want 1: %w", len(messages), err)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil {
@@ -199,11 +202,11 @@
 	for i, fd := range fds {
 		syscall.CloseOnExec(fd)
 		f := os.NewFile(uintptr(fd), "handed over")
-		ln, e := net.FileListener(f) // on a descriptor of its own
+		ln, e := net.FileListener(f) // duplicates the descriptor
 		f.Close()
 		tcp, ok := ln.(*net.TCPListener)
 		if e != nil || !ok || i >= len(names) {
-			err = fmt.Errorf("handover: socket %d is none to listen on: %w", i, e)
+			err = fmt.Errorf("handover: descriptor %d is not a listening TCP socket with an address: %w", i, e)
 			continue
 		}
 		sockets[names[i]] = tcp
--- a/internal/net/keyed_test.go
+++ b/internal/net/keyed_test.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	start  = 1.7e12  // where the clock of these stories stands at first
-	window = 30000.0 // in which another try of a payment may come, in milliseconds
+	start  = 1.7e12  // initial time of the tests' clock, in Unix milliseconds
+	window = 30000.0 // interval in which another attempt of a payment may arrive, in milliseconds
 )
 
-// keyed builds a house with a class whose tries are tied by a key, on a clock that the test sets.
+// keyed builds a server with a class of keyed requests, on a clock that the test sets.
 func keyed(t *testing.T, change func(*policy.Settings)) (*executorPeer, *house, *clock.Clock) {
 	t.Helper()
 	set := settings
@@ -38,12 +38,12 @@
 	return x, h, clk
 }
 
-// pay sends a try of a payment that came at a time.
+// pay sends an attempt of a payment that arrived at a given time.
 func (p *routerPeer) pay(tag, id int, at float64, once, body string) {
 	p.req(tag, id, "pay", fmt.Sprintf(",at=%.0f,once=%s", at, once), body)
 }
 
-// unrun sends a booking behind all else and waits for its run: whatever came before it was not started.
+// unrun sends a further request and expects its run as the next command, so that none of the requests before it was started.
 func (p *routerPeer) unrun(x *executorPeer, tag, id int, at float64) {
 	p.t.Helper()
 	p.req(tag, id, "book-delivery", fmt.Sprintf(",at=%.0f", at), "last")
@@ -52,9 +52,9 @@
 	p.want(fmt.Sprint(tag), "done", "", "L")
 }
 
-// A client's second try comes while the first runs, over another connection, and more come after its end: all get the
-// first one's result as it was made, and up to the window's last instant nothing runs again. Neither front read what
-// ties the tries, so each of them ran.
+// A client's second attempt arrives on another connection while the first runs, and more arrive after its end. All of them
+// get the result of the first byte for byte, and none runs up to the last instant of the window. Guards against fronts
+// that ignore the idempotency key, with which every attempt ran.
 func TestTriesOfOnePaymentRunOnce(t *testing.T) {
 	x, h, clk := keyed(t, nil)
 	p, other := h.router(), h.router()
@@ -67,11 +67,11 @@
 	other.want("1", "done", "", odd)
 	for i, at := range []float64{start, start + 15000, start + window} {
 		clk.Set(at)
-		other = h.router() // the one before was idle for long
+		other = h.router() // the connection before was idle for too long
 		other.pay(10+i, 10+i, at, "ab12", "a")
 		other.want(fmt.Sprint(10+i), "done", "", odd)
 	}
-	// It reached the machine within the window and is read after it.
+	// An attempt that reached the machine within the window and is read after it.
 	clk.Set(start + window + 7000)
 	other = h.router()
 	other.pay(20, 20, start+window, "ab12", "a")
@@ -80,12 +80,12 @@
 	x.want("EXEC", id(21), "pay")
 	x.notice("EXIT", id(21)+" success 1", "B")
 	other.want("21", "done", "", "B")
-	other.pay(22, 22, start+window+1000, "ab12", "a") // from now on the later one's counts
+	other.pay(22, 22, start+window+1000, "ab12", "a") // from now on the result of the later run counts
 	other.want("22", "done", "", "B")
 }
 
-// What a try left behind decides: a refused one nothing, so that the next runs; one that failed may have had its
-// effect, and so may one whose caller went. One that the executor never started left nothing either.
+// The outcome of an attempt decides whether the next one runs. A refused attempt had no effect, so the next one runs. A
+// failed one, or one whose caller went away, may have had its effect. One that the executor never started had none.
 func TestTriesAfterOneThatDidNotServe(t *testing.T) {
 	x, h, _ := keyed(t, nil)
 	p := h.router()
@@ -103,7 +103,7 @@
 	p.pay(5, 5, start, "bb", "a")
 	p.unrun(x, 6, 6, start)
 	x.notice("EXIT", id(4)+" success 1", "B")
-	for range 2 { // the first one's is not owed any more, and does no harm
+	for range 2 { // the answer to the aborted attempt may be left out, but does no harm
 		if a := p.answer(); a[1] != "done" || a[3] != "B" {
 			t.Errorf("answered %q", a)
 		}
@@ -116,7 +116,7 @@
 	x.want("EXEC", id(8))
 }
 
-// New settings and a drain leave the ties as they are.
+// New settings and a drain keep the remembered attempts as they are.
 func TestTiesOutliveSettingsAndDrain(t *testing.T) {
 	x, h, _ := keyed(t, nil)
 	p := h.router()
@@ -140,7 +140,8 @@
 	p.want("4", "done", "", "A")
 }
 
-// A key that is missing, malformed or another request's gets an error and touches nothing; so do other fields.
+// A key that is missing, malformed or used for another body gets an error and changes nothing; likewise a malformed cost or
+// tenant.
 func TestFalseKeysStayOutside(t *testing.T) {
 	x, h, _ := keyed(t, nil)
 	p := h.router()
@@ -162,14 +163,14 @@
 	p.want("3", "done", "", "A")
 }
 
-// With no room to remember another, a payment is refused and not begun; what is remembered stays, and when its time is
-// over there is room again.
+// When the key table is full, a payment is refused and not started. Remembered attempts stay, and once they expire the table
+// has space again.
 func TestWhatCannotBeRememberedIsNotBegun(t *testing.T) {
 	set := settings
 	set.Classes = []policy.Class{{Name: "pay", Aim: 6 * time.Second, Deadline: 8 * time.Second, Worth: 4, Safety: policy.Keyed, KeyTTL: window * time.Millisecond},
 		set.Classes[1]}
 	x, clk := newExecutor(t), clock.Manual(start)
-	h := withExecutorRoom(t, clk, set, x, 6000) // bytes: one in hand, or two that ended
+	h := withExecutorRoom(t, clk, set, x, 6000) // bytes: one running attempt, or two that ended
 	x.welcome(0)
 	x.pass()
 	p := h.router()
@@ -180,7 +181,7 @@
 	p.unrun(x, 8, 8, start)
 	x.notice("EXIT", id(1)+" success 1", "A")
 	p.want("1", "done", "", "A")
-	p.pay(30, 30, start, "aa", "a") // answered once the end is in the books, and what it took is free
+	p.pay(30, 30, start, "aa", "a") // its answer shows that the end was recorded and its reserved memory freed
 	p.want("30", "done", "", "A")
 	p.pay(3, 3, start, "bb", "a")
 	x.want("EXEC", id(3))
@@ -189,7 +190,7 @@
 	x.notice("EXIT", id(3)+" success 1", "B")
 	p.want("3", "done", "", "B")
 	clk.Set(start + window + 9000)
-	p = h.router() // the other was idle for long
+	p = h.router() // the other connection was idle for too long
 	for i, once := range []string{"cc", "dd"} {
 		p.pay(10+i, 10+i, start+window+9000, once, "a")
 		x.want("EXEC", id(10+i))
@@ -200,9 +201,10 @@
 	}
 }
 
-// A process is replaced beside itself while payments run: to callers the two are one server, so what the first ran or runs
-// the second does not run again, and what comes to the first from then on it does not begin. The second knew of nothing.
-// When the second ends, the time has to pass in which another try of what it ran may come.
+// A successor takes over the sockets while payments run. Callers see the two processes as one server, so the successor must
+// not run again what the predecessor ran or runs, and the predecessor must not start new keyed requests from then on.
+// Guards against a successor that knows none of the attempts. After the successor ends, the predecessor has to wait for
+// the window in which further attempts of the successor's requests may arrive.
 func TestTiesGoToASuccessor(t *testing.T) {
 	x, h, clk := keyed(t, nil)
 	p := h.router()
@@ -210,7 +212,7 @@
 	x.want("EXEC", id(1))
 	x.notice("EXIT", id(1)+" success 1", odd)
 	p.want("1", "done", "", odd)
-	p.pay(10, 10, start, "aa", "a") // answered once the end is in the books
+	p.pay(10, 10, start, "aa", "a") // its answer shows that the end was recorded
 	p.want("10", "done", "", odd)
 	p.pay(2, 2, start, "bb", "a")
 	x.want("EXEC", id(2))
@@ -228,12 +230,12 @@
 		t.Fatalf("%d sockets", len(sockets))
 	}
 	sockets["there"].Close()
-	p.pay(3, 3, start, "cc", "a") // the second does not serve yet
+	p.pay(3, 3, start, "cc", "a") // the successor does not serve yet
 	x.want("EXEC", id(3))
 	text, told := handover.Serving(tie)
 	var ties []core.KeyedAttempt
 	if err := json.Unmarshal(text, &ties); err != nil || !told || len(ties) != 3 {
-		t.Fatalf("told %v: %s, %v", told, text, err)
+		t.Fatalf("complete %v: %s, %v", told, text, err)
 	}
 
 	x2 := newExecutor(t)
@@ -249,12 +251,12 @@
 	q.want("11", "done", "", odd)
 	q.pay(12, 12, start, "aa", "another body")
 	q.want("12", "error")
-	for i, once := range []string{"bb", "cc"} { // what became of them is not known here
+	for i, once := range []string{"bb", "cc"} { // the successor does not know their outcome
 		q.pay(13+i, 13+i, start, once, "a")
 		q.want(fmt.Sprint(13+i), "error")
 	}
 	q.pay(15, 15, start, "dd", "a")
-	x2.want("EXEC", id(15)) // none before it was begun
+	x2.want("EXEC", id(15)) // the first command: none of the requests before it was started
 
 	p.pay(4, 4, start, "ee", "a")
 	p.want("4", "later")
@@ -271,12 +273,13 @@
 	p.pay(8, 8, start, "dd", "a")
 	p.want("8", "later")
 	clk.Set(start + window + 101)
-	p = h.router() // the other was idle for long
+	p = h.router() // the other connection was idle for too long
 	p.pay(9, 9, start+window+101, "dd", "a")
 	x.want("EXEC", id(9))
 }
 
-// The process before is of an earlier build, which says what it hears, or it goes while it is asked: it tells nothing.
+// A predecessor that is an earlier build, which echoes the byte it receives, or that ends during the exchange has to be
+// recognized as one that sent no state.
 func TestWhoTellsNothingIsKnownForIt(t *testing.T) {
 	for _, answer := range []string{"\x02", "\x02\x00\x00\x00\x00\x00\x00\x00\x00", "", "\x03\x00\x00", "\x03\xff\x00\x00\x00\x00\x00\x00\x00"} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -294,7 +297,7 @@
 		tie, err := net.Dial("tcp", ln.Addr().String())
 		must(t, err)
 		if text, told := handover.Serving(tie); told {
-			t.Errorf("after %q: told %q", answer, text)
+			t.Errorf("after %q: state %q was taken as complete", answer, text)
 		}
 		tie.Close()
 	}
--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -1,4 +1,4 @@
-// Package members reports to the membership service, one UDP datagram at a time.
+// Package members sends heartbeats to the membership service, each in one UDP datagram.
 package members
 
 import (
@@ -8,36 +8,36 @@
 	"time"
 )
 
-// every is the time between reports. An entry lapses after 3 s without one, and a quarter of them may be lost:
-// all of the 14 that fall into a lapse are lost once in some 250 million times.
+// every is the interval between reports. The service expires an entry after 3 s without a report, and may lose a quarter
+// of the reports: the 14 reports within 3 s are all lost about once in 250 million times.
 const every = 200 * time.Millisecond
 
-// Reporter reports that the order server is there.
+// Reporter reports to the membership service that the order server is up or leaving.
 type Reporter struct {
 	name  string
 	every time.Duration
 	dial  func(address string) (net.Conn, error)
-	kick  chan struct{} // report now
+	kick  chan struct{} // requests a report at once
 
 	mu      sync.Mutex
 	address string
 	leaving bool
 }
 
-// New makes a reporter.
+// New returns a reporter that reports the order server's name to an address; Run sends the reports.
 func New(address, name string) *Reporter {
 	return &Reporter{address: address, name: name, every: every, kick: make(chan struct{}, 1),
 		dial: func(address string) (net.Conn, error) { return net.Dial("udp", address) }}
 }
 
-// Leave makes further reports say that the order server leaves.
+// Leave makes later reports state that the order server is leaving.
 func (r *Reporter) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
 }
 
-// Move sends the reports to a new address, the next one at once.
+// Move sends later reports to a new address, the first of them at once.
 func (r *Reporter) Move(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,8 +57,7 @@
 	return r.address, "HB " + r.name + " UP"
 }
 
-// Run reports until the context ends; nowhere while the address is empty. The service may be down; then a
-// report is lost.
+// Run sends reports until the context ends, and none while the address is empty. A report is lost if the service is down.
 func (r *Reporter) Run(ctx context.Context) {
 	var conn net.Conn
 	var at string
@@ -77,15 +76,15 @@
 			drop()
 			at = address
 		}
-		// A refusal of an earlier report sticks to the socket and shows at the next one, which then was not sent: it
-		// goes out again at once on a new socket, so that a service that comes back hears the first one after that.
+		// If an earlier report was refused, the socket returns that error for the next write and does not send it. That
+		// report is sent again at once on a new socket, so that a restarted service receives the first report after its start.
 		for try := 0; try < 2 && at != ""; try++ {
 			if conn == nil {
 				if conn, _ = r.dial(at); conn == nil {
 					break
 				}
 			}
-			conn.SetWriteDeadline(time.Now().Add(every)) // reports must not fall behind a full queue
+			conn.SetWriteDeadline(time.Now().Add(every)) // a full send queue must not delay later reports
 			if _, err := conn.Write([]byte(report)); err == nil {
 				break
 			}
--- a/internal/net/members/members_test.go
+++ b/internal/net/members/members_test.go
@@ -22,17 +22,18 @@
 	b := make([]byte, 100)
 	n, _, err := c.ReadFrom(b)
 	if err != nil || string(b[:n]) != report {
-		t.Fatalf("heard %q, %v; want %q", b[:n], err, report)
+		t.Fatalf("received %q, %v; want %q", b[:n], err, report)
 	}
 }
 
-// The service goes down between two reports and comes back between two others: the refusal of the one shows at the next,
-// which was lost with it. Reports go on through a move and a drain, and nowhere while no address is told.
+// The service stops between two reports and restarts between two later ones. Guards against losing the report whose write
+// returns the refusal of the one before. Reports continue after a change of address and during a drain, and none is sent
+// while the address is empty.
 func TestReportsOutliveTheService(t *testing.T) {
 	c := listen(t, "127.0.0.1:0")
 	at := c.LocalAddr().String()
 	r := New(at, "n1")
-	r.every = time.Hour // each report is asked for
+	r.every = time.Hour // reports are sent on request only
 	go r.Run(t.Context())
 	want(t, c, "HB n1 UP")
 	c.Close()
@@ -41,10 +42,10 @@
 		t.Fatal(err)
 	}
 	defer probe.Close()
-	r.Move(at) // refused, which nothing shows yet
+	r.Move(at) // refused; the socket returns the error on the next write
 	for refused := false; !refused; time.Sleep(time.Millisecond) {
 		_, err := probe.Write([]byte("x"))
-		refused = err != nil // by now the other's is known as well
+		refused = err != nil // by now the reporter's socket has its error as well
 	}
 	c = listen(t, at)
 	r.Move(at)
@@ -56,7 +57,7 @@
 	want(t, other, "HB n1 OUT")
 }
 
-// A report finds its way blocked, and those after it vanish unheard: neither holds up the ones to come.
+// Neither a report whose write blocks nor reports that get no answer delay the later ones.
 func TestReportsComeBehindOneThatIsBlocked(t *testing.T) {
 	c := listen(t, "127.0.0.1:0")
 	r := New(c.LocalAddr().String(), "n1")
@@ -67,12 +68,12 @@
 			return udp(address)
 		}
 		blocked = false
-		near, far := net.Pipe() // of which nobody reads
+		near, far := net.Pipe() // the far end is never read
 		t.Cleanup(func() { far.Close() })
 		return near, nil
 	}
 	go r.Run(t.Context())
-	for range 20 { // none gets an answer
+	for range 20 { // the service answers none
 		want(t, c, "HB n1 UP")
 	}
 }
--- a/internal/net/meter/meter.go
+++ b/internal/net/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter counts the bytes of connections.
+// Package meter counts the bytes that connections receive and send.
 package meter
 
 import (
@@ -6,26 +6,26 @@
 	"sync/atomic"
 )
 
-// Count is bytes since the start.
+// Count holds the bytes received (In) and sent (Out) since the start of the process.
 type Count struct{ In, Out atomic.Uint64 }
 
-// Conn is a connection whose bytes are counted.
+// Conn is a connection that counts its bytes.
 type Conn struct {
 	net.Conn
 	count *Count
 }
 
-// New counts the bytes of a connection.
+// New returns a connection that adds its bytes to a counter.
 func New(conn net.Conn, c *Count) *Conn { return &Conn{conn, c} }
 
-// Read counts what came.
+// Read reads from the connection and counts the received bytes.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.count.In.Add(uint64(n))
 	return n, err
 }
 
-// Write counts what went.
+// Write writes to the connection and counts the sent bytes.
 func (c *Conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.count.Out.Add(uint64(n))
--- a/internal/net/operator/operator.go
+++ b/internal/net/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the address that operators call, apart from the one for requests: HTTP/1.1, one call a
-// connection. It answers from what is at hand and waits for no part of the server.
+// Package operator serves the operators' HTTP/1.1 interface on an address of its own, with one call per connection. Calls
+// are answered from data in memory and wait for no other part of the server.
 package operator
 
 import (
@@ -15,29 +15,29 @@
 )
 
 const (
-	callFor  = 2 * time.Second // a call is read and answered within this
-	mostHead = 4 << 10         // bytes of a call's head; it has no body that matters
+	callFor  = 2 * time.Second // for reading a call, and for answering it
+	mostHead = 4 << 10         // bytes of a call's header; bodies are ignored
 )
 
-// Calls is what operators may ask for. None of them waits.
+// Calls contains the functions behind the operators' calls. None of them may block.
 type Calls struct {
-	Ready   func() bool // this process can serve
+	Ready   func() bool // reports whether this process can serve
 	Figures func() any
-	Drain   func(away bool)             // send clients away, or take them again
-	More    map[string]http.HandlerFunc // further calls, by method and path
+	Drain   func(away bool)             // asks clients to go elsewhere, or accepts them again
+	More    map[string]http.HandlerFunc // further calls, keyed by method and path
 }
 
-// Front serves operators.
+// Front serves the calls of operators.
 type Front struct {
 	ln     net.Listener
-	most   int // connections; past this the oldest gives way to a new one
+	most   int // connections; beyond this number a new one replaces the oldest
 	server *http.Server
 
 	mu   sync.Mutex
 	open []net.Conn // oldest first
 }
 
-// Listen opens the listening socket; Serve has to be called next.
+// Listen opens the listening socket, on which at most the given number of connections are kept. Serve has to be called next.
 func Listen(address string, most int, calls Calls, log zerolog.Logger) (*Front, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -56,7 +56,7 @@
 	})
 	for path, away := range map[string]bool{"PUT /-/drain": true, "PUT /-/resume": false} {
 		mux.HandleFunc(path, func(http.ResponseWriter, *http.Request) {
-			log.Info().Bool("away", away).Msg("operator's order")
+			log.Info().Bool("away", away).Msg("operator changed the drain state")
 			calls.Drain(away)
 		})
 	}
@@ -68,7 +68,7 @@
 	return f, nil
 }
 
-// Addr is where the front listens.
+// Addr returns the address that the front listens on.
 func (f *Front) Addr() net.Addr { return f.ln.Addr() }
 
 // Serve answers calls until the front is closed.
@@ -79,14 +79,14 @@
 	return nil
 }
 
-// Close lets calls under way end, for as long as ctx allows.
+// Close waits for calls in progress until ctx ends, and then closes all connections.
 func (f *Front) Close(ctx context.Context) {
 	f.server.Shutdown(ctx)
 	f.server.Close()
 }
 
-// state closes the oldest connection where there are too many. Guards against callers that connect and finish
-// no call: they must not keep others out until their time is up.
+// state tracks open connections and closes the oldest if there are too many. This guards against clients that connect and
+// complete no call: they must not exclude others until their timeout.
 func (f *Front) state(conn net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/net/operator_test.go
+++ b/internal/net/operator_test.go
@@ -13,7 +13,7 @@
 	"puffinsaddle/internal/net/operator"
 )
 
-// operators opens the operators' address of a house; what it returns makes one call there.
+// operators opens the operators' address of a server and returns it with a function that makes one call there.
 func (h *house) operators(most int) (address string, call func(method, path string) (status int, body string)) {
 	f, err := operator.Listen("127.0.0.1:0", most, operator.Calls{Ready: h.core.Ready, Drain: h.core.ForceUnhealthy,
 		Figures: func() any { return h.core.Metrics() }}, zerolog.Nop())
@@ -34,8 +34,8 @@
 	}
 }
 
-// Operators send clients away and take them again: checks tell of it, and what comes is served all the while. The
-// figures count what the routers were answered. Callers that finish no call keep nobody out.
+// An operator's drain makes health checks fail until the resume, while requests are still served. The metrics count the
+// answers that routers received. Clients that connect and complete no call do not exclude others.
 func TestOperatorsSendClientsAwayAndReadFigures(t *testing.T) {
 	x := newExecutor(t)
 	h := withExecutor(t, x, "127.0.0.1:1")
@@ -49,7 +49,7 @@
 		t.Errorf("ready before the executor is up: %d", status)
 	}
 	x.welcome(0)
-	x.pass() // comes after WELCOME was read
+	x.pass() // returns after WELCOME was processed
 	if status, _ := call("GET", "/-/ready"); status != http.StatusOK {
 		t.Errorf("not ready: %d", status)
 	}
@@ -84,7 +84,7 @@
 	p.req(4, 4, "book-delivery", "", "c")
 	x.want("EXEC", id(4))
 	p.send("ABORT", "4")
-	ask("5", "sick") // so that the ABORT was read
+	ask("5", "sick") // its answer shows that the ABORT was read
 	if f := figures(); f.Active != 0 || f.Attempts != 2 {
 		t.Errorf("with its caller gone: %+v", f)
 	}
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -28,7 +28,7 @@
 	"puffinsaddle/policy"
 )
 
-const patience = 60 * time.Second // a story that hangs fails by then; none is timed
+const patience = 60 * time.Second // for tests that hang; no test depends on its length
 
 var settings = policy.Settings{
 	Classes: []policy.Class{
@@ -48,14 +48,14 @@
 	}
 }
 
-// house is an order server whose surroundings the test plays.
+// house is an order server with fakes in place of the systems around it.
 type house struct {
 	t    *testing.T
 	core *core.Core
 	resp *respfront.Front
 	uw   *uwsgi.Front
 
-	link  *executor.Link // only with a scripted executor
+	link  *executor.Link // set only with a scripted executor
 	vault *vault.Client
 }
 
@@ -63,7 +63,7 @@
 	return buildBy(t, clock.System(), settings, runner, below, set, hand)
 }
 
-// buildBy builds a house by a clock and settings of the test's own.
+// buildBy builds a server with a given clock and settings.
 func buildBy(t *testing.T, clk *clock.Clock, settings policy.Settings, runner core.Runner, below core.Downstream, set config.UWSGI, hand func(*core.Core)) *house {
 	c := core.New(clk, zerolog.Nop(), settings, 1, runner, below, nil)
 	if hand != nil {
@@ -88,12 +88,12 @@
 	return h
 }
 
-// withExecutor builds a house that has a scripted executor.
+// withExecutor builds a server with a scripted executor.
 func withExecutor(t *testing.T, x *executorPeer, vaultAt string, change ...func(*executor.Link)) *house {
 	return withExecutorBy(t, clock.System(), settings, x, vaultAt, change...)
 }
 
-// withExecutorRoom also bounds what may be kept of keyed tries, in bytes.
+// withExecutorRoom also limits the memory for keyed attempts, in bytes.
 func withExecutorRoom(t *testing.T, clk *clock.Clock, settings policy.Settings, x *executorPeer, room int) *house {
 	return executorHouse(t, clk, settings, x, "127.0.0.1:1", func(c *core.Core) { c.SetKeyTableBytes(room) })
 }
@@ -110,7 +110,7 @@
 		}
 		c.RunnerStarted(cold)
 	})
-	link.ReadTimeout = time.Hour // the script answers only while a test asks it to
+	link.ReadTimeout = time.Hour // the script answers only when a test makes it
 	for _, c := range change {
 		c(link)
 	}
@@ -124,7 +124,7 @@
 	return h
 }
 
-// serving builds a house whose executor is up and whose vault is down.
+// serving builds a server whose executor is up and whose vault is down.
 func serving(t *testing.T) (*executorPeer, *house) {
 	t.Helper()
 	x := newExecutor(t)
@@ -139,7 +139,7 @@
 	body  []byte
 }
 
-// executorPeer plays the executor; the test reads its commands and writes its notices.
+// executorPeer is a fake executor; the test reads the commands that it receives and sends notices.
 type executorPeer struct {
 	t    *testing.T
 	ln   net.Listener
@@ -148,7 +148,7 @@
 	conn net.Conn
 	n    int
 	born time.Time
-	mute bool // METERs but for the fence's get no answer
+	mute bool // METER commands get no answer, except that of the barrier
 }
 
 func newExecutor(t *testing.T) *executorPeer {
@@ -190,7 +190,7 @@
 	}
 }
 
-// next is the next command but for the gauges, which are answered here.
+// next returns the next command and answers requests for gauges itself, except that of the barrier.
 func (x *executorPeer) next() command {
 	x.t.Helper()
 	late := time.After(patience)
@@ -206,7 +206,7 @@
 			}
 			return c
 		case <-late:
-			x.t.Fatal("no command came")
+			x.t.Fatal("no command arrived")
 		}
 	}
 }
@@ -226,23 +226,23 @@
 	fmt.Fprintf(x.conn, format+"\r\n", a...)
 }
 
-// notice numbers a notice; its last word is the length of the body.
+// notice sends the next numbered notice; its last word is the length of the body.
 func (x *executorPeer) notice(kind, rest string, body string) {
 	x.n++
 	x.say("%s %d %s %d\r\n%s", kind, x.n, rest, len(body), body)
 }
 
-// welcome answers the joining, and the fence that comes after it.
+// welcome expects JOIN with the given notice number and answers it.
 func (x *executorPeer) welcome(n int) {
 	x.t.Helper()
 	x.want("JOIN", strconv.Itoa(n))
 	x.hail()
 }
 
-// hail tells how long ago the executor began.
+// hail sends WELCOME with the executor's age.
 func (x *executorPeer) hail() { x.say("WELCOME steady %d", time.Since(x.born).Milliseconds()) }
 
-// rejoin is a welcome on a new link; what was still on its way over the old one is passed over.
+// rejoin answers JOIN on a new connection and skips commands that were still in transit on the old one.
 func (x *executorPeer) rejoin(n int) {
 	x.t.Helper()
 	for c := x.next(); c.words[0] != "JOIN"; c = x.next() {
@@ -250,12 +250,13 @@
 	x.hail()
 }
 
+// pass answers the METER that serves as barrier.
 func (x *executorPeer) pass() {
 	x.t.Helper()
 	x.say("METERS %s 0.1 0 0.1 1", x.want("METER").words[1])
 }
 
-// routerPeer plays a router on one connection.
+// routerPeer is a fake router with one connection.
 type routerPeer struct {
 	t    *testing.T
 	conn net.Conn
@@ -278,7 +279,7 @@
 	p.conn.Write(b)
 }
 
-// req sends a request that came just now.
+// req sends a request that arrived at the present time.
 func (p *routerPeer) req(tag, id int, class, more, body string) {
 	p.send("REQ", strconv.Itoa(tag), class, fmt.Sprintf("id=%016x,at=%d,from=4,kb=10,rank=0.5%s", id, time.Now().UnixMilli(), more), body)
 }
@@ -314,21 +315,21 @@
 	}
 }
 
-// newVault plays the vault.
+// newVault starts a fake vault and returns its address.
 func newVault(t *testing.T, do http.HandlerFunc) string {
 	s := httptest.NewServer(do)
 	t.Cleanup(s.CloseClientConnections)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// cut breaks the executor's link.
+// cut closes the executor's connection.
 func (x *executorPeer) cut() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conn.Close()
 }
 
-// obey runs whatever comes until the test ends, and counts the starts of each id.
+// obey runs all requests until the test ends, and counts the starts of each id.
 func (x *executorPeer) obey() (starts func() map[string]int) {
 	var mu sync.Mutex
 	count := map[string]int{}
@@ -352,7 +353,7 @@
 	}
 }
 
-// packet writes a uwsgi packet by hand, so that the codec is not tested against itself.
+// packet encodes a uwsgi packet independently of the codec under test.
 func packet(body string, vars ...string) string {
 	var block []byte
 	for _, v := range append(vars, "CONTENT_LENGTH", strconv.Itoa(len(body))) {
@@ -362,7 +363,7 @@
 	return string([]byte{0, byte(len(block)), byte(len(block) >> 8), 0}) + string(block) + body
 }
 
-// gateway opens a connection of the uwsgi front, sends bytes and ends its side of it if told so.
+// gateway connects to the uwsgi front, sends bytes, and closes its side for writing if end is set.
 func (h *house) gateway(b string, end bool) *gatewayPeer {
 	conn, err := net.Dial("tcp", h.uw.Addr().String())
 	must(h.t, err)
@@ -375,12 +376,13 @@
 	return &gatewayPeer{h.t, conn}
 }
 
+// gatewayPeer is a fake gateway with one connection.
 type gatewayPeer struct {
 	t    *testing.T
 	conn net.Conn
 }
 
-// answers reads all that comes up to the end of the connection: it has to be one response.
+// answers reads up to the end of the connection, which has to contain exactly one response.
 func (g *gatewayPeer) answers() (status int, head http.Header, body string) {
 	g.t.Helper()
 	r := bufio.NewReader(g.conn)
@@ -394,7 +396,7 @@
 	return resp.StatusCode, resp.Header, string(b)
 }
 
-// uwsgiServer plays a server that answers each request by do, which sees the variables and the body.
+// uwsgiServer starts a uwsgi server that answers each request with do, and returns its address.
 func uwsgiServer(t *testing.T, do func(conn net.Conn, vars map[string]string, body string)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
--- a/internal/net/rare_test.go
+++ b/internal/net/rare_test.go
@@ -16,8 +16,8 @@
 	"puffinsaddle/policy"
 )
 
-// leaving begins a drain on a clock that the test sets, and returns once new connections are refused: then only the
-// last look is left.
+// leaving starts a shutdown on a clock that the test sets, and returns once new connections are refused. From then on the
+// process only waits until it is quiescent.
 func leaving(t *testing.T, h *house, p *routerPeer, clk *clock.Clock) (left chan struct{}) {
 	t.Helper()
 	left = make(chan struct{})
@@ -37,27 +37,27 @@
 	}
 }
 
-// A request crosses the asking to send no more, and is read while the process waits for just that. It was closed on
-// with the request running.
+// A request is sent before its router receives the closing message, and is read while the process waits until it is
+// quiescent. Guards against a process that exits while that request runs.
 func TestLastLookSeesWhatCrossed(t *testing.T) {
 	x, h, clk := keyed(t, nil)
 	p := h.router()
-	p.send("HEALTH", "1") // so that the connection is taken
+	p.send("HEALTH", "1") // its answer shows that the connection was accepted
 	p.want("1", "healthy")
 	left := leaving(t, h, p, clk)
 	p.req(1, 1, "book-delivery", fmt.Sprintf(",at=%.0f", start+951), "a")
 	x.want("EXEC", id(1))
-	for now := 951.0; now < 1100; now += 10 { // up to where the process ends at the latest
+	for now := 951.0; now < 1100; now += 10 { // up to the latest exit of the process
 		clk.Set(start + now)
 	}
-	time.Sleep(20 * time.Millisecond) // a process that does not look again ends here; one that does has nothing to wait for
+	time.Sleep(20 * time.Millisecond) // a process that does not check again exits here; a correct one keeps waiting
 	x.notice("EXIT", id(1)+" success 1", "A")
 	p.want("1", "done", "", "A")
 	clk.Set(start + 1300)
 	<-left
 }
 
-// looked is a front that counts how often the process looks whether it is through.
+// looked is a front that counts how often the process checks whether its output is written.
 type looked struct {
 	core.Front
 	looks atomic.Int64
@@ -68,8 +68,8 @@
 	return l.Front.Flushed()
 }
 
-// The same where the process was replaced: it asks its callers to go to the successor, and what crosses that is read by a
-// process that waits for nothing else.
+// The same for a process that was replaced: a request that was sent before its router received the closing message is read
+// while the process waits until it is quiescent.
 func TestLastLookBesideASuccessor(t *testing.T) {
 	x, h, clk := keyed(t, nil)
 	p := h.router()
@@ -81,7 +81,7 @@
 		close(left)
 	}()
 	p.want("0", "closing")
-	clk.Set(start + 999) // from the next one on it may end, once calm
+	clk.Set(start + 999) // from 1000 ms on the process may exit once it is quiescent
 	p.req(1, 1, "book-delivery", fmt.Sprintf(",at=%.0f", start+999), "a")
 	x.want("EXEC", id(1))
 	for now := 1000.0; now < 3600; now += 200 {
@@ -89,7 +89,7 @@
 		for n := front.looks.Load() + 2; front.looks.Load() < n; time.Sleep(time.Millisecond) {
 			select {
 			case <-left:
-				t.Fatalf("left after %.0f ms, with a request that runs", now)
+				t.Fatalf("exited after %.0f ms while a request was running", now)
 			default:
 			}
 		}
@@ -100,9 +100,9 @@
 	<-left
 }
 
-// Requests that the executor knows nothing of: what waits beside them fails, what comes after them fails unread by the
-// module, and what runs is answered by its run. Reading ends where they don't stop. A connection on which something was
-// served is not held to this. All used to be cut off, true requests among them.
+// Requests that the executor rejects as unknown fail. On a connection that had no request served, later requests then fail
+// without reaching the module, running ones still get their answers, and reading stops if the invalid requests continue. A
+// connection that had a request served is exempt. Guards against closing such connections with valid requests open.
 func TestForgedRequestsTakeNoRoomAndLoseNothing(t *testing.T) {
 	x, h := serving(t)
 	good, bad := h.router(), h.router()
@@ -123,23 +123,24 @@
 		bad.want(fmt.Sprint(tag), "error")
 	}
 	good.req(4, 30, "book-delivery", "", "e")
-	x.want("EXEC", id(30)) // none of the eight before was begun
+	x.want("EXEC", id(30)) // none of the eight before was started
 	bad.req(12, 112, "book-delivery", "", "d")
 	for i := range 2 {
 		x.notice("EXIT", id(20+i)+" success 1", "C")
 	}
 	bad.want("3", "done", "", "C")
 	if n, err := io.Copy(io.Discard, bad.r); n > 0 {
-		t.Errorf("the ninth was answered with %d bytes, %v", n, err)
+		t.Errorf("the ninth invalid request was answered with %d bytes, %v", n, err)
 	}
 	good.want("3", "done", "", "C")
 	x.notice("EXIT", id(30)+" success 1", "E")
 	good.want("4", "done", "", "E")
 }
 
-// The link breaks behind a reply to a call, and the run stands at its next call by when the new link is through: a RETURN
-// names no call, so one sent again was taken for the reply to that. Where the call may be left out that is said of the
-// call by its number, where not the request fails; either way no reply reaches a call that it is not for.
+// The executor's connection breaks after a reply to a downstream call was sent, and the run is waiting in its next call by
+// the time the new connection passes the barrier. RETURN does not identify a call, so a RETURN that is sent again would be
+// taken as the reply to the next call. If the call may be skipped, a BYPASS with the call's number is sent; otherwise the
+// request fails. In no case may a reply reach another call.
 func TestReplyOfUnknownFateIsNotSentAgain(t *testing.T) {
 	set := settings
 	set.Classes = append(slices.Clone(set.Classes), policy.Class{Name: "needy", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second,
@@ -163,7 +164,7 @@
 			t.Errorf("the run got %q", c.body)
 		}
 	}
-	x.cut() // no answer came to what went out behind the replies
+	x.cut() // nothing that was sent after the replies was answered
 	x.rejoin(2)
 	x.mute = false
 	x.pass()
@@ -171,7 +172,7 @@
 	x.notice("CALLOUT", id(2), "call 4")
 	p.want("2", "error")
 	if c := x.want("BYPASS", id(1)); c.words[2] != "1" {
-		t.Errorf("left out: the call of notice %s", c.words[2])
+		t.Errorf("BYPASS names the call of notice %s, want 1", c.words[2])
 	}
 	if c := x.want("RETURN", id(1)); string(c.body) != "for call 3" {
 		t.Errorf("the call got %q", c.body)
@@ -181,7 +182,8 @@
 	p.want("1", "done", "", "A")
 }
 
-// The same break, but a METER behind the replies was answered before it: they arrived, and nothing is sent again.
+// As above, but a METER that was sent after the reply was answered before the break. The reply arrived, so nothing is sent
+// again.
 func TestReplyThatArrivedIsLeftAlone(t *testing.T) {
 	x := newExecutor(t)
 	h := withExecutor(t, x, newVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "reply") }))
@@ -193,7 +195,7 @@
 	x.notice("CALLOUT", id(1), "q")
 	x.want("RETURN", id(1))
 	p.req(2, 2, "book-delivery", "", "b")
-	x.want("EXEC", id(2)) // on the way to it, the METER was answered
+	x.want("EXEC", id(2)) // next answered a METER before this
 	x.notice("EXIT", id(2)+" success 1", "B")
 	p.want("2", "done", "", "B")
 	x.cut()
@@ -205,8 +207,8 @@
 	p.want("1", "done", "", "A")
 }
 
-// The executor ends with a run on and another begins at its address: the run fails, what comes after is begun at the new
-// one, and its notices, which count from 1 again, are heard. All of them passed for old ones before.
+// The executor ends during a run and another one starts at its address. The run fails, and later requests run on the new
+// executor. Guards against dropping its notices, whose numbers start at 1 again, as repeats of old ones.
 func TestAnotherExecutorIsJoinedAnew(t *testing.T) {
 	x, h := serving(t)
 	p := h.router()
@@ -218,7 +220,7 @@
 	p.want("1", "done", "", "A")
 	x.cut()
 	x.want("JOIN", "1")
-	time.Sleep(1100 * time.Millisecond) // an executor takes a while to begin, which its age shows
+	time.Sleep(1100 * time.Millisecond) // long enough for the executor's age to show that it is another one
 	x.born, x.n = time.Now(), 0
 	x.hail()
 	p.want("2", "error")
@@ -231,8 +233,8 @@
 	p.want("3", "done", "", "C")
 }
 
-// The other executor begins cold, on a machine that falls under what the warm one before it took: a second request was
-// begun beside the first as before.
+// The new executor is cold and cannot take the load that the warm one took. Guards against starting a second request beside
+// the first, as on the warm executor.
 func TestAnotherExecutorIsCold(t *testing.T) {
 	set := settings
 	set.Cores, set.ColdSpeedShare, set.WarmupPeriod = 1, 0, time.Hour
@@ -241,13 +243,13 @@
 	x.welcome(0)
 	x.pass()
 	p := h.router()
-	for n := 1; n <= 2; n++ { // the warm one takes both
+	for n := 1; n <= 2; n++ { // the warm executor runs both
 		p.req(n, n, "book-delivery", "", "a")
 		x.want("EXEC", id(n))
 	}
 	x.cut()
 	x.want("JOIN", "0")
-	time.Sleep(1100 * time.Millisecond) // an executor takes a while to begin, which its age shows
+	time.Sleep(1100 * time.Millisecond) // long enough for the executor's age to show that it is another one
 	x.say("WELCOME booting 0")
 	for range 2 {
 		if a := p.answer(); a[1] != "error" {
@@ -263,13 +265,13 @@
 	p.req(3, 3, "book-delivery", "", "c")
 	x.want("EXEC", id(3))
 	p.req(4, 4, "book-delivery", ",wait=500", "d")
-	p.want("4", "later") // it never ran
+	p.want("4", "later") // it was not started
 	x.notice("EXIT", id(3)+" success 1", "C")
 	p.want("3", "done", "", "C")
 }
 
-// A router gives up just as the answer comes: whichever the server hears of first, there is one answer at most, and the
-// connection goes on.
+// A router aborts a request at the same time as its run ends. Whichever event is processed first, the router gets at most
+// one answer and the connection stays usable.
 func TestGivingUpAgainstTheAnswer(t *testing.T) {
 	x, h := serving(t)
 	p, seen := h.router(), map[string]int{}
@@ -290,13 +292,14 @@
 	}
 }
 
-// once reads up to the answer to a tag; before it may come answers to tags before it, late ones too, to each one at most.
+// once reads up to the answer to a tag. Answers to earlier tags may precede it, at most one for each tag over the whole test;
+// it returns those.
 func (p *routerPeer) once(seen map[string]int, tag int) (before [][]string) {
 	p.t.Helper()
 	for a := p.answer(); ; a = p.answer() {
 		n, _ := strconv.Atoi(a[0])
 		if seen[a[0]]++; seen[a[0]] > 1 || n < 1 || n > tag {
-			p.t.Fatalf("answered %q, for the %dth time", a, seen[a[0]])
+			p.t.Fatalf("answer %q, number %d for its tag", a, seen[a[0]])
 		}
 		if n == tag {
 			return before
@@ -305,8 +308,8 @@
 	}
 }
 
-// A caller gives up just as the reply to its run's call comes; the executor says of what comes late that it did not carry
-// it out, which ends nothing. Then it gives the wrong kinds of refusal besides.
+// A caller aborts its request at the same time as the reply to its downstream call arrives. The executor rejects commands
+// that arrive too late, which must not end anything; neither may rejections of the wrong kind.
 func TestGivingUpACallAgainstItsReply(t *testing.T) {
 	called, reply := make(chan struct{}), make(chan struct{})
 	x := newExecutor(t)
@@ -319,7 +322,7 @@
 	x.welcome(0)
 	x.pass()
 	p, seen := h.router(), map[string]int{}
-	begun := func(n int) { // behind replies to the calls of those that were given up, which may come late
+	begun := func(n int) { // may follow late replies to the calls of aborted requests
 		t.Helper()
 		c := x.next()
 		for given := 1; c.words[0] == "RETURN" && given <= n; given += 2 {
@@ -343,7 +346,7 @@
 		p.req(n+1, n+1, "book-delivery", "", "b")
 		begun(n + 1)
 		x.notice("EXIT", id(n+1)+" success 1", "B")
-		for _, a := range p.once(seen, n+1) { // of those that were given up
+		for _, a := range p.once(seen, n+1) { // answers to aborted requests
 			if tag, _ := strconv.Atoi(a[0]); tag%2 == 0 || a[1] != "error" {
 				t.Fatalf("answered %q", a)
 			}
--- a/internal/net/stories_test.go
+++ b/internal/net/stories_test.go
@@ -25,7 +25,8 @@
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-// A calm hour: health before the executor is up, answers in any order, every byte as it came, a call below.
+// The normal case: a health check before the executor is up, answers in any order, bodies passed byte for byte, and a
+// downstream call.
 func TestServedWithCallsInAnyOrder(t *testing.T) {
 	below := newVault(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -56,8 +57,8 @@
 	p.want("4", "later")
 }
 
-// The link breaks: what had no notice is sent again, but only once the fence shows that it did not arrive, and
-// a notice that comes twice counts once.
+// The executor's connection breaks. Commands without a notice are sent again, but only once the barrier shows that they did
+// not arrive, and a notice that arrives twice counts once.
 func TestLinkBreaksWithCommandsOfUnknownFate(t *testing.T) {
 	x, h := serving(t)
 	p := h.router()
@@ -71,8 +72,8 @@
 	p.want("1", "done", "", "A")
 	x.cut()
 	x.welcome(1)
-	x.say("EXIT 1 %s success 1 1\r\nA", id(1)) // again
-	x.notice("EXIT", id(2)+" success 1", "B")  // it had ended while there was no link
+	x.say("EXIT 1 %s success 1 1\r\nA", id(1)) // repeated
+	x.notice("EXIT", id(2)+" success 1", "B")  // the run ended while there was no connection
 	p.want("2", "done", "", "B")
 	x.pass()
 	if c := x.want("EXEC", id(3)); string(c.body) != "c" {
@@ -82,8 +83,8 @@
 	p.want("3", "done", "", "C")
 }
 
-// The executor's machine is gone, and its end of the link says nothing of it: the link is made anew, and what had no
-// notice is sent again.
+// The executor's machine fails without closing the connection. The server reconnects after the read timeout, and sends
+// commands without a notice again.
 func TestSilentLinkIsMadeAnew(t *testing.T) {
 	x := newExecutor(t)
 	h := withExecutor(t, x, "127.0.0.1:1", func(l *executor.Link) { l.ReadTimeout = 2 * time.Second })
@@ -93,12 +94,12 @@
 	p.req(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
 	late := time.After(patience)
-	for joined := false; !joined; { // nothing is answered on this link any more
+	for joined := false; !joined; { // the test answers nothing on this connection any more
 		select {
 		case c := <-x.cmds:
 			joined = c.words[0] == "JOIN"
 		case <-late:
-			t.Fatal("the silent link stands")
+			t.Fatal("the silent connection was not replaced")
 		}
 	}
 	x.hail()
@@ -108,8 +109,7 @@
 	p.want("1", "done", "", "A")
 }
 
-// The due time passes while the work goes on: the answer does not wait for it, nor does the work's end bring
-// a second one.
+// The deadline passes during a run. The answer does not wait for the end of the run, and that end causes no second answer.
 func TestOverdueIsAnsweredBeforeTheRunEnds(t *testing.T) {
 	x, h := serving(t)
 	p := h.router()
@@ -125,7 +125,7 @@
 	p.want("3", "later")
 }
 
-// An id that came before is not run again, whether its first try is open or over.
+// A request with an id that was seen before is not run, whether the first attempt is still open or has ended.
 func TestOneEffectForOneID(t *testing.T) {
 	x, h := serving(t)
 	p := h.router()
@@ -139,8 +139,8 @@
 	p.want("3", "error")
 }
 
-// Malformed input ends its own connection and no other. redcon's own reader panics on the
-// second of these, and never comes back from the third.
+// Malformed input closes its own connection and no other. The reader of redcon panics on the second of these inputs and
+// never returns from the third.
 func TestMalformedInputEndsItsOwnConnection(t *testing.T) {
 	x, h := serving(t)
 	good := h.router()
@@ -159,7 +159,7 @@
 	good.want("1", "done", "", "A")
 }
 
-// A router that reads none of its answers is cut off; the others are served all the while.
+// A router that reads none of its answers is disconnected; others are served meanwhile.
 func TestSlowReaderStallsNobody(t *testing.T) {
 	x, h := serving(t)
 	slow, good := h.router(), h.router()
@@ -169,7 +169,7 @@
 		for i := 1; ; i++ { // ends when the server closes the connection
 			if _, err := slow.conn.Write(bytes.Repeat([]byte("*2\r\n$6\r\nHEALTH\r\n$1\r\n5\r\n"), 500)); err != nil {
 				if errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Error("the server did not cut it off")
+					t.Error("the server did not close the slow reader's connection")
 				}
 				return
 			}
@@ -182,7 +182,7 @@
 	<-cut
 }
 
-// A caller that gives up while its run stands at a call: the call is given up by closing its connection.
+// A caller aborts its request during a downstream call. The call is cancelled by closing its connection.
 func TestGivingUpClosesTheCall(t *testing.T) {
 	begun, ended := make(chan struct{}), make(chan struct{})
 	below := newVault(t, func(w http.ResponseWriter, r *http.Request) {
@@ -207,7 +207,7 @@
 	x.want("EXEC", id(2))
 }
 
-// What the vault may do, and what each proves.
+// Each reply or failure of the vault maps to an outcome of the call.
 func TestVaultOutcomes(t *testing.T) {
 	reply := func(status int, unseen string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -242,8 +242,8 @@
 	}
 }
 
-// What a vault may send besides, before or in place of a reply: extra heads and bytes behind harm neither this
-// call nor the next, and what can't be proven whole is a break, known at once where the head tells it.
+// What a vault may send before, after or in place of a reply. Interim responses and bytes after the reply affect neither this
+// call nor the next one. A reply that may be incomplete is invalid, which is detected at once if the header shows it.
 func TestVaultSpoilsReplies(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 	for _, c := range []struct {
@@ -252,19 +252,19 @@
 		want        policy.Outcome
 	}{
 		{"plain", good, false, policy.OK},
-		{"1xx heads ahead", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + good, false, policy.OK},
-		{"a second copy behind", good + strings.Replace(good, "body", "evil", 1), false, policy.OK},
-		{"noise behind", good + "\x00\xff\x17noise", false, policy.OK},
+		{"1xx responses first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + good, false, policy.OK},
+		{"a second reply after the first", good + strings.Replace(good, "body", "evil", 1), false, policy.OK},
+		{"garbage after the reply", good + "\x00\xff\x17noise", false, policy.OK},
 		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", false, policy.OK},
-		{"noise", "\x00\xff\x17noise\r\n\r\n", false, policy.InvalidReply},
-		{"no end of 1xx heads", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100), false, policy.InvalidReply},
-		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Y: z\r\n", 20000), false, policy.InvalidReply},
-		{"a head cut short", "HTTP/1.1 200 OK\r\nConte", true, policy.InvalidReply},
+		{"garbage", "\x00\xff\x17noise\r\n\r\n", false, policy.InvalidReply},
+		{"endless 1xx responses", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100), false, policy.InvalidReply},
+		{"endless header", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Y: z\r\n", 20000), false, policy.InvalidReply},
+		{"truncated header", "HTTP/1.1 200 OK\r\nConte", true, policy.InvalidReply},
 		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nbody", false, policy.InvalidReply},
 		{"a negative length", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nbody", false, policy.InvalidReply},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 2\r\n\r\nbody", false, policy.InvalidReply},
-		{"a body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody", true, policy.InvalidReply},
-		{"a body of no told length", "HTTP/1.1 200 OK\r\n\r\nbody", true, policy.InvalidReply},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody", true, policy.InvalidReply},
+		{"body without a length", "HTTP/1.1 200 OK\r\n\r\nbody", true, policy.InvalidReply},
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		must(t, err)
@@ -279,7 +279,7 @@
 						io.WriteString(conn, c.bytes)
 					}
 					if !c.end {
-						io.Copy(io.Discard, conn) // until the client has done with it
+						io.Copy(io.Discard, conn) // until the client closes it
 					}
 					conn.Close()
 				}()
@@ -296,8 +296,8 @@
 	}
 }
 
-// The executor's link and the vault move while a run stands at a call: the run goes on at the new addresses,
-// and a deep check that the break caught is asked again.
+// The addresses of executor and vault change during a downstream call. The run continues at the new addresses, and a deep
+// check that the reconnection interrupted is sent again.
 func TestPeersMoveUnderLoad(t *testing.T) {
 	begun, release := make(chan struct{}), make(chan struct{})
 	old := newVault(t, func(w http.ResponseWriter, r *http.Request) {
@@ -317,7 +317,7 @@
 	<-begun
 	checked := make(chan bool, 1)
 	if !h.link.Diagnose(func(good bool) { checked <- good }) {
-		t.Fatal("no check was begun")
+		t.Fatal("the check was not started")
 	}
 	x.want("DIAG")
 	y := newExecutor(t)
@@ -328,7 +328,7 @@
 	y.pass()
 	y.say("DIAGNOSED %s success", y.want("DIAG").words[1])
 	if !<-checked {
-		t.Error("the break was taken for sickness")
+		t.Error("the reconnection was reported as unhealthy")
 	}
 	close(release)
 	if c := y.want("RETURN", id(1)); string(c.body) != "from the old vault" {
@@ -342,8 +342,8 @@
 	p.want("1", "done", "", "A")
 }
 
-// Figures that make no sense are answered with an error at once, and get neither to the module nor to the
-// executor; the connection goes on, and ends where they don't stop.
+// Requests with invalid values are answered with an error at once and reach neither the module nor the executor. The
+// connection stays open, but is closed if the invalid requests continue.
 func TestFalseFiguresStayOutside(t *testing.T) {
 	x, h := serving(t)
 	now := time.Now().UnixMilli()
@@ -366,17 +366,17 @@
 	}
 	p.send("REQ", "9", "tank-level", "id=none", "")
 	if n, err := io.Copy(io.Discard, p.r); n > 0 || err != nil {
-		t.Errorf("the ninth was answered with %d bytes, %v", n, err)
+		t.Errorf("the ninth invalid request was answered with %d bytes, %v", n, err)
 	}
 	p = h.router()
 	p.req(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1)) // the first command of all
 }
 
-// Connections that say nothing, or not all of a command, or nothing more, end; a full table gives up the
-// longest mute one for one that speaks, and never one that waits for an answer.
+// Connections without a command, with a partial command, or idle after one are closed. When the table is full, a new
+// connection replaces the one that was silent for longest, never one that waits for an answer.
 func TestMuteConnectionsGiveWay(t *testing.T) {
-	x, h := serving(t) // the table has room for 64
+	x, h := serving(t) // the table holds 64 connections
 	busy := h.router()
 	busy.req(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
@@ -387,9 +387,9 @@
 	last := h.router()
 	last.req(1, 2, "book-delivery", "", "b")
 	x.want("EXEC", id(2))
-	for _, p := range mute { // some by the full table, the rest by their time
+	for _, p := range mute { // some replaced by others, the rest timed out
 		if n, err := io.Copy(io.Discard, p.r); n > 0 || err != nil {
-			t.Fatalf("a mute connection got %d bytes, %v", n, err)
+			t.Fatalf("a silent connection got %d bytes, %v", n, err)
 		}
 	}
 	half := h.router()
@@ -397,12 +397,12 @@
 	half.want("1", "healthy")
 	io.WriteString(half.conn, "*3\r\n$3\r\nREQ\r\n")
 	if n, err := io.Copy(io.Discard, half.r); n > 0 || err != nil {
-		t.Errorf("half a command got %d bytes, %v", n, err)
+		t.Errorf("a partial command got %d bytes, %v", n, err)
 	}
 	for i, p := range []*routerPeer{busy, last} {
 		x.notice("EXIT", id(1+i)+" success 1", "A")
 		p.want("1", "done", "", "A")
-		p.want("0", "closing") // it asked once and stays
+		p.want("0", "closing") // the closing message comes once, and the connection stays open for a time
 		if n, err := io.Copy(io.Discard, p.r); n > 0 || err != nil {
 			t.Errorf("an idle connection got %d bytes, %v", n, err)
 		}
