--- a/cmd/puffinsaddle/main.go
+++ b/cmd/puffinsaddle/main.go
@@ -192,7 +192,7 @@
 		ops, err := operator.Listen(cfg.OperatorListen, config.OperatorConns, operator.Calls{Ready: func() bool { return ready.Load() && c.Ready() }, Drain: func(away bool) {
 			c.ForceUnhealthy(away)
 			held.away(away)
-		}, Figures: func() any {
+		}, Metrics: func() any {
 			files.Lock()
 			defer files.Unlock()
 			return struct {
@@ -203,7 +203,7 @@
 				Store    *store.Status `json:"store,omitempty"`
 				Records  *watchFigures `json:"records,omitempty"`
 			}{c.Metrics(), applied, rejected, held.figures(), storeStatus(state), watch.figures()}
-		}, More: held.calls()}, log)
+		}, Extra: held.calls()}, log)
 		if err != nil {
 			return err
 		}
@@ -245,7 +245,7 @@
 						link.SetAddress(now.Executor)
 					}
 					calls.SetAddress(now.Vault)
-					reporter.Move(now.Members)
+					reporter.SetAddress(now.Members)
 					c.Adopt(now.Settings)
 				})
 				files.Lock()
@@ -255,7 +255,7 @@
 					rejected++
 				}
 				files.Unlock()
-			case !draining && offer.Taken():
+			case !draining && offer.HasSuccessor():
 				draining = true
 				log.Info().Msg("replaced")
 				held.drain()
@@ -336,7 +336,7 @@
 		}
 	}()
 	open := func(address, what string) (*accept.Listener, error) {
-		ln, err := accept.On(given[address], log), error(nil)
+		ln, err := accept.New(given[address], log), error(nil)
 		if given[address] == nil {
 			ln, err = accept.Listen(address, log)
 		}
@@ -415,7 +415,7 @@
 		return
 	}
 	var ties []core.KeyedAttempt
-	text, told := handover.Serving(tie)
+	text, told := handover.AnnounceServing(tie)
 	if told && json.Unmarshal(text, &ties) == nil {
 		c.ImportKeyedAttempts(ties)
 		return
@@ -423,7 +423,7 @@
 	log.Warn().Msg("the process before this one does not tell what it ran")
 	c.ExportKeyedAttempts()
 	go func() {
-		handover.Gone(tie)
+		handover.WaitForExit(tie)
 		c.ResumeKeyedAttempts()
 	}()
 }
--- a/internal/net/accept/accept.go
+++ b/internal/net/accept/accept.go
@@ -35,11 +35,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return On(ln.(*net.TCPListener), log), nil
+	return New(ln.(*net.TCPListener), log), nil
 }
 
-// On returns a listener on a socket that is already listening.
-func On(ln *net.TCPListener, log zerolog.Logger) *Listener {
+// New returns a listener on a socket that is already listening.
+func New(ln *net.TCPListener, log zerolog.Logger) *Listener {
 	return &Listener{ln: ln, log: log, done: make(chan struct{})}
 }
 
@@ -108,9 +108,9 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// Shut closes the socket once its queue is empty. Closing it at once would reset connections that the kernel has already
+// StopAccepting closes the socket once its queue is empty. Closing it at once would reset connections that the kernel has already
 // established and whose requests have to be answered.
-func (l *Listener) Shut() { l.end(time.Now().Add(lastAccepts), false) }
+func (l *Listener) StopAccepting() { l.end(time.Now().Add(lastAccepts), false) }
 
 // Yield closes this process's descriptor of a socket that another process also accepts from. Connections in the queue are
 // left to that process.
--- a/internal/net/accept/accept_test.go
+++ b/internal/net/accept/accept_test.go
@@ -51,7 +51,7 @@
 // Guards against resetting queued connections when the listener is stopped before Serve is called.
 func TestShutBeforeServingResetsNothing(t *testing.T) {
 	l, conns := queue(t)
-	l.Shut()
+	l.StopAccepting()
 	l.Serve(echo)
 	answered(t, conns)
 	if conn, err := net.Dial("tcp", l.Addr().String()); err == nil {
@@ -104,7 +104,7 @@
 	}
 	l.Yield()
 	l.Serve(func(net.Conn) { t.Error("accepted a connection that belongs to the successor") })
-	go On(other.(*net.TCPListener), zerolog.Nop()).Serve(echo)
+	go New(other.(*net.TCPListener), zerolog.Nop()).Serve(echo)
 	answered(t, conns)
 	other.Close()
 }
--- a/internal/net/accept/quiet.go
+++ b/internal/net/accept/quiet.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// Quiet reports whether a connection is open and has no input to read. Fronts call it right before they close an idle
+// IsIdle reports whether a connection is open and has no input to read. Fronts call it right before they close an idle
 // connection, since closing would cut off a request that has just arrived.
-func Quiet(conn net.Conn) bool {
+func IsIdle(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/net/configwatch/client.go
+++ b/internal/net/configwatch/client.go
@@ -63,7 +63,7 @@
 type Client struct {
 	o ClientOptions
 
-	bytes                        meter.Count
+	bytes                        meter.ByteCounts
 	connected, snapshots, latest atomic.Uint64
 
 	mu       sync.Mutex
--- a/internal/net/configwatch/server.go
+++ b/internal/net/configwatch/server.go
@@ -58,7 +58,7 @@
 	pace  *rate.Limiter
 	build sync.Mutex // one snapshot is compressed at a time
 
-	bytes                   meter.Count
+	bytes                   meter.ByteCounts
 	snapshots, refused, cut atomic.Uint64
 
 	mu       sync.Mutex
--- a/internal/net/handover/handover.go
+++ b/internal/net/handover/handover.go
@@ -125,11 +125,11 @@
 	return fd, err
 }
 
-// Serving notifies the predecessor that this process is about to serve, and waits for its answer with a timeout, so that
+// AnnounceServing notifies the predecessor that this process is about to serve, and waits for its answer with a timeout, so that
 // the predecessor knows of its successor before it receives a notice to exit. It returns the predecessor's state. If told is
 // false, the predecessor sent none because it has ended, hangs or is an earlier build, and may still start requests that it
 // does not report.
-func Serving(tie net.Conn) (text []byte, told bool) {
+func AnnounceServing(tie net.Conn) (text []byte, told bool) {
 	tie.SetDeadline(time.Now().Add(takeFor))
 	defer tie.SetDeadline(time.Time{})
 	if _, err := tie.Write([]byte{format}); err != nil {
@@ -152,14 +152,14 @@
 	return text, err == nil
 }
 
-// Gone waits until the predecessor has ended.
-func Gone(tie net.Conn) {
+// WaitForExit waits until the predecessor has ended.
+func WaitForExit(tie net.Conn) {
 	io.Copy(io.Discard, tie)
 }
 
-// Taken reports whether a successor that serves on the sockets is alive. A successor that has the sockets but does not serve
+// HasSuccessor reports whether a successor that serves on the sockets is alive. A successor that has the sockets but does not serve
 // yet does not count, since it may never accept the queued connections.
-func (o *Offer) Taken() bool { return o != nil && o.successors.Load() > 0 }
+func (o *Offer) HasSuccessor() bool { return o != nil && o.successors.Load() > 0 }
 
 // Close stops offering the sockets.
 func (o *Offer) Close() {
--- a/internal/net/keyed_test.go
+++ b/internal/net/keyed_test.go
@@ -232,7 +232,7 @@
 	sockets["there"].Close()
 	p.pay(3, 3, start, "cc", "a") // the successor does not serve yet
 	x.want("EXEC", id(3))
-	text, told := handover.Serving(tie)
+	text, told := handover.AnnounceServing(tie)
 	var ties []core.KeyedAttempt
 	if err := json.Unmarshal(text, &ties); err != nil || !told || len(ties) != 3 {
 		t.Fatalf("complete %v: %s, %v", told, text, err)
@@ -296,7 +296,7 @@
 		}()
 		tie, err := net.Dial("tcp", ln.Addr().String())
 		must(t, err)
-		if text, told := handover.Serving(tie); told {
+		if text, told := handover.AnnounceServing(tie); told {
 			t.Errorf("after %q: state %q was taken as complete", answer, text)
 		}
 		tie.Close()
--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -37,8 +37,8 @@
 	r.leaving = true
 }
 
-// Move sends later reports to a new address, the first of them at once.
-func (r *Reporter) Move(address string) {
+// SetAddress sends later reports to a new address, the first of them at once.
+func (r *Reporter) SetAddress(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.address = address
--- a/internal/net/members/members_test.go
+++ b/internal/net/members/members_test.go
@@ -42,18 +42,18 @@
 		t.Fatal(err)
 	}
 	defer probe.Close()
-	r.Move(at) // refused; the socket returns the error on the next write
+	r.SetAddress(at) // refused; the socket returns the error on the next write
 	for refused := false; !refused; time.Sleep(time.Millisecond) {
 		_, err := probe.Write([]byte("x"))
 		refused = err != nil // by now the reporter's socket has its error as well
 	}
 	c = listen(t, at)
-	r.Move(at)
+	r.SetAddress(at)
 	want(t, c, "HB n1 UP")
 	other := listen(t, "127.0.0.1:0")
-	r.Move("")
+	r.SetAddress("")
 	r.Leave()
-	r.Move(other.LocalAddr().String())
+	r.SetAddress(other.LocalAddr().String())
 	want(t, other, "HB n1 OUT")
 }
 
--- a/internal/net/meter/meter.go
+++ b/internal/net/meter/meter.go
@@ -6,17 +6,17 @@
 	"sync/atomic"
 )
 
-// Count holds the bytes received (In) and sent (Out) since the start of the process.
-type Count struct{ In, Out atomic.Uint64 }
+// ByteCounts holds the bytes received (In) and sent (Out) since the start of the process.
+type ByteCounts struct{ In, Out atomic.Uint64 }
 
 // Conn is a connection that counts its bytes.
 type Conn struct {
 	net.Conn
-	count *Count
+	count *ByteCounts
 }
 
 // New returns a connection that adds its bytes to a counter.
-func New(conn net.Conn, c *Count) *Conn { return &Conn{conn, c} }
+func New(conn net.Conn, c *ByteCounts) *Conn { return &Conn{conn, c} }
 
 // Read reads from the connection and counts the received bytes.
 func (c *Conn) Read(b []byte) (int, error) {
--- a/internal/net/operator/operator.go
+++ b/internal/net/operator/operator.go
@@ -22,9 +22,9 @@
 // Calls contains the functions behind the operators' calls. None of them may block.
 type Calls struct {
 	Ready   func() bool // reports whether this process can serve
-	Figures func() any
+	Metrics func() any
 	Drain   func(away bool)             // asks clients to go elsewhere, or accepts them again
-	More    map[string]http.HandlerFunc // further calls, keyed by method and path
+	Extra   map[string]http.HandlerFunc // further calls, keyed by method and path
 }
 
 // Front serves the calls of operators.
@@ -52,7 +52,7 @@
 	})
 	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(calls.Figures())
+		json.NewEncoder(w).Encode(calls.Metrics())
 	})
 	for path, away := range map[string]bool{"PUT /-/drain": true, "PUT /-/resume": false} {
 		mux.HandleFunc(path, func(http.ResponseWriter, *http.Request) {
@@ -60,7 +60,7 @@
 			calls.Drain(away)
 		})
 	}
-	for path, call := range calls.More {
+	for path, call := range calls.Extra {
 		mux.HandleFunc(path, call)
 	}
 	f.server = &http.Server{Handler: mux, ReadTimeout: callFor, WriteTimeout: callFor, MaxHeaderBytes: mostHead, ConnState: f.state}
--- a/internal/net/operator_test.go
+++ b/internal/net/operator_test.go
@@ -16,7 +16,7 @@
 // operators opens the operators' address of a server and returns it with a function that makes one call there.
 func (h *house) operators(most int) (address string, call func(method, path string) (status int, body string)) {
 	f, err := operator.Listen("127.0.0.1:0", most, operator.Calls{Ready: h.core.Ready, Drain: h.core.ForceUnhealthy,
-		Figures: func() any { return h.core.Metrics() }}, zerolog.Nop())
+		Metrics: func() any { return h.core.Metrics() }}, zerolog.Nop())
 	must(h.t, err)
 	go f.Serve()
 	h.t.Cleanup(func() { f.Close(h.t.Context()) })
--- a/internal/net/session/server.go
+++ b/internal/net/session/server.go
@@ -66,7 +66,7 @@
 
 	leads atomic.Uint64
 	count counts
-	bytes meter.Count
+	bytes meter.ByteCounts
 
 	// The owner's.
 	batch      []any
--- a/internal/net/uwsgi/front.go
+++ b/internal/net/uwsgi/front.go
@@ -87,7 +87,7 @@
 
 // StopAccepting closes the listener and stops reading incomplete requests, which are answered with status 408.
 func (f *Front) StopAccepting() {
-	f.ln.Shut()
+	f.ln.StopAccepting()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.shuttingDown = true
