--- a/internal/net/accept/accept.go
+++ b/internal/net/accept/accept.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	pause       = 5 * time.Millisecond // delay after a failed accept
-	lastAccepts = 5 * time.Millisecond // accepting continues for this long once the listener is to close
-	lastAccept  = time.Second          // limit for an accept from a queue that is not empty; the connection may vanish meanwhile
+	acceptRetryDelay    = 5 * time.Millisecond // delay after a failed accept
+	closingAcceptPeriod = 5 * time.Millisecond // accepting continues for this long once the listener is to close
+	queuedAcceptTimeout = time.Second          // for an accept from a non-empty queue, whose connection may vanish meanwhile
 )
 
 // Listener accepts connections until it is stopped.
@@ -25,8 +25,8 @@
 
 	mu      sync.Mutex
 	serving bool
-	shut    bool // only connections in the queue are still accepted
-	leave   bool // not even those: another process accepts them
+	stopped bool // only connections in the queue are still accepted
+	yielded bool // not even those: another process accepts them
 }
 
 // Listen opens a listening socket; Serve has to be called next.
@@ -49,8 +49,8 @@
 // Addr returns the address that the listener is bound to.
 func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
 
-// Serve passes each connection to welcome, which must not block, until the listener is stopped.
-func (l *Listener) Serve(welcome func(net.Conn)) {
+// Serve passes each connection to handle, which must not block, until the listener is stopped.
+func (l *Listener) Serve(handle func(net.Conn)) {
 	l.mu.Lock()
 	l.serving = true
 	l.mu.Unlock()
@@ -59,41 +59,41 @@
 		conn, err := l.ln.Accept()
 		switch {
 		case err == nil:
-			welcome(conn)
-		case timedOut(err):
-			l.rest(welcome)
+			handle(conn)
+		case isTimeout(err):
+			l.acceptQueued(handle)
 			return
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
 			l.log.Warn().Err(err).Msg("accept") // most likely out of file descriptors; some will be freed
-			time.Sleep(pause)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// rest accepts the connections left in the queue after the listener's deadline. An Accept whose deadline has passed fails
-// without checking the queue, and the deadline may pass between two calls or before the first one.
-func (l *Listener) rest(welcome func(net.Conn)) {
-	for l.waiting() {
-		l.ln.SetDeadline(time.Now().Add(lastAccept))
+// acceptQueued accepts the connections left in the queue after the listener's deadline. An Accept whose deadline has passed
+// fails without checking the queue, and the deadline may pass between two calls or before the first one.
+func (l *Listener) acceptQueued(handle func(net.Conn)) {
+	for l.hasQueued() {
+		l.ln.SetDeadline(time.Now().Add(queuedAcceptTimeout))
 		conn, err := l.ln.Accept()
 		if err != nil {
 			l.log.Warn().Err(err).Msg("accept from the remaining queue")
 			return
 		}
-		welcome(conn)
+		handle(conn)
 	}
 	l.ln.Close() // at once: later connections are refused, so their clients know that nothing ran
 }
 
-// waiting reports whether the queue holds a connection that this process has to accept.
-func (l *Listener) waiting() bool {
+// hasQueued reports whether the queue holds a connection that this process has to accept.
+func (l *Listener) hasQueued() bool {
 	l.mu.Lock()
-	leave := l.leave
+	yielded := l.yielded
 	l.mu.Unlock()
 	raw, err := l.ln.SyscallConn()
-	if err != nil || leave {
+	if err != nil || yielded {
 		return false
 	}
 	ready := 0
@@ -103,30 +103,30 @@
 	return err == nil && ready > 0
 }
 
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// StopAccepting closes the socket once its queue is empty. Closing it at once would reset connections that the kernel has already
-// established and whose requests have to be answered.
-func (l *Listener) StopAccepting() { l.end(time.Now().Add(lastAccepts), false) }
+// StopAccepting closes the socket once its queue is empty. Closing it at once would reset connections that the kernel has
+// already established and whose requests have to be answered.
+func (l *Listener) StopAccepting() { l.stop(time.Now().Add(closingAcceptPeriod), false) }
 
 // Yield closes this process's descriptor of a socket that another process also accepts from. Connections in the queue are
 // left to that process.
-func (l *Listener) Yield() { l.end(time.Now(), true) }
+func (l *Listener) Yield() { l.stop(time.Now(), true) }
 
-// end makes Serve accept until a given time and then, unless leave is set, empty the queue. If Serve has not been called
+// stop makes Serve accept until a given time and then, unless yielded is set, empty the queue. If Serve has not been called
 // yet, it does so when it is; until then, or until Close, the socket stays open, since closing it would reset the
 // connections in its queue.
-func (l *Listener) end(last time.Time, leave bool) {
+func (l *Listener) stop(deadline time.Time, yielded bool) {
 	l.mu.Lock()
-	again := l.shut
-	l.shut, l.leave = true, leave
+	alreadyStopped := l.stopped
+	l.stopped, l.yielded = true, yielded
 	serving := l.serving
 	l.mu.Unlock()
-	if !again {
-		l.ln.SetDeadline(last)
+	if !alreadyStopped {
+		l.ln.SetDeadline(deadline)
 	}
 	if serving {
 		<-l.done
--- a/internal/net/accept/quiet.go
+++ b/internal/net/accept/quiet.go
@@ -16,11 +16,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		idle = err == syscall.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
--- a/internal/net/handover/handover.go
+++ b/internal/net/handover/handover.go
@@ -3,9 +3,9 @@
 // queues. The successor accepts what the predecessor has not, so no connection is lost when the predecessor closes its
 // descriptors.
 //
-// The successor sends its format version as one byte when it is about to serve. A predecessor of version 1 or below
-// answers with the same byte. From version 2 on it answers with the byte toldAll, the length of its state in eight bytes
-// (big-endian) and the state.
+// The successor sends its format version as one byte when it is about to serve. Up to version 1, the
+// predecessor answers with the same byte. From version 2 on it answers with the byte stateMarker, the length of its state in
+// eight bytes (big-endian) and the state.
 package handover
 
 import (
@@ -24,28 +24,29 @@
 )
 
 const (
-	takeFor  = time.Second // a predecessor that does not answer within this counts as absent
-	mostText = 4 << 10     // bytes of the addresses
-	mostFD   = 8           // descriptors in one message
+	handshakeTimeout = time.Second // a predecessor that does not answer within this counts as absent
+	maxAddressBytes  = 4 << 10     // bytes of the addresses
+	maxSockets       = 8           // descriptors in one message
 
-	tellFor  = 5 * time.Second // the state may be megabytes
-	mostTold = 1 << 30         // bytes of the state
-	format   = 2               // format version that a successor sends
-	toldAll  = 3               // first byte of an answer that contains the state
+	stateTimeout  = 5 * time.Second // the state may be megabytes
+	maxStateBytes = 1 << 30         // bytes of the state
+	formatVersion = 2               // format version that a successor sends
+	stateMarker   = 3               // first byte of an answer that contains the state
 )
 
-// Offer passes the sockets to each successor that connects.
+// Offer passes listening sockets to each successor that connects.
 type Offer struct {
-	ln         *net.UnixListener
-	successors atomic.Int32
-	know       func() []byte
-	gone       func()
+	ln             *net.UnixListener
+	successors     atomic.Int32
+	state          func() []byte
+	successorEnded func()
 }
 
 // New offers listening sockets, keyed by the addresses they were opened for, on a Unix socket at path. A file at that path
-// was left by an earlier process and is replaced. When a successor is about to serve, know returns the state that it needs;
-// gone is called once that successor has ended.
-func New(path string, sockets map[string]*net.TCPListener, know func() []byte, gone func(), log zerolog.Logger) (*Offer, error) {
+// was left by an earlier process and is replaced. When a successor is about to serve, state returns the state that it
+// needs; successorEnded is called once that successor has ended.
+func New(path string, sockets map[string]*net.TCPListener, state func() []byte, successorEnded func(),
+	log zerolog.Logger) (*Offer, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
@@ -54,7 +55,7 @@
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false) // by then the successor's socket may be at the path
-	o := &Offer{ln: ln, know: know, gone: gone}
+	o := &Offer{ln: ln, state: state, successorEnded: successorEnded}
 	go func() {
 		for {
 			conn, err := ln.AcceptUnix()
@@ -63,17 +64,17 @@
 			}
 			if err != nil {
 				log.Warn().Err(err).Msg("handover")
-				time.Sleep(takeFor)
+				time.Sleep(handshakeTimeout)
 				continue
 			}
-			go o.give(conn, sockets, log)
+			go o.serveSuccessor(conn, sockets, log)
 		}
 	}()
 	return o, nil
 }
 
-// give sends the sockets and then keeps the connection, whose end shows that the successor has ended.
-func (o *Offer) give(conn *net.UnixConn, sockets map[string]*net.TCPListener, log zerolog.Logger) {
+// serveSuccessor sends the sockets and then keeps the connection, whose end shows that the successor has ended.
+func (o *Offer) serveSuccessor(conn *net.UnixConn, sockets map[string]*net.TCPListener, log zerolog.Logger) {
 	defer conn.Close()
 	var names []string
 	var fds []int
@@ -98,16 +99,16 @@
 	if n, _ := conn.Read(b[:]); n == 0 {
 		return
 	}
-	defer o.gone() // after the successor has ended
-	text := o.know()
+	defer o.successorEnded() // after the successor has ended
+	state := o.state()
 	o.successors.Add(1)
 	defer o.successors.Add(-1)
-	log.Info().Int("bytes", len(text)).Msg("a successor serves")
+	log.Info().Int("bytes", len(state)).Msg("a successor serves")
 	answer := b[:] // an earlier build expects only its own byte
-	if b[0] >= format {
-		answer = append(binary.BigEndian.AppendUint64([]byte{toldAll}, uint64(len(text))), text...)
+	if b[0] >= formatVersion {
+		answer = append(binary.BigEndian.AppendUint64([]byte{stateMarker}, uint64(len(state))), state...)
 	}
-	conn.SetWriteDeadline(time.Now().Add(tellFor))
+	conn.SetWriteDeadline(time.Now().Add(stateTimeout))
 	conn.Write(answer)
 	conn.Read(b[:])
 }
@@ -119,46 +120,46 @@
 	if err != nil {
 		return 0, err
 	}
-	if e := raw.Control(func(of uintptr) { fd, err = syscall.Dup(int(of)) }); e != nil {
+	if e := raw.Control(func(original uintptr) { fd, err = syscall.Dup(int(original)) }); e != nil {
 		return 0, e
 	}
 	return fd, err
 }
 
-// AnnounceServing notifies the predecessor that this process is about to serve, and waits for its answer with a timeout, so that
-// the predecessor knows of its successor before it receives a notice to exit. It returns the predecessor's state. If told is
-// false, the predecessor sent none because it has ended, hangs or is an earlier build, and may still start requests that it
-// does not report.
-func AnnounceServing(tie net.Conn) (text []byte, told bool) {
-	tie.SetDeadline(time.Now().Add(takeFor))
-	defer tie.SetDeadline(time.Time{})
-	if _, err := tie.Write([]byte{format}); err != nil {
+// AnnounceServing notifies the predecessor that this process is about to serve, and waits for its answer with a timeout, so
+// that the predecessor knows of its successor before it receives a notice to exit. It returns the predecessor's state. If
+// complete is false, the predecessor did not send its state because it has ended, hangs or is an earlier build, and may still
+// start requests that it does not report.
+func AnnounceServing(predecessor net.Conn) (state []byte, complete bool) {
+	predecessor.SetDeadline(time.Now().Add(handshakeTimeout))
+	defer predecessor.SetDeadline(time.Time{})
+	if _, err := predecessor.Write([]byte{formatVersion}); err != nil {
 		return nil, false
 	}
-	var head [9]byte
-	if _, err := io.ReadFull(tie, head[:1]); err != nil || head[0] != toldAll {
+	var header [9]byte
+	if _, err := io.ReadFull(predecessor, header[:1]); err != nil || header[0] != stateMarker {
 		return nil, false
 	}
-	tie.SetDeadline(time.Now().Add(tellFor))
-	if _, err := io.ReadFull(tie, head[1:]); err != nil {
+	predecessor.SetDeadline(time.Now().Add(stateTimeout))
+	if _, err := io.ReadFull(predecessor, header[1:]); err != nil {
 		return nil, false
 	}
-	size := binary.BigEndian.Uint64(head[1:])
-	if size > mostTold {
+	size := binary.BigEndian.Uint64(header[1:])
+	if size > maxStateBytes {
 		return nil, false
 	}
-	text = make([]byte, size)
-	_, err := io.ReadFull(tie, text)
-	return text, err == nil
+	state = make([]byte, size)
+	_, err := io.ReadFull(predecessor, state)
+	return state, err == nil
 }
 
 // WaitForExit waits until the predecessor has ended.
-func WaitForExit(tie net.Conn) {
-	io.Copy(io.Discard, tie)
+func WaitForExit(predecessor net.Conn) {
+	io.Copy(io.Discard, predecessor)
 }
 
-// HasSuccessor reports whether a successor that serves on the sockets is alive. A successor that has the sockets but does not serve
-// yet does not count, since it may never accept the queued connections.
+// HasSuccessor reports whether a successor that serves on the sockets is alive. A successor that has the sockets but does not
+// serve yet does not count, since it may never accept the queued connections.
 func (o *Offer) HasSuccessor() bool { return o != nil && o.successors.Load() > 0 }
 
 // Close stops offering the sockets.
@@ -169,9 +170,10 @@
 }
 
 // Take requests the sockets that a predecessor offers at path, keyed by their addresses. If there is no predecessor, it
-// returns no sockets and no error. The connection tie has to stay open for as long as this process is to be the successor.
-func Take(path string) (sockets map[string]*net.TCPListener, tie net.Conn, err error) {
-	conn, err := net.DialTimeout("unix", path, takeFor)
+// returns no sockets and no error. The connection to the predecessor has to stay open for as long as
+// this process is to be the successor.
+func Take(path string) (sockets map[string]*net.TCPListener, predecessor net.Conn, err error) {
+	conn, err := net.DialTimeout("unix", path, handshakeTimeout)
 	if err != nil {
 		return nil, nil, nil // no predecessor, or one that ended and left its socket file
 	}
@@ -183,9 +185,9 @@
 			}
 		}
 	}()
-	conn.SetReadDeadline(time.Now().Add(takeFor))
-	text, control := make([]byte, mostText), make([]byte, syscall.CmsgSpace(4*mostFD))
-	n, nc, _, _, err := conn.(*net.UnixConn).ReadMsgUnix(text, control)
+	conn.SetReadDeadline(time.Now().Add(handshakeTimeout))
+	addresses, control := make([]byte, maxAddressBytes), make([]byte, syscall.CmsgSpace(4*maxSockets))
+	n, nc, _, _, err := conn.(*net.UnixConn).ReadMsgUnix(addresses, control)
 	if err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
@@ -198,7 +200,7 @@
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
 	sockets = map[string]*net.TCPListener{}
-	names := strings.Split(string(text[:n]), "\n")
+	names := strings.Split(string(addresses[:n]), "\n")
 	for i, fd := range fds {
 		syscall.CloseOnExec(fd)
 		f := os.NewFile(uintptr(fd), "handed over")
--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -1,4 +1,4 @@
-// Package members sends heartbeats to the membership service, each in one UDP datagram.
+// Package members reports to the membership service, with one UDP datagram per report.
 package members
 
 import (
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// every is the interval between reports. The service expires an entry after 3 s without a report, and may lose a quarter
-// of the reports: the 14 reports within 3 s are all lost about once in 250 million times.
-const every = 200 * time.Millisecond
+// reportInterval is the time between reports. The service expires an entry after 3 s without a report, and a quarter of the
+// reports may be lost: the 14 reports within 3 s are all lost about once in 250 million times.
+const reportInterval = 200 * time.Millisecond
 
 // Reporter reports to the membership service that the order server is up or leaving.
 type Reporter struct {
-	name  string
-	every time.Duration
-	dial  func(address string) (net.Conn, error)
-	kick  chan struct{} // requests a report at once
+	name     string
+	interval time.Duration
+	dial     func(address string) (net.Conn, error)
+	wakeup   chan struct{} // requests a report at once
 
 	mu      sync.Mutex
 	address string
@@ -26,7 +26,7 @@
 
 // New returns a reporter that reports the order server's name to an address; Run sends the reports.
 func New(address, name string) *Reporter {
-	return &Reporter{address: address, name: name, every: every, kick: make(chan struct{}, 1),
+	return &Reporter{address: address, name: name, interval: reportInterval, wakeup: make(chan struct{}, 1),
 		dial: func(address string) (net.Conn, error) { return net.Dial("udp", address) }}
 }
 
@@ -43,12 +43,13 @@
 	defer r.mu.Unlock()
 	r.address = address
 	select {
-	case r.kick <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (r *Reporter) now() (address, report string) {
+// current returns the present address and the report to send there.
+func (r *Reporter) current() (address, report string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.leaving {
@@ -60,41 +61,41 @@
 // Run sends reports until the context ends, and none while the address is empty. A report is lost if the service is down.
 func (r *Reporter) Run(ctx context.Context) {
 	var conn net.Conn
-	var at string
-	drop := func() {
+	var connAddress string
+	closeConn := func() {
 		if conn != nil {
 			conn.Close()
 		}
 		conn = nil
 	}
-	defer drop()
-	tick := time.NewTicker(r.every)
-	defer tick.Stop()
+	defer closeConn()
+	ticker := time.NewTicker(r.interval)
+	defer ticker.Stop()
 	for {
-		address, report := r.now()
-		if address != at {
-			drop()
-			at = address
+		address, report := r.current()
+		if address != connAddress {
+			closeConn()
+			connAddress = address
 		}
 		// If an earlier report was refused, the socket returns that error for the next write and does not send it. That
 		// report is sent again at once on a new socket, so that a restarted service receives the first report after its start.
-		for try := 0; try < 2 && at != ""; try++ {
+		for attempt := 0; attempt < 2 && connAddress != ""; attempt++ {
 			if conn == nil {
-				if conn, _ = r.dial(at); conn == nil {
+				if conn, _ = r.dial(connAddress); conn == nil {
 					break
 				}
 			}
-			conn.SetWriteDeadline(time.Now().Add(every)) // a full send queue must not delay later reports
+			conn.SetWriteDeadline(time.Now().Add(reportInterval)) // a full send queue must not delay later reports
 			if _, err := conn.Write([]byte(report)); err == nil {
 				break
 			}
-			drop()
+			closeConn()
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
-		case <-r.kick:
+		case <-ticker.C:
+		case <-r.wakeup:
 		}
 	}
 }
--- a/internal/net/members/members_test.go
+++ b/internal/net/members/members_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-func listen(t *testing.T, at string) net.PacketConn {
+func listenUDP(t *testing.T, address string) net.PacketConn {
 	t.Helper()
-	c, err := net.ListenPacket("udp", at)
+	c, err := net.ListenPacket("udp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -17,7 +17,7 @@
 	return c
 }
 
-func want(t *testing.T, c net.PacketConn, report string) {
+func wantReport(t *testing.T, c net.PacketConn, report string) {
 	t.Helper()
 	b := make([]byte, 100)
 	n, _, err := c.ReadFrom(b)
@@ -29,43 +29,43 @@
 // The service stops between two reports and restarts between two later ones. Guards against losing the report whose write
 // returns the refusal of the one before. Reports continue after a change of address and during a drain, and none is sent
 // while the address is empty.
-func TestReportsOutliveTheService(t *testing.T) {
-	c := listen(t, "127.0.0.1:0")
-	at := c.LocalAddr().String()
-	r := New(at, "n1")
-	r.every = time.Hour // reports are sent on request only
+func TestReportsResumeAfterServiceRestart(t *testing.T) {
+	c := listenUDP(t, "127.0.0.1:0")
+	address := c.LocalAddr().String()
+	r := New(address, "n1")
+	r.interval = time.Hour // reports are sent on request only
 	go r.Run(t.Context())
-	want(t, c, "HB n1 UP")
+	wantReport(t, c, "HB n1 UP")
 	c.Close()
-	probe, err := net.Dial("udp", at)
+	probe, err := net.Dial("udp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer probe.Close()
-	r.SetAddress(at) // refused; the socket returns the error on the next write
+	r.SetAddress(address) // refused; the socket returns the error on the next write
 	for refused := false; !refused; time.Sleep(time.Millisecond) {
 		_, err := probe.Write([]byte("x"))
 		refused = err != nil // by now the reporter's socket has its error as well
 	}
-	c = listen(t, at)
-	r.SetAddress(at)
-	want(t, c, "HB n1 UP")
-	other := listen(t, "127.0.0.1:0")
+	c = listenUDP(t, address)
+	r.SetAddress(address)
+	wantReport(t, c, "HB n1 UP")
+	other := listenUDP(t, "127.0.0.1:0")
 	r.SetAddress("")
 	r.Leave()
 	r.SetAddress(other.LocalAddr().String())
-	want(t, other, "HB n1 OUT")
+	wantReport(t, other, "HB n1 OUT")
 }
 
 // Neither a report whose write blocks nor reports that get no answer delay the later ones.
-func TestReportsComeBehindOneThatIsBlocked(t *testing.T) {
-	c := listen(t, "127.0.0.1:0")
+func TestBlockedReportDoesNotDelayLaterOnes(t *testing.T) {
+	c := listenUDP(t, "127.0.0.1:0")
 	r := New(c.LocalAddr().String(), "n1")
-	r.every = time.Millisecond
-	udp, blocked := r.dial, true
+	r.interval = time.Millisecond
+	dialUDP, blocked := r.dial, true
 	r.dial = func(address string) (net.Conn, error) {
 		if !blocked {
-			return udp(address)
+			return dialUDP(address)
 		}
 		blocked = false
 		near, far := net.Pipe() // the far end is never read
@@ -74,6 +74,6 @@
 	}
 	go r.Run(t.Context())
 	for range 20 { // the service answers none
-		want(t, c, "HB n1 UP")
+		wantReport(t, c, "HB n1 UP")
 	}
 }
--- a/internal/net/meter/meter.go
+++ b/internal/net/meter/meter.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// ByteCounts holds the bytes received (In) and sent (Out) since the start of the process.
+// ByteCounts holds the bytes received (In) and sent (Out) since counting began.
 type ByteCounts struct{ In, Out atomic.Uint64 }
 
 // Conn is a connection that counts its bytes.
--- a/internal/net/operator/operator.go
+++ b/internal/net/operator/operator.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	callFor  = 2 * time.Second // for reading a call, and for answering it
-	mostHead = 4 << 10         // bytes of a call's header; bodies are ignored
+	callTimeout    = 2 * time.Second // for reading a call, and for answering it
+	maxHeaderBytes = 4 << 10         // bytes of a call's header; bodies are ignored
 )
 
 // Calls contains the functions behind the operators' calls. None of them may block.
 type Calls struct {
-	Ready   func() bool // reports whether this process can serve
-	Metrics func() any
-	Drain   func(away bool)             // asks clients to go elsewhere, or accepts them again
+	Ready   func() bool                 // reports whether this process can serve
+	Metrics func() any                  // returns the server's metrics, to be encoded as JSON
+	Drain   func(away bool)             // sends clients away, or ends that
 	Extra   map[string]http.HandlerFunc // further calls, keyed by method and path
 }
 
 // Front serves the calls of operators.
 type Front struct {
-	ln     net.Listener
-	most   int // connections; beyond this number a new one replaces the oldest
-	server *http.Server
+	ln       net.Listener
+	maxConns int // connections; beyond this number a new one replaces the oldest
+	server   *http.Server
 
-	mu   sync.Mutex
-	open []net.Conn // oldest first
+	mu    sync.Mutex
+	conns []net.Conn // oldest first
 }
 
 // Listen opens the listening socket, on which at most the given number of connections are kept. Serve has to be called next.
-func Listen(address string, most int, calls Calls, log zerolog.Logger) (*Front, error) {
+func Listen(address string, maxConns int, calls Calls, log zerolog.Logger) (*Front, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	f := &Front{ln: ln, most: most}
+	f := &Front{ln: ln, maxConns: maxConns}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !calls.Ready() {
@@ -60,10 +60,11 @@
 			calls.Drain(away)
 		})
 	}
-	for path, call := range calls.Extra {
-		mux.HandleFunc(path, call)
+	for path, handler := range calls.Extra {
+		mux.HandleFunc(path, handler)
 	}
-	f.server = &http.Server{Handler: mux, ReadTimeout: callFor, WriteTimeout: callFor, MaxHeaderBytes: mostHead, ConnState: f.state}
+	f.server = &http.Server{Handler: mux, ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: f.trackConn}
 	f.server.SetKeepAlivesEnabled(false)
 	return f, nil
 }
@@ -85,22 +86,22 @@
 	f.server.Close()
 }
 
-// state tracks open connections and closes the oldest if there are too many. This guards against clients that connect and
-// complete no call: they must not exclude others until their timeout.
-func (f *Front) state(conn net.Conn, s http.ConnState) {
+// trackConn tracks open connections and closes the oldest if there are too many. This guards against clients that connect
+// and complete no call: they must not exclude others until their timeout.
+func (f *Front) trackConn(conn net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		f.open = append(f.open, conn)
-		if len(f.open) > f.most {
-			f.open[0].Close()
-			f.open = f.open[1:]
+		f.conns = append(f.conns, conn)
+		if len(f.conns) > f.maxConns {
+			f.conns[0].Close()
+			f.conns = f.conns[1:]
 		}
 	case http.StateClosed, http.StateHijacked:
-		for i, o := range f.open {
+		for i, o := range f.conns {
 			if o == conn {
-				f.open = append(f.open[:i], f.open[i+1:]...)
+				f.conns = append(f.conns[:i], f.conns[i+1:]...)
 				return
 			}
 		}
--- a/internal/net/rare_test.go
+++ b/internal/net/rare_test.go
@@ -16,21 +16,21 @@
 	"puffinsaddle/policy"
 )
 
-// leaving starts a shutdown on a clock that the test sets, and returns once new connections are refused. From then on the
-// process only waits until it is quiescent.
-func leaving(t *testing.T, h *house, p *routerPeer, clk *clock.Clock) (left chan struct{}) {
+// beginShutdown starts a shutdown on a clock that the test sets, and returns once new connections are refused. From then on
+// the process only waits until it is quiescent.
+func beginShutdown(t *testing.T, h *testServer, p *fakeRouter, clk *clock.Clock) (shutdownDone chan struct{}) {
 	t.Helper()
-	left = make(chan struct{})
+	shutdownDone = make(chan struct{})
 	go func() {
-		h.core.Shutdown(start, 1200, h.resp)
-		close(left)
+		h.core.Shutdown(startMS, 1200, h.resp)
+		close(shutdownDone)
 	}()
 	p.want("0", "closing")
-	clk.Set(start + 951)
+	clk.Set(startMS + 951)
 	for {
 		conn, err := net.Dial("tcp", h.resp.Addr().String())
 		if err != nil {
-			return left
+			return shutdownDone
 		}
 		conn.Close()
 		time.Sleep(time.Millisecond)
@@ -39,101 +39,101 @@
 
 // A request is sent before its router receives the closing message, and is read while the process waits until it is
 // quiescent. Guards against a process that exits while that request runs.
-func TestLastLookSeesWhatCrossed(t *testing.T) {
-	x, h, clk := keyed(t, nil)
+func TestShutdownWaitsForRequestThatCrossesClosing(t *testing.T) {
+	x, h, clk := newKeyedServer(t, nil)
 	p := h.router()
 	p.send("HEALTH", "1") // its answer shows that the connection was accepted
 	p.want("1", "healthy")
-	left := leaving(t, h, p, clk)
-	p.req(1, 1, "book-delivery", fmt.Sprintf(",at=%.0f", start+951), "a")
+	shutdownDone := beginShutdown(t, h, p, clk)
+	p.sendRequest(1, 1, "book-delivery", fmt.Sprintf(",at=%.0f", startMS+951), "a")
 	x.want("EXEC", id(1))
 	for now := 951.0; now < 1100; now += 10 { // up to the latest exit of the process
-		clk.Set(start + now)
+		clk.Set(startMS + now)
 	}
 	time.Sleep(20 * time.Millisecond) // a process that does not check again exits here; a correct one keeps waiting
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	p.want("1", "done", "", "A")
-	clk.Set(start + 1300)
-	<-left
+	clk.Set(startMS + 1300)
+	<-shutdownDone
 }
 
-// looked is a front that counts how often the process checks whether its output is written.
-type looked struct {
+// flushCounter is a front that counts how often the process checks whether its output is written.
+type flushCounter struct {
 	core.Front
-	looks atomic.Int64
+	calls atomic.Int64
 }
 
-func (l *looked) Flushed() bool {
-	l.looks.Add(1)
+func (l *flushCounter) Flushed() bool {
+	l.calls.Add(1)
 	return l.Front.Flushed()
 }
 
 // The same for a process that was replaced: a request that was sent before its router received the closing message is read
 // while the process waits until it is quiescent.
-func TestLastLookBesideASuccessor(t *testing.T) {
-	x, h, clk := keyed(t, nil)
+func TestYieldWaitsForRequestThatCrossesClosing(t *testing.T) {
+	x, h, clk := newKeyedServer(t, nil)
 	p := h.router()
 	p.send("HEALTH", "1")
 	p.want("1", "healthy")
-	front, left := &looked{Front: h.resp}, make(chan struct{})
+	front, yieldDone := &flushCounter{Front: h.resp}, make(chan struct{})
 	go func() {
-		h.core.YieldToSuccessor(start, front)
-		close(left)
+		h.core.YieldToSuccessor(startMS, front)
+		close(yieldDone)
 	}()
 	p.want("0", "closing")
-	clk.Set(start + 999) // from 1000 ms on the process may exit once it is quiescent
-	p.req(1, 1, "book-delivery", fmt.Sprintf(",at=%.0f", start+999), "a")
+	clk.Set(startMS + 999) // from 1000 ms on the process may exit once it is quiescent
+	p.sendRequest(1, 1, "book-delivery", fmt.Sprintf(",at=%.0f", startMS+999), "a")
 	x.want("EXEC", id(1))
 	for now := 1000.0; now < 3600; now += 200 {
-		clk.Set(start + now)
-		for n := front.looks.Load() + 2; front.looks.Load() < n; time.Sleep(time.Millisecond) {
+		clk.Set(startMS + now)
+		for n := front.calls.Load() + 2; front.calls.Load() < n; time.Sleep(time.Millisecond) {
 			select {
-			case <-left:
+			case <-yieldDone:
 				t.Fatalf("exited after %.0f ms while a request was running", now)
 			default:
 			}
 		}
 	}
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	p.want("1", "done", "", "A")
-	clk.Set(start + 4000)
-	<-left
+	clk.Set(startMS + 4000)
+	<-yieldDone
 }
 
 // Requests that the executor rejects as unknown fail. On a connection that had no request served, later requests then fail
 // without reaching the module, running ones still get their answers, and reading stops if the invalid requests continue. A
 // connection that had a request served is exempt. Guards against closing such connections with valid requests open.
-func TestForgedRequestsTakeNoRoomAndLoseNothing(t *testing.T) {
-	x, h := serving(t)
+func TestUnknownRequestsDoNotFailValidOnes(t *testing.T) {
+	x, h := newReadyServer(t)
 	good, bad := h.router(), h.router()
-	good.req(1, 1, "book-delivery", "", "a")
+	good.sendRequest(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	good.want("1", "done", "", "A")
-	for i, p := range []*routerPeer{bad, good} {
-		p.req(2, 10+i, "book-delivery", "", "b")
+	for i, p := range []*fakeRouter{bad, good} {
+		p.sendRequest(2, 10+i, "book-delivery", "", "b")
 		x.want("EXEC", id(10+i))
-		p.req(3, 20+i, "book-delivery", "", "c")
+		p.sendRequest(3, 20+i, "book-delivery", "", "c")
 		x.want("EXEC", id(20+i))
-		x.say("BAD EXEC %s", id(10+i))
+		x.send("BAD EXEC %s", id(10+i))
 		p.want("2", "error")
 	}
 	for tag := 4; tag < 12; tag++ {
-		bad.req(tag, 100+tag, "book-delivery", "", "d")
+		bad.sendRequest(tag, 100+tag, "book-delivery", "", "d")
 		bad.want(fmt.Sprint(tag), "error")
 	}
-	good.req(4, 30, "book-delivery", "", "e")
+	good.sendRequest(4, 30, "book-delivery", "", "e")
 	x.want("EXEC", id(30)) // none of the eight before was started
-	bad.req(12, 112, "book-delivery", "", "d")
+	bad.sendRequest(12, 112, "book-delivery", "", "d")
 	for i := range 2 {
-		x.notice("EXIT", id(20+i)+" success 1", "C")
+		x.sendNotice("EXIT", id(20+i)+" success 1", "C")
 	}
 	bad.want("3", "done", "", "C")
 	if n, err := io.Copy(io.Discard, bad.r); n > 0 {
 		t.Errorf("the ninth invalid request was answered with %d bytes, %v", n, err)
 	}
 	good.want("3", "done", "", "C")
-	x.notice("EXIT", id(30)+" success 1", "E")
+	x.sendNotice("EXIT", id(30)+" success 1", "E")
 	good.want("4", "done", "", "E")
 }
 
@@ -141,35 +141,35 @@
 // the time the new connection passes the barrier. RETURN does not identify a call, so a RETURN that is sent again would be
 // taken as the reply to the next call. If the call may be skipped, a BYPASS with the call's number is sent; otherwise the
 // request fails. In no case may a reply reach another call.
-func TestReplyOfUnknownFateIsNotSentAgain(t *testing.T) {
+func TestReplyOfUnknownDeliveryIsNotResent(t *testing.T) {
 	set := settings
 	set.Classes = append(slices.Clone(set.Classes), policy.Class{Name: "needy", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second,
 		Worth: 4, LateValue: 1, Calls: true})
 	x := newExecutor(t)
-	h := withExecutorBy(t, clock.System(), set, x, newVault(t, func(w http.ResponseWriter, r *http.Request) {
+	h := newServerWithExecutorOnClock(t, clock.System(), set, x, startVault(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "for %s", b)
 	}))
-	x.welcome(0)
-	x.pass()
+	x.acceptJoin(0)
+	x.answerBarrier()
 	p := h.router()
-	p.req(1, 1, "tank-level", "", "a")
+	p.sendRequest(1, 1, "tank-level", "", "a")
 	x.want("EXEC", id(1))
-	p.req(2, 2, "needy", "", "b")
+	p.sendRequest(2, 2, "needy", "", "b")
 	x.want("EXEC", id(2))
-	x.mute = true
+	x.ignoreMeters = true
 	for n := 1; n <= 2; n++ {
-		x.notice("CALLOUT", id(n), fmt.Sprint("call ", n))
+		x.sendNotice("CALLOUT", id(n), fmt.Sprint("call ", n))
 		if c := x.want("RETURN", id(n)); string(c.body) != fmt.Sprint("for call ", n) {
 			t.Errorf("the run got %q", c.body)
 		}
 	}
-	x.cut() // nothing that was sent after the replies was answered
-	x.rejoin(2)
-	x.mute = false
-	x.pass()
-	x.notice("CALLOUT", id(1), "call 3") // both replies had arrived
-	x.notice("CALLOUT", id(2), "call 4")
+	x.closeConn() // nothing that was sent after the replies was answered
+	x.acceptRejoin(2)
+	x.ignoreMeters = false
+	x.answerBarrier()
+	x.sendNotice("CALLOUT", id(1), "call 3") // both replies had arrived
+	x.sendNotice("CALLOUT", id(2), "call 4")
 	p.want("2", "error")
 	if c := x.want("BYPASS", id(1)); c.words[2] != "1" {
 		t.Errorf("BYPASS names the call of notice %s, want 1", c.words[2])
@@ -177,126 +177,126 @@
 	if c := x.want("RETURN", id(1)); string(c.body) != "for call 3" {
 		t.Errorf("the call got %q", c.body)
 	}
-	x.notice("EXIT", id(2)+" interrupted 5", "")
-	x.notice("EXIT", id(1)+" success 5", "A")
+	x.sendNotice("EXIT", id(2)+" interrupted 5", "")
+	x.sendNotice("EXIT", id(1)+" success 5", "A")
 	p.want("1", "done", "", "A")
 }
 
 // As above, but a METER that was sent after the reply was answered before the break. The reply arrived, so nothing is sent
 // again.
-func TestReplyThatArrivedIsLeftAlone(t *testing.T) {
+func TestConfirmedReplyIsNotResent(t *testing.T) {
 	x := newExecutor(t)
-	h := withExecutor(t, x, newVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "reply") }))
-	x.welcome(0)
-	x.pass()
+	h := newServerWithExecutor(t, x, startVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "reply") }))
+	x.acceptJoin(0)
+	x.answerBarrier()
 	p := h.router()
-	p.req(1, 1, "tank-level", "", "a")
+	p.sendRequest(1, 1, "tank-level", "", "a")
 	x.want("EXEC", id(1))
-	x.notice("CALLOUT", id(1), "q")
+	x.sendNotice("CALLOUT", id(1), "q")
 	x.want("RETURN", id(1))
-	p.req(2, 2, "book-delivery", "", "b")
-	x.want("EXEC", id(2)) // next answered a METER before this
-	x.notice("EXIT", id(2)+" success 1", "B")
+	p.sendRequest(2, 2, "book-delivery", "", "b")
+	x.want("EXEC", id(2)) // nextCommand answered a METER before this
+	x.sendNotice("EXIT", id(2)+" success 1", "B")
 	p.want("2", "done", "", "B")
-	x.cut()
-	x.rejoin(2)
-	x.pass()
-	p.req(3, 3, "book-delivery", "", "c")
-	x.want("EXEC", id(3)) // the first command of all
-	x.notice("EXIT", id(1)+" success 5", "A")
+	x.closeConn()
+	x.acceptRejoin(2)
+	x.answerBarrier()
+	p.sendRequest(3, 3, "book-delivery", "", "c")
+	x.want("EXEC", id(3)) // the first command after the reconnection
+	x.sendNotice("EXIT", id(1)+" success 5", "A")
 	p.want("1", "done", "", "A")
 }
 
 // The executor ends during a run and another one starts at its address. The run fails, and later requests run on the new
 // executor. Guards against dropping its notices, whose numbers start at 1 again, as repeats of old ones.
-func TestAnotherExecutorIsJoinedAnew(t *testing.T) {
-	x, h := serving(t)
+func TestReplacedExecutorIsJoinedFromFirstNotice(t *testing.T) {
+	x, h := newReadyServer(t)
 	p := h.router()
-	p.req(1, 1, "book-delivery", "", "a")
+	p.sendRequest(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
-	p.req(2, 2, "book-delivery", "", "b")
+	p.sendRequest(2, 2, "book-delivery", "", "b")
 	x.want("EXEC", id(2))
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	p.want("1", "done", "", "A")
-	x.cut()
+	x.closeConn()
 	x.want("JOIN", "1")
-	time.Sleep(1100 * time.Millisecond) // long enough for the executor's age to show that it is another one
-	x.born, x.n = time.Now(), 0
-	x.hail()
+	time.Sleep(1100 * time.Millisecond) // beyond restartTolerance, so that the age shows a new executor
+	x.startedAt, x.lastNotice = time.Now(), 0
+	x.sendWelcome()
 	p.want("2", "error")
 	x.want("JOIN", "0")
-	x.hail()
-	x.pass()
-	p.req(3, 3, "book-delivery", "", "c")
+	x.sendWelcome()
+	x.answerBarrier()
+	p.sendRequest(3, 3, "book-delivery", "", "c")
 	x.want("EXEC", id(3))
-	x.notice("EXIT", id(3)+" success 1", "C")
+	x.sendNotice("EXIT", id(3)+" success 1", "C")
 	p.want("3", "done", "", "C")
 }
 
 // The new executor is cold and cannot take the load that the warm one took. Guards against starting a second request beside
 // the first, as on the warm executor.
-func TestAnotherExecutorIsCold(t *testing.T) {
+func TestReplacedExecutorStartsCold(t *testing.T) {
 	set := settings
 	set.Cores, set.ColdSpeedShare, set.WarmupPeriod = 1, 0, time.Hour
 	x := newExecutor(t)
-	h := withExecutorBy(t, clock.System(), set, x, "127.0.0.1:1")
-	x.welcome(0)
-	x.pass()
+	h := newServerWithExecutorOnClock(t, clock.System(), set, x, "127.0.0.1:1")
+	x.acceptJoin(0)
+	x.answerBarrier()
 	p := h.router()
 	for n := 1; n <= 2; n++ { // the warm executor runs both
-		p.req(n, n, "book-delivery", "", "a")
+		p.sendRequest(n, n, "book-delivery", "", "a")
 		x.want("EXEC", id(n))
 	}
-	x.cut()
+	x.closeConn()
 	x.want("JOIN", "0")
-	time.Sleep(1100 * time.Millisecond) // long enough for the executor's age to show that it is another one
-	x.say("WELCOME booting 0")
+	time.Sleep(1100 * time.Millisecond) // beyond restartTolerance, so that the age shows a new executor
+	x.send("WELCOME booting 0")
 	for range 2 {
-		if a := p.answer(); a[1] != "error" {
+		if a := p.readAnswer(); a[1] != "error" {
 			t.Errorf("answered %q", a)
 		}
 	}
 	x.want("JOIN", "0")
-	x.say("WELCOME booting 0")
-	x.pass()
+	x.send("WELCOME booting 0")
+	x.answerBarrier()
 	handled := make(chan struct{})
 	h.core.AfterPendingEvents(func() { close(handled) })
 	<-handled
-	p.req(3, 3, "book-delivery", "", "c")
+	p.sendRequest(3, 3, "book-delivery", "", "c")
 	x.want("EXEC", id(3))
-	p.req(4, 4, "book-delivery", ",wait=500", "d")
+	p.sendRequest(4, 4, "book-delivery", ",wait=500", "d")
 	p.want("4", "later") // it was not started
-	x.notice("EXIT", id(3)+" success 1", "C")
+	x.sendNotice("EXIT", id(3)+" success 1", "C")
 	p.want("3", "done", "", "C")
 }
 
 // A router aborts a request at the same time as its run ends. Whichever event is processed first, the router gets at most
 // one answer and the connection stays usable.
-func TestGivingUpAgainstTheAnswer(t *testing.T) {
-	x, h := serving(t)
+func TestAbortConcurrentWithAnswer(t *testing.T) {
+	x, h := newReadyServer(t)
 	p, seen := h.router(), map[string]int{}
 	for n := 1; n <= 40; n += 2 {
-		p.req(n, n, "book-delivery", "", "a")
+		p.sendRequest(n, n, "book-delivery", "", "a")
 		x.want("EXEC", id(n))
 		if n%4 == 1 {
-			x.notice("EXIT", id(n)+" success 1", "A")
+			x.sendNotice("EXIT", id(n)+" success 1", "A")
 			p.send("ABORT", fmt.Sprint(n))
 		} else {
 			p.send("ABORT", fmt.Sprint(n))
-			x.notice("EXIT", id(n)+" interrupted 1", "")
+			x.sendNotice("EXIT", id(n)+" interrupted 1", "")
 		}
-		p.req(n+1, n+1, "book-delivery", "", "b")
+		p.sendRequest(n+1, n+1, "book-delivery", "", "b")
 		x.want("EXEC", id(n+1))
-		x.notice("EXIT", id(n+1)+" success 1", "B")
-		p.once(seen, n+1)
+		x.sendNotice("EXIT", id(n+1)+" success 1", "B")
+		p.readAnswersUpTo(seen, n+1)
 	}
 }
 
-// once reads up to the answer to a tag. Answers to earlier tags may precede it, at most one for each tag over the whole test;
-// it returns those.
-func (p *routerPeer) once(seen map[string]int, tag int) (before [][]string) {
+// readAnswersUpTo reads up to the answer to a tag and returns the answers before it, which may be to earlier tags. No tag may
+// be answered twice in one test.
+func (p *fakeRouter) readAnswersUpTo(seen map[string]int, tag int) (before [][]string) {
 	p.t.Helper()
-	for a := p.answer(); ; a = p.answer() {
+	for a := p.readAnswer(); ; a = p.readAnswer() {
 		n, _ := strconv.Atoi(a[0])
 		if seen[a[0]]++; seen[a[0]] > 1 || n < 1 || n > tag {
 			p.t.Fatalf("answer %q, number %d for its tag", a, seen[a[0]])
@@ -310,24 +310,24 @@
 
 // A caller aborts its request at the same time as the reply to its downstream call arrives. The executor rejects commands
 // that arrive too late, which must not end anything; neither may rejections of the wrong kind.
-func TestGivingUpACallAgainstItsReply(t *testing.T) {
+func TestAbortConcurrentWithCallReply(t *testing.T) {
 	called, reply := make(chan struct{}), make(chan struct{})
 	x := newExecutor(t)
-	h := withExecutor(t, x, newVault(t, func(w http.ResponseWriter, r *http.Request) {
+	h := newServerWithExecutor(t, x, startVault(t, func(w http.ResponseWriter, r *http.Request) {
 		io.ReadAll(r.Body)
 		called <- struct{}{}
 		<-reply
 		io.WriteString(w, "reply")
 	}))
-	x.welcome(0)
-	x.pass()
+	x.acceptJoin(0)
+	x.answerBarrier()
 	p, seen := h.router(), map[string]int{}
-	begun := func(n int) { // may follow late replies to the calls of aborted requests
+	wantStart := func(n int) { // may follow late replies to the calls of aborted requests
 		t.Helper()
-		c := x.next()
-		for given := 1; c.words[0] == "RETURN" && given <= n; given += 2 {
-			if c.words[1] == id(given) {
-				c, given = x.next(), -1
+		c := x.nextCommand()
+		for aborted := 1; c.words[0] == "RETURN" && aborted <= n; aborted += 2 {
+			if c.words[1] == id(aborted) {
+				c, aborted = x.nextCommand(), -1
 			}
 		}
 		if c.words[0] != "EXEC" || c.words[1] != id(n) {
@@ -335,18 +335,18 @@
 		}
 	}
 	for n := 1; n <= 20; n += 2 {
-		p.req(n, n, "tank-level", "", "a")
-		begun(n)
-		x.notice("CALLOUT", id(n), "q")
+		p.sendRequest(n, n, "tank-level", "", "a")
+		wantStart(n)
+		x.sendNotice("CALLOUT", id(n), "q")
 		<-called
 		go func() { reply <- struct{}{} }()
 		p.send("ABORT", fmt.Sprint(n))
-		x.say("BAD RETURN %s\r\nBAD BYPASS %s\r\nBAD KILL %s\r\nBAD COMMAND", id(n), id(n), id(n))
-		x.notice("EXIT", id(n)+" interrupted 1", "")
-		p.req(n+1, n+1, "book-delivery", "", "b")
-		begun(n + 1)
-		x.notice("EXIT", id(n+1)+" success 1", "B")
-		for _, a := range p.once(seen, n+1) { // answers to aborted requests
+		x.send("BAD RETURN %s\r\nBAD BYPASS %s\r\nBAD KILL %s\r\nBAD COMMAND", id(n), id(n), id(n))
+		x.sendNotice("EXIT", id(n)+" interrupted 1", "")
+		p.sendRequest(n+1, n+1, "book-delivery", "", "b")
+		wantStart(n + 1)
+		x.sendNotice("EXIT", id(n+1)+" success 1", "B")
+		for _, a := range p.readAnswersUpTo(seen, n+1) { // answers to aborted requests
 			if tag, _ := strconv.Atoi(a[0]); tag%2 == 0 || a[1] != "error" {
 				t.Fatalf("answered %q", a)
 			}
