--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -134,7 +134,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %v", errWrong, err)
 	}
-	if !o.Duties.On() {
+	if !o.Duties.Enabled() {
 		return fmt.Errorf("%w: %s: duties.copies is missing", errWrong, w.Operator)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), operatorsWait)
@@ -146,9 +146,9 @@
 	rules := o.Duties.Rules()
 	rules.Duties, rules.PresenceTTLMS = nil, 0 // an operator stands for nothing
 	linked := make(chan struct{}, 1)
-	c := session.NewClient(session.Options{Me: "operator#" + hex.EncodeToString(b[:]), Copies: o.Duties.Copies, Rules: rules,
-		Seed: uint64(b[0]), Steady: clock.Monotonic(), Log: zerolog.Nop(), On: func(e any) {
-			if _, ok := e.(session.Linked); ok {
+	c := session.NewClient(session.Options{ProcessID: "operator#" + hex.EncodeToString(b[:]), ReplicaAddresses: o.Duties.Replicas, Rules: rules,
+		Seed: uint64(b[0]), Steady: clock.Monotonic(), Log: zerolog.Nop(), OnEvent: func(e any) {
+			if _, ok := e.(session.SessionEstablished); ok {
 				select {
 				case linked <- struct{}{}:
 				default:
@@ -162,16 +162,16 @@
 		case <-ctx.Done():
 			return errors.New("no copy that leads was found")
 		}
-		if err := do(ctx, c, o.Duties); !errors.Is(err, session.ErrNotSent) {
+		if err := do(ctx, c, o.Duties); !errors.Is(err, session.ErrNotExecuted) {
 			return err
 		}
 	}
 }
 
-func (w with) read(ctx context.Context, c *session.Client) (d session.Duties, err error) {
+func (w with) read(ctx context.Context, c *session.Client) (d session.DutyStatus, err error) {
 	err = c.Read(ctx, session.ReadDuties, &d)
 	if errors.Is(err, session.ErrUnconfirmed) {
-		err = session.ErrNotSent // to ask again changes nothing
+		err = session.ErrNotExecuted // to ask again changes nothing
 	}
 	return d, err
 }
@@ -188,9 +188,9 @@
 	Fenced uint64  `json:"fenced"`
 }
 
-func rows(d session.Duties, set config.Duties) (all []row) {
+func rows(d session.DutyStatus, set config.Duties) (all []row) {
 	for _, t := range set.List {
-		r := row{Duty: t.Name, TTL: t.TTL, Frozen: d.Table.Frozen[t.Name], Marks: d.Marks[t.Name], Fenced: d.Stale[t.Name]}
+		r := row{Duty: t.Name, TTL: t.TTLMS, Frozen: d.Table.Frozen[t.Name], Marks: d.Marks[t.Name], Fenced: d.StaleCommands[t.Name]}
 		if l := d.Table.Leases[t.Name]; l != nil {
 			r.Holder, r.Epoch, r.Yield = l.Holder, l.Epoch, l.Yield
 		}
@@ -240,7 +240,7 @@
 		if err != nil {
 			return err
 		}
-		return show(out, l.JSON, rows(d, set), d.Words)
+		return show(out, l.JSON, rows(d, set), d.Acknowledgements)
 	})
 }
 
--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -74,24 +74,24 @@
 	Share    float64                `json:"share"`   // calls in hand that may be below beyond the part for being alone
 	Used     float64                `json:"used"`    // calls in hand below of late
 	Version  uint64                 `json:"version"` // published, in force
-	Sessions *session.ServerFigures `json:"sessions,omitempty"`
+	Sessions *session.ServerMetrics `json:"sessions,omitempty"`
 
-	Origin *configwatch.Figures `json:"origin,omitempty"` // of a copy: the relays that watch it
+	Origin *configwatch.Metrics `json:"origin,omitempty"` // of a copy: the relays that watch it
 	Relays *distribution.Report `json:"relays,omitempty"` // of the copy that leads: what the relays reported
 }
 
 // newDuties makes the parts; nothing is sent yet. nil: the operator's file has none.
 func newDuties(cfg *config.Config, clk *clock.Clock, log zerolog.Logger) (*duties, error) {
 	d := cfg.Operator.Duties
-	if !d.On() {
+	if !d.Enabled() {
 		return nil, nil
 	}
 	var b [8]byte
 	if _, err := crand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	h := &duties{cfg: cfg, me: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, steady: clock.Monotonic().SetRate(cfg.Operator.Lab.Rate), log: log}
-	if path := cfg.Operator.Lab.Trace; path != "" {
+	h := &duties{cfg: cfg, me: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, steady: clock.Monotonic().SetRate(cfg.Operator.Lab.ClockRate), log: log}
+	if path := cfg.Operator.Lab.TracePath; path != "" {
 		t, err := trace.Open(path, h.me, h.steady)
 		if err != nil {
 			return nil, err
@@ -99,23 +99,23 @@
 		h.trace = t
 		t.Add(trace.Event{What: trace.Up}, 0)
 	}
-	plant := cfg.Operator.Lab.Plant
+	plant := cfg.Operator.Lab.InjectedBug
 	h.keeper = &work.Runner{Steady: h.steady, Log: log, Trace: h.trace, CheckVersion: h.check}
-	h.client = session.NewClient(session.Options{Me: h.me, Copies: d.Copies, Rules: d.Rules(), Seed: cfg.Seed ^ uint64(b[0])<<8 ^ uint64(b[1]),
-		Steady: h.steady, Log: log, Plant: plant, On: h.keeper.HandleEvent, Need: h.need})
+	h.client = session.NewClient(session.Options{ProcessID: h.me, ReplicaAddresses: d.Replicas, Rules: d.Rules(), Seed: cfg.Seed ^ uint64(b[0])<<8 ^ uint64(b[1]),
+		Steady: h.steady, Log: log, InjectedBug: plant, OnEvent: h.keeper.HandleEvent, Need: h.need})
 	k := h.keeper
 	k.WorkByDuty = map[string]work.Work{}
 	for _, t := range d.List {
-		k.WorkByDuty[t.Name] = k.CounterWork(d.MarkMs)
+		k.WorkByDuty[t.Name] = k.CounterWork(d.MarkIntervalMS)
 	}
-	if d.Allot.Whole > 0 {
-		k.WorkByDuty[work.Allotter] = k.AllotterWork(d.Allot.EveryMs, d.Allot.Room(), plant)
+	if d.Allocation.Total > 0 {
+		k.WorkByDuty[work.Allotter] = k.AllotterWork(d.Allocation.IntervalMS, d.Allocation.Capacity(), plant)
 	}
 	if d.Publish.Manifest != "" {
-		k.WorkByDuty[work.Publisher] = k.PublisherWork(d.Publish.EveryMs, d.Publish.Manifest, h.check)
+		k.WorkByDuty[work.Publisher] = k.PublisherWork(d.Publish.IntervalMS, d.Publish.Manifest, h.check)
 	}
 	if _, on := k.WorkByDuty[work.Settler]; on {
-		k.WorkByDuty[work.Settler] = k.SettlerWork(d.Settle.EveryMs, d.Settle.KeepMs, d.Rate, h.steady)
+		k.WorkByDuty[work.Settler] = k.SettlerWork(d.Resolution.IntervalMS, d.Resolution.RetentionMS, d.MaxDrift, h.steady)
 	}
 	return h, nil
 }
@@ -127,13 +127,13 @@
 	}
 	h.copy = copy
 	d := h.cfg.Operator.Duties
-	g := &duty.Grantor{Rules: d.Rules(), Seed: 1, MaxPresent: d.Allot.Servers, InjectedBug: h.cfg.Operator.Lab.Plant}
-	h.sessions = session.NewServer(copy, g, d.Sessions, h.steady, h.log)
+	g := &duty.Grantor{Rules: d.Rules(), Seed: 1, MaxPresent: d.Allocation.MaxProcesses, InjectedBug: h.cfg.Operator.Lab.InjectedBug}
+	h.sessions = session.NewServer(copy, g, d.MaxSessions, h.steady, h.log)
 	h.sessions.CheckChange = func(c records.Change) error { return checkChange(copy, c) }
-	h.sessions.Led = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
+	h.sessions.OnTermStart = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
 	copy.ServeSessions(h.sessions.Serve)
-	h.origin = relay.NewOrigin(copy, h.steady, h.log, h.cfg.Operator.Lab.Plant)
-	h.origin.Agreed = func(c records.Commit) {
+	h.origin = relay.NewOrigin(copy, h.steady, h.log, h.cfg.Operator.Lab.InjectedBug)
+	h.origin.OnCommit = func(c records.Commit) {
 		h.trace.Add(trace.Event{What: trace.Agreed, N: c.Revision, Text: c.After.String()}, 0)
 	}
 	h.sessions.ConfigStatus = h.origin.Status
@@ -148,8 +148,8 @@
 		return
 	}
 	h.core.Store(c)
-	if a := h.cfg.Operator.Duties.Allot; a.Whole > 0 {
-		alone := a.Room().ReservePerProcess
+	if a := h.cfg.Operator.Duties.Allocation; a.Total > 0 {
+		alone := a.Capacity().ReservePerProcess
 		c.SetDownstreamShareFunc(func() float64 { return float64(alone+h.client.Share()) / allot.UnitsPerCall })
 		h.keeper.ApplyShare = func(_ int64, used func()) { c.AfterPendingEvents(used) }
 	}
@@ -159,7 +159,7 @@
 			farm.SetServers(servers)
 		}
 	}
-	h.client.Switch(duty.Failing) // until the executor is up
+	h.client.SetMode(duty.Failing) // until the executor is up
 	h.keeper.Start(ctx, h.me, h.client)
 	h.look()
 }
@@ -171,7 +171,7 @@
 		return 0
 	}
 	want := c.DownstreamConcurrency()*needMore + needLeast
-	return max(int64(want*allot.UnitsPerCall)-h.cfg.Operator.Duties.Allot.Room().ReservePerProcess, 0)
+	return max(int64(want*allot.UnitsPerCall)-h.cfg.Operator.Duties.Allocation.Capacity().ReservePerProcess, 0)
 }
 
 // look puts the client into the mode that the server is in, now and then.
@@ -189,7 +189,7 @@
 		mode = duty.Cold
 	}
 	h.mu.Unlock()
-	h.client.Switch(mode)
+	h.client.SetMode(mode)
 	if mode != duty.Draining {
 		h.steady.After(modeEvery, h.look)
 	}
@@ -224,7 +224,7 @@
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
-	h.client.Switch(duty.Draining)
+	h.client.SetMode(duty.Draining)
 }
 
 // leave gives back what is left, the presence included, at the end.
@@ -232,7 +232,7 @@
 	if h == nil {
 		return
 	}
-	h.client.Leave()
+	h.client.ReleaseAll()
 	sent := make(chan struct{})
 	h.steady.After(leaveFor, func() { close(sent) })
 	<-sent
@@ -285,11 +285,11 @@
 	if h == nil {
 		return nil
 	}
-	f := &holding{Me: h.me, Linked: h.client.Linked(), Held: map[string]uint64{}, Fenced: h.client.Fenced(),
+	f := &holding{Me: h.me, Linked: h.client.Connected(), Held: map[string]uint64{}, Fenced: h.client.FencedCommands(),
 		Share: float64(h.client.Share()) / allot.UnitsPerCall, Version: h.keeper.VersionInForce()}
 	_, _, f.Present = h.client.Presence()
 	for _, t := range h.cfg.Operator.Duties.List {
-		if r, ok := h.client.May(t.Name); ok {
+		if r, ok := h.client.ActiveGrant(t.Name); ok {
 			f.Held[t.Name] = r.Epoch
 		}
 	}
@@ -297,11 +297,11 @@
 		f.Used = c.DownstreamConcurrency()
 	}
 	if h.sessions != nil {
-		v := h.sessions.Figures()
+		v := h.sessions.Metrics()
 		f.Sessions = &v
 	}
 	if h.origin != nil {
-		v, sum := h.origin.Figures(), h.origin.Report()
+		v, sum := h.origin.Metrics(), h.origin.Report()
 		f.Origin, f.Relays = &v, &sum
 	}
 	return f
@@ -309,7 +309,7 @@
 
 // calls are the laboratory's, on the operators' address.
 func (h *duties) calls() map[string]http.HandlerFunc {
-	if h == nil || !h.cfg.Operator.Lab.Calls {
+	if h == nil || !h.cfg.Operator.Lab.FaultCalls {
 		return nil
 	}
 	return map[string]http.HandlerFunc{"PUT /-/lab/jump": func(w http.ResponseWriter, r *http.Request) {
@@ -326,7 +326,7 @@
 			http.Error(w, "no pick, or no copy", http.StatusBadRequest)
 			return
 		}
-		fmt.Fprint(w, h.copy.Spoil(pick))
+		fmt.Fprint(w, h.copy.CorruptMemory(pick))
 	}}
 }
 
@@ -378,7 +378,7 @@
 			return nil, errors.New("inventory.group is set, and no inventory is published")
 		}
 		for _, host := range hosts.Group(o.Inventory.Group) {
-			list = append(list, host.Endpoint(o.Inventory.Port))
+			list = append(list, host.Endpoint(o.Inventory.DefaultPort))
 		}
 		if len(list) == 0 {
 			return nil, fmt.Errorf("inventory.group: no host is in %q", o.Inventory.Group)
--- a/cmd/puffinsaddle/main.go
+++ b/cmd/puffinsaddle/main.go
@@ -189,7 +189,7 @@
 	applied, rejected := 0, 0
 	var files sync.Mutex
 	if cfg.OperatorListen != "" {
-		ops, err := operator.Listen(cfg.OperatorListen, config.OperatorConns, operator.Calls{Ready: func() bool { return ready.Load() && c.Ready() }, Drain: func(away bool) {
+		ops, err := operator.Listen(cfg.OperatorListen, config.MaxOperatorConnections, operator.Calls{Ready: func() bool { return ready.Load() && c.Ready() }, Drain: func(away bool) {
 			c.ForceUnhealthy(away)
 			held.away(away)
 		}, Metrics: func() any {
@@ -266,14 +266,14 @@
 				}()
 			case !draining:
 				draining = true
-				log.Info().Float64("stop_ms", cfg.StopMs).Msg("draining")
+				log.Info().Float64("stop_ms", cfg.StopTimeoutMS).Msg("draining")
 				reporter.Leave()
 				held.drain()
 				if state != nil {
 					go func() { note(log, state.Set(drainMark+cfg.Name, []byte("draining"))) }() // the drain waits for no quorum
 				}
 				go func() {
-					c.Shutdown(s.at, cfg.StopMs, all...)
+					c.Shutdown(s.at, cfg.StopTimeoutMS, all...)
 					held.leave()
 					close(left)
 				}()
@@ -293,7 +293,7 @@
 func reload(load func() (*config.Config, error), old *config.Config, log zerolog.Logger, use func(*config.Config)) bool {
 	now, err := load()
 	if err == nil {
-		err = now.Replaces(old)
+		err = now.CheckReplaces(old)
 	}
 	if err != nil {
 		log.Error().Err(err).Msg("configuration not taken; the old one stays in force")
@@ -351,7 +351,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		fronts = append(fronts, respfront.New(ln, cfg.RouterSockets(), c, clk, log))
+		fronts = append(fronts, respfront.New(ln, cfg.MaxRouterConnections(), c, clk, log))
 	}
 	if u := cfg.Operator.UWSGI; u.Listen != "" {
 		ln, err := open(u.Listen, "uwsgi")
@@ -387,10 +387,10 @@
 // inherit asks the process before this one for its listening sockets. It is found in the server's own folder, by
 // name; without such a folder there is no telling whose process it would be.
 func inherit(cfg *config.Config, log zerolog.Logger) (i inheritance, err error) {
-	if cfg.Private == "" {
+	if cfg.PrivateDir == "" {
 		return i, nil
 	}
-	i.path = filepath.Join(cfg.Private, url.PathEscape(cfg.Name)+".handover")
+	i.path = filepath.Join(cfg.PrivateDir, url.PathEscape(cfg.Name)+".handover")
 	if i.sockets, i.tie, err = handover.Take(i.path); err != nil {
 		i.ending = true
 		return i, err
@@ -439,7 +439,7 @@
 	}
 	if o.Inventory.Group != "" {
 		for _, h := range hosts.Group(o.Inventory.Group) {
-			servers = append(servers, h.Endpoint(o.Inventory.Port))
+			servers = append(servers, h.Endpoint(o.Inventory.DefaultPort))
 		}
 	}
 	return servers, hosts, nil
@@ -456,11 +456,11 @@
 		set.ID = cfg.Name
 	}
 	via := map[string]string{}
-	for id, at := range set.Via {
+	for id, at := range set.AddressOverrides {
 		via[set.Peers[id]] = at
 	}
-	s, err := store.Open(store.Options{ID: set.ID, Listen: set.Listen, Dir: set.Dir, Peers: set.Peers, Via: via, Strict: set.Strict, CompareMs: set.CompareMs, ElectionMs: set.Election, Log: log,
-		Events: log, Told: held.copied(), Watch: held.watch(), Plant: cfg.Operator.Lab.Plant})
+	s, err := store.Open(store.Options{ID: set.ID, Listen: set.Listen, Dir: set.Dir, Peers: set.Peers, AddressOverrides: via, Strict: set.Strict, CompareIntervalMS: set.CompareIntervalMS, ElectionTimeoutMS: set.ElectionTimeoutMS, Log: log,
+		Events: log, OnPhaseChange: held.copied(), OnApply: held.watch(), InjectedBug: cfg.Operator.Lab.InjectedBug})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -97,7 +97,7 @@
 
 // watchFigures is what operators see of it.
 type watchFigures struct {
-	configwatch.ClientFigures
+	configwatch.ClientMetrics
 	Revision uint64              `json:"revision"`
 	Digest   string              `json:"digest"`
 	Records  int                 `json:"records"`
@@ -111,16 +111,16 @@
 		return nil, nil
 	}
 	w := &watch{farm: farm, log: log, settings: map[string][]byte{}}
-	plant := cfg.Operator.Lab.Plant
-	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.Path, Check: records.CheckValue, Use: w.use, Log: log, Plant: plant,
-		Committed: func(c records.Commit) {
+	plant := cfg.Operator.Lab.InjectedBug
+	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.ReplicaPath, CheckRecord: records.CheckValue, ApplySettings: w.use, Log: log, InjectedBug: plant,
+		OnCommit: func(c records.Commit) {
 			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
-		Adopted:  func(p distribution.Position) { traceInstalled(t, p) },
-		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
+		OnSnapshot: func(p distribution.Position) { traceInstalled(t, p) },
+		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
 	traceInstalled(t, w.replica.Position())
-	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Monotonic(), Log: log, Plant: plant, Follower: w.replica,
-		Selector: distribution.NewSelector(d.Relays, distribution.Place{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
+	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Monotonic(), Log: log, InjectedBug: plant, Replica: w.replica,
+		Selector: distribution.NewSelector(d.Relays, distribution.Locality{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
 	return w, nil
 }
 
@@ -164,7 +164,7 @@
 		return nil
 	}
 	p := w.replica.Position()
-	return &watchFigures{w.client.Figures(), p.Revision, p.Digest.String(), w.replica.Records(), w.replica.Report()}
+	return &watchFigures{w.client.Metrics(), p.Revision, p.Digest.String(), w.replica.RecordCount(), w.replica.Report()}
 }
 
 // tracer is the trace of the process; nil: it is off.
@@ -187,42 +187,42 @@
 		return fmt.Errorf("%w: %v", errWrong, err)
 	}
 	set := file.Relay
-	if !set.On() {
+	if !set.Enabled() {
 		return fmt.Errorf("%w: %s: relay.listen is missing", errWrong, c.Operator)
 	}
 	if file.Lab != (config.Lab{}) && os.Getenv("PUFFINSADDLE_LAB") == "" {
 		return fmt.Errorf("%w: %s: \"lab\" is set, and this process is not the laboratory's (PUFFINSADDLE_LAB)", errWrong, c.Operator)
 	}
-	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(set.MemoryMB * memoryPart * (1 << 20)))
+	if set.MemoryLimitMB > 0 {
+		debug.SetMemoryLimit(int64(set.MemoryLimitMB * memoryPart * (1 << 20)))
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log := zerolog.New(out).With().Timestamp().Str("name", set.Name).Logger().Level(zerolog.InfoLevel)
 	steady := clock.Monotonic()
 	var t *trace.Log
-	if file.Lab.Trace != "" {
-		if t, err = trace.Open(file.Lab.Trace, set.Name, steady); err != nil {
+	if file.Lab.TracePath != "" {
+		if t, err = trace.Open(file.Lab.TracePath, set.Name, steady); err != nil {
 			return err
 		}
 		defer t.Close()
 		t.Add(trace.Event{What: trace.Up}, 0)
 	}
 	limits := distribution.DefaultLimits
-	limits.Watchers, limits.Snapshots = set.Watchers, set.Snapshots
-	r, err := relay.Open(relay.Options{Name: set.Name, Region: set.Region, Listen: set.Listen, Copies: set.Copies, Elsewhere: set.Elsewhere, Path: set.Path, Limits: limits,
-		Seed: seedOf(set.Name), Steady: steady, Log: log, Plant: file.Lab.Plant,
-		Committed: func(c records.Commit) {
+	limits.Watchers, limits.Snapshots = set.MaxWatchers, set.MaxSnapshots
+	r, err := relay.Open(relay.Options{Name: set.Name, Region: set.Region, Listen: set.Listen, StoreAddresses: set.Replicas, Elsewhere: set.Alternatives, Path: set.ReplicaPath, Limits: limits,
+		Seed: seedOf(set.Name), Steady: steady, Log: log, InjectedBug: file.Lab.InjectedBug,
+		OnCommit: func(c records.Commit) {
 			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
-		Adopted:  func(p distribution.Position) { traceInstalled(t, p) },
-		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
+		OnSnapshot: func(p distribution.Position) { traceInstalled(t, p) },
+		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if set.Figures != "" {
-		if err := serveFigures(ctx, set.Figures, r); err != nil {
+	if set.MetricsListen != "" {
+		if err := serveFigures(ctx, set.MetricsListen, r); err != nil {
 			return err
 		}
 	}
@@ -239,7 +239,7 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(r.Figures()) })
+	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(r.Metrics()) })
 	s := &http.Server{Handler: mux, ReadTimeout: figuresTimeout, WriteTimeout: figuresTimeout}
 	context.AfterFunc(ctx, func() { s.Close() })
 	go s.Serve(ln)
@@ -275,8 +275,8 @@
 // key is the record's, or an error that names the kind that there is not.
 func (k fileKey) key() (records.Key, error) {
 	var kind records.Kind
-	if err := kind.UnmarshalText([]byte(k.Kind)); err != nil || kind.MaxValue() == 0 {
-		return records.Key{}, fmt.Errorf("%w %q; there are %s, %s and %s", records.ErrKind, k.Kind, records.Route, records.Tenant, records.Setting)
+	if err := kind.UnmarshalText([]byte(k.Kind)); err != nil || kind.MaxValueBytes() == 0 {
+		return records.Key{}, fmt.Errorf("%w %q; there are %s, %s and %s", records.ErrUnknownKind, k.Kind, records.Route, records.Tenant, records.Setting)
 	}
 	return records.Key{Kind: kind, Name: k.Name}, nil
 }
@@ -346,7 +346,7 @@
 	return c.talk(func(ctx context.Context, client *session.Client, _ config.Duties) error {
 		var s distribution.Status
 		if err := client.Read(ctx, session.ReadConfig, &s); err != nil {
-			return session.ErrNotSent // to ask again changes nothing
+			return session.ErrNotExecuted // to ask again changes nothing
 		}
 		if c.JSON {
 			return json.NewEncoder(out).Encode(s)
@@ -360,8 +360,8 @@
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "REGION\tRELAYS\tLOST\tSERVERS\tLOWEST\tAT\tBEHIND\tAGE\tREFUSING\tSILENT")
 	for _, r := range s.Regions {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\t%d\t%s\t%d\t%s\n", orDash(r.Region), r.Relays, r.Lost, r.Servers, r.Lowest, orDash(r.LowestName), r.Behind,
-			seconds(r.AgeMs), r.Rejecting, seconds(r.SilentMs))
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\t%d\t%s\t%d\t%s\n", orDash(r.Region), r.ConnectedRelays, r.DisconnectedRelays, r.Servers, r.LowestRevision, orDash(r.LowestServer), r.ServersBehind,
+			seconds(r.StalenessMS), r.ServersRejecting, seconds(r.SinceReportMS))
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/net/fronts_test.go
+++ b/internal/net/fronts_test.go
@@ -95,7 +95,7 @@
 		mu.Unlock()
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfor %s", 4+len(body), body)
 	})
-	set := config.UWSGI{Servers: []string{"127.0.0.1:1", address}, MaxResult: 4096}
+	set := config.UWSGI{Servers: []string{"127.0.0.1:1", address}, MaxResultBytes: 4096}
 	h := newServer(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
 	h.core.RunnerStarted(false)
 	byRESP, byUWSGI := sendMixedLoad(h)
@@ -109,7 +109,7 @@
 func TestUnsafeRequestIsNotRetriedOnBrokenServer(t *testing.T) {
 	var received atomic.Int32
 	broken := func(conn net.Conn, _ map[string]string, _ string) { received.Add(1) }
-	set := config.UWSGI{Servers: []string{startUWSGIServer(t, broken), startUWSGIServer(t, broken)}, MaxResult: 4096}
+	set := config.UWSGI{Servers: []string{startUWSGIServer(t, broken), startUWSGIServer(t, broken)}, MaxResultBytes: 4096}
 	h := newServer(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
 	h.core.RunnerStarted(false)
 	if status, _, _ := h.gateway(packet("b", "ORDER_CLASS", "book-delivery"), false).readResponse(); status != http.StatusBadGateway {
@@ -123,7 +123,7 @@
 // Input that is not a valid packet gets exactly one answer, whether truncated, malformed, too large or too slow.
 func TestInvalidPacketGetsOneAnswer(t *testing.T) {
 	h := newServer(t, newIdleRunner(t), nil, config.UWSGI{}, nil)
-	slow := newServer(t, newIdleRunner(t), nil, config.UWSGI{ReadMs: 20}, nil)
+	slow := newServer(t, newIdleRunner(t), nil, config.UWSGI{ReadTimeoutMS: 20}, nil)
 	complete := packet("body", "ORDER_CLASS", "book-delivery")
 	for _, c := range []struct {
 		name, bytes string
@@ -208,5 +208,5 @@
 }
 
 func newIdleRunner(t *testing.T) *uwsgi.Runner {
-	return uwsgi.NewRunner(config.UWSGI{Servers: []string{"127.0.0.1:1"}, MaxResult: 4096}, clock.System(), zerolog.Nop())
+	return uwsgi.NewRunner(config.UWSGI{Servers: []string{"127.0.0.1:1"}, MaxResultBytes: 4096}, clock.System(), zerolog.Nop())
 }
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -76,10 +76,10 @@
 	ln, err := accept.Listen("127.0.0.1:0", zerolog.Nop())
 	must(t, err)
 	h.resp = respfront.New(ln, 64, c, clk, zerolog.Nop())
-	uwsgiSettings.Conns, uwsgiSettings.KB = 64, 10
-	uwsgiSettings.MaxBody, uwsgiSettings.MaxResult = 4096, 4096
-	if uwsgiSettings.ReadMs == 0 {
-		uwsgiSettings.ReadMs = 1e6
+	uwsgiSettings.MaxConnections, uwsgiSettings.DefaultRequestKB = 64, 10
+	uwsgiSettings.MaxBodyBytes, uwsgiSettings.MaxResultBytes = 4096, 4096
+	if uwsgiSettings.ReadTimeoutMS == 0 {
+		uwsgiSettings.ReadTimeoutMS = 1e6
 	}
 	ln, err = accept.Listen("127.0.0.1:0", zerolog.Nop())
 	must(t, err)
