--- a/internal/net/configwatch/client.go
+++ b/internal/net/configwatch/client.go
@@ -64,7 +64,7 @@
 type Client struct {
 	options ClientOptions
 
-	traffic                                meter.Count
+	traffic                                meter.ByteCounts
 	connections, snapshots, latestRevision atomic.Uint64
 
 	mu           sync.Mutex
--- a/internal/net/configwatch/server.go
+++ b/internal/net/configwatch/server.go
@@ -59,7 +59,7 @@
 	snapshotLimiter *rate.Limiter
 	buildMu         sync.Mutex // one snapshot is compressed at a time
 
-	traffic                          meter.Count
+	traffic                          meter.ByteCounts
 	snapshots, refused, disconnected atomic.Uint64
 
 	mu             sync.Mutex
--- a/internal/net/operator/operator.go
+++ b/internal/net/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the address that operators call, apart from the one for requests: HTTP/1.1, one call a
-// connection. It answers from what is at hand and waits for no part of the server.
+// Package operator serves the operators' HTTP/1.1 interface on an address of its own, with one call per connection. Calls
+// are answered from data in memory and wait for no other part of the server.
 package operator
 
 import (
@@ -15,35 +15,35 @@
 )
 
 const (
-	callFor  = 2 * time.Second // a call is read and answered within this
-	mostHead = 4 << 10         // bytes of a call's head; it has no body that matters
+	callTimeout    = 2 * time.Second // for reading a call, and for answering it
+	maxHeaderBytes = 4 << 10         // bytes of a call's header; bodies are ignored
 )
 
-// Calls is what operators may ask for. None of them waits.
+// Calls contains the functions behind the operators' calls. None of them may block.
 type Calls struct {
-	Ready   func() bool // this process can serve
-	Figures func() any
-	Drain   func(away bool)             // send clients away, or take them again
-	More    map[string]http.HandlerFunc // further calls, by method and path
+	Ready   func() bool                 // reports whether this process can serve
+	Metrics func() any                  // returns the server's metrics, to be encoded as JSON
+	Drain   func(away bool)             // sends clients away, or ends that
+	Extra   map[string]http.HandlerFunc // further calls, keyed by method and path
 }
 
-// Front serves operators.
+// Front serves the calls of operators.
 type Front struct {
-	ln     net.Listener
-	most   int // connections; past this the oldest gives way to a new one
-	server *http.Server
+	ln       net.Listener
+	maxConns int // connections; beyond this number a new one replaces the oldest
+	server   *http.Server
 
-	mu   sync.Mutex
-	open []net.Conn // oldest first
+	mu    sync.Mutex
+	conns []net.Conn // oldest first
 }
 
-// Listen opens the listening socket; Serve has to be called next.
-func Listen(address string, most int, calls Calls, log zerolog.Logger) (*Front, error) {
+// Listen opens the listening socket, on which at most the given number of connections are kept. Serve has to be called next.
+func Listen(address string, maxConns int, calls Calls, log zerolog.Logger) (*Front, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	f := &Front{ln: ln, most: most}
+	f := &Front{ln: ln, maxConns: maxConns}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !calls.Ready() {
@@ -52,23 +52,24 @@
 	})
 	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(calls.Figures())
+		json.NewEncoder(w).Encode(calls.Metrics())
 	})
 	for path, away := range map[string]bool{"PUT /-/drain": true, "PUT /-/resume": false} {
 		mux.HandleFunc(path, func(http.ResponseWriter, *http.Request) {
-			log.Info().Bool("away", away).Msg("operator's order")
+			log.Info().Bool("away", away).Msg("operator changed the drain state")
 			calls.Drain(away)
 		})
 	}
-	for path, call := range calls.More {
-		mux.HandleFunc(path, call)
+	for path, handler := range calls.Extra {
+		mux.HandleFunc(path, handler)
 	}
-	f.server = &http.Server{Handler: mux, ReadTimeout: callFor, WriteTimeout: callFor, MaxHeaderBytes: mostHead, ConnState: f.state}
+	f.server = &http.Server{Handler: mux, ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: f.trackConn}
 	f.server.SetKeepAlivesEnabled(false)
 	return f, nil
 }
 
-// Addr is where the front listens.
+// Addr returns the address that the front listens on.
 func (f *Front) Addr() net.Addr { return f.ln.Addr() }
 
 // Serve answers calls until the front is closed.
@@ -79,28 +80,28 @@
 	return nil
 }
 
-// Close lets calls under way end, for as long as ctx allows.
+// Close waits for calls in progress until ctx ends, and then closes all connections.
 func (f *Front) Close(ctx context.Context) {
 	f.server.Shutdown(ctx)
 	f.server.Close()
 }
 
-// state closes the oldest connection where there are too many. Guards against callers that connect and finish
-// no call: they must not keep others out until their time is up.
-func (f *Front) state(conn net.Conn, s http.ConnState) {
+// trackConn tracks open connections and closes the oldest if there are too many. This guards against clients that connect
+// and complete no call: they must not exclude others until their timeout.
+func (f *Front) trackConn(conn net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		f.open = append(f.open, conn)
-		if len(f.open) > f.most {
-			f.open[0].Close()
-			f.open = f.open[1:]
+		f.conns = append(f.conns, conn)
+		if len(f.conns) > f.maxConns {
+			f.conns[0].Close()
+			f.conns = f.conns[1:]
 		}
 	case http.StateClosed, http.StateHijacked:
-		for i, o := range f.open {
+		for i, o := range f.conns {
 			if o == conn {
-				f.open = append(f.open[:i], f.open[i+1:]...)
+				f.conns = append(f.conns[:i], f.conns[i+1:]...)
 				return
 			}
 		}
--- a/internal/net/session/server.go
+++ b/internal/net/session/server.go
@@ -66,7 +66,7 @@
 
 	leaderTerm atomic.Uint64
 	counts     counts
-	traffic    meter.Count
+	traffic    meter.ByteCounts
 
 	// Owned by the goroutine of Run.
 	batch            []any
