--- a/cmd/puffinsaddle/added_test.go
+++ b/cmd/puffinsaddle/added_test.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// loader sends requests at times drawn ahead over one connection, and counts each answer's time from then.
+// loader sends requests at fixed times over one connection, and measures each response time from the intended time.
 type loader struct {
 	conn   net.Conn
 	first  time.Time // intended time of the first request
@@ -23,6 +23,7 @@
 	failed *atomic.Int64
 }
 
+// send sends n requests, each at its intended time.
 func (l *loader) send(n, connection int) {
 	for i := range n {
 		time.Sleep(time.Until(l.first.Add(time.Duration(i) * l.every)))
@@ -32,7 +33,7 @@
 	}
 }
 
-// read takes n answers: arrays of words, each behind its length.
+// read reads n responses: RESP arrays of bulk strings.
 func (l *loader) read(n int) {
 	r := bufio.NewReader(l.conn)
 	for range n {
@@ -67,8 +68,8 @@
 	}
 }
 
-// BenchmarkAdded measures what the program adds to a request whose work takes no time: from the time at which it was to be
-// sent to its answer, with the executor's stand-in on the same machine. The load is open.
+// BenchmarkAdded measures the latency that the program adds to a request whose work takes no time: from the intended time of
+// the request to its response, with a fake executor on the same machine. The load is open: requests do not wait for responses.
 func BenchmarkAdded(b *testing.B) {
 	const connections, span = 8, 3 * time.Second
 	for _, rate := range []int{250, 500, 1000, 2000, 4000} {
--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -28,12 +28,13 @@
 // Exit statuses of commands.
 const (
 	good  = 0
-	bad   = 1 // what was asked for did not come about, or an invariant is broken
-	wrong = 2 // wrong use, or a faulty file
+	bad   = 1 // the operation failed, or an invariant is violated
+	wrong = 2 // invalid usage, or an invalid file
 )
 
-const operatorsWait = 10 * time.Second // for a copy that leads to be found, and to answer
+const operatorsWait = 10 * time.Second // includes finding the store's leader
 
+// cli is the grammar of the command line; its field names are the commands' names.
 type cli struct {
 	Serve  struct{}  `cmd:"" help:"Serve as one order server, set up by RELAY_CONFIG; what the bare program does."`
 	Duty   dutyCmd   `cmd:"" help:"See and steer duties that one order server holds at a time."`
@@ -57,7 +58,7 @@
 	Freeze freezeCmd `cmd:"" help:"Ask the holder to give a duty up, and let nobody have it."`
 }
 
-// with is what the commands on duties share.
+// with holds the flags of commands that connect to the store's replicas.
 type with struct {
 	Operator string `required:"" env:"PUFFINSADDLE_OPERATOR" type:"existingfile" help:"An operator's file that names the copies."`
 	JSON     bool   `name:"json" help:"Print JSON."`
@@ -89,7 +90,7 @@
 	}
 )
 
-// command carries a command line out.
+// command runs a command line and returns the exit status.
 func command(args []string, out, errs io.Writer) int {
 	var c cli
 	status := -1
@@ -101,7 +102,7 @@
 	}
 	k, err := p.Parse(args)
 	if status >= 0 {
-		return status // help was asked for
+		return status // help was printed
 	}
 	if err != nil {
 		fmt.Fprintln(errs, "puffinsaddle:", err)
@@ -117,7 +118,7 @@
 	case err == nil:
 		return good
 	case errors.Is(err, lab.ErrBroken):
-		return bad // the report has said what
+		return bad // the report names the invariant
 	case errors.As(err, &use), errors.Is(err, errWrong):
 		fmt.Fprintln(errs, "puffinsaddle:", err)
 		return wrong
@@ -126,9 +127,11 @@
 	return bad
 }
 
+// errWrong marks invalid usage and invalid files, for which commands exit with status 2.
 var errWrong = errors.New("wrong use")
 
-// talk opens a session for one command.
+// talk opens a session for one command and runs do on it, again on each new connection as long as do returns
+// session.ErrNotSent.
 func (w with) talk(do func(context.Context, *session.Client, config.Duties) error) error {
 	o, err := config.LoadOperator(w.Operator)
 	if err != nil {
@@ -144,7 +147,7 @@
 		return err
 	}
 	rules := o.Duties.Rules()
-	rules.Duties, rules.PresenceTTLMS = nil, 0 // an operator stands for nothing
+	rules.Duties, rules.PresenceTTLMS = nil, 0 // an operator's session is a candidate for no duty and holds no presence lease
 	linked := make(chan struct{}, 1)
 	c := session.NewClient(session.Options{Me: "operator#" + hex.EncodeToString(b[:]), Copies: o.Duties.Copies, Rules: rules,
 		Seed: uint64(b[0]), Steady: clock.Monotonic(), Log: zerolog.Nop(), On: func(e any) {
@@ -158,9 +161,9 @@
 	go c.Run(ctx)
 	for {
 		select {
-		case <-linked: // a copy that leads has answered
+		case <-linked: // the leader has answered
 		case <-ctx.Done():
-			return errors.New("no copy that leads was found")
+			return errors.New("no leader was found among the store's copies")
 		}
 		if err := do(ctx, c, o.Duties); !errors.Is(err, session.ErrNotSent) {
 			return err
@@ -171,12 +174,12 @@
 func (w with) read(ctx context.Context, c *session.Client) (d session.Duties, err error) {
 	err = c.Read(ctx, session.ReadDuties, &d)
 	if errors.Is(err, session.ErrUnconfirmed) {
-		err = session.ErrNotSent // to ask again changes nothing
+		err = session.ErrNotSent // a read may be repeated
 	}
 	return d, err
 }
 
-// row is a duty as operators see it.
+// row is a duty in command output.
 type row struct {
 	Duty   string  `json:"duty"`
 	Holder string  `json:"holder"`
@@ -233,7 +236,7 @@
 	return s
 }
 
-// Run lists.
+// Run prints all duties and their holders.
 func (l *listCmd) Run(out io.Writer) error {
 	return l.talk(func(ctx context.Context, c *session.Client, set config.Duties) error {
 		d, err := l.read(ctx, c)
@@ -251,7 +254,7 @@
 	return nil
 }
 
-// Run shows one.
+// Run prints one duty.
 func (s *showCmd) Run(out io.Writer) error {
 	return s.talk(func(ctx context.Context, c *session.Client, set config.Duties) error {
 		if err := unknown(set, s.Name); err != nil {
@@ -282,12 +285,12 @@
 	})
 }
 
-// Run asks the holder.
+// Run requests that the holder hand the duty over.
 func (y *yieldCmd) Run(out io.Writer) error {
 	return y.order(out, state.OpRequestYield, y.Name, "its holder is asked to hand it on")
 }
 
-// Run freezes, or thaws.
+// Run freezes the duty or, with --off, unfreezes it.
 func (f *freezeCmd) Run(out io.Writer) error {
 	if f.Off {
 		return f.order(out, state.OpUnfreezeDuty, f.Name, "may be held again")
@@ -295,7 +298,7 @@
 	return f.order(out, state.OpFreezeDuty, f.Name, "its holder is asked to give it up, and nobody will get it")
 }
 
-// Run checks the files that are named.
+// Run checks the given files.
 func (c *checkCmd) Run(out io.Writer) error {
 	if c.Config == "" && c.Operator == "" {
 		return fmt.Errorf("%w: neither --config nor --operator is given", errWrong)
--- a/cmd/puffinsaddle/crowd_test.go
+++ b/cmd/puffinsaddle/crowd_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	asProcess = "PUFFINSADDLE_TEST_SERVE" // set: the test binary is an order server
-	enough    = 60 * time.Second          // a test that hangs fails by then
+	asProcess = "PUFFINSADDLE_TEST_SERVE" // environment variable that makes the test binary run as an order server
+	enough    = 60 * time.Second          // timeout of a test that waits
 )
 
 func TestMain(m *testing.M) {
@@ -33,18 +33,19 @@
 	os.Exit(m.Run())
 }
 
-// child is an order server in a process of its own.
+// child is an order server in a separate process.
 type child struct {
 	t        testing.TB
 	path     string
 	listen   string
 	operator string
-	args     []string // of a command; none: it serves
-	env      []string // more of it
+	args     []string // command line; empty: it serves
+	env      []string // additional environment variables
 	cmd      *exec.Cmd
 	log      *lockedBuffer
 }
 
+// lockedBuffer is a buffer for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -62,13 +63,14 @@
 	return l.b.String()
 }
 
-// handedOut are the addresses that were picked: the system may give one that is free again a second time.
+// handedOut holds the addresses that freePort returned. The system may choose a closed port again.
 var handedOut sync.Map
 
+// freePort returns an address whose port is free.
 func freePort(t testing.TB) string {
 	t.Helper()
 	for {
-		// Connections are made from 127.0.0.1, and so take no port of another address meanwhile.
+		// Outgoing connections use 127.0.0.1 and thus can't take a port of another address in the meantime.
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.1:0", os.Getpid()%250+1))
 		if err != nil {
 			t.Fatal(err)
@@ -85,6 +87,7 @@
 	return &child{t: t, path: filepath.Join(t.TempDir(), "config.json"), listen: freePort(t), operator: freePort(t), log: &lockedBuffer{}}
 }
 
+// write writes the process's configuration file.
 func (c *child) write(executor, members string, sockets int) {
 	c.t.Helper()
 	file := strings.Replace(fmt.Sprintf(text, executor, members), `"listen":"127.0.0.1:0"`,
@@ -94,7 +97,7 @@
 	}
 }
 
-// start starts the process with so many descriptors.
+// start starts the process with a limit on its file descriptors.
 func (c *child) start(descriptors int) {
 	c.t.Helper()
 	self, err := os.Executable()
@@ -124,6 +127,7 @@
 	return r.StatusCode/100 == 2
 }
 
+// until waits until holds returns true.
 func (c *child) until(what string, holds func() bool) {
 	c.t.Helper()
 	for late := time.Now().Add(enough); !holds(); time.Sleep(10 * time.Millisecond) {
@@ -133,7 +137,7 @@
 	}
 }
 
-// running plays an executor that runs whatever comes.
+// running starts a fake executor that welcomes servers after the time late, and completes every attempt at once.
 func running(t testing.TB, late time.Duration) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -153,6 +157,7 @@
 	return ln.Addr().String()
 }
 
+// runAll is the fake executor's side of a link.
 func runAll(conn net.Conn, late time.Duration) {
 	defer conn.Close()
 	r, n := bufio.NewReader(conn), 0
@@ -163,7 +168,7 @@
 		}
 		switch words := strings.Fields(line); words[0] {
 		case "JOIN":
-			fmt.Sscan(words[1], &n) // notices go on behind those that were read
+			fmt.Sscan(words[1], &n) // EXIT numbers continue after the last one that the server received
 			time.Sleep(late)
 			io.WriteString(conn, "WELCOME steady 100000\r\n")
 		case "METER":
@@ -178,7 +183,7 @@
 	}
 }
 
-// isServed sends one request on a connection of its own and tells whether it was served.
+// isServed sends one request on a new connection and returns whether it completed.
 func isServed(at string, id int) bool {
 	conn, err := net.DialTimeout("tcp", at, time.Second)
 	if err != nil {
@@ -193,7 +198,7 @@
 	return strings.Contains(string(b[:n]), "done")
 }
 
-// crowd keeps so many idle clients at the door: each comes again as soon as it is sent away.
+// crowd keeps idle clients connected: each reconnects as soon as the server closes its connection.
 func (c *child) crowd(clients int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -206,7 +211,7 @@
 					continue
 				}
 				end := context.AfterFunc(ctx, func() { conn.Close() })
-				io.Copy(io.Discard, conn) // until the server ends it
+				io.Copy(io.Discard, conn) // until the server closes the connection
 				end()
 				conn.Close()
 			}
@@ -221,10 +226,11 @@
 	return stop
 }
 
-const settle = 500 * time.Millisecond // in which a crowd takes what it can get
+const settle = 500 * time.Millisecond // within which idle clients take all descriptors that they can get
 
-// While discovery is down, idle clients take every descriptor that they can get. The server still answers, tells its figures,
-// reads its configuration, reaches another executor, and goes on reporting once discovery is back.
+// While the membership service is down, idle clients take every descriptor that they can get. The server still serves
+// requests, reports its readiness, reloads its configuration, links to another executor, and reports again once the
+// membership service is back.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const descriptors = 160
 	gone := membersPeer(t)
@@ -236,7 +242,7 @@
 	c.until("it is ready", c.ready)
 	stop := c.crowd(3 * descriptors)
 	c.until("a request is served among idle clients", func() bool { return isServed(c.listen, 1) })
-	c.until("it tells that it is ready", c.ready)
+	c.until("it reports that it is ready", c.ready)
 	another := membersPeer(t)
 	c.write(running(t, 0), another.LocalAddr().String(), descriptors)
 	c.cmd.Process.Signal(syscall.SIGHUP)
@@ -245,10 +251,10 @@
 	}
 	c.until("a request is served by the other executor", func() bool { return isServed(c.listen, 2) })
 	stop()
-	c.until("a request is served once what the crowd left in the queue is accepted", func() bool { return isServed(c.listen, 3) })
+	c.until("a request is served once the connections of the idle clients have left the accept queue", func() bool { return isServed(c.listen, 3) })
 	for n := 4; n < 24; n++ {
 		if !isServed(c.listen, n) {
-			t.Errorf("request %d is not served after discovery returned", n)
+			t.Errorf("request %d is not served after the membership service is back", n)
 		}
 	}
 	for range 3 {
@@ -258,11 +264,11 @@
 	}
 }
 
-// Thirty processes start at once, discovery takes no report, executors are up late, and every third address is held by the
-// process before for a while: nine in ten are ready within 10 s.
+// Thirty processes start at once while the membership service reads no report, executors are late, and every third address
+// is still in use by a predecessor: nine in ten are ready within 10 s.
 func TestThirtyProcessesStartAtOnce(t *testing.T) {
 	const processes, within = 30, 10 * time.Second
-	slow := membersPeer(t) // it reads nothing
+	slow := membersPeer(t) // it reads no report
 	var all []*child
 	for i := range processes {
 		c := newChild(t)
--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -36,13 +36,14 @@
 )
 
 const (
-	modeEvery = 250.0 // ms between two looks at the server's own state
-	leaveFor  = 100.0 // ms for what is given back at the end to be sent
-	needMore  = 1.5   // a server asks for so many times what it uses
-	needLeast = 0.25  // and for so many calls in hand at least, or it would never learn that it needs more
+	modeEvery = 250.0 // ms between checks of the server's health and drain state
+	leaveFor  = 100.0 // ms at the end for released leases to be sent
+	needMore  = 1.5   // requested capacity as a multiple of the concurrency in use
+	needLeast = 0.25  // calls in flight requested in addition, so that an idle server still detects growing demand
 )
 
-// duties is what this process holds, or would hold, with others. A nil one is off, and its methods then do nothing.
+// duties connects the server to the replicated store for the duties that it holds or is a candidate for, and serves sessions
+// where this process has a store replica. The methods of a nil one do nothing: duties are disabled.
 type duties struct {
 	cfg      *config.Config
 	me       string
@@ -64,23 +65,23 @@
 	leaving   bool
 }
 
-// holding is what operators see of it.
+// holding is the duties section of the metrics.
 type holding struct {
 	Me       string                 `json:"me"`
-	Linked   bool                   `json:"linked"`  // a session stands
-	Present  bool                   `json:"present"` // the copies know that this process is there
-	Held     map[string]uint64      `json:"held"`    // duties held, and under which epoch
-	Fenced   uint64                 `json:"fenced"`  // commands of this process refused for their epoch
-	Share    float64                `json:"share"`   // calls in hand that may be below beyond the part for being alone
-	Used     float64                `json:"used"`    // calls in hand below of late
-	Version  uint64                 `json:"version"` // published, in force
+	Linked   bool                   `json:"linked"`  // a session is established
+	Present  bool                   `json:"present"` // this process holds its presence lease
+	Held     map[string]uint64      `json:"held"`    // epochs of the duties held
+	Fenced   uint64                 `json:"fenced"`  // commands of this process that were refused for a stale epoch
+	Share    float64                `json:"share"`   // downstream calls in flight allocated beyond the per-process reserve
+	Used     float64                `json:"used"`    // downstream calls in flight, recent mean
+	Version  uint64                 `json:"version"` // published version in force
 	Sessions *session.ServerFigures `json:"sessions,omitempty"`
 
-	Origin *configwatch.Figures `json:"origin,omitempty"` // of a copy: the relays that watch it
-	Relays *distribution.Report `json:"relays,omitempty"` // of the copy that leads: what the relays reported
+	Origin *configwatch.Figures `json:"origin,omitempty"` // on a store replica: the relays that watch it
+	Relays *distribution.Report `json:"relays,omitempty"` // on the leader: what the relays reported
 }
 
-// newDuties makes the parts; nothing is sent yet. nil: the operator's file has none.
+// newDuties returns duties that have sent nothing yet, or nil if the operator's file configures none.
 func newDuties(cfg *config.Config, clk *clock.Clock, log zerolog.Logger) (*duties, error) {
 	d := cfg.Operator.Duties
 	if !d.On() {
@@ -120,7 +121,7 @@
 	return h, nil
 }
 
-// keep serves sessions where this process keeps a copy.
+// keep serves sessions and watches if this process has a store replica.
 func (h *duties) keep(ctx context.Context, copy *store.Store) {
 	if copy == nil {
 		return
@@ -142,7 +143,7 @@
 	go h.sessions.Run(ctx)
 }
 
-// serve begins to hold duties for a core.
+// serve starts the client, which then holds duties for the core c.
 func (h *duties) serve(ctx context.Context, c *core.Core, farm *uwsgi.Runner) {
 	if h == nil {
 		return
@@ -159,12 +160,12 @@
 			farm.SetServers(servers)
 		}
 	}
-	h.client.Switch(duty.Failing) // until the executor is up
+	h.client.Switch(duty.Failing) // until the executor has started
 	h.keeper.Start(ctx, h.me, h.client)
 	h.look()
 }
 
-// need is what this server could use beyond its part for being alone.
+// need returns the capacity, in allocation units, that this server could use beyond its per-process reserve.
 func (h *duties) need() int64 {
 	c := h.core.Load()
 	if c == nil {
@@ -174,7 +175,7 @@
 	return max(int64(want*allot.UnitsPerCall)-h.cfg.Operator.Duties.Allot.Room().ReservePerProcess, 0)
 }
 
-// look puts the client into the mode that the server is in, now and then.
+// look sets the client's mode from the server's state, and repeats this periodically until the server drains.
 func (h *duties) look() {
 	h.mu.Lock()
 	mode := duty.Warm
@@ -195,7 +196,7 @@
 	}
 }
 
-// up tells that the server can serve, cold or warm.
+// up records that the executor has started, cold or warm.
 func (h *duties) up(cold bool, coldMs float64) {
 	if h == nil {
 		return
@@ -208,6 +209,7 @@
 	h.risen = true
 }
 
+// away takes the server out of service for duties, or back in, as an operator requests.
 func (h *duties) away(away bool) {
 	if h != nil {
 		h.mu.Lock()
@@ -216,7 +218,7 @@
 	}
 }
 
-// drain hands all duties on.
+// drain starts handing all duties over to other servers.
 func (h *duties) drain() {
 	if h == nil {
 		return
@@ -227,7 +229,7 @@
 	h.client.Switch(duty.Draining)
 }
 
-// leave gives back what is left, the presence included, at the end.
+// leave releases the remaining leases, the presence lease included, and waits for the releases to be sent.
 func (h *duties) leave() {
 	if h == nil {
 		return
@@ -244,7 +246,7 @@
 	}
 }
 
-// copied writes down the phases of this process's copy.
+// copied returns a function that traces the phases of this process's store replica, or nil without a trace.
 func (h *duties) copied() func(phase, why string) {
 	if h == nil || h.trace == nil {
 		return nil
@@ -252,7 +254,7 @@
 	return func(phase, why string) { h.trace.Add(trace.Event{What: trace.Copy, Text: phase, Cause: why}, 0) }
 }
 
-// watch writes down what a copy carries out.
+// watch returns a function that traces the commands that a store replica applies, or nil without a trace.
 func (h *duties) watch() func(index, term uint64, c state.Command, r state.Result) {
 	if h == nil || h.trace == nil {
 		return nil
@@ -281,6 +283,7 @@
 	}
 }
 
+// figures returns the duties section of the metrics, or nil if duties are disabled.
 func (h *duties) figures() *holding {
 	if h == nil {
 		return nil
@@ -307,7 +310,7 @@
 	return f
 }
 
-// calls are the laboratory's, on the operators' address.
+// calls returns the lab's fault-injection handlers, which are served on the operators' address.
 func (h *duties) calls() map[string]http.HandlerFunc {
 	if h == nil || !h.cfg.Operator.Lab.Calls {
 		return nil
@@ -318,32 +321,32 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		h.clk.Jump(ms) // the wall clock: nothing sets a steady one
-		h.log.Warn().Float64("ms", ms).Msg("clock jumps")
+		h.clk.Jump(ms) // only the wall clock jumps; the monotonic clock is never set
+		h.log.Warn().Float64("ms", ms).Msg("lab moves the wall clock")
 	}, "PUT /-/lab/spoil": func(w http.ResponseWriter, r *http.Request) {
 		pick, err := strconv.ParseUint(r.URL.Query().Get("pick"), 10, 64)
 		if err != nil || h.copy == nil {
-			http.Error(w, "no pick, or no copy", http.StatusBadRequest)
+			http.Error(w, "pick is missing or invalid, or there is no store replica", http.StatusBadRequest)
 			return
 		}
 		fmt.Fprint(w, h.copy.Spoil(pick))
 	}}
 }
 
-// check tells whether this server can take a published version whole.
+// check reports whether this server can apply all of a published version.
 func (h *duties) check(files []publish.File) error {
 	_, err := servers(files)
 	return err
 }
 
-// Files that may be published.
+// Names of files that may be published; the inventory has one of the extensions .csv, .yml and .yaml.
 const (
 	publishedOperator  = "operator.yaml"
 	publishedInventory = "inventory"
 )
 
-// servers reads what a version says of who does the work. What else an operator's file may set takes a restart, and a
-// version that sets it is turned down whole.
+// servers returns the uwsgi servers that a published version configures. Other settings of an operator's file need a restart;
+// a version that contains any of them is rejected entirely.
 func servers(files []publish.File) ([]string, error) {
 	o, err := config.ParseOperator(nil)
 	if err != nil {
@@ -358,30 +361,30 @@
 			}
 		case stem == publishedInventory && filepath.Ext(f.Name) != "":
 			if hosts != nil {
-				return nil, fmt.Errorf("%s: a second inventory", f.Name)
+				return nil, fmt.Errorf("%s: more than one inventory is published", f.Name)
 			}
 			if hosts, err = inventory.Parse(f.Name, f.Text); err != nil {
 				return nil, err
 			}
 		default:
-			return nil, fmt.Errorf("%s: neither %s nor %s.csv, .yml or .yaml", f.Name, publishedOperator, publishedInventory)
+			return nil, fmt.Errorf("%s: not a publishable file; expected %s, or %s.csv, .yml or .yaml", f.Name, publishedOperator, publishedInventory)
 		}
 	}
 	rest, _ := config.ParseOperator(nil)
 	rest.UWSGI.Servers, rest.Inventory, rest.Text = o.UWSGI.Servers, o.Inventory, o.Text
 	if !reflect.DeepEqual(o, rest) {
-		return nil, fmt.Errorf("%s: sets more than uwsgi.servers and inventory, which takes a restart", publishedOperator)
+		return nil, fmt.Errorf("%s: sets more than uwsgi.servers and inventory; other settings need a restart", publishedOperator)
 	}
 	list := append([]string(nil), o.UWSGI.Servers...)
 	if o.Inventory.Group != "" {
 		if hosts == nil {
-			return nil, errors.New("inventory.group is set, and no inventory is published")
+			return nil, errors.New("inventory.group is set, but no inventory is published")
 		}
 		for _, host := range hosts.Group(o.Inventory.Group) {
 			list = append(list, host.Endpoint(o.Inventory.Port))
 		}
 		if len(list) == 0 {
-			return nil, fmt.Errorf("inventory.group: no host is in %q", o.Inventory.Group)
+			return nil, fmt.Errorf("inventory.group: %q contains no host", o.Inventory.Group)
 		}
 	}
 	return list, nil
--- a/cmd/puffinsaddle/main.go
+++ b/cmd/puffinsaddle/main.go
@@ -1,4 +1,5 @@
-// Command puffinsaddle is one order server: it serves routers by the decisions of the policy module.
+// Command puffinsaddle runs one order server, which serves routers according to the decisions of the policy module. Its
+// subcommands inspect and control running servers, check configuration and run the lab.
 package main
 
 import (
@@ -38,24 +39,24 @@
 )
 
 const (
-	spareSockets = 64 // descriptors for the executor, the vault, logs and the rest
-	drainMark    = "drain/"
-	addressFor   = 5 * time.Second // an address in use is tried for so long
+	spareSockets = 64              // descriptors for the executor, the vault, logs and others
+	drainMark    = "drain/"        // key prefix of draining servers in the store
+	addressFor   = 5 * time.Second // how long to retry an address in use
 	addressPause = 20 * time.Millisecond
-	keyedPart    = 0.15 // of the limit, for the tries of keyed classes and their results
-	memoryPart   = 0.7  // of the limit, from which the collector works harder; stacks and sockets need the rest
+	keyedPart    = 0.15 // fraction of the memory limit for keyed attempts and their results
+	memoryPart   = 0.7  // fraction of the memory limit at which the garbage collector works harder; stacks and sockets need the rest
 )
 
 func main() {
 	if len(os.Args) > 1 {
 		os.Exit(command(os.Args[1:], os.Stdout, os.Stderr))
 	}
-	os.Exit(serve()) // the bare program, as the platform starts it
+	os.Exit(serve()) // without arguments, as the platform starts it
 }
 
-// serve is one order server, to the end of its drain.
+// serve runs one order server until its drain has completed and returns the exit status.
 func serve() int {
-	// Caught before anything else: a notice that comes while the program starts must not end it.
+	// Signals are caught before anything else, so that one that arrives during start-up does not kill the process.
 	clk := clock.System()
 	signals := caught(clk)
 	load := func() (*config.Config, error) { return config.Load(os.Getenv) }
@@ -73,17 +74,17 @@
 	return 0
 }
 
-// notice is a signal with the time at which it came: what is to happen within a time of it counts from then, however late
-// the program comes to it.
+// notice is a signal with its arrival time in ms. Timeouts that a signal starts count from its arrival, however late the
+// main loop handles it.
 type notice struct {
 	os.Signal
 	at float64
 }
 
-// caught is the notices that this process gets. Each kind has a channel and a goroutine of its own, so that it is noted at
-// once: notices to read the file again, however many come while the file is read, must not delay the one to leave, nor
-// cost it, since what finds a channel full is dropped. Of those, one that waits stands for all: it reads what the file
-// holds by then.
+// caught returns the signals that this process receives. Termination and reload signals have separate channels and
+// goroutines, so that each is timestamped at once: os/signal drops a signal whose channel is full, and any number of reload
+// signals that arrive during a reload must neither delay nor displace a termination signal. Dropped reload signals do no
+// harm, since a pending one reads the file's latest content.
 func caught(clk *clock.Clock) <-chan notice {
 	all := make(chan notice)
 	for _, kind := range [][]os.Signal{{syscall.SIGTERM, os.Interrupt}, {syscall.SIGHUP}} {
@@ -98,7 +99,7 @@
 	return all
 }
 
-// run wires the parts and serves until the notice to drain is carried out. load reads the configuration again.
+// run assembles the server and serves until a drain has completed. load reads the configuration again for a reload.
 func run(cfg *config.Config, load func() (*config.Config, error), signals <-chan notice, clk *clock.Clock, log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(int(math.Ceil(cfg.Cores)), 1))
 	debug.SetMemoryLimit(int64(cfg.MemoryMB * memoryPart * (1 << 20)))
@@ -118,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	var ledger core.EffectLog // nil: effects are remembered in memory
+	var ledger core.EffectLog // nil: effects are kept in memory only
 	if state != nil {
 		defer state.Close()
 		ledger = state
@@ -142,14 +143,14 @@
 		})
 		runner = link
 	}
-	if len(servers) > 0 { // the operator's choice of who does the work comes first
+	if len(servers) > 0 { // uwsgi servers in the operator's file take precedence over the executor
 		set := cfg.Operator.UWSGI
 		set.Servers = servers
 		farm = uwsgi.NewRunner(set, clk, log)
 		runner, link = farm, nil
 	}
 	if runner == nil {
-		return errors.New("nobody does the work: no executor is named, and no uwsgi server is in the inventory's group")
+		return errors.New("no executor is configured, and the inventory group has no uwsgi server")
 	}
 	calls := vault.New(cfg.Vault, clk)
 	c = core.New(clk, log, cfg.Settings, cfg.Seed, runner, calls, ledger)
@@ -166,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	var offer *handover.Offer // written before ready, read after
+	var offer *handover.Offer // written before ready is set, read after it
 	var ready atomic.Bool
 	serve := func() {
 		succeed(c, given.tie, log)
@@ -175,7 +176,7 @@
 		}
 		if given.path != "" {
 			if offer, err = handover.New(given.path, sockets, func() []byte { return handOn(c, log) }, c.ResumeKeyedAttempts, log); err != nil {
-				note(log, err) // then this process can't be replaced while it runs
+				note(log, err) // this process can then not be replaced while it runs
 			} else {
 				log.Info().Msg("may be replaced")
 			}
@@ -238,7 +239,7 @@
 		select {
 		case s := <-signals:
 			switch {
-			case s.Signal == syscall.SIGHUP: // also during a drain: open runs need the new addresses until their end
+			case s.Signal == syscall.SIGHUP: // also during a drain: attempts in flight need the new addresses until they end
 				ok := reload(load, inForce, log, func(now *config.Config) {
 					inForce = now
 					if link != nil && now.Executor != "" {
@@ -270,7 +271,7 @@
 				reporter.Leave()
 				held.drain()
 				if state != nil {
-					go func() { note(log, state.Set(drainMark+cfg.Name, []byte("draining"))) }() // the drain waits for no quorum
+					go func() { note(log, state.Set(drainMark+cfg.Name, []byte("draining"))) }() // the drain does not wait for a quorum
 				}
 				go func() {
 					c.Shutdown(s.at, cfg.StopMs, all...)
@@ -279,7 +280,7 @@
 				}()
 			}
 		case <-up:
-			if !ready.Load() && !draining { // until now the process before this one served what comes there
+			if !ready.Load() && !draining { // until now, the predecessor served these sockets
 				serve()
 			}
 		case <-left:
@@ -288,15 +289,15 @@
 	}
 }
 
-// reload reads the configuration again and hands it on; a faulty one changes nothing. What is neither an
-// address of a peer nor among the settings needs a restart.
+// reload reads the configuration again and applies it with use; an invalid one changes nothing. It returns whether the
+// configuration was applied. Changes other than peer addresses and settings need a restart.
 func reload(load func() (*config.Config, error), old *config.Config, log zerolog.Logger, use func(*config.Config)) bool {
 	now, err := load()
 	if err == nil {
 		err = now.Replaces(old)
 	}
 	if err != nil {
-		log.Error().Err(err).Msg("configuration not taken; the old one stays in force")
+		log.Error().Err(err).Msg("configuration rejected; the previous one stays in force")
 		return false
 	}
 	log.Info().Str("executor", now.Executor).Str("vault", now.Vault).Str("members", now.Members).Msg("configuration read again")
@@ -304,14 +305,14 @@
 	return true
 }
 
-// front is a core's front that has to be set going.
+// front is a core.Front that Serve runs.
 type front interface {
 	core.Front
 	Serve()
 }
 
-// openFronts takes the sockets of the process before this one over, or opens its own. That one may end just now: then it hands
-// nothing over, or not all, and its addresses are free a moment later.
+// openFronts takes over the predecessor's sockets, or opens new ones. It retries while the predecessor may be exiting: that
+// one then hands over none or only some of its sockets, and its addresses become free shortly after.
 func openFronts(cfg *config.Config, c *core.Core, clk *clock.Clock, log zerolog.Logger) (given inheritance, fronts []front, sockets map[string]*net.TCPListener, err error) {
 	for last := time.Now().Add(addressFor); ; time.Sleep(addressPause) {
 		if given, err = inherit(cfg, log); err == nil {
@@ -320,16 +321,16 @@
 		if err == nil || !given.ending && !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(last) {
 			return given, fronts, sockets, err
 		}
-		log.Warn().Err(err).Msg("the process before is ending, or holds the address; trying again")
+		log.Warn().Err(err).Msg("predecessor is exiting or still holds the address; retrying")
 		given.close()
 	}
 }
 
-// listen opens the fronts that the configuration names, on sockets that were handed over where there are such.
+// listen opens the configured fronts, on inherited sockets where available. It closes inherited sockets that no front uses.
 func listen(cfg *config.Config, given map[string]*net.TCPListener, c *core.Core, clk *clock.Clock, log zerolog.Logger) (fronts []front, sockets map[string]*net.TCPListener, err error) {
 	sockets = map[string]*net.TCPListener{}
 	defer func() {
-		if err != nil { // another try must not find them in use
+		if err != nil { // a retry must not find the addresses in use
 			for _, s := range sockets {
 				s.Close()
 			}
@@ -362,18 +363,18 @@
 	}
 	for address, s := range given {
 		if sockets[address] != s {
-			s.Close() // nobody would accept from it
+			s.Close() // no front accepts from it
 		}
 	}
 	return fronts, sockets, nil
 }
 
-// inheritance is what a process that runs already hands to this one, which replaces it.
+// inheritance is what a running predecessor hands over to this process, which replaces it.
 type inheritance struct {
-	path    string // where this process offers the same in its turn; empty: nowhere
+	path    string // where this process offers its own sockets to a successor; empty: it offers none
 	sockets map[string]*net.TCPListener
-	tie     net.Conn
-	ending  bool // that process did not hand them over
+	tie     net.Conn // the connection to the predecessor
+	ending  bool     // the predecessor failed to hand its sockets over; it may be exiting
 }
 
 func (i inheritance) any() bool { return len(i.sockets) > 0 }
@@ -384,8 +385,8 @@
 	}
 }
 
-// inherit asks the process before this one for its listening sockets. It is found in the server's own folder, by
-// name; without such a folder there is no telling whose process it would be.
+// inherit requests the predecessor's listening sockets. The predecessor is found by name in the server's private directory;
+// without a private directory, a process of that name could belong to another user.
 func inherit(cfg *config.Config, log zerolog.Logger) (i inheritance, err error) {
 	if cfg.Private == "" {
 		return i, nil
@@ -401,15 +402,15 @@
 	return i, nil
 }
 
-// handOn is what a successor has to know of the keyed requests that ran here.
+// handOn encodes, for a successor, the keyed attempts that ran in this process.
 func handOn(c *core.Core, log zerolog.Logger) []byte {
 	text, err := json.Marshal(c.ExportKeyedAttempts())
-	note(log, err) // it has no number that is none, so there is none
+	note(log, err) // never fails: there are no NaN or infinite numbers in it
 	return text
 }
 
-// succeed takes over what the process before this one, if there is any, knows of its keyed requests. One that tells
-// nothing may go on beginning some: then none is begun here before it has gone and their time has passed.
+// succeed imports the keyed attempts of the predecessor, if there is one. A predecessor that sends none may go on starting
+// keyed requests; this process then starts none until the predecessor has exited and its keys have expired.
 func succeed(c *core.Core, tie net.Conn, log zerolog.Logger) {
 	if tie == nil {
 		return
@@ -420,7 +421,7 @@
 		c.ImportKeyedAttempts(ties)
 		return
 	}
-	log.Warn().Msg("the process before this one does not tell what it ran")
+	log.Warn().Msg("predecessor sent no keyed attempts; keyed requests wait for its exit")
 	c.ExportKeyedAttempts()
 	go func() {
 		handover.Gone(tie)
@@ -428,7 +429,7 @@
 	}()
 }
 
-// inventoried lists the uwsgi servers that the operator's file and its inventory name, and the inventory.
+// inventoried returns the uwsgi servers from the operator's file and its inventory, and the inventory itself.
 func inventoried(o config.Operator) (servers []string, hosts *inventory.Inventory, err error) {
 	servers = slices.Clone(o.UWSGI.Servers)
 	if o.Inventory.Path == "" {
@@ -445,8 +446,8 @@
 	return servers, hosts, nil
 }
 
-// openStore opens the replicated store where the operator's file has one, and writes to it what this server
-// was set up with as soon as there is a quorum. Serving does not wait for that.
+// openStore opens the store replica that the operator's file configures, if any. Once there is a quorum, it writes this
+// server's configuration to the store; serving does not wait for that.
 func openStore(ctx context.Context, cfg *config.Config, hosts *inventory.Inventory, held *duties, log zerolog.Logger) (*store.Store, error) {
 	set := cfg.Operator.Store
 	if set.Listen == "" {
@@ -467,7 +468,7 @@
 	log.Info().Str("id", set.ID).Str("at", s.Addr()).Msg("serving the store")
 	go func() {
 		if err := s.Ready(ctx); err != nil {
-			return // stopped before there was a leader
+			return // closed before a leader was elected
 		}
 		note(log, s.Set("config/"+cfg.Name, cfg.Operator.Text))
 		note(log, s.Delete(drainMark+cfg.Name))
@@ -480,7 +481,7 @@
 	return s, nil
 }
 
-// storeStatus is what operators see of this process's copy; nil: it keeps none.
+// storeStatus returns the status of this process's store replica for the metrics, or nil without a replica.
 func storeStatus(s *store.Store) *store.Status {
 	if s == nil {
 		return nil
@@ -489,9 +490,9 @@
 	return &st
 }
 
-// note logs what failed beside the serving, which goes on without it.
+// note logs the failure of a background operation; serving continues without it.
 func note(log zerolog.Logger, err error) {
 	if err != nil {
-		log.Warn().Err(err).Msg("beside the serving")
+		log.Warn().Err(err).Msg("background operation failed")
 	}
 }
--- a/cmd/puffinsaddle/main_test.go
+++ b/cmd/puffinsaddle/main_test.go
@@ -25,11 +25,12 @@
 "settings":{"classes":[{"name":"book","aim":1700000000,"deadline":5000000000,"worth":4.0,"idempotency":"unsafe"}],
 "extra":{"nCores":6,"heapKb":10998.0,"runMemFactor":4.0},"limits":{},"rules":{"fallMultiple":8.0},"tick":4000000}}`
 
-// logLines hands the program's log to the test, line by line.
+// logLines passes the server's log to the test, line by line.
 type logLines chan string
 
 func (l logLines) Write(b []byte) (int, error) { l <- string(b); return len(b), nil }
 
+// want reads the log up to a line that contains word and returns that line.
 func (l logLines) want(t *testing.T, word string) string {
 	t.Helper()
 	late := time.After(enough)
@@ -43,13 +44,13 @@
 				return line
 			}
 		case <-late:
-			t.Fatalf("the log had no %q for %s", word, enough)
+			t.Fatalf("the log has no %q within %s", word, enough)
 		}
 	}
 }
 
-// serves waits until a process can be replaced, and is where it listens: one that starts before that finds nobody, and on a
-// port of the system's choice it would serve beside the first.
+// serves waits until a server can be replaced and returns its address. A second server that starts earlier finds no
+// predecessor, and with port 0 it would serve on a port of its own instead of replacing the first.
 func (l logLines) serves(t *testing.T) (at string) {
 	t.Helper()
 	_, at, _ = strings.Cut(l.want(t, "serving routers"), `"at":"`)
@@ -58,7 +59,7 @@
 	return at
 }
 
-// now is a notice that comes just now.
+// now returns a signal that arrives at the current time.
 func now(s os.Signal) notice { return notice{s, clock.System().Now()} }
 
 // executorPeer starts a fake executor that answers each JOIN with the given welcome. Its listener and connections stay open
@@ -91,10 +92,11 @@
 	t.Run("a test that ends", func(t *testing.T) { address, _ = executorPeer(t, "") })
 	if ln, err := net.Listen("tcp", address); err == nil {
 		ln.Close()
-		t.Errorf("the port of %s is free once its test has ended", address)
+		t.Errorf("the port of %s is free after its test has ended", address)
 	}
 }
 
+// membersPeer opens the socket of a fake membership service.
 func membersPeer(t *testing.T) net.PacketConn {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -104,6 +106,7 @@
 	return c
 }
 
+// report reads the next report to the fake membership service.
 func report(t *testing.T, c net.PacketConn) string {
 	b := make([]byte, 100)
 	n, _, err := c.ReadFrom(b)
@@ -113,8 +116,8 @@
 	return string(b[:n])
 }
 
-// A notice to read the configuration again: a faulty file names its key and changes nothing, a good one moves
-// the executor's link and the reports, before WELCOME and during a drain alike, and the process goes on.
+// On SIGHUP, an invalid file is reported by its key and changes nothing. A valid one moves the executor's link and the
+// membership reports to their new addresses, both before WELCOME and during a drain, and the process continues.
 func TestConfigurationIsReadAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	load := func() (*config.Config, error) {
@@ -145,7 +148,7 @@
 	write(strings.Replace(fmt.Sprintf(text, second, m2.LocalAddr()), `"stop_ms":1e7`, `"stop_ms":"soon"`, 1))
 	signals <- now(syscall.SIGHUP)
 	lines.want(t, "stop_ms")
-	write(strings.Replace(fmt.Sprintf(text, second, m2.LocalAddr()), `"stop_ms":1e7,`, "", 1)) // would be taken at a start
+	write(strings.Replace(fmt.Sprintf(text, second, m2.LocalAddr()), `"stop_ms":1e7,`, "", 1)) // is valid at a start, but not in a reload
 	signals <- now(syscall.SIGHUP)
 	lines.want(t, "the file in force has it")
 	write(fmt.Sprintf(text, second, m2.LocalAddr()))
@@ -157,7 +160,7 @@
 		t.Fatalf("reported %q", r)
 	}
 	if len(firstJoins) > 0 {
-		t.Error("the old address was joined again")
+		t.Error("the link joined the old address again")
 	}
 	signals <- now(syscall.SIGTERM)
 	lines.want(t, "draining")
@@ -166,15 +169,16 @@
 	select {
 	case <-thirdJoins:
 	case err := <-done:
-		t.Errorf("ended in the middle of its drain: %v", err)
+		t.Errorf("the process ended during its drain: %v", err)
 	}
 }
 
-// starter starts processes beside each other, with a folder that they share.
+// starter returns a function that starts servers which share a private directory, and thus can replace each other.
 func starter(t *testing.T) func(executor string) (logLines, chan notice, chan error) {
 	return starterBy(t, membersPeer(t))
 }
 
+// starterBy is starter with the given membership service.
 func starterBy(t *testing.T, members net.PacketConn) func(executor string) (logLines, chan notice, chan error) {
 	private := t.TempDir()
 	return func(executor string) (logLines, chan notice, chan error) {
@@ -195,9 +199,8 @@
 	}
 }
 
-// A second process starts beside the first on the same addresses and takes its sockets over once its own executor is
-// up. The first is then no longer needed: it asks its callers to go, and ends by itself. Nobody is ever refused a
-// connection, and checks are answered well all the while.
+// A second server starts on the same addresses and takes over the first one's sockets once its own executor is up. The first
+// then notifies its callers and ends. No connection is refused, and health checks succeed throughout.
 func TestRunningProcessIsReplaced(t *testing.T) {
 	members := membersPeer(t)
 	start := starterBy(t, members)
@@ -223,19 +226,20 @@
 	starting, _, _ := start(second)
 	starting.want(t, "replacing a running process")
 	<-joins
-	ask() // by the first: the second's executor is not up
+	ask() // answered by the first server: the second's executor is not up
 	third, _ := executorPeer(t, "WELCOME steady 5\r\n")
 	taking, _, _ := start(third)
 	taking.want(t, "module started")
-	lines.want(t, "a successor serves") // the notice comes once the second says that it is ready
+	lines.want(t, "a successor serves") // SIGTERM follows once the successor has reported that it is ready
 	ask()
 	signals <- now(syscall.SIGTERM)
 	lines.want(t, "replaced")
 	if err := <-done; err != nil {
-		t.Errorf("the first ended with %v", err)
+		t.Errorf("the first server ended with %v", err)
 	}
 	ask()
-	// The list follows the reports of all: none says that the server leaves, and they go on without the first.
+	// The membership service merges the reports of all processes of a name: none may report that the server leaves, and the
+	// reports continue without the first process.
 	for ended := time.Now(); time.Since(ended) < 500*time.Millisecond; {
 		if got := report(t, members); got != "HB n1 UP" {
 			t.Fatalf("reported %q", got)
@@ -243,8 +247,8 @@
 	}
 }
 
-// The notice to leave comes when a second process has the sockets and its executor is not up, so that it does not serve:
-// the first left the queue to it, and nobody accepted. It drains as one that nobody replaces.
+// SIGTERM arrives while a successor has the sockets but does not serve yet, because its executor is not up. If the first
+// server left the accept queue to it, no process would accept connections, so the first drains as if it had no successor.
 func TestQueueIsNotLeftToOneThatDoesNotServe(t *testing.T) {
 	start := starter(t)
 	first, _ := executorPeer(t, "WELCOME steady 5\r\n")
@@ -270,8 +274,8 @@
 	}
 }
 
-// The notice to leave comes to a process that has the sockets and does not serve yet: it ends, and the one that it was to
-// replace goes on, with its queue, and is no longer replaced.
+// SIGTERM arrives at a successor that has the sockets but does not serve yet: it ends. The predecessor continues to serve the
+// accept queue and no longer counts as being replaced.
 func TestNoticeToLeaveBeforeServing(t *testing.T) {
 	start := starter(t)
 	first, _ := executorPeer(t, "WELCOME steady 5\r\n")
@@ -282,10 +286,10 @@
 	<-joins
 	lines.want(t, "handed to a successor")
 	late := now(syscall.SIGTERM)
-	late.at -= 1e7 - 500 // of the 1e7 ms from the notice to the stop
+	late.at -= 1e7 - 500 // leaves 500 ms of the 1e7 ms stop timeout
 	signals2 <- late
 	if err := <-done2; err != nil {
-		t.Errorf("the second ended with %v", err)
+		t.Errorf("the second server ended with %v", err)
 	}
 	conn, err := net.Dial("tcp", at)
 	if err != nil {
@@ -303,7 +307,7 @@
 	lines.want(t, "draining")
 }
 
-// The notice to leave comes while notices to read the file again have filled what holds them: it was dropped.
+// SIGTERM arrives while reload signals have filled their channel. It was dropped when all signals shared one channel.
 func TestNoticeToLeaveIsNeverDropped(t *testing.T) {
 	signals, seen := caught(clock.System()), make(chan os.Signal, 1)
 	signal.Notify(seen, syscall.SIGHUP)
@@ -322,13 +326,13 @@
 				return
 			}
 		case <-late:
-			t.Fatal("never heard")
+			t.Fatal("SIGTERM was never received")
 		}
 	}
 }
 
-// The process before this one ends while it is asked for its sockets: it takes the asking and hands nothing over, and
-// its address is free a moment later. The start was refused.
+// The predecessor exits during the handover: it accepts the connection but hands no sockets over, and its address becomes
+// free shortly after. The start used to fail.
 func TestStartBesideAProcessThatEnds(t *testing.T) {
 	private := t.TempDir()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -376,8 +380,8 @@
 	lines.want(t, "module started")
 }
 
-// Notices before the executor is up: a file that is empty or cut short at any byte changes nothing, one to leave comes
-// twice with one to read the file again between, and the process ends by itself within its time.
+// Signals before the executor is up: a reload of an empty or truncated file changes nothing. SIGTERM arrives twice, with a
+// reload in between, and the process ends within its stop timeout.
 func TestNoticesBeforeWelcome(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	load := func() (*config.Config, error) {
@@ -405,7 +409,7 @@
 		lines.want(t, "stays in force")
 	}
 	if len(joins) > 0 {
-		t.Error("the executor was joined again")
+		t.Error("the link joined the executor again")
 	}
 	signals <- now(syscall.SIGTERM)
 	write(file)
@@ -418,8 +422,8 @@
 	}
 }
 
-// The notice to leave comes while the file is read again, which hangs until the notice's time is over: that counts from when
-// it came, not from when the program gets to it, or it would be stopped with requests in hand.
+// SIGTERM arrives during a reload that hangs until the stop timeout has passed. The timeout counts from the signal's arrival,
+// not from its handling; otherwise the platform would kill the process with requests in flight.
 func TestNoticeToLeaveCountsFromWhenItCame(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	executor, joins := executorPeer(t, "WELCOME steady 5\r\n")
@@ -445,7 +449,7 @@
 	signals <- notice{syscall.SIGHUP, clk.Now()}
 	<-reading
 	leave := notice{syscall.SIGTERM, clk.Now()}
-	clk.Set(1.7e12 + 1e7 + 1) // its 1e7 ms are over
+	clk.Set(1.7e12 + 1e7 + 1) // the stop timeout of 1e7 ms has passed
 	close(read)
 	signals <- leave
 	select {
@@ -454,11 +458,11 @@
 			t.Error(err)
 		}
 	case <-time.After(time.Minute):
-		t.Error("still there, long after its time")
+		t.Error("the process still runs after its stop timeout")
 	}
 }
 
-// idle is a runner that tells of each start.
+// idle is a runner that reports each start and runs nothing.
 type idle struct{ starts chan string }
 
 func (i idle) Start(a *core.Attempt)              { i.starts <- a.Request.ID }
@@ -468,8 +472,8 @@
 func (idle) ReadGauges(func([]float64))           {}
 func (idle) Diagnose(func(bool)) bool             { return false }
 
-// A process replaces one of an earlier build, which tells nothing of what it ran and goes on beginning it: no payment is
-// begun until that one has gone and the time of its payments has passed.
+// A server replaces one of an earlier build, which sends no keyed attempts and goes on starting keyed requests: none is
+// started here until the predecessor has exited and its keys have expired.
 func TestNothingKeyedBesideOneThatTellsNothing(t *testing.T) {
 	old, tie := net.Pipe()
 	go func() {
@@ -494,18 +498,18 @@
 	}
 	lines := make(logLines, 10)
 	succeed(c, tie, zerolog.New(lines))
-	lines.want(t, "does not tell")
+	lines.want(t, "sent no keyed attempts")
 	pay()
 	select {
 	case v := <-answers:
 		if v != core.Refused {
-			t.Fatalf("beside it: %v", v)
+			t.Fatalf("verdict %v while the predecessor runs", v)
 		}
 	case <-starts:
-		t.Fatal("begun beside it")
+		t.Fatal("a keyed request started while the predecessor runs")
 	}
 	old.Close()
-	for beside := true; beside; { // until that is known, the time does not begin
+	for beside := true; beside; { // the keys' expiry counts only from when the exit is noticed
 		in := make(chan struct{})
 		c.AfterPendingEvents(func() { close(in) })
 		<-in
@@ -514,7 +518,7 @@
 		select {
 		case v := <-answers:
 			if v != core.Refused {
-				t.Fatalf("after it: %v", v)
+				t.Fatalf("verdict %v after the predecessor's exit", v)
 			}
 		case <-starts:
 			beside = false
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -34,10 +34,10 @@
 	"puffinsaddle/internal/trace"
 )
 
-// settingNames are the settings that order servers know.
+// settingNames are the names of the settings that order servers support.
 var settingNames = []string{publishedOperator, publishedInventory + ".csv", publishedInventory + ".yml", publishedInventory + ".yaml"}
 
-// checkChange refuses a change whose values make no sense, or after which the settings would not fit together.
+// checkChange refuses a change that has an invalid value, or after which the settings would be inconsistent with each other.
 func checkChange(copy *store.Store, c records.Change) error {
 	settings := map[string][]byte{}
 	copy.View(func(st *state.State, _ uint64) {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// settingFiles are settings as the files that they were.
+// settingFiles returns settings as files, in the order of settingNames.
 func settingFiles(settings map[string][]byte) (files []publish.File) {
 	for _, name := range settingNames {
 		if text, ok := settings[name]; ok {
@@ -86,7 +86,8 @@
 	return files
 }
 
-// watch is an order server's copy of the records. A nil one is off, and its methods then do nothing.
+// watch is an order server's configuration replica and the client that keeps it current. The methods of a nil one do nothing:
+// the server watches no relay.
 type watch struct {
 	replica  *replica.Replica
 	client   *configwatch.Client
@@ -95,7 +96,7 @@
 	settings map[string][]byte
 }
 
-// watchFigures is what operators see of it.
+// watchFigures is the records section of the metrics.
 type watchFigures struct {
 	configwatch.ClientFigures
 	Revision uint64              `json:"revision"`
@@ -104,7 +105,7 @@
 	Report   distribution.Report `json:"report"`
 }
 
-// newWatch makes the parts; nothing is sent yet. nil: the operator's file names no relays.
+// newWatch returns a watch that has sent nothing yet, or nil if the operator's file names no relays.
 func newWatch(cfg *config.Config, t *trace.Log, farm *uwsgi.Runner, log zerolog.Logger) (*watch, error) {
 	d := cfg.Operator.Distribution
 	if len(d.Relays) == 0 {
@@ -124,11 +125,13 @@
 	return w, nil
 }
 
+// traceInstalled records that a snapshot at position p was installed.
 func traceInstalled(t *trace.Log, p distribution.Position) {
 	t.Add(trace.Event{What: trace.Installed, N: p.Revision, Text: p.Digest.String()}, 0)
 }
 
-// use puts settings into force, all together. Settings that do not fit together leave those before in force.
+// use applies changed settings all at once; a nil value deletes a setting. If they are inconsistent with each other, the
+// previous ones stay in force.
 func (w *watch) use(changed map[string][]byte) error {
 	for name, value := range changed {
 		if value == nil {
@@ -159,6 +162,7 @@
 	}
 }
 
+// figures returns the records section of the metrics, or nil if the server watches no relay.
 func (w *watch) figures() *watchFigures {
 	if w == nil {
 		return nil
@@ -167,7 +171,7 @@
 	return &watchFigures{w.client.Figures(), p.Revision, p.Digest.String(), w.replica.Records(), w.replica.Report()}
 }
 
-// tracer is the trace of the process; nil: it is off.
+// tracer returns the process's trace, or nil if tracing is off.
 func (h *duties) tracer() *trace.Log {
 	if h == nil {
 		return nil
@@ -180,7 +184,7 @@
 	Operator string `required:"" env:"PUFFINSADDLE_OPERATOR" type:"existingfile" help:"An operator's file with the section relay."`
 }
 
-// Run serves until SIGTERM or Ctrl-C.
+// Run relays configuration until SIGTERM or Ctrl-C.
 func (c *relayCmd) Run(out io.Writer) error {
 	file, err := config.LoadOperator(c.Operator)
 	if err != nil {
@@ -230,9 +234,9 @@
 	return r.Run(ctx)
 }
 
-const figuresTimeout = 2 * time.Second // of a call for a relay's figures
+const figuresTimeout = 2 * time.Second // of a request for a relay's metrics
 
-// serveFigures answers GET /-/metrics until the context ends.
+// serveFigures serves the relay's metrics at GET /-/metrics until ctx is done.
 func serveFigures(ctx context.Context, at string, r *relay.Relay) error {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
@@ -246,16 +250,16 @@
 	return nil
 }
 
-// seedOf draws a process's chances from its name, so that no two act alike.
+// seedOf derives a process's random seed from its name, so that processes differ in their random delays and choices.
 func seedOf(name string) uint64 { return records.Checksum([]byte(name)) }
 
-// changeCmd changes records.
+// changeCmd changes records atomically.
 type changeCmd struct {
 	with
 	File string `required:"" type:"existingfile" help:"The change as JSON: base, puts (kind, name, text or value) and deletes (kind, name)."`
 }
 
-// changeFile is a change as operators write it: values are JSON, or text.
+// changeFile is a change in an operator's file. Each put has either a JSON value or a text.
 type changeFile struct {
 	Base uint64 `json:"base"`
 	Puts []struct {
@@ -266,13 +270,13 @@
 	Deletes []fileKey `json:"deletes"`
 }
 
-// fileKey is a key as operators write it.
+// fileKey is a record's key in an operator's file.
 type fileKey struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
 }
 
-// key is the record's, or an error that names the kind that there is not.
+// key converts k to a record's key. It returns an error that names the kind if the kind is unknown.
 func (k fileKey) key() (records.Key, error) {
 	var kind records.Kind
 	if err := kind.UnmarshalText([]byte(k.Kind)); err != nil || kind.MaxValue() == 0 {
@@ -281,6 +285,7 @@
 	return records.Key{Kind: kind, Name: k.Name}, nil
 }
 
+// readChange reads and checks a change in an operator's file.
 func readChange(path string) (c records.Change, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -320,7 +325,7 @@
 	return c, nil
 }
 
-// Run has the change agreed on.
+// Run submits the change to the store and prints the new revision.
 func (c *changeCmd) Run(out io.Writer) error {
 	change, err := readChange(c.File)
 	if err != nil {
@@ -330,7 +335,7 @@
 		r, err := client.Do(ctx, state.Command{Op: state.OpChangeRecords, Change: &change})
 		if err != nil {
 			if errors.Is(err, session.ErrUnconfirmed) {
-				err = fmt.Errorf("%w; look at the revision before it is tried again", err)
+				err = fmt.Errorf("%w; check the revision before retrying the change", err)
 			}
 			return err
 		}
@@ -338,15 +343,15 @@
 	})
 }
 
-// configStatusCmd tells how far each region is.
+// configStatusCmd prints the revision and the staleness of each region.
 type configStatusCmd struct{ with }
 
-// Run asks the copy that leads.
+// Run queries the store's leader.
 func (c *configStatusCmd) Run(out io.Writer) error {
 	return c.talk(func(ctx context.Context, client *session.Client, _ config.Duties) error {
 		var s distribution.Status
 		if err := client.Read(ctx, session.ReadConfig, &s); err != nil {
-			return session.ErrNotSent // to ask again changes nothing
+			return session.ErrNotSent // a read may be repeated
 		}
 		if c.JSON {
 			return json.NewEncoder(out).Encode(s)
@@ -374,5 +379,5 @@
 	return nil
 }
 
-// seconds writes a span of milliseconds for people.
+// seconds formats a duration in ms, rounded to tenths of a second.
 func seconds(ms float64) string { return clock.Duration(ms).Round(100 * time.Millisecond).String() }
--- a/cmd/puffinsaddle/records_test.go
+++ b/cmd/puffinsaddle/records_test.go
@@ -15,13 +15,14 @@
 	"puffinsaddle/internal/distribution"
 )
 
-// recordsFleet is three copies of the store, a relay and an order server that follows the records, as processes.
+// recordsFleet is three store replicas, a relay and an order server that follows the records, as processes.
 type recordsFleet struct {
 	t        *testing.T
-	operator string // a file by which commands reach the copies
+	operator string // path of the operator's file with which commands reach the store replicas
 	server   *child
 }
 
+// yamlFile writes an operator's file and returns its path.
 func yamlFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.yaml")
@@ -31,7 +32,7 @@
 	return path
 }
 
-// startRecordsFleet starts all, and waits until the order server watches.
+// startRecordsFleet starts the processes and waits until the order server watches the relay.
 func startRecordsFleet(t *testing.T) *recordsFleet {
 	t.Helper()
 	const descriptors = 1024
@@ -55,17 +56,18 @@
 	relay.start(descriptors)
 	f := &recordsFleet{t: t, operator: yamlFile(t, duties)}
 	f.server = start("s1", fmt.Sprintf("distribution: {zone: z, relays: [{name: r1, address: %q, zone: z}]}\n", relayAt))
-	f.server.until("it watches", func() bool { return f.records().Watching == relayAt })
+	f.server.until("the order server watches the relay", func() bool { return f.records().Watching == relayAt })
 	return f
 }
 
-// recordFigures is what an order server tells of the records.
+// recordFigures is a part of the records section of an order server's metrics.
 type recordFigures struct {
 	Revision uint64 `json:"revision"`
 	Records  int    `json:"records"`
 	Watching string `json:"watching"`
 }
 
+// records returns the records section of the order server's metrics, zero if it can't be read.
 func (f *recordsFleet) records() (r recordFigures) {
 	answer, err := asking.Get("http://" + f.server.operator + "/-/metrics")
 	if err != nil {
@@ -81,7 +83,7 @@
 	return all.Records
 }
 
-// change runs the command config change with a file of this text.
+// change runs the command "config change" with a file that contains text.
 func (f *recordsFleet) change(text string) (status int, out, errs string) {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "change.json")
@@ -93,10 +95,10 @@
 	return status, strings.TrimSpace(o.String()), e.String()
 }
 
-// The status of the configuration lists the region with what its servers use, and nothing that is old.
+// wantStatus waits until the command "config status" reports the revision as current in the only region.
 func (f *recordsFleet) wantStatus(revision uint64) {
 	f.t.Helper()
-	f.server.until("the status tells so", func() bool {
+	f.server.until("the status reports the revision", func() bool {
 		var out, errs bytes.Buffer
 		if status := command([]string{"config", "status", "--operator", f.operator, "--json"}, &out, &errs); status != good {
 			f.t.Fatalf("status %d: %s", status, errs.String())
@@ -117,7 +119,7 @@
 	}
 }
 
-// An operator's change reaches an order server through a relay, whole or not at all: what makes no sense is refused with its key
+// An operator's change reaches an order server through a relay and is atomic: an invalid one is refused entirely, with its key
 // and the reason, and the revision stays.
 func TestChangesOfAnOperator(t *testing.T) {
 	f := startRecordsFleet(t)
@@ -130,7 +132,7 @@
 			t.Fatalf("change %d: status %d, %q %q", i+1, status, out, errs)
 		}
 	}
-	f.server.until("it has both changes", func() bool { r := f.records(); return r.Revision == 2 && r.Records == 3 })
+	f.server.until("the order server has both changes", func() bool { r := f.records(); return r.Revision == 2 && r.Records == 3 })
 	f.wantStatus(2)
 	tenant := `{"kind":"tenant","name":"t-2","value":{"share":0.1,"limit":1}}`
 	for _, c := range []struct {
@@ -158,16 +160,16 @@
 		}
 		for _, word := range c.want {
 			if !strings.Contains(errs, word) {
-				t.Errorf("%.200s: %q, %q is wanted", c.text, errs, word)
+				t.Errorf("%.200s: got %q, want %q", c.text, errs, word)
 			}
 		}
 	}
 	if status, out, errs := f.change(`{"deletes":[{"kind":"route","name":"svc-1/a"}]}`); status != good || out != "revision 3" {
 		t.Errorf("status %d, %q %q", status, out, errs)
 	}
-	f.server.until("it has the third change", func() bool { r := f.records(); return r.Revision == 3 && r.Records == 2 })
+	f.server.until("the order server has the third change", func() bool { r := f.records(); return r.Revision == 3 && r.Records == 2 })
 	time.Sleep(settle)
 	if r := f.records(); r.Revision != 3 || r.Records != 2 {
-		t.Errorf("the server goes on to %+v though nothing was changed", r)
+		t.Errorf("the server has %+v although nothing was changed", r)
 	}
 }
--- a/cmd/puffinsaddle/store.go
+++ b/cmd/puffinsaddle/store.go
@@ -20,6 +20,7 @@
 	"puffinsaddle/internal/store/disk"
 )
 
+// storeCmd groups the commands on the replicated store.
 type storeCmd struct {
 	Status  statusCmd  `cmd:"" help:"Ask all copies how they are."`
 	Verify  verifyCmd  `cmd:"" help:"Check every record of a copy's folder, whose process must not run."`
@@ -35,7 +36,7 @@
 		with
 		Out string `required:"" help:"The file to write; it must not be there."`
 	}
-	// own names a copy of this machine.
+	// own holds the flags of commands on this machine's store replica.
 	own struct {
 		with
 		Config string `env:"RELAY_CONFIG" help:"The platform's file, for the name where store.id is not set."`
@@ -60,7 +61,7 @@
 	}
 )
 
-// asked is a copy's answer, or why there is none.
+// asked is a store replica's status, or the error of the query.
 type asked struct {
 	ID string `json:"id"`
 	At string `json:"at"`
@@ -68,7 +69,7 @@
 	Error string `json:"error,omitempty"`
 }
 
-// Run asks all copies that the operator's file names.
+// Run queries all store replicas that the operator's file names, in parallel.
 func (c *statusCmd) Run(out io.Writer) error {
 	peers, err := c.copies()
 	if err != nil {
@@ -96,7 +97,7 @@
 	return showCopies(out, c.JSON, all)
 }
 
-// showCopies prints them; the error tells of copies that do not take part.
+// showCopies prints the store replicas' status. It returns an error if not all of them run as voters.
 func showCopies(out io.Writer, asJSON bool, all []asked) error {
 	whole := 0
 	for _, a := range all {
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// behind is how many entries a copy lacks, as the one that leads knows.
+// behind returns the number of log entries that a store replica lacks according to the leader, or "-" if that is not known.
 func behind(id string, all []asked) string {
 	for _, a := range all {
 		if a.Status == nil || !a.Leads {
@@ -143,7 +144,7 @@
 	return "-"
 }
 
-// copies are the nodes that the operator's file names.
+// copies returns the addresses of the store replicas that the operator's file names, by their IDs.
 func (w with) copies() (map[string]string, error) {
 	o, err := config.LoadOperator(w.Operator)
 	if err != nil {
@@ -158,7 +159,7 @@
 	return nil, fmt.Errorf("%w: %s: neither store.peers nor duties.copies is set", errWrong, w.Operator)
 }
 
-// options are those of the copy that the operator's file sets up.
+// options returns the options of the store replica that the operator's file configures.
 func (c own) options() (o store.Options, err error) {
 	file, err := config.LoadOperator(c.Operator)
 	if err != nil {
@@ -176,11 +177,12 @@
 	case set.Listen == "":
 		return o, fmt.Errorf("%w: %s: store.listen is missing", errWrong, c.Operator)
 	case set.ID == "":
-		return o, fmt.Errorf("%w: %s: store.id is missing, and no --config tells the name", errWrong, c.Operator)
+		return o, fmt.Errorf("%w: %s: store.id is missing, and no --config supplies the name", errWrong, c.Operator)
 	}
 	return store.Options{ID: set.ID, Dir: set.Dir, Peers: set.Peers}, nil
 }
 
+// told prints a command's result: v as JSON, or text.
 func (w with) told(out io.Writer, v any, text string) error {
 	if w.JSON {
 		return json.NewEncoder(out).Encode(v)
@@ -189,7 +191,7 @@
 	return err
 }
 
-// Run asks the copy that leads.
+// Run saves a backup that the store's leader sends.
 func (c *backupCmd) Run(out io.Writer) error {
 	peers, err := c.copies()
 	if err != nil {
@@ -202,7 +204,7 @@
 	return c.told(out, h, fmt.Sprintf("%s: set %s as of entry %d, %d bytes of state", c.Out, h.Name, h.Index, h.Bytes))
 }
 
-// Run makes the folder.
+// Run restores a backup into the data directory of this machine's store replica.
 func (c *restoreCmd) Run(out io.Writer) error {
 	o, err := c.options()
 	if err != nil {
@@ -223,14 +225,14 @@
 	return c.told(out, h, fmt.Sprintf("%s begins a new set with entry %d of set %s; start it first, then the others with empty folders", o.ID, h.Index, h.Name))
 }
 
-// Run begins the set anew with the folder that the operator's file names.
+// Run recovers the cluster from the data directory of this machine's store replica.
 func (c *resolveCmd) Run(out io.Writer) error {
 	o, err := c.options()
 	if err != nil {
 		return err
 	}
 	if !c.AcceptLoss {
-		return fmt.Errorf("%w: stop all other copies, choose the one whose folder goes furthest (store verify), and say --accept-loss", errWrong)
+		return fmt.Errorf("%w: stop all other copies, choose the one whose folder has the latest entry (store verify), and pass --accept-loss", errWrong)
 	}
 	r, err := store.Resolve(o)
 	if err != nil {
@@ -240,7 +242,7 @@
 		o.ID, r.Mark.ClusterGeneration, r.Mark.LastIndex, r.Mark.Term))
 }
 
-// Run checks a folder.
+// Run checks a data directory and prints a summary.
 func (c *verifyCmd) Run(out io.Writer) error {
 	r, err := disk.Verify(c.Dir)
 	if err != nil {
@@ -266,7 +268,7 @@
 	return nil
 }
 
-// Run prints entries.
+// Run prints the log entries from c.From to c.To.
 func (c *inspectCmd) Run(out io.Writer) error {
 	if c.To == 0 {
 		c.To = math.MaxUint64
--- a/example/duties/start.sh
+++ b/example/duties/start.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Three order servers, each with a copy of the store, and a toy that does their work. Ctrl-C ends them all.
+# Starts three order servers, each with a replica of the store, and a toy uwsgi server that executes their requests. Ctrl-C ends
+# all of them.
 set -eu
 cd "$(dirname "$0")/../.."
 mkdir -p bin
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy is a uwsgi server to try puffinsaddle with: each request takes a little while and is answered with
-// its own body. With -ask it is a client instead, and sends one request to the order server.
+// Command toy is a uwsgi server to try puffinsaddle with: it responds to each request with the request's body after a short
+// delay. With -ask it is a client instead, and sends one request to the order server.
 package main
 
 import (
@@ -33,7 +33,7 @@
 	}
 }
 
-// send makes one request and prints the whole response.
+// send sends one request and prints the complete response.
 func send(to, class, body string) error {
 	conn, err := net.Dial("tcp", to)
 	if err != nil {
@@ -53,6 +53,7 @@
 	return err
 }
 
+// serve responds to each request with its body after the time work.
 func serve(listen string, work time.Duration) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -68,7 +69,7 @@
 			defer conn.Close()
 			vars, body, err := uwsgi.ReadPacket(bufio.NewReader(conn), 1<<20)
 			if err != nil {
-				log.Printf("no request: %v", err)
+				log.Printf("reading the request: %v", err)
 				return
 			}
 			log.Printf("%s %s: %d bytes", vars["ORDER_ID"], vars["PATH_INFO"], len(body))
