--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -27,15 +27,15 @@
 
 // Exit statuses of commands.
 const (
-	good  = 0
-	bad   = 1 // the operation failed, or an invariant is violated
-	wrong = 2 // invalid usage, or an invalid file
+	exitOK      = 0
+	exitFailure = 1 // the operation failed, or an invariant is violated
+	exitUsage   = 2 // invalid usage, or an invalid file
 )
 
-const operatorsWait = 10 * time.Second // includes finding the store's leader
+const commandTimeout = 10 * time.Second // includes finding the store's leader
 
-// cli is the grammar of the command line; its field names are the commands' names.
-type cli struct {
+// commandLine is the grammar of the command line; its field names are the commands' names.
+type commandLine struct {
 	Serve  struct{}  `cmd:"" help:"Serve as one order server, set up by RELAY_CONFIG; what the bare program does."`
 	Duty   dutyCmd   `cmd:"" help:"See and steer duties that one order server holds at a time."`
 	Store  storeCmd  `cmd:"" help:"See the copies of the replicated store, and look into a copy's folder."`
@@ -58,24 +58,24 @@
 	Freeze freezeCmd `cmd:"" help:"Ask the holder to give a duty up, and let nobody have it."`
 }
 
-// with holds the flags of commands that connect to the store's replicas.
-type with struct {
+// connectFlags holds the flags of commands that connect to the store's replicas.
+type connectFlags struct {
 	Operator string `required:"" env:"PUFFINSADDLE_OPERATOR" type:"existingfile" help:"An operator's file that names the copies."`
 	JSON     bool   `name:"json" help:"Print JSON."`
 }
 
 type (
-	listCmd struct{ with }
+	listCmd struct{ connectFlags }
 	showCmd struct {
-		with
+		connectFlags
 		Name string `arg:"" help:"The duty."`
 	}
 	yieldCmd struct {
-		with
+		connectFlags
 		Name string `arg:"" help:"The duty."`
 	}
 	freezeCmd struct {
-		with
+		connectFlags
 		Name string `arg:"" help:"The duty."`
 		Off  bool   `help:"Let it be held again."`
 	}
@@ -90,57 +90,57 @@
 	}
 )
 
-// command runs a command line and returns the exit status.
-func command(args []string, out, errs io.Writer) int {
-	var c cli
+// runCommand runs a command line and returns the exit status.
+func runCommand(args []string, out, errOut io.Writer) int {
+	var c commandLine
 	status := -1
-	p, err := kong.New(&c, kong.Name("puffinsaddle"), kong.Description("An order server in Go."), kong.Writers(out, errs),
+	p, err := kong.New(&c, kong.Name("puffinsaddle"), kong.Description("An order server in Go."), kong.Writers(out, errOut),
 		kong.Exit(func(code int) { status = code }))
 	if err != nil {
-		fmt.Fprintln(errs, "puffinsaddle:", err)
-		return wrong
+		fmt.Fprintln(errOut, "puffinsaddle:", err)
+		return exitUsage
 	}
 	k, err := p.Parse(args)
 	if status >= 0 {
 		return status // help was printed
 	}
 	if err != nil {
-		fmt.Fprintln(errs, "puffinsaddle:", err)
-		return wrong
+		fmt.Fprintln(errOut, "puffinsaddle:", err)
+		return exitUsage
 	}
 	if k.Command() == "serve" {
 		return serve()
 	}
 	k.BindTo(out, (*io.Writer)(nil))
 	err = k.Run()
-	var use *lab.WrongUse
+	var usage *lab.WrongUse
 	switch {
 	case err == nil:
-		return good
+		return exitOK
 	case errors.Is(err, lab.ErrBroken):
-		return bad // the report names the invariant
-	case errors.As(err, &use), errors.Is(err, errWrong):
-		fmt.Fprintln(errs, "puffinsaddle:", err)
-		return wrong
+		return exitFailure // the report names the invariant
+	case errors.As(err, &usage), errors.Is(err, errUsage):
+		fmt.Fprintln(errOut, "puffinsaddle:", err)
+		return exitUsage
 	}
-	fmt.Fprintln(errs, "puffinsaddle:", err)
-	return bad
+	fmt.Fprintln(errOut, "puffinsaddle:", err)
+	return exitFailure
 }
 
-// errWrong marks invalid usage and invalid files, for which commands exit with status 2.
-var errWrong = errors.New("wrong use")
+// errUsage marks invalid usage and invalid files, for which commands exit with status 2.
+var errUsage = errors.New("wrong use")
 
-// talk opens a session for one command and runs do on it, again on each new connection as long as do returns
-// session.ErrNotSent.
-func (w with) talk(do func(context.Context, *session.Client, config.Duties) error) error {
+// withSession opens a session for one command and runs fn on it. It runs fn again on each new connection as long as fn
+// returns session.ErrNotSent.
+func (w connectFlags) withSession(fn func(context.Context, *session.Client, config.Duties) error) error {
 	o, err := config.LoadOperator(w.Operator)
 	if err != nil {
-		return fmt.Errorf("%w: %v", errWrong, err)
+		return fmt.Errorf("%w: %v", errUsage, err)
 	}
 	if !o.Duties.On() {
-		return fmt.Errorf("%w: %s: duties.copies is missing", errWrong, w.Operator)
+		return fmt.Errorf("%w: %s: duties.copies is missing", errUsage, w.Operator)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), operatorsWait)
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	var b [8]byte
 	if _, err := crand.Read(b[:]); err != nil {
@@ -148,12 +148,12 @@
 	}
 	rules := o.Duties.Rules()
 	rules.Duties, rules.PresenceTTLMS = nil, 0 // an operator's session is a candidate for no duty and holds no presence lease
-	linked := make(chan struct{}, 1)
+	connected := make(chan struct{}, 1)
 	c := session.NewClient(session.Options{Me: "operator#" + hex.EncodeToString(b[:]), Copies: o.Duties.Copies, Rules: rules,
 		Seed: uint64(b[0]), Steady: clock.Monotonic(), Log: zerolog.Nop(), On: func(e any) {
 			if _, ok := e.(session.Linked); ok {
 				select {
-				case linked <- struct{}{}:
+				case connected <- struct{}{}:
 				default:
 				}
 			}
@@ -161,17 +161,17 @@
 	go c.Run(ctx)
 	for {
 		select {
-		case <-linked: // the leader has answered
+		case <-connected: // the leader has answered
 		case <-ctx.Done():
 			return errors.New("no leader was found among the store's copies")
 		}
-		if err := do(ctx, c, o.Duties); !errors.Is(err, session.ErrNotSent) {
+		if err := fn(ctx, c, o.Duties); !errors.Is(err, session.ErrNotSent) {
 			return err
 		}
 	}
 }
 
-func (w with) read(ctx context.Context, c *session.Client) (d session.Duties, err error) {
+func (w connectFlags) readDuties(ctx context.Context, c *session.Client) (d session.Duties, err error) {
 	err = c.Read(ctx, session.ReadDuties, &d)
 	if errors.Is(err, session.ErrUnconfirmed) {
 		err = session.ErrNotSent // a read may be repeated
@@ -179,8 +179,8 @@
 	return d, err
 }
 
-// row is a duty in command output.
-type row struct {
+// dutyRow is a duty in command output.
+type dutyRow struct {
 	Duty   string  `json:"duty"`
 	Holder string  `json:"holder"`
 	Epoch  uint64  `json:"epoch"`
@@ -191,9 +191,9 @@
 	Fenced uint64  `json:"fenced"`
 }
 
-func rows(d session.Duties, set config.Duties) (all []row) {
-	for _, t := range set.List {
-		r := row{Duty: t.Name, TTL: t.TTL, Frozen: d.Table.Frozen[t.Name], Marks: d.Marks[t.Name], Fenced: d.Stale[t.Name]}
+func dutyRows(d session.Duties, settings config.Duties) (all []dutyRow) {
+	for _, t := range settings.List {
+		r := dutyRow{Duty: t.Name, TTL: t.TTL, Frozen: d.Table.Frozen[t.Name], Marks: d.Marks[t.Name], Fenced: d.Stale[t.Name]}
 		if l := d.Table.Leases[t.Name]; l != nil {
 			r.Holder, r.Epoch, r.Yield = l.Holder, l.Epoch, l.Yield
 		}
@@ -202,9 +202,9 @@
 	return all
 }
 
-func show(out io.Writer, asJSON bool, all []row, words map[string]string) error {
+func printDuties(out io.Writer, asJSON bool, all []dutyRow, acknowledged map[string]string) error {
 	if asJSON {
-		return json.NewEncoder(out).Encode(map[string]any{"duties": all, "versions": words})
+		return json.NewEncoder(out).Encode(map[string]any{"duties": all, "versions": acknowledged})
 	}
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "DUTY\tHOLDER\tEPOCH\tTTL_MS\tSTATE\tFENCED")
@@ -223,8 +223,8 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, who := range slices.Sorted(maps.Keys(words)) {
-		fmt.Fprintf(out, "version at %s: %s\n", who, words[who])
+	for _, who := range slices.Sorted(maps.Keys(acknowledged)) {
+		fmt.Fprintf(out, "version at %s: %s\n", who, acknowledged[who])
 	}
 	return nil
 }
@@ -238,86 +238,86 @@
 
 // Run prints all duties and their holders.
 func (l *listCmd) Run(out io.Writer) error {
-	return l.talk(func(ctx context.Context, c *session.Client, set config.Duties) error {
-		d, err := l.read(ctx, c)
+	return l.withSession(func(ctx context.Context, c *session.Client, settings config.Duties) error {
+		d, err := l.readDuties(ctx, c)
 		if err != nil {
 			return err
 		}
-		return show(out, l.JSON, rows(d, set), d.Words)
+		return printDuties(out, l.JSON, dutyRows(d, settings), d.Words)
 	})
 }
 
-func unknown(set config.Duties, name string) error {
-	if !set.Rules().HasDuty(name) {
-		return fmt.Errorf("%w: no duty %q on duties.list", errWrong, name)
+func checkDutyName(settings config.Duties, name string) error {
+	if !settings.Rules().HasDuty(name) {
+		return fmt.Errorf("%w: no duty %q on duties.list", errUsage, name)
 	}
 	return nil
 }
 
 // Run prints one duty.
 func (s *showCmd) Run(out io.Writer) error {
-	return s.talk(func(ctx context.Context, c *session.Client, set config.Duties) error {
-		if err := unknown(set, s.Name); err != nil {
+	return s.withSession(func(ctx context.Context, c *session.Client, settings config.Duties) error {
+		if err := checkDutyName(settings, s.Name); err != nil {
 			return err
 		}
-		d, err := s.read(ctx, c)
+		d, err := s.readDuties(ctx, c)
 		if err != nil {
 			return err
 		}
-		all := slices.DeleteFunc(rows(d, set), func(r row) bool { return r.Duty != s.Name })
-		return show(out, s.JSON, all, nil)
+		all := slices.DeleteFunc(dutyRows(d, settings), func(r dutyRow) bool { return r.Duty != s.Name })
+		return printDuties(out, s.JSON, all, nil)
 	})
 }
 
-func (w with) order(out io.Writer, op, name, done string) error {
-	return w.talk(func(ctx context.Context, c *session.Client, set config.Duties) error {
-		if err := unknown(set, name); err != nil {
+func (w connectFlags) requestChange(out io.Writer, op, name, outcome string) error {
+	return w.withSession(func(ctx context.Context, c *session.Client, settings config.Duties) error {
+		if err := checkDutyName(settings, name); err != nil {
 			return err
 		}
 		if _, err := c.Do(ctx, state.Command{Op: op, Key: name}); err != nil {
 			return err
 		}
 		if w.JSON {
-			return json.NewEncoder(out).Encode(map[string]string{"duty": name, "done": done})
+			return json.NewEncoder(out).Encode(map[string]string{"duty": name, "done": outcome})
 		}
-		_, err := fmt.Fprintf(out, "%s: %s\n", name, done)
+		_, err := fmt.Fprintf(out, "%s: %s\n", name, outcome)
 		return err
 	})
 }
 
 // Run requests that the holder hand the duty over.
 func (y *yieldCmd) Run(out io.Writer) error {
-	return y.order(out, state.OpRequestYield, y.Name, "its holder is asked to hand it on")
+	return y.requestChange(out, state.OpRequestYield, y.Name, "its holder is asked to hand it on")
 }
 
 // Run freezes the duty or, with --off, unfreezes it.
 func (f *freezeCmd) Run(out io.Writer) error {
 	if f.Off {
-		return f.order(out, state.OpUnfreezeDuty, f.Name, "may be held again")
+		return f.requestChange(out, state.OpUnfreezeDuty, f.Name, "may be held again")
 	}
-	return f.order(out, state.OpFreezeDuty, f.Name, "its holder is asked to give it up, and nobody will get it")
+	return f.requestChange(out, state.OpFreezeDuty, f.Name, "its holder is asked to give it up, and nobody will get it")
 }
 
 // Run checks the given files.
 func (c *checkCmd) Run(out io.Writer) error {
 	if c.Config == "" && c.Operator == "" {
-		return fmt.Errorf("%w: neither --config nor --operator is given", errWrong)
+		return fmt.Errorf("%w: neither --config nor --operator is given", errUsage)
 	}
 	if c.Config != "" {
 		if _, err := config.Load(func(key string) string {
 			return map[string]string{"RELAY_CONFIG": c.Config, "PUFFINSADDLE_OPERATOR": c.Operator}[key]
 		}); err != nil {
-			return fmt.Errorf("%w: %v", errWrong, err)
+			return fmt.Errorf("%w: %v", errUsage, err)
 		}
 		fmt.Fprintf(out, "%s: good\n", c.Config)
 	}
 	if c.Operator != "" {
 		o, err := config.LoadOperator(c.Operator)
 		if err != nil {
-			return fmt.Errorf("%w: %v", errWrong, err)
+			return fmt.Errorf("%w: %v", errUsage, err)
 		}
-		if _, _, err := inventoried(o); err != nil {
-			return fmt.Errorf("%w: %v", errWrong, err)
+		if _, _, err := uwsgiServers(o); err != nil {
+			return fmt.Errorf("%w: %v", errUsage, err)
 		}
 		fmt.Fprintf(out, "%s: good\n", c.Operator)
 	}
--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -36,53 +36,53 @@
 )
 
 const (
-	modeEvery = 250.0 // ms between checks of the server's health and drain state
-	leaveFor  = 100.0 // ms at the end for released leases to be sent
-	needMore  = 1.5   // requested capacity as a multiple of the concurrency in use
-	needLeast = 0.25  // calls in flight requested in addition, so that an idle server still detects growing demand
+	modeCheckIntervalMS = 250.0 // ms between checks of the server's health and drain state
+	releaseFlushMS      = 100.0 // ms at the end for released leases to be sent
+	needHeadroomFactor  = 1.5   // requested capacity as a multiple of the concurrency in use
+	needHeadroomCalls   = 0.25  // calls in flight requested in addition, so that an idle server still detects growing demand
 )
 
-// duties connects the server to the replicated store for the duties that it holds or is a candidate for, and serves sessions
-// where this process has a store replica. The methods of a nil one do nothing: duties are disabled.
-type duties struct {
-	cfg      *config.Config
-	me       string
-	clk      *clock.Clock
-	steady   *clock.Clock
-	log      zerolog.Logger
-	trace    *trace.Log
-	client   *session.Client
-	keeper   *work.Runner
-	sessions *session.Server
-	copy     *store.Store
-	origin   *relay.Origin
-	core     atomic.Pointer[core.Core]
+// dutyManager connects the server to the replicated store for the duties that it holds or is a candidate for, and serves
+// sessions where this process has a store replica. The methods of a nil one do nothing: duties are disabled.
+type dutyManager struct {
+	cfg           *config.Config
+	processID     string
+	clk           *clock.Clock
+	monotonic     *clock.Clock
+	log           zerolog.Logger
+	trace         *trace.Log
+	client        *session.Client
+	runner        *work.Runner
+	sessionServer *session.Server
+	replica       *store.Store
+	origin        *relay.Origin
+	core          atomic.Pointer[core.Core]
 
-	mu        sync.Mutex
-	risen     bool
-	coldUntil float64
-	aside     bool
-	leaving   bool
+	mu           sync.Mutex
+	executorUp   bool
+	coldUntilMS  float64
+	outOfService bool
+	draining     bool
 }
 
-// holding is the duties section of the metrics.
-type holding struct {
-	Me       string                 `json:"me"`
-	Linked   bool                   `json:"linked"`  // a session is established
-	Present  bool                   `json:"present"` // this process holds its presence lease
-	Held     map[string]uint64      `json:"held"`    // epochs of the duties held
-	Fenced   uint64                 `json:"fenced"`  // commands of this process that were refused for a stale epoch
-	Share    float64                `json:"share"`   // downstream calls in flight allocated beyond the per-process reserve
-	Used     float64                `json:"used"`    // downstream calls in flight, recent mean
-	Version  uint64                 `json:"version"` // published version in force
-	Sessions *session.ServerFigures `json:"sessions,omitempty"`
+// dutyMetrics is the duties section of the metrics.
+type dutyMetrics struct {
+	ProcessID             string                 `json:"me"`
+	Connected             bool                   `json:"linked"`  // a session is established
+	HasPresence           bool                   `json:"present"` // this process holds its presence lease
+	HeldEpochs            map[string]uint64      `json:"held"`    // epochs of the duties held
+	FencedCommands        uint64                 `json:"fenced"`  // commands of this process that were refused for a stale epoch
+	AllocatedShare        float64                `json:"share"`   // allocated downstream calls beyond the per-process reserve
+	DownstreamConcurrency float64                `json:"used"`    // downstream calls in flight, recent mean
+	VersionInForce        uint64                 `json:"version"` // published version in force
+	Sessions              *session.ServerFigures `json:"sessions,omitempty"`
 
 	Origin *configwatch.Figures `json:"origin,omitempty"` // on a store replica: the relays that watch it
 	Relays *distribution.Report `json:"relays,omitempty"` // on the leader: what the relays reported
 }
 
-// newDuties returns duties that have sent nothing yet, or nil if the operator's file configures none.
-func newDuties(cfg *config.Config, clk *clock.Clock, log zerolog.Logger) (*duties, error) {
+// newDutyManager returns a manager that has sent nothing yet, or nil if the operator's file configures none.
+func newDutyManager(cfg *config.Config, clk *clock.Clock, log zerolog.Logger) (*dutyManager, error) {
 	d := cfg.Operator.Duties
 	if !d.On() {
 		return nil, nil
@@ -91,171 +91,171 @@
 	if _, err := crand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	h := &duties{cfg: cfg, me: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, steady: clock.Monotonic().SetRate(cfg.Operator.Lab.Rate), log: log}
+	h := &dutyManager{cfg: cfg, processID: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, monotonic: clock.Monotonic().SetRate(cfg.Operator.Lab.Rate), log: log}
 	if path := cfg.Operator.Lab.Trace; path != "" {
-		t, err := trace.Open(path, h.me, h.steady)
+		t, err := trace.Open(path, h.processID, h.monotonic)
 		if err != nil {
 			return nil, err
 		}
 		h.trace = t
 		t.Add(trace.Event{What: trace.Up}, 0)
 	}
-	plant := cfg.Operator.Lab.Plant
-	h.keeper = &work.Runner{Steady: h.steady, Log: log, Trace: h.trace, CheckVersion: h.check}
-	h.client = session.NewClient(session.Options{Me: h.me, Copies: d.Copies, Rules: d.Rules(), Seed: cfg.Seed ^ uint64(b[0])<<8 ^ uint64(b[1]),
-		Steady: h.steady, Log: log, Plant: plant, On: h.keeper.HandleEvent, Need: h.need})
-	k := h.keeper
+	injectedBug := cfg.Operator.Lab.Plant
+	h.runner = &work.Runner{Steady: h.monotonic, Log: log, Trace: h.trace, CheckVersion: h.checkVersion}
+	h.client = session.NewClient(session.Options{Me: h.processID, Copies: d.Copies, Rules: d.Rules(), Seed: cfg.Seed ^ uint64(b[0])<<8 ^ uint64(b[1]),
+		Steady: h.monotonic, Log: log, Plant: injectedBug, On: h.runner.HandleEvent, Need: h.downstreamNeed})
+	k := h.runner
 	k.WorkByDuty = map[string]work.Work{}
 	for _, t := range d.List {
 		k.WorkByDuty[t.Name] = k.CounterWork(d.MarkMs)
 	}
 	if d.Allot.Whole > 0 {
-		k.WorkByDuty[work.Allotter] = k.AllotterWork(d.Allot.EveryMs, d.Allot.Room(), plant)
+		k.WorkByDuty[work.Allotter] = k.AllotterWork(d.Allot.EveryMs, d.Allot.Room(), injectedBug)
 	}
 	if d.Publish.Manifest != "" {
-		k.WorkByDuty[work.Publisher] = k.PublisherWork(d.Publish.EveryMs, d.Publish.Manifest, h.check)
+		k.WorkByDuty[work.Publisher] = k.PublisherWork(d.Publish.EveryMs, d.Publish.Manifest, h.checkVersion)
 	}
 	if _, on := k.WorkByDuty[work.Settler]; on {
-		k.WorkByDuty[work.Settler] = k.SettlerWork(d.Settle.EveryMs, d.Settle.KeepMs, d.Rate, h.steady)
+		k.WorkByDuty[work.Settler] = k.SettlerWork(d.Settle.EveryMs, d.Settle.KeepMs, d.Rate, h.monotonic)
 	}
 	return h, nil
 }
 
-// keep serves sessions and watches if this process has a store replica.
-func (h *duties) keep(ctx context.Context, copy *store.Store) {
-	if copy == nil {
+// serveReplica serves sessions and watches if this process has a store replica.
+func (h *dutyManager) serveReplica(ctx context.Context, replica *store.Store) {
+	if replica == nil {
 		return
 	}
-	h.copy = copy
+	h.replica = replica
 	d := h.cfg.Operator.Duties
 	g := &duty.Grantor{Rules: d.Rules(), Seed: 1, MaxPresent: d.Allot.Servers, InjectedBug: h.cfg.Operator.Lab.Plant}
-	h.sessions = session.NewServer(copy, g, d.Sessions, h.steady, h.log)
-	h.sessions.CheckChange = func(c records.Change) error { return checkChange(copy, c) }
-	h.sessions.Led = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
-	copy.ServeSessions(h.sessions.Serve)
-	h.origin = relay.NewOrigin(copy, h.steady, h.log, h.cfg.Operator.Lab.Plant)
+	h.sessionServer = session.NewServer(replica, g, d.Sessions, h.monotonic, h.log)
+	h.sessionServer.CheckChange = func(c records.Change) error { return checkChange(replica, c) }
+	h.sessionServer.Led = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
+	replica.ServeSessions(h.sessionServer.Serve)
+	h.origin = relay.NewOrigin(replica, h.monotonic, h.log, h.cfg.Operator.Lab.Plant)
 	h.origin.Agreed = func(c records.Commit) {
 		h.trace.Add(trace.Event{What: trace.Agreed, N: c.Revision, Text: c.After.String()}, 0)
 	}
-	h.sessions.ConfigStatus = h.origin.Status
-	copy.ServeWatches(h.origin.Serve)
+	h.sessionServer.ConfigStatus = h.origin.Status
+	replica.ServeWatches(h.origin.Serve)
 	go h.origin.Run(ctx)
-	go h.sessions.Run(ctx)
+	go h.sessionServer.Run(ctx)
 }
 
-// serve starts the client, which then holds duties for the core c.
-func (h *duties) serve(ctx context.Context, c *core.Core, farm *uwsgi.Runner) {
+// start starts the client, which then holds duties for the core c.
+func (h *dutyManager) start(ctx context.Context, c *core.Core, uwsgiRunner *uwsgi.Runner) {
 	if h == nil {
 		return
 	}
 	h.core.Store(c)
 	if a := h.cfg.Operator.Duties.Allot; a.Whole > 0 {
-		alone := a.Room().ReservePerProcess
-		c.SetDownstreamShareFunc(func() float64 { return float64(alone+h.client.Share()) / allot.UnitsPerCall })
-		h.keeper.ApplyShare = func(_ int64, used func()) { c.AfterPendingEvents(used) }
-	}
-	h.keeper.ApplyVersion = func(v publish.Version) {
-		servers, err := servers(v.Files)
-		if err == nil && farm != nil && len(servers) > 0 {
-			farm.SetServers(servers)
+		reserve := a.Room().ReservePerProcess
+		c.SetDownstreamShareFunc(func() float64 { return float64(reserve+h.client.Share()) / allot.UnitsPerCall })
+		h.runner.ApplyShare = func(_ int64, used func()) { c.AfterPendingEvents(used) }
+	}
+	h.runner.ApplyVersion = func(v publish.Version) {
+		addresses, err := publishedServers(v.Files)
+		if err == nil && uwsgiRunner != nil && len(addresses) > 0 {
+			uwsgiRunner.SetServers(addresses)
 		}
 	}
 	h.client.Switch(duty.Failing) // until the executor has started
-	h.keeper.Start(ctx, h.me, h.client)
-	h.look()
+	h.runner.Start(ctx, h.processID, h.client)
+	h.updateMode()
 }
 
-// need returns the capacity, in allocation units, that this server could use beyond its per-process reserve.
-func (h *duties) need() int64 {
+// downstreamNeed returns the capacity, in allocation units, that this server could use beyond its per-process reserve.
+func (h *dutyManager) downstreamNeed() int64 {
 	c := h.core.Load()
 	if c == nil {
 		return 0
 	}
-	want := c.DownstreamConcurrency()*needMore + needLeast
-	return max(int64(want*allot.UnitsPerCall)-h.cfg.Operator.Duties.Allot.Room().ReservePerProcess, 0)
+	neededCalls := c.DownstreamConcurrency()*needHeadroomFactor + needHeadroomCalls
+	return max(int64(neededCalls*allot.UnitsPerCall)-h.cfg.Operator.Duties.Allot.Room().ReservePerProcess, 0)
 }
 
-// look sets the client's mode from the server's state, and repeats this periodically until the server drains.
-func (h *duties) look() {
+// updateMode sets the client's mode from the server's state, and repeats this periodically until the server drains.
+func (h *dutyManager) updateMode() {
 	h.mu.Lock()
 	mode := duty.Warm
 	switch {
-	case h.leaving:
+	case h.draining:
 		mode = duty.Draining
-	case h.aside:
+	case h.outOfService:
 		mode = duty.OutOfService
-	case !h.risen || !h.core.Load().Healthy():
+	case !h.executorUp || !h.core.Load().Healthy():
 		mode = duty.Failing
-	case h.clk.Now() < h.coldUntil:
+	case h.clk.Now() < h.coldUntilMS:
 		mode = duty.Cold
 	}
 	h.mu.Unlock()
 	h.client.Switch(mode)
 	if mode != duty.Draining {
-		h.steady.After(modeEvery, h.look)
+		h.monotonic.After(modeCheckIntervalMS, h.updateMode)
 	}
 }
 
-// up records that the executor has started, cold or warm.
-func (h *duties) up(cold bool, coldMs float64) {
+// executorStarted records that the executor has started, cold or warm.
+func (h *dutyManager) executorStarted(cold bool, coldMs float64) {
 	if h == nil {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.risen && cold {
-		h.coldUntil = h.clk.Now() + coldMs
+	if !h.executorUp && cold {
+		h.coldUntilMS = h.clk.Now() + coldMs
 	}
-	h.risen = true
+	h.executorUp = true
 }
 
-// away takes the server out of service for duties, or back in, as an operator requests.
-func (h *duties) away(away bool) {
+// setOutOfService takes the server out of service for duties, or back in, as an operator requests.
+func (h *dutyManager) setOutOfService(outOfService bool) {
 	if h != nil {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.aside = away
+		h.outOfService = outOfService
 	}
 }
 
 // drain starts handing all duties over to other servers.
-func (h *duties) drain() {
+func (h *dutyManager) drain() {
 	if h == nil {
 		return
 	}
 	h.mu.Lock()
-	h.leaving = true
+	h.draining = true
 	h.mu.Unlock()
 	h.client.Switch(duty.Draining)
 }
 
-// leave releases the remaining leases, the presence lease included, and waits for the releases to be sent.
-func (h *duties) leave() {
+// releaseAll releases the remaining leases, the presence lease included, and waits for the releases to be sent.
+func (h *dutyManager) releaseAll() {
 	if h == nil {
 		return
 	}
 	h.client.Leave()
-	sent := make(chan struct{})
-	h.steady.After(leaveFor, func() { close(sent) })
-	<-sent
+	flushed := make(chan struct{})
+	h.monotonic.After(releaseFlushMS, func() { close(flushed) })
+	<-flushed
 }
 
-func (h *duties) close() {
+func (h *dutyManager) close() {
 	if h != nil {
 		h.trace.Close()
 	}
 }
 
-// copied returns a function that traces the phases of this process's store replica, or nil without a trace.
-func (h *duties) copied() func(phase, why string) {
+// phaseTracer returns a function that traces the phases of this process's store replica, or nil without a trace.
+func (h *dutyManager) phaseTracer() func(phase, reason string) {
 	if h == nil || h.trace == nil {
 		return nil
 	}
-	return func(phase, why string) { h.trace.Add(trace.Event{What: trace.Copy, Text: phase, Cause: why}, 0) }
+	return func(phase, reason string) { h.trace.Add(trace.Event{What: trace.Copy, Text: phase, Cause: reason}, 0) }
 }
 
-// watch returns a function that traces the commands that a store replica applies, or nil without a trace.
-func (h *duties) watch() func(index, term uint64, c state.Command, r state.Result) {
+// applyTracer returns a function that traces the commands that a store replica applies, or nil without a trace.
+func (h *dutyManager) applyTracer() func(index, term uint64, c state.Command, r state.Result) {
 	if h == nil || h.trace == nil {
 		return nil
 	}
@@ -283,24 +283,24 @@
 	}
 }
 
-// figures returns the duties section of the metrics, or nil if duties are disabled.
-func (h *duties) figures() *holding {
+// metrics returns the duties section of the metrics, or nil if duties are disabled.
+func (h *dutyManager) metrics() *dutyMetrics {
 	if h == nil {
 		return nil
 	}
-	f := &holding{Me: h.me, Linked: h.client.Linked(), Held: map[string]uint64{}, Fenced: h.client.Fenced(),
-		Share: float64(h.client.Share()) / allot.UnitsPerCall, Version: h.keeper.VersionInForce()}
-	_, _, f.Present = h.client.Presence()
+	f := &dutyMetrics{ProcessID: h.processID, Connected: h.client.Linked(), HeldEpochs: map[string]uint64{}, FencedCommands: h.client.Fenced(),
+		AllocatedShare: float64(h.client.Share()) / allot.UnitsPerCall, VersionInForce: h.runner.VersionInForce()}
+	_, _, f.HasPresence = h.client.Presence()
 	for _, t := range h.cfg.Operator.Duties.List {
 		if r, ok := h.client.May(t.Name); ok {
-			f.Held[t.Name] = r.Epoch
+			f.HeldEpochs[t.Name] = r.Epoch
 		}
 	}
 	if c := h.core.Load(); c != nil {
-		f.Used = c.DownstreamConcurrency()
+		f.DownstreamConcurrency = c.DownstreamConcurrency()
 	}
-	if h.sessions != nil {
-		v := h.sessions.Figures()
+	if h.sessionServer != nil {
+		v := h.sessionServer.Figures()
 		f.Sessions = &v
 	}
 	if h.origin != nil {
@@ -310,8 +310,8 @@
 	return f
 }
 
-// calls returns the lab's fault-injection handlers, which are served on the operators' address.
-func (h *duties) calls() map[string]http.HandlerFunc {
+// labHandlers returns the lab's fault-injection handlers, which are served on the operators' address.
+func (h *dutyManager) labHandlers() map[string]http.HandlerFunc {
 	if h == nil || !h.cfg.Operator.Lab.Calls {
 		return nil
 	}
@@ -325,17 +325,17 @@
 		h.log.Warn().Float64("ms", ms).Msg("lab moves the wall clock")
 	}, "PUT /-/lab/spoil": func(w http.ResponseWriter, r *http.Request) {
 		pick, err := strconv.ParseUint(r.URL.Query().Get("pick"), 10, 64)
-		if err != nil || h.copy == nil {
+		if err != nil || h.replica == nil {
 			http.Error(w, "pick is missing or invalid, or there is no store replica", http.StatusBadRequest)
 			return
 		}
-		fmt.Fprint(w, h.copy.Spoil(pick))
+		fmt.Fprint(w, h.replica.Spoil(pick))
 	}}
 }
 
-// check reports whether this server can apply all of a published version.
-func (h *duties) check(files []publish.File) error {
-	_, err := servers(files)
+// checkVersion reports whether this server can apply all of a published version.
+func (h *dutyManager) checkVersion(files []publish.File) error {
+	_, err := publishedServers(files)
 	return err
 }
 
@@ -345,9 +345,9 @@
 	publishedInventory = "inventory"
 )
 
-// servers returns the uwsgi servers that a published version configures. Other settings of an operator's file need a restart;
-// a version that contains any of them is rejected entirely.
-func servers(files []publish.File) ([]string, error) {
+// publishedServers returns the uwsgi servers that a published version configures. Other settings of an operator's file need a
+// restart; a version that contains any of them is rejected entirely.
+func publishedServers(files []publish.File) ([]string, error) {
 	o, err := config.ParseOperator(nil)
 	if err != nil {
 		return nil, err
@@ -370,22 +370,22 @@
 			return nil, fmt.Errorf("%s: not a publishable file; expected %s, or %s.csv, .yml or .yaml", f.Name, publishedOperator, publishedInventory)
 		}
 	}
-	rest, _ := config.ParseOperator(nil)
-	rest.UWSGI.Servers, rest.Inventory, rest.Text = o.UWSGI.Servers, o.Inventory, o.Text
-	if !reflect.DeepEqual(o, rest) {
+	allowed, _ := config.ParseOperator(nil)
+	allowed.UWSGI.Servers, allowed.Inventory, allowed.Text = o.UWSGI.Servers, o.Inventory, o.Text
+	if !reflect.DeepEqual(o, allowed) {
 		return nil, fmt.Errorf("%s: sets more than uwsgi.servers and inventory; other settings need a restart", publishedOperator)
 	}
-	list := append([]string(nil), o.UWSGI.Servers...)
+	addresses := append([]string(nil), o.UWSGI.Servers...)
 	if o.Inventory.Group != "" {
 		if hosts == nil {
 			return nil, errors.New("inventory.group is set, but no inventory is published")
 		}
 		for _, host := range hosts.Group(o.Inventory.Group) {
-			list = append(list, host.Endpoint(o.Inventory.Port))
+			addresses = append(addresses, host.Endpoint(o.Inventory.Port))
 		}
-		if len(list) == 0 {
+		if len(addresses) == 0 {
 			return nil, fmt.Errorf("inventory.group: %q contains no host", o.Inventory.Group)
 		}
 	}
-	return list, nil
+	return addresses, nil
 }
--- a/cmd/puffinsaddle/store.go
+++ b/cmd/puffinsaddle/store.go
@@ -31,22 +31,22 @@
 }
 
 type (
-	statusCmd struct{ with }
+	statusCmd struct{ connectFlags }
 	backupCmd struct {
-		with
+		connectFlags
 		Out string `required:"" help:"The file to write; it must not be there."`
 	}
-	// own holds the flags of commands on this machine's store replica.
-	own struct {
-		with
+	// replicaFlags holds the flags of commands on this machine's store replica.
+	replicaFlags struct {
+		connectFlags
 		Config string `env:"RELAY_CONFIG" help:"The platform's file, for the name where store.id is not set."`
 	}
 	restoreCmd struct {
-		own
+		replicaFlags
 		In string `required:"" type:"existingfile" help:"The backup."`
 	}
 	resolveCmd struct {
-		own
+		replicaFlags
 		AcceptLoss bool `name:"accept-loss" help:"What the others hold beyond this folder is given up, whether it was agreed on or not."`
 	}
 	verifyCmd struct {
@@ -61,8 +61,8 @@
 	}
 )
 
-// asked is a store replica's status, or the error of the query.
-type asked struct {
+// replicaStatus is a store replica's status, or the error of the query.
+type replicaStatus struct {
 	ID string `json:"id"`
 	At string `json:"at"`
 	*store.Status
@@ -71,67 +71,67 @@
 
 // Run queries all store replicas that the operator's file names, in parallel.
 func (c *statusCmd) Run(out io.Writer) error {
-	peers, err := c.copies()
+	peers, err := c.replicaAddresses()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), operatorsWait)
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	ids := slices.Sorted(maps.Keys(peers))
-	all := make([]asked, len(ids))
+	replicas := make([]replicaStatus, len(ids))
 	var wait sync.WaitGroup
 	for i, id := range ids {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			all[i] = asked{ID: id, At: peers[id]}
+			replicas[i] = replicaStatus{ID: id, At: peers[id]}
 			st, err := store.Ask(ctx, peers[id])
 			if err != nil {
-				all[i].Error = err.Error()
+				replicas[i].Error = err.Error()
 				return
 			}
-			all[i].Status = &st
+			replicas[i].Status = &st
 		}()
 	}
 	wait.Wait()
-	return showCopies(out, c.JSON, all)
+	return printReplicas(out, c.JSON, replicas)
 }
 
-// showCopies prints the store replicas' status. It returns an error if not all of them run as voters.
-func showCopies(out io.Writer, asJSON bool, all []asked) error {
-	whole := 0
-	for _, a := range all {
+// printReplicas prints the store replicas' status. It returns an error if not all of them run as voters.
+func printReplicas(out io.Writer, asJSON bool, replicas []replicaStatus) error {
+	voters := 0
+	for _, a := range replicas {
 		if a.Status != nil && a.Phase == store.PhaseRuns && a.Votes {
-			whole++
+			voters++
 		}
 	}
 	if asJSON {
-		if err := json.NewEncoder(out).Encode(map[string]any{"copies": all, "voting": whole}); err != nil {
+		if err := json.NewEncoder(out).Encode(map[string]any{"copies": replicas, "voting": voters}); err != nil {
 			return err
 		}
 	} else {
 		t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 		fmt.Fprintln(t, "COPY\tAT\tPHASE\tVOTES\tLEADS\tLAST\tAPPLIED\tBEHIND\tWHY")
-		for _, a := range all {
+		for _, a := range replicas {
 			if a.Status == nil {
 				fmt.Fprintf(t, "%s\t%s\tnot reached\t-\t-\t-\t-\t-\t%s\n", a.ID, a.At, a.Error)
 				continue
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%s\t%s\n", a.ID, a.At, a.Phase, a.Votes, a.Leads, a.Mark.LastIndex, a.Applied, behind(a.ID, all), orDash(a.Why))
+			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%s\t%s\n", a.ID, a.At, a.Phase, a.Votes, a.Leads, a.Mark.LastIndex, a.Applied, lagOf(a.ID, replicas), orDash(a.Why))
 		}
 		if err := t.Flush(); err != nil {
 			return err
 		}
 	}
-	if whole < len(all) {
-		return fmt.Errorf("%d of %d copies take part with a vote", whole, len(all))
+	if voters < len(replicas) {
+		return fmt.Errorf("%d of %d copies take part with a vote", voters, len(replicas))
 	}
 	return nil
 }
 
-// behind returns the number of log entries that a store replica lacks according to the leader, or "-" if that is not known.
-func behind(id string, all []asked) string {
-	for _, a := range all {
+// lagOf returns the number of log entries that a store replica lacks according to the leader, or "-" if that is not known.
+func lagOf(id string, replicas []replicaStatus) string {
+	for _, a := range replicas {
 		if a.Status == nil || !a.Leads {
 			continue
 		}
@@ -144,11 +144,11 @@
 	return "-"
 }
 
-// copies returns the addresses of the store replicas that the operator's file names, by their IDs.
-func (w with) copies() (map[string]string, error) {
+// replicaAddresses returns the addresses of the store replicas that the operator's file names, by their IDs.
+func (w connectFlags) replicaAddresses() (map[string]string, error) {
 	o, err := config.LoadOperator(w.Operator)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", errWrong, err)
+		return nil, fmt.Errorf("%w: %v", errUsage, err)
 	}
 	if len(o.Store.Peers) > 0 {
 		return o.Store.Peers, nil
@@ -156,36 +156,36 @@
 	if len(o.Duties.Copies) > 0 {
 		return o.Duties.Copies, nil
 	}
-	return nil, fmt.Errorf("%w: %s: neither store.peers nor duties.copies is set", errWrong, w.Operator)
+	return nil, fmt.Errorf("%w: %s: neither store.peers nor duties.copies is set", errUsage, w.Operator)
 }
 
-// options returns the options of the store replica that the operator's file configures.
-func (c own) options() (o store.Options, err error) {
-	file, err := config.LoadOperator(c.Operator)
+// storeOptions returns the options of the store replica that the operator's file configures.
+func (c replicaFlags) storeOptions() (o store.Options, err error) {
+	operatorFile, err := config.LoadOperator(c.Operator)
 	if err != nil {
-		return o, fmt.Errorf("%w: %v", errWrong, err)
+		return o, fmt.Errorf("%w: %v", errUsage, err)
 	}
-	set := file.Store
-	if set.ID == "" && c.Config != "" {
+	settings := operatorFile.Store
+	if settings.ID == "" && c.Config != "" {
 		cfg, err := config.Load(func(key string) string { return map[string]string{"RELAY_CONFIG": c.Config}[key] })
 		if err != nil {
-			return o, fmt.Errorf("%w: %v", errWrong, err)
+			return o, fmt.Errorf("%w: %v", errUsage, err)
 		}
-		set.ID = cfg.Name
+		settings.ID = cfg.Name
 	}
 	switch {
-	case set.Listen == "":
-		return o, fmt.Errorf("%w: %s: store.listen is missing", errWrong, c.Operator)
-	case set.ID == "":
-		return o, fmt.Errorf("%w: %s: store.id is missing, and no --config supplies the name", errWrong, c.Operator)
+	case settings.Listen == "":
+		return o, fmt.Errorf("%w: %s: store.listen is missing", errUsage, c.Operator)
+	case settings.ID == "":
+		return o, fmt.Errorf("%w: %s: store.id is missing, and no --config supplies the name", errUsage, c.Operator)
 	}
-	return store.Options{ID: set.ID, Dir: set.Dir, Peers: set.Peers}, nil
+	return store.Options{ID: settings.ID, Dir: settings.Dir, Peers: settings.Peers}, nil
 }
 
-// told prints a command's result: v as JSON, or text.
-func (w with) told(out io.Writer, v any, text string) error {
+// printResult prints a command's result: value as JSON, or text.
+func (w connectFlags) printResult(out io.Writer, value any, text string) error {
 	if w.JSON {
-		return json.NewEncoder(out).Encode(v)
+		return json.NewEncoder(out).Encode(value)
 	}
 	_, err := fmt.Fprintln(out, text)
 	return err
@@ -193,7 +193,7 @@
 
 // Run saves a backup that the store's leader sends.
 func (c *backupCmd) Run(out io.Writer) error {
-	peers, err := c.copies()
+	peers, err := c.replicaAddresses()
 	if err != nil {
 		return err
 	}
@@ -201,12 +201,12 @@
 	if err != nil {
 		return err
 	}
-	return c.told(out, h, fmt.Sprintf("%s: set %s as of entry %d, %d bytes of state", c.Out, h.Name, h.Index, h.Bytes))
+	return c.printResult(out, h, fmt.Sprintf("%s: set %s as of entry %d, %d bytes of state", c.Out, h.Name, h.Index, h.Bytes))
 }
 
 // Run restores a backup into the data directory of this machine's store replica.
 func (c *restoreCmd) Run(out io.Writer) error {
-	o, err := c.options()
+	o, err := c.storeOptions()
 	if err != nil {
 		return err
 	}
@@ -217,28 +217,28 @@
 	defer f.Close()
 	h, err := store.Restore(o, f)
 	if errors.Is(err, store.ErrBackup) {
-		return fmt.Errorf("%w: %s: %v", errWrong, c.In, err)
+		return fmt.Errorf("%w: %s: %v", errUsage, c.In, err)
 	}
 	if err != nil {
 		return err
 	}
-	return c.told(out, h, fmt.Sprintf("%s begins a new set with entry %d of set %s; start it first, then the others with empty folders", o.ID, h.Index, h.Name))
+	return c.printResult(out, h, fmt.Sprintf("%s begins a new set with entry %d of set %s; start it first, then the others with empty folders", o.ID, h.Index, h.Name))
 }
 
 // Run recovers the cluster from the data directory of this machine's store replica.
 func (c *resolveCmd) Run(out io.Writer) error {
-	o, err := c.options()
+	o, err := c.storeOptions()
 	if err != nil {
 		return err
 	}
 	if !c.AcceptLoss {
-		return fmt.Errorf("%w: stop all other copies, choose the one whose folder has the latest entry (store verify), and pass --accept-loss", errWrong)
+		return fmt.Errorf("%w: stop all other copies, choose the one whose folder has the latest entry (store verify), and pass --accept-loss", errUsage)
 	}
 	r, err := store.Resolve(o)
 	if err != nil {
 		return err
 	}
-	return c.told(out, r, fmt.Sprintf("%s begins the set anew, for the %d. time, with entry %d of term %d as the last; start it first, then the others",
+	return c.printResult(out, r, fmt.Sprintf("%s begins the set anew, for the %d. time, with entry %d of term %d as the last; start it first, then the others",
 		o.ID, r.Mark.ClusterGeneration, r.Mark.LastIndex, r.Mark.Term))
 }
 
@@ -246,7 +246,7 @@
 func (c *verifyCmd) Run(out io.Writer) error {
 	r, err := disk.Verify(c.Dir)
 	if err != nil {
-		return fmt.Errorf("%w: %v", errWrong, err)
+		return fmt.Errorf("%w: %v", errUsage, err)
 	}
 	if c.JSON {
 		if err := json.NewEncoder(out).Encode(r); err != nil {
@@ -274,22 +274,22 @@
 		c.To = math.MaxUint64
 	}
 	if c.From > c.To {
-		return fmt.Errorf("%w: --from %d is after --to %d", errWrong, c.From, c.To)
+		return fmt.Errorf("%w: --from %d is after --to %d", errUsage, c.From, c.To)
 	}
-	var wrote error
+	var writeErr error
 	err := disk.Entries(c.Dir, c.From, c.To, func(e *raft.Log) {
-		if wrote != nil {
+		if writeErr != nil {
 			return
 		}
 		if c.JSON {
-			wrote = json.NewEncoder(out).Encode(map[string]any{"index": e.Index, "term": e.Term, "type": e.Type.String(), "data": string(e.Data)})
+			writeErr = json.NewEncoder(out).Encode(map[string]any{"index": e.Index, "term": e.Term, "type": e.Type.String(), "data": string(e.Data)})
 			return
 		}
 		text := e.Type.String()
 		if e.Type == raft.LogCommand {
 			text = string(e.Data)
 		}
-		_, wrote = fmt.Fprintf(out, "%d\t%d\t%s\n", e.Index, e.Term, text)
+		_, writeErr = fmt.Fprintf(out, "%d\t%d\t%s\n", e.Index, e.Term, text)
 	})
-	return errors.Join(err, wrote)
+	return errors.Join(err, writeErr)
 }
