--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -131,13 +131,13 @@
 var errUsage = errors.New("wrong use")
 
 // withSession opens a session for one command and runs fn on it. It runs fn again on each new connection as long as fn
-// returns session.ErrNotSent.
+// returns session.ErrNotExecuted.
 func (w connectFlags) withSession(fn func(context.Context, *session.Client, config.Duties) error) error {
 	o, err := config.LoadOperator(w.Operator)
 	if err != nil {
 		return fmt.Errorf("%w: %v", errUsage, err)
 	}
-	if !o.Duties.On() {
+	if !o.Duties.Enabled() {
 		return fmt.Errorf("%w: %s: duties.copies is missing", errUsage, w.Operator)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
@@ -149,9 +149,9 @@
 	rules := o.Duties.Rules()
 	rules.Duties, rules.PresenceTTLMS = nil, 0 // an operator's session is a candidate for no duty and holds no presence lease
 	connected := make(chan struct{}, 1)
-	c := session.NewClient(session.Options{Me: "operator#" + hex.EncodeToString(b[:]), Copies: o.Duties.Copies, Rules: rules,
-		Seed: uint64(b[0]), Steady: clock.Monotonic(), Log: zerolog.Nop(), On: func(e any) {
-			if _, ok := e.(session.Linked); ok {
+	c := session.NewClient(session.Options{ProcessID: "operator#" + hex.EncodeToString(b[:]), ReplicaAddresses: o.Duties.Replicas, Rules: rules,
+		Seed: uint64(b[0]), Steady: clock.Monotonic(), Log: zerolog.Nop(), OnEvent: func(e any) {
+			if _, ok := e.(session.SessionEstablished); ok {
 				select {
 				case connected <- struct{}{}:
 				default:
@@ -165,16 +165,16 @@
 		case <-ctx.Done():
 			return errors.New("no leader was found among the store's copies")
 		}
-		if err := fn(ctx, c, o.Duties); !errors.Is(err, session.ErrNotSent) {
+		if err := fn(ctx, c, o.Duties); !errors.Is(err, session.ErrNotExecuted) {
 			return err
 		}
 	}
 }
 
-func (w connectFlags) readDuties(ctx context.Context, c *session.Client) (d session.Duties, err error) {
+func (w connectFlags) readDuties(ctx context.Context, c *session.Client) (d session.DutyStatus, err error) {
 	err = c.Read(ctx, session.ReadDuties, &d)
 	if errors.Is(err, session.ErrUnconfirmed) {
-		err = session.ErrNotSent // a read may be repeated
+		err = session.ErrNotExecuted // a read may be repeated
 	}
 	return d, err
 }
@@ -191,9 +191,9 @@
 	Fenced uint64  `json:"fenced"`
 }
 
-func dutyRows(d session.Duties, settings config.Duties) (all []dutyRow) {
+func dutyRows(d session.DutyStatus, settings config.Duties) (all []dutyRow) {
 	for _, t := range settings.List {
-		r := dutyRow{Duty: t.Name, TTL: t.TTL, Frozen: d.Table.Frozen[t.Name], Marks: d.Marks[t.Name], Fenced: d.Stale[t.Name]}
+		r := dutyRow{Duty: t.Name, TTL: t.TTLMS, Frozen: d.Table.Frozen[t.Name], Marks: d.Marks[t.Name], Fenced: d.StaleCommands[t.Name]}
 		if l := d.Table.Leases[t.Name]; l != nil {
 			r.Holder, r.Epoch, r.Yield = l.Holder, l.Epoch, l.Yield
 		}
@@ -243,7 +243,7 @@
 		if err != nil {
 			return err
 		}
-		return printDuties(out, l.JSON, dutyRows(d, settings), d.Words)
+		return printDuties(out, l.JSON, dutyRows(d, settings), d.Acknowledgements)
 	})
 }
 
--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -75,24 +75,24 @@
 	AllocatedShare        float64                `json:"share"`   // allocated downstream calls beyond the per-process reserve
 	DownstreamConcurrency float64                `json:"used"`    // downstream calls in flight, recent mean
 	VersionInForce        uint64                 `json:"version"` // published version in force
-	Sessions              *session.ServerFigures `json:"sessions,omitempty"`
+	Sessions              *session.ServerMetrics `json:"sessions,omitempty"`
 
-	Origin *configwatch.Figures `json:"origin,omitempty"` // on a store replica: the relays that watch it
+	Origin *configwatch.Metrics `json:"origin,omitempty"` // on a store replica: the relays that watch it
 	Relays *distribution.Report `json:"relays,omitempty"` // on the leader: what the relays reported
 }
 
 // newDutyManager returns a manager that has sent nothing yet, or nil if the operator's file configures none.
 func newDutyManager(cfg *config.Config, clk *clock.Clock, log zerolog.Logger) (*dutyManager, error) {
 	d := cfg.Operator.Duties
-	if !d.On() {
+	if !d.Enabled() {
 		return nil, nil
 	}
 	var b [8]byte
 	if _, err := crand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	h := &dutyManager{cfg: cfg, processID: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, monotonic: clock.Monotonic().SetRate(cfg.Operator.Lab.Rate), log: log}
-	if path := cfg.Operator.Lab.Trace; path != "" {
+	h := &dutyManager{cfg: cfg, processID: cfg.Name + "#" + hex.EncodeToString(b[:]), clk: clk, monotonic: clock.Monotonic().SetRate(cfg.Operator.Lab.ClockRate), log: log}
+	if path := cfg.Operator.Lab.TracePath; path != "" {
 		t, err := trace.Open(path, h.processID, h.monotonic)
 		if err != nil {
 			return nil, err
@@ -100,23 +100,23 @@
 		h.trace = t
 		t.Add(trace.Event{What: trace.Up}, 0)
 	}
-	injectedBug := cfg.Operator.Lab.Plant
+	injectedBug := cfg.Operator.Lab.InjectedBug
 	h.runner = &work.Runner{Steady: h.monotonic, Log: log, Trace: h.trace, CheckVersion: h.checkVersion}
-	h.client = session.NewClient(session.Options{Me: h.processID, Copies: d.Copies, Rules: d.Rules(), Seed: cfg.Seed ^ uint64(b[0])<<8 ^ uint64(b[1]),
-		Steady: h.monotonic, Log: log, Plant: injectedBug, On: h.runner.HandleEvent, Need: h.downstreamNeed})
+	h.client = session.NewClient(session.Options{ProcessID: h.processID, ReplicaAddresses: d.Replicas, Rules: d.Rules(), Seed: cfg.Seed ^ uint64(b[0])<<8 ^ uint64(b[1]),
+		Steady: h.monotonic, Log: log, InjectedBug: injectedBug, OnEvent: h.runner.HandleEvent, Need: h.downstreamNeed})
 	k := h.runner
 	k.WorkByDuty = map[string]work.Work{}
 	for _, t := range d.List {
-		k.WorkByDuty[t.Name] = k.CounterWork(d.MarkMs)
+		k.WorkByDuty[t.Name] = k.CounterWork(d.MarkIntervalMS)
 	}
-	if d.Allot.Whole > 0 {
-		k.WorkByDuty[work.Allotter] = k.AllotterWork(d.Allot.EveryMs, d.Allot.Room(), injectedBug)
+	if d.Allocation.Total > 0 {
+		k.WorkByDuty[work.Allotter] = k.AllotterWork(d.Allocation.IntervalMS, d.Allocation.Capacity(), injectedBug)
 	}
 	if d.Publish.Manifest != "" {
-		k.WorkByDuty[work.Publisher] = k.PublisherWork(d.Publish.EveryMs, d.Publish.Manifest, h.checkVersion)
+		k.WorkByDuty[work.Publisher] = k.PublisherWork(d.Publish.IntervalMS, d.Publish.Manifest, h.checkVersion)
 	}
 	if _, on := k.WorkByDuty[work.Settler]; on {
-		k.WorkByDuty[work.Settler] = k.SettlerWork(d.Settle.EveryMs, d.Settle.KeepMs, d.Rate, h.monotonic)
+		k.WorkByDuty[work.Settler] = k.SettlerWork(d.Resolution.IntervalMS, d.Resolution.RetentionMS, d.MaxDrift, h.monotonic)
 	}
 	return h, nil
 }
@@ -128,13 +128,13 @@
 	}
 	h.replica = replica
 	d := h.cfg.Operator.Duties
-	g := &duty.Grantor{Rules: d.Rules(), Seed: 1, MaxPresent: d.Allot.Servers, InjectedBug: h.cfg.Operator.Lab.Plant}
-	h.sessionServer = session.NewServer(replica, g, d.Sessions, h.monotonic, h.log)
+	g := &duty.Grantor{Rules: d.Rules(), Seed: 1, MaxPresent: d.Allocation.MaxProcesses, InjectedBug: h.cfg.Operator.Lab.InjectedBug}
+	h.sessionServer = session.NewServer(replica, g, d.MaxSessions, h.monotonic, h.log)
 	h.sessionServer.CheckChange = func(c records.Change) error { return checkChange(replica, c) }
-	h.sessionServer.Led = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
+	h.sessionServer.OnTermStart = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
 	replica.ServeSessions(h.sessionServer.Serve)
-	h.origin = relay.NewOrigin(replica, h.monotonic, h.log, h.cfg.Operator.Lab.Plant)
-	h.origin.Agreed = func(c records.Commit) {
+	h.origin = relay.NewOrigin(replica, h.monotonic, h.log, h.cfg.Operator.Lab.InjectedBug)
+	h.origin.OnCommit = func(c records.Commit) {
 		h.trace.Add(trace.Event{What: trace.Agreed, N: c.Revision, Text: c.After.String()}, 0)
 	}
 	h.sessionServer.ConfigStatus = h.origin.Status
@@ -149,8 +149,8 @@
 		return
 	}
 	h.core.Store(c)
-	if a := h.cfg.Operator.Duties.Allot; a.Whole > 0 {
-		reserve := a.Room().ReservePerProcess
+	if a := h.cfg.Operator.Duties.Allocation; a.Total > 0 {
+		reserve := a.Capacity().ReservePerProcess
 		c.SetDownstreamShareFunc(func() float64 { return float64(reserve+h.client.Share()) / allot.UnitsPerCall })
 		h.runner.ApplyShare = func(_ int64, used func()) { c.AfterPendingEvents(used) }
 	}
@@ -160,7 +160,7 @@
 			uwsgiRunner.SetServers(addresses)
 		}
 	}
-	h.client.Switch(duty.Failing) // until the executor has started
+	h.client.SetMode(duty.Failing) // until the executor has started
 	h.runner.Start(ctx, h.processID, h.client)
 	h.updateMode()
 }
@@ -172,7 +172,7 @@
 		return 0
 	}
 	neededCalls := c.DownstreamConcurrency()*needHeadroomFactor + needHeadroomCalls
-	return max(int64(neededCalls*allot.UnitsPerCall)-h.cfg.Operator.Duties.Allot.Room().ReservePerProcess, 0)
+	return max(int64(neededCalls*allot.UnitsPerCall)-h.cfg.Operator.Duties.Allocation.Capacity().ReservePerProcess, 0)
 }
 
 // updateMode sets the client's mode from the server's state, and repeats this periodically until the server drains.
@@ -190,7 +190,7 @@
 		mode = duty.Cold
 	}
 	h.mu.Unlock()
-	h.client.Switch(mode)
+	h.client.SetMode(mode)
 	if mode != duty.Draining {
 		h.monotonic.After(modeCheckIntervalMS, h.updateMode)
 	}
@@ -226,7 +226,7 @@
 	h.mu.Lock()
 	h.draining = true
 	h.mu.Unlock()
-	h.client.Switch(duty.Draining)
+	h.client.SetMode(duty.Draining)
 }
 
 // releaseAll releases the remaining leases, the presence lease included, and waits for the releases to be sent.
@@ -234,7 +234,7 @@
 	if h == nil {
 		return
 	}
-	h.client.Leave()
+	h.client.ReleaseAll()
 	flushed := make(chan struct{})
 	h.monotonic.After(releaseFlushMS, func() { close(flushed) })
 	<-flushed
@@ -288,11 +288,11 @@
 	if h == nil {
 		return nil
 	}
-	f := &dutyMetrics{ProcessID: h.processID, Connected: h.client.Linked(), HeldEpochs: map[string]uint64{}, FencedCommands: h.client.Fenced(),
+	f := &dutyMetrics{ProcessID: h.processID, Connected: h.client.Connected(), HeldEpochs: map[string]uint64{}, FencedCommands: h.client.FencedCommands(),
 		AllocatedShare: float64(h.client.Share()) / allot.UnitsPerCall, VersionInForce: h.runner.VersionInForce()}
 	_, _, f.HasPresence = h.client.Presence()
 	for _, t := range h.cfg.Operator.Duties.List {
-		if r, ok := h.client.May(t.Name); ok {
+		if r, ok := h.client.ActiveGrant(t.Name); ok {
 			f.HeldEpochs[t.Name] = r.Epoch
 		}
 	}
@@ -300,11 +300,11 @@
 		f.DownstreamConcurrency = c.DownstreamConcurrency()
 	}
 	if h.sessionServer != nil {
-		v := h.sessionServer.Figures()
+		v := h.sessionServer.Metrics()
 		f.Sessions = &v
 	}
 	if h.origin != nil {
-		v, sum := h.origin.Figures(), h.origin.Report()
+		v, sum := h.origin.Metrics(), h.origin.Report()
 		f.Origin, f.Relays = &v, &sum
 	}
 	return f
@@ -312,7 +312,7 @@
 
 // labHandlers returns the lab's fault-injection handlers, which are served on the operators' address.
 func (h *dutyManager) labHandlers() map[string]http.HandlerFunc {
-	if h == nil || !h.cfg.Operator.Lab.Calls {
+	if h == nil || !h.cfg.Operator.Lab.FaultCalls {
 		return nil
 	}
 	return map[string]http.HandlerFunc{"PUT /-/lab/jump": func(w http.ResponseWriter, r *http.Request) {
@@ -329,7 +329,7 @@
 			http.Error(w, "pick is missing or invalid, or there is no store replica", http.StatusBadRequest)
 			return
 		}
-		fmt.Fprint(w, h.replica.Spoil(pick))
+		fmt.Fprint(w, h.replica.CorruptMemory(pick))
 	}}
 }
 
@@ -381,7 +381,7 @@
 			return nil, errors.New("inventory.group is set, but no inventory is published")
 		}
 		for _, host := range hosts.Group(o.Inventory.Group) {
-			addresses = append(addresses, host.Endpoint(o.Inventory.Port))
+			addresses = append(addresses, host.Endpoint(o.Inventory.DefaultPort))
 		}
 		if len(addresses) == 0 {
 			return nil, fmt.Errorf("inventory.group: %q contains no host", o.Inventory.Group)
--- a/cmd/puffinsaddle/main.go
+++ b/cmd/puffinsaddle/main.go
@@ -192,10 +192,10 @@
 	applied, rejected := 0, 0
 	var reloadMu sync.Mutex
 	if cfg.OperatorListen != "" {
-		operatorServer, err := operator.Listen(cfg.OperatorListen, config.OperatorConns, operator.Calls{Ready: func() bool { return ready.Load() && c.Ready() }, Drain: func(outOfService bool) {
+		operatorServer, err := operator.Listen(cfg.OperatorListen, config.MaxOperatorConnections, operator.Calls{Ready: func() bool { return ready.Load() && c.Ready() }, Drain: func(outOfService bool) {
 			c.ForceUnhealthy(outOfService)
 			manager.setOutOfService(outOfService)
-		}, Figures: func() any {
+		}, Metrics: func() any {
 			reloadMu.Lock()
 			defer reloadMu.Unlock()
 			return struct {
@@ -206,7 +206,7 @@
 				Store    *store.Status   `json:"store,omitempty"`
 				Records  *recordsMetrics `json:"records,omitempty"`
 			}{c.Metrics(), applied, rejected, manager.metrics(), storeStatus(replica), watcher.metrics()}
-		}, More: manager.labHandlers()}, log)
+		}, Extra: manager.labHandlers()}, log)
 		if err != nil {
 			return err
 		}
@@ -248,7 +248,7 @@
 						link.SetAddress(updated.Executor)
 					}
 					vaultClient.SetAddress(updated.Vault)
-					reporter.Move(updated.Members)
+					reporter.SetAddress(updated.Members)
 					c.Adopt(updated.Settings)
 				})
 				reloadMu.Lock()
@@ -258,7 +258,7 @@
 					rejected++
 				}
 				reloadMu.Unlock()
-			case !draining && offer.Taken():
+			case !draining && offer.HasSuccessor():
 				draining = true
 				log.Info().Msg("replaced")
 				manager.drain()
@@ -269,14 +269,14 @@
 				}()
 			case !draining:
 				draining = true
-				log.Info().Float64("stop_ms", cfg.StopMs).Msg("draining")
+				log.Info().Float64("stop_ms", cfg.StopTimeoutMS).Msg("draining")
 				reporter.Leave()
 				manager.drain()
 				if replica != nil {
 					go func() { logFailure(log, replica.Set(drainKeyPrefix+cfg.Name, []byte("draining"))) }() // the drain needs no quorum
 				}
 				go func() {
-					c.Shutdown(s.arrivedMS, cfg.StopMs, drainFronts...)
+					c.Shutdown(s.arrivedMS, cfg.StopTimeoutMS, drainFronts...)
 					manager.releaseAll()
 					close(drainDone)
 				}()
@@ -296,7 +296,7 @@
 func reload(load func() (*config.Config, error), previous *config.Config, log zerolog.Logger, apply func(*config.Config)) bool {
 	updated, err := load()
 	if err == nil {
-		err = updated.Replaces(previous)
+		err = updated.CheckReplaces(previous)
 	}
 	if err != nil {
 		log.Error().Err(err).Msg("configuration rejected; the previous one stays in force")
@@ -339,7 +339,7 @@
 		}
 	}()
 	openListener := func(address, service string) (*accept.Listener, error) {
-		ln, err := accept.On(inherited[address], log), error(nil)
+		ln, err := accept.New(inherited[address], log), error(nil)
 		if inherited[address] == nil {
 			ln, err = accept.Listen(address, log)
 		}
@@ -354,7 +354,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		fronts = append(fronts, respfront.New(ln, cfg.RouterSockets(), c, clk, log))
+		fronts = append(fronts, respfront.New(ln, cfg.MaxRouterConnections(), c, clk, log))
 	}
 	if u := cfg.Operator.UWSGI; u.Listen != "" {
 		ln, err := openListener(u.Listen, "uwsgi")
@@ -390,10 +390,10 @@
 // inheritSockets requests the predecessor's listening sockets. The predecessor is found by name in the server's private
 // directory; without a private directory, it could not be told whose process has that name.
 func inheritSockets(cfg *config.Config, log zerolog.Logger) (i inheritedState, err error) {
-	if cfg.Private == "" {
+	if cfg.PrivateDir == "" {
 		return i, nil
 	}
-	i.offerPath = filepath.Join(cfg.Private, url.PathEscape(cfg.Name)+".handover")
+	i.offerPath = filepath.Join(cfg.PrivateDir, url.PathEscape(cfg.Name)+".handover")
 	if i.sockets, i.predecessor, err = handover.Take(i.offerPath); err != nil {
 		i.incomplete = true
 		return i, err
@@ -418,7 +418,7 @@
 		return
 	}
 	var attempts []core.KeyedAttempt
-	data, received := handover.Serving(predecessor)
+	data, received := handover.AnnounceServing(predecessor)
 	if received && json.Unmarshal(data, &attempts) == nil {
 		c.ImportKeyedAttempts(attempts)
 		return
@@ -426,7 +426,7 @@
 	log.Warn().Msg("predecessor sent no keyed attempts; keyed requests wait for its exit")
 	c.ExportKeyedAttempts()
 	go func() {
-		handover.Gone(predecessor)
+		handover.WaitForExit(predecessor)
 		c.ResumeKeyedAttempts()
 	}()
 }
@@ -442,7 +442,7 @@
 	}
 	if o.Inventory.Group != "" {
 		for _, h := range hosts.Group(o.Inventory.Group) {
-			servers = append(servers, h.Endpoint(o.Inventory.Port))
+			servers = append(servers, h.Endpoint(o.Inventory.DefaultPort))
 		}
 	}
 	return servers, hosts, nil
@@ -459,11 +459,11 @@
 		settings.ID = cfg.Name
 	}
 	overrides := map[string]string{}
-	for id, at := range settings.Via {
+	for id, at := range settings.AddressOverrides {
 		overrides[settings.Peers[id]] = at
 	}
-	s, err := store.Open(store.Options{ID: settings.ID, Listen: settings.Listen, Dir: settings.Dir, Peers: settings.Peers, Via: overrides, Strict: settings.Strict, CompareMs: settings.CompareMs, ElectionMs: settings.Election, Log: log,
-		Events: log, Told: manager.phaseTracer(), Watch: manager.applyTracer(), Plant: cfg.Operator.Lab.Plant})
+	s, err := store.Open(store.Options{ID: settings.ID, Listen: settings.Listen, Dir: settings.Dir, Peers: settings.Peers, AddressOverrides: overrides, Strict: settings.Strict, CompareIntervalMS: settings.CompareIntervalMS, ElectionTimeoutMS: settings.ElectionTimeoutMS, Log: log,
+		Events: log, OnPhaseChange: manager.phaseTracer(), OnApply: manager.applyTracer(), InjectedBug: cfg.Operator.Lab.InjectedBug})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -98,7 +98,7 @@
 
 // recordsMetrics is the records section of the metrics.
 type recordsMetrics struct {
-	configwatch.ClientFigures
+	configwatch.ClientMetrics
 	Revision uint64              `json:"revision"`
 	Digest   string              `json:"digest"`
 	Records  int                 `json:"records"`
@@ -112,16 +112,16 @@
 		return nil, nil
 	}
 	w := &recordsWatch{uwsgiRunner: uwsgiRunner, log: log, settings: map[string][]byte{}}
-	injectedBug := cfg.Operator.Lab.Plant
-	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.Path, Check: records.CheckValue, Use: w.applySettings, Log: log, Plant: injectedBug,
-		Committed: func(c records.Commit) {
+	injectedBug := cfg.Operator.Lab.InjectedBug
+	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.ReplicaPath, CheckRecord: records.CheckValue, ApplySettings: w.applySettings, Log: log, InjectedBug: injectedBug,
+		OnCommit: func(c records.Commit) {
 			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
-		Adopted:  func(p distribution.Position) { traceSnapshot(t, p) },
-		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
+		OnSnapshot: func(p distribution.Position) { traceSnapshot(t, p) },
+		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
 	traceSnapshot(t, w.replica.Position())
-	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Monotonic(), Log: log, Plant: injectedBug, Follower: w.replica,
-		Selector: distribution.NewSelector(d.Relays, distribution.Place{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
+	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Monotonic(), Log: log, InjectedBug: injectedBug, Replica: w.replica,
+		Selector: distribution.NewSelector(d.Relays, distribution.Locality{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
 	return w, nil
 }
 
@@ -168,7 +168,7 @@
 		return nil
 	}
 	p := w.replica.Position()
-	return &recordsMetrics{w.client.Figures(), p.Revision, p.Digest.String(), w.replica.Records(), w.replica.Report()}
+	return &recordsMetrics{w.client.Metrics(), p.Revision, p.Digest.String(), w.replica.RecordCount(), w.replica.Report()}
 }
 
 // traceLog returns the process's trace, or nil if tracing is off.
@@ -191,42 +191,42 @@
 		return fmt.Errorf("%w: %v", errUsage, err)
 	}
 	settings := operatorFile.Relay
-	if !settings.On() {
+	if !settings.Enabled() {
 		return fmt.Errorf("%w: %s: relay.listen is missing", errUsage, c.Operator)
 	}
 	if operatorFile.Lab != (config.Lab{}) && os.Getenv("PUFFINSADDLE_LAB") == "" {
 		return fmt.Errorf("%w: %s: \"lab\" is set, and this process is not the laboratory's (PUFFINSADDLE_LAB)", errUsage, c.Operator)
 	}
-	if settings.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(settings.MemoryMB * memoryLimitFraction * (1 << 20)))
+	if settings.MemoryLimitMB > 0 {
+		debug.SetMemoryLimit(int64(settings.MemoryLimitMB * memoryLimitFraction * (1 << 20)))
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log := zerolog.New(out).With().Timestamp().Str("name", settings.Name).Logger().Level(zerolog.InfoLevel)
 	steady := clock.Monotonic()
 	var t *trace.Log
-	if operatorFile.Lab.Trace != "" {
-		if t, err = trace.Open(operatorFile.Lab.Trace, settings.Name, steady); err != nil {
+	if operatorFile.Lab.TracePath != "" {
+		if t, err = trace.Open(operatorFile.Lab.TracePath, settings.Name, steady); err != nil {
 			return err
 		}
 		defer t.Close()
 		t.Add(trace.Event{What: trace.Up}, 0)
 	}
 	limits := distribution.DefaultLimits
-	limits.Watchers, limits.Snapshots = settings.Watchers, settings.Snapshots
-	r, err := relay.Open(relay.Options{Name: settings.Name, Region: settings.Region, Listen: settings.Listen, Copies: settings.Copies, Elsewhere: settings.Elsewhere, Path: settings.Path, Limits: limits,
-		Seed: seedOf(settings.Name), Steady: steady, Log: log, Plant: operatorFile.Lab.Plant,
-		Committed: func(c records.Commit) {
+	limits.Watchers, limits.Snapshots = settings.MaxWatchers, settings.MaxSnapshots
+	r, err := relay.Open(relay.Options{Name: settings.Name, Region: settings.Region, Listen: settings.Listen, StoreAddresses: settings.Replicas, Elsewhere: settings.Alternatives, Path: settings.ReplicaPath, Limits: limits,
+		Seed: seedOf(settings.Name), Steady: steady, Log: log, InjectedBug: operatorFile.Lab.InjectedBug,
+		OnCommit: func(c records.Commit) {
 			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
-		Adopted:  func(p distribution.Position) { traceSnapshot(t, p) },
-		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
+		OnSnapshot: func(p distribution.Position) { traceSnapshot(t, p) },
+		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if settings.Figures != "" {
-		if err := serveMetrics(ctx, settings.Figures, r); err != nil {
+	if settings.MetricsListen != "" {
+		if err := serveMetrics(ctx, settings.MetricsListen, r); err != nil {
 			return err
 		}
 	}
@@ -243,7 +243,7 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(r.Figures()) })
+	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(r.Metrics()) })
 	s := &http.Server{Handler: mux, ReadTimeout: metricsTimeout, WriteTimeout: metricsTimeout}
 	context.AfterFunc(ctx, func() { s.Close() })
 	go s.Serve(ln)
@@ -279,8 +279,8 @@
 // key converts k to a record's key. It returns an error that names the kind if the kind is unknown.
 func (k fileKey) key() (records.Key, error) {
 	var kind records.Kind
-	if err := kind.UnmarshalText([]byte(k.Kind)); err != nil || kind.MaxValue() == 0 {
-		return records.Key{}, fmt.Errorf("%w %q; there are %s, %s and %s", records.ErrKind, k.Kind, records.Route, records.Tenant, records.Setting)
+	if err := kind.UnmarshalText([]byte(k.Kind)); err != nil || kind.MaxValueBytes() == 0 {
+		return records.Key{}, fmt.Errorf("%w %q; there are %s, %s and %s", records.ErrUnknownKind, k.Kind, records.Route, records.Tenant, records.Setting)
 	}
 	return records.Key{Kind: kind, Name: k.Name}, nil
 }
@@ -351,7 +351,7 @@
 	return c.withSession(func(ctx context.Context, client *session.Client, _ config.Duties) error {
 		var s distribution.Status
 		if err := client.Read(ctx, session.ReadConfig, &s); err != nil {
-			return session.ErrNotSent // a read may be repeated
+			return session.ErrNotExecuted // a read may be repeated
 		}
 		if c.JSON {
 			return json.NewEncoder(out).Encode(s)
@@ -365,8 +365,8 @@
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "REGION\tRELAYS\tLOST\tSERVERS\tLOWEST\tAT\tBEHIND\tAGE\tREFUSING\tSILENT")
 	for _, r := range s.Regions {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\t%d\t%s\t%d\t%s\n", orDash(r.Region), r.Relays, r.Lost, r.Servers, r.Lowest, orDash(r.LowestName), r.Behind,
-			formatSeconds(r.AgeMs), r.Rejecting, formatSeconds(r.SilentMs))
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\t%d\t%s\t%d\t%s\n", orDash(r.Region), r.ConnectedRelays, r.DisconnectedRelays, r.Servers, r.LowestRevision, orDash(r.LowestServer), r.ServersBehind,
+			formatSeconds(r.StalenessMS), r.ServersRejecting, formatSeconds(r.SinceReportMS))
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/cmd/puffinsaddle/records_test.go
+++ b/cmd/puffinsaddle/records_test.go
@@ -107,11 +107,11 @@
 		if err := json.Unmarshal(out.Bytes(), &s); err != nil {
 			f.t.Fatal(err)
 		}
-		if s.Revision != revision || len(s.Regions) != 1 || s.Regions[0].Region != "east" || s.Regions[0].Relays != 1 {
+		if s.Revision != revision || len(s.Regions) != 1 || s.Regions[0].Region != "east" || s.Regions[0].ConnectedRelays != 1 {
 			return false
 		}
 		r := s.Regions[0]
-		return r.Servers == 1 && r.Lowest == revision && r.LowestName == "s1" && r.Behind == 0 && r.AgeMs == 0
+		return r.Servers == 1 && r.LowestRevision == revision && r.LowestServer == "s1" && r.ServersBehind == 0 && r.StalenessMS == 0
 	})
 	var out, errs bytes.Buffer
 	if status := runCommand([]string{"config", "status", "--operator", f.operator}, &out, &errs); status != exitOK || !strings.Contains(out.String(), "east") {
--- a/cmd/puffinsaddle/store.go
+++ b/cmd/puffinsaddle/store.go
@@ -85,7 +85,7 @@
 		go func() {
 			defer wait.Done()
 			replicas[i] = replicaStatus{ID: id, At: peers[id]}
-			st, err := store.Ask(ctx, peers[id])
+			st, err := store.QueryStatus(ctx, peers[id])
 			if err != nil {
 				replicas[i].Error = err.Error()
 				return
@@ -101,7 +101,7 @@
 func printReplicas(out io.Writer, asJSON bool, replicas []replicaStatus) error {
 	voters := 0
 	for _, a := range replicas {
-		if a.Status != nil && a.Phase == store.PhaseRuns && a.Votes {
+		if a.Status != nil && a.Phase == store.PhaseRunning && a.Voter {
 			voters++
 		}
 	}
@@ -117,7 +117,7 @@
 				fmt.Fprintf(t, "%s\t%s\tnot reached\t-\t-\t-\t-\t-\t%s\n", a.ID, a.At, a.Error)
 				continue
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%s\t%s\n", a.ID, a.At, a.Phase, a.Votes, a.Leads, a.Mark.LastIndex, a.Applied, lagOf(a.ID, replicas), orDash(a.Why))
+			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%s\t%s\n", a.ID, a.At, a.Phase, a.Voter, a.IsLeader, a.Directory.LastIndex, a.Applied, lagOf(a.ID, replicas), orDash(a.Reason))
 		}
 		if err := t.Flush(); err != nil {
 			return err
@@ -132,12 +132,12 @@
 // lagOf returns the number of log entries that a store replica lacks according to the leader, or "-" if that is not known.
 func lagOf(id string, replicas []replicaStatus) string {
 	for _, a := range replicas {
-		if a.Status == nil || !a.Leads {
+		if a.Status == nil || !a.IsLeader {
 			continue
 		}
 		for _, m := range a.Members {
 			if m.ID == id {
-				return fmt.Sprint(m.Behind)
+				return fmt.Sprint(m.Lag)
 			}
 		}
 	}
@@ -153,8 +153,8 @@
 	if len(o.Store.Peers) > 0 {
 		return o.Store.Peers, nil
 	}
-	if len(o.Duties.Copies) > 0 {
-		return o.Duties.Copies, nil
+	if len(o.Duties.Replicas) > 0 {
+		return o.Duties.Replicas, nil
 	}
 	return nil, fmt.Errorf("%w: %s: neither store.peers nor duties.copies is set", errUsage, w.Operator)
 }
@@ -197,11 +197,11 @@
 	if err != nil {
 		return err
 	}
-	h, err := store.Save(context.Background(), peers, c.Out)
+	h, err := store.SaveBackup(context.Background(), peers, c.Out)
 	if err != nil {
 		return err
 	}
-	return c.printResult(out, h, fmt.Sprintf("%s: set %s as of entry %d, %d bytes of state", c.Out, h.Name, h.Index, h.Bytes))
+	return c.printResult(out, h, fmt.Sprintf("%s: set %s as of entry %d, %d bytes of state", c.Out, h.ClusterName, h.Index, h.Bytes))
 }
 
 // Run restores a backup into the data directory of this machine's store replica.
@@ -215,14 +215,14 @@
 		return err
 	}
 	defer f.Close()
-	h, err := store.Restore(o, f)
-	if errors.Is(err, store.ErrBackup) {
+	h, err := store.RestoreBackup(o, f)
+	if errors.Is(err, store.ErrInvalidBackup) {
 		return fmt.Errorf("%w: %s: %v", errUsage, c.In, err)
 	}
 	if err != nil {
 		return err
 	}
-	return c.printResult(out, h, fmt.Sprintf("%s begins a new set with entry %d of set %s; start it first, then the others with empty folders", o.ID, h.Index, h.Name))
+	return c.printResult(out, h, fmt.Sprintf("%s begins a new set with entry %d of set %s; start it first, then the others with empty folders", o.ID, h.Index, h.ClusterName))
 }
 
 // Run recovers the cluster from the data directory of this machine's store replica.
@@ -234,12 +234,12 @@
 	if !c.AcceptLoss {
 		return fmt.Errorf("%w: stop all other copies, choose the one whose folder has the latest entry (store verify), and pass --accept-loss", errUsage)
 	}
-	r, err := store.Resolve(o)
+	r, err := store.RecoverCluster(o)
 	if err != nil {
 		return err
 	}
 	return c.printResult(out, r, fmt.Sprintf("%s begins the set anew, for the %d. time, with entry %d of term %d as the last; start it first, then the others",
-		o.ID, r.Mark.ClusterGeneration, r.Mark.LastIndex, r.Mark.Term))
+		o.ID, r.Directory.ClusterGeneration, r.Directory.LastIndex, r.Directory.Term))
 }
 
 // Run checks a data directory and prints a summary.
@@ -253,17 +253,17 @@
 			return err
 		}
 	} else {
-		fmt.Fprintf(out, "%s: format %d, folder %s, opened %d times\n", r.Dir, r.Format, r.Mark.DirectoryID, r.Mark.OpenCount)
-		fmt.Fprintf(out, "entries %d to %d, %d bytes, term %d, %d snapshots\n", r.First, r.Last, r.Bytes, r.Term, len(r.Snapshots))
-		if !r.Votes {
-			fmt.Fprintf(out, "joined as of entry %d, and has no vote yet\n", r.Mark.JoinIndex)
+		fmt.Fprintf(out, "%s: format %d, folder %s, opened %d times\n", r.Dir, r.Format, r.Directory.DirectoryID, r.Directory.OpenCount)
+		fmt.Fprintf(out, "entries %d to %d, %d bytes, term %d, %d snapshots\n", r.FirstIndex, r.LastIndex, r.Bytes, r.Term, len(r.Snapshots))
+		if !r.Voter {
+			fmt.Fprintf(out, "joined as of entry %d, and has no vote yet\n", r.Directory.JoinIndex)
 		}
-		for _, a := range r.Aside {
+		for _, a := range r.Quarantined {
 			fmt.Fprintln(out, "set aside:", a)
 		}
 	}
-	if r.Damage != "" {
-		return errors.New(r.Damage)
+	if r.Corruption != "" {
+		return errors.New(r.Corruption)
 	}
 	return nil
 }
@@ -277,7 +277,7 @@
 		return fmt.Errorf("%w: --from %d is after --to %d", errUsage, c.From, c.To)
 	}
 	var writeErr error
-	err := disk.Entries(c.Dir, c.From, c.To, func(e *raft.Log) {
+	err := disk.ReadEntries(c.Dir, c.From, c.To, func(e *raft.Log) {
 		if writeErr != nil {
 			return
 		}
--- a/internal/duties/keeper.go
+++ b/internal/duties/keeper.go
@@ -93,7 +93,7 @@
 		if l, ok := k.workLoops[e.Name]; ok && l.ref == e.Ref {
 			l.stopOnce.Do(func() { close(l.stopping) }) // the goroutine of the work calls Quiet when it ends
 		} else {
-			k.client.Quiet(e.Ref)
+			k.client.Quiesced(e.Ref)
 		}
 	case duty.LeaseEnded:
 		k.Trace.Add(trace.Event{What: trace.Ended, Duty: e.Name, Epoch: e.Epoch, Cause: e.Cause}, 0)
@@ -113,18 +113,18 @@
 	case duty.StaleReply:
 		k.Log.Error().Uint64("index", e.LogIndex).Uint64("seen", e.SeenIndex).
 			Msg("reply ignored: its log index is lower than one seen before")
-	case session.Allotted:
+	case session.ShareChanged:
 		if k.ApplyShare == nil {
-			k.client.Used(e.Version)
+			k.client.AcknowledgeShare(e.Version)
 			return
 		}
 		k.ApplyShare(e.Amount, func() {
 			if _, until, here := k.client.Presence(); here {
 				k.Trace.Add(trace.Event{What: trace.Share, Amount: e.Amount}, until)
 			}
-			k.client.Used(e.Version)
+			k.client.AcknowledgeShare(e.Version)
 		})
-	case session.Published, session.Linked:
+	case session.VersionPublished, session.SessionEstablished:
 		go k.applyLatestVersion() // on a new session too: a notification may have been lost
 	}
 }
@@ -146,17 +146,17 @@
 	l := workLoop{ref, cancel, make(chan struct{}), &sync.Once{}}
 	k.workLoops[ref.Name] = l
 	go func() {
-		defer k.client.Quiet(ref)
+		defer k.client.Quiesced(ref)
 		defer cancel()
 		run := w.New()
 		for {
 			// Checked before each call: the lease may have ended while this process was stalled or disconnected.
-			if current, active := k.client.May(ref.Name); !active || current != ref {
+			if current, active := k.client.ActiveGrant(ref.Name); !active || current != ref {
 				return
 			}
 			err := run(ctx, ref)
 			switch {
-			case errors.Is(err, session.ErrStale):
+			case errors.Is(err, session.ErrStaleEpoch):
 				k.Log.Warn().Str("duty", ref.Name).Uint64("epoch", ref.Epoch).Err(err).Msg("fenced")
 			case err != nil && ctx.Err() == nil:
 				k.Log.Warn().Str("duty", ref.Name).Err(err).Msg("duty work failed")
@@ -183,12 +183,12 @@
 	sent := event
 	sent.What = trace.Sent // traced before it is sent, since this process may be killed before the reply arrives
 	k.Trace.Add(sent, 0)
-	r, err := k.client.Act(ctx, grant, commands...)
+	r, err := k.client.DoFenced(ctx, grant, commands...)
 	event.N = r.Value
 	switch {
-	case errors.Is(err, session.ErrStale):
+	case errors.Is(err, session.ErrStaleEpoch):
 		event.What = trace.Refused
-	case errors.Is(err, session.ErrNotSent):
+	case errors.Is(err, session.ErrNotExecuted):
 		return r, err
 	case err != nil && r.Error == "":
 		event.What = trace.Unknown
@@ -214,7 +214,7 @@
 func (k *Runner) applyLatestVersion() {
 	k.applyMu.Lock()
 	defer k.applyMu.Unlock()
-	v, err := k.client.Version(k.ctx)
+	v, err := k.client.LatestVersion(k.ctx)
 	if err != nil || k.CheckVersion == nil {
 		return // retried with the next version or session
 	}
--- a/internal/duties/works.go
+++ b/internal/duties/works.go
@@ -31,15 +31,15 @@
 func (k *Runner) AllotterWork(intervalMS float64, capacity allot.Capacity, injectedBug string) Work {
 	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
 		return func(ctx context.Context, grant duty.Ref) error {
-			var f session.Fleet
-			if err := k.client.Read(ctx, session.ReadFleet, &f); err != nil {
+			var f session.CapacityStatus
+			if err := k.client.Read(ctx, session.ReadCapacity, &f); err != nil {
 				return err
 			}
 			var steps []state.Command
 			if f.Pool != capacity.Pool() {
 				steps = append(steps, state.Command{Op: state.OpSetPool, Amount: capacity.Pool()})
 			}
-			for _, c := range allot.Plan(capacity.Pool(), f.Of, injectedBug == duty.BugEarlyGrowth) {
+			for _, c := range allot.Plan(capacity.Pool(), f.Servers, injectedBug == duty.BugEarlyGrowth) {
 				steps = append(steps, state.Command{Op: state.OpSetAllocation, Process: c.Who, Amount: c.Amount})
 			}
 			if len(steps) == 0 {
@@ -70,7 +70,7 @@
 				return fmt.Errorf("configuration not published: %w", err)
 			}
 			lastError = ""
-			v, err := k.client.Version(ctx)
+			v, err := k.client.LatestVersion(ctx)
 			if err != nil || v.No > 0 && publish.Digest(v.Files) == publish.Digest(files) {
 				return err
 			}
@@ -117,7 +117,7 @@
 	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
 		var ages settle.AgeTracker
 		return func(ctx context.Context, grant duty.Ref) error {
-			var e session.Effects
+			var e session.EffectStatus
 			if err := k.client.Read(ctx, session.ReadEffects, &e); err != nil {
 				return err
 			}
--- a/internal/lab/scale/cmd.go
+++ b/internal/lab/scale/cmd.go
@@ -102,7 +102,7 @@
 			fmt.Fprintf(out, "  %-13s %s\n", f.kind, f.text)
 		}
 		fmt.Fprintln(out, "plants:")
-		for _, p := range distribution.Plants {
+		for _, p := range distribution.InjectedBugs {
 			fmt.Fprintln(out, "  "+p)
 		}
 		return nil
@@ -157,8 +157,8 @@
 	switch {
 	case len(c.Servers) == 0:
 		return s, wrong("--servers names no size")
-	case c.Plant != "" && !slices.Contains(distribution.Plants, c.Plant):
-		return s, wrong("no plant %q; there are %s", c.Plant, strings.Join(distribution.Plants, ", "))
+	case c.Plant != "" && !slices.Contains(distribution.InjectedBugs, c.Plant):
+		return s, wrong("no plant %q; there are %s", c.Plant, strings.Join(distribution.InjectedBugs, ", "))
 	case c.For < minFor || c.For > maxFor:
 		return s, wrong("--for must be from %s to %s, not %s", minFor, maxFor, c.For)
 	case c.Regions < 2 || c.Regions > c.Zones:
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -98,7 +98,7 @@
 	seed uint64
 
 	mu      sync.Mutex
-	marker  records.Marker
+	marker  records.DigestFollower
 	pending trace.Event // commits that came into force one after the other, not written down yet
 	early   uint64
 	told    uint64
@@ -131,7 +131,7 @@
 	for i := range p.c.Count {
 		s := &hollowServer{p: p, name: fmt.Sprintf("%s-h%04d", p.c.Zone, i), seed: rng.Uint64()}
 		if i >= p.c.Empty {
-			s.marker = records.Marker(p.c.Position)
+			s.marker = records.DigestFollower(p.c.Position)
 		}
 		p.servers = append(p.servers, s)
 		s.start(false)
@@ -216,8 +216,8 @@
 	if !spoilt {
 		s.p.journal.add(trace.Event{Who: s.name, What: trace.Installed, N: s.marker.Revision, Text: s.marker.Digest.String()})
 	}
-	c := configwatch.NewClient(configwatch.ClientOptions{Name: s.name, Follower: s, Dial: s.dial, Steady: s.p.steady, Log: zerolog.Nop(), Plant: s.p.c.Plant,
-		Selector: distribution.NewSelector(s.p.c.Relays, distribution.Place{Zone: s.p.c.Zone, Region: s.p.c.Region}, s.seed+uint64(s.life))})
+	c := configwatch.NewClient(configwatch.ClientOptions{Name: s.name, Replica: s, Dial: s.dial, Steady: s.p.steady, Log: zerolog.Nop(), InjectedBug: s.p.c.Plant,
+		Selector: distribution.NewSelector(s.p.c.Relays, distribution.Locality{Zone: s.p.c.Zone, Region: s.p.c.Region}, s.seed+uint64(s.life))})
 	s.done.Add(1)
 	go func() {
 		defer s.done.Done()
@@ -252,20 +252,20 @@
 	var c *session.Client
 	ready := make(chan struct{})
 	me := fmt.Sprintf("%s#%016x", s.name, s.seed+uint64(s.life))
-	c = session.NewClient(session.Options{Me: me, Copies: s.p.c.Copies, Rules: rules,
-		Seed: s.seed + uint64(s.life), Steady: s.p.steady, Log: zerolog.Nop(), Dial: s.p.part.dial, On: func(e any) {
+	c = session.NewClient(session.Options{ProcessID: me, ReplicaAddresses: s.p.c.Copies, Rules: rules,
+		Seed: s.seed + uint64(s.life), Steady: s.p.steady, Log: zerolog.Nop(), Dial: s.p.part.dial, OnEvent: func(e any) {
 			<-ready
 			switch e := e.(type) {
-			case session.Allotted:
-				c.Used(e.Version)
-			case session.Published:
+			case session.ShareChanged:
+				c.AcknowledgeShare(e.Version)
+			case session.VersionPublished:
 				if s.p.c.Today {
 					go readVersion(ctx, c, me)
 				}
 			}
 		}})
 	close(ready)
-	c.Switch(duty.Warm)
+	c.SetMode(duty.Warm)
 	s.session = c
 	s.done.Add(1)
 	go func() {
@@ -276,7 +276,7 @@
 
 // readVersion does what an order server does with a version that is published whole: it reads it and says so.
 func readVersion(ctx context.Context, c *session.Client, me string) {
-	v, err := c.Version(ctx)
+	v, err := c.LatestVersion(ctx)
 	if err != nil {
 		return
 	}
@@ -340,7 +340,7 @@
 
 // Follow takes the next commit.
 func (s *hollowServer) Follow(c records.Commit) error {
-	if s.p.c.Plant == distribution.PlantEarlyReport {
+	if s.p.c.Plant == distribution.BugEarlyReport {
 		s.mu.Lock()
 		s.early = c.Revision
 		s.mu.Unlock()
@@ -348,7 +348,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.marker.Follow(c); err != nil {
+	if err := s.marker.ApplyCommit(c); err != nil {
 		return err
 	}
 	now := s.p.steady.Now()
@@ -375,7 +375,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.flush()
-	s.marker = records.Marker{Revision: h.Revision, Digest: t.Digest()}
+	s.marker = records.DigestFollower{Revision: h.Revision, Digest: t.Digest()}
 	s.p.journal.add(trace.Event{Who: s.name, What: trace.Installed, N: h.Revision, Text: h.Digest.String()})
 	return nil
 }
@@ -385,7 +385,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.flush()
-	s.marker = records.Marker{}
+	s.marker = records.DigestFollower{}
 	s.p.journal.add(trace.Event{Who: s.name, What: eventSpoilt})
 }
 
@@ -393,7 +393,7 @@
 func (s *hollowServer) Skip(c records.Commit) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.marker = records.Marker{Revision: c.Revision, Digest: c.After}
+	s.marker = records.DigestFollower{Revision: c.Revision, Digest: c.After}
 	return nil
 }
 
@@ -407,5 +407,5 @@
 		s.told = lowest
 		s.p.journal.add(trace.Event{Who: s.name, What: trace.Reported, N: lowest})
 	}
-	return distribution.Report{Servers: 1, Lowest: lowest, LowestName: s.name}
+	return distribution.Report{Servers: 1, LowestRevision: lowest, LowestServer: s.name}
 }
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -42,7 +42,7 @@
 func newWriter(ctx context.Context, f *fleet) *writer {
 	w := &writer{root: ctx, routes: f.Routes, tenant: f.Tenants, rng: rand.New(rand.NewPCG(f.Seed, 21))}
 	rules := terms(renewMs, 0)
-	w.client = session.NewClient(session.Options{Me: "operator#scale", Copies: f.stores, Rules: rules, Seed: f.Seed, Steady: clock.Monotonic(), Log: zerolog.Nop()})
+	w.client = session.NewClient(session.Options{ProcessID: "operator#scale", ReplicaAddresses: f.stores, Rules: rules, Seed: f.Seed, Steady: clock.Monotonic(), Log: zerolog.Nop()})
 	go w.client.Run(ctx)
 	return w
 }
@@ -54,7 +54,7 @@
 }
 
 func tenant(i, version int) records.Put {
-	v, _ := json.Marshal(records.TenantValue{Share: 0.0000025, Limit: float64(version%500) + 0.5})
+	v, _ := json.Marshal(records.TenantValue{Share: 0.0000025, RequestsPerSecond: float64(version%500) + 0.5})
 	return records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i)}, Value: v}
 }
 
@@ -116,7 +116,7 @@
 			w.mu.Unlock()
 			return nil
 		}
-		if !errors.Is(err, session.ErrNotSent) && !errors.Is(err, session.ErrUnconfirmed) {
+		if !errors.Is(err, session.ErrNotExecuted) && !errors.Is(err, session.ErrUnconfirmed) {
 			return err
 		}
 		time.Sleep(retryPause)
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -67,13 +67,13 @@
 	Duties *struct {
 		Me       string                 `json:"me"`
 		Present  bool                   `json:"present"`
-		Sessions *session.ServerFigures `json:"sessions"`
-		Origin   *configwatch.Figures   `json:"origin"`
+		Sessions *session.ServerMetrics `json:"sessions"`
+		Origin   *configwatch.Metrics   `json:"origin"`
 		Relays   *distribution.Report   `json:"relays"`
 		Held     map[string]uint64      `json:"held"`
 	} `json:"duties"`
 	Records *struct {
-		configwatch.ClientFigures
+		configwatch.ClientMetrics
 		Revision uint64 `json:"revision"`
 		Digest   string `json:"digest"`
 	} `json:"records"`
@@ -111,18 +111,18 @@
 	if s.leader != nil {
 		var v serverFigures
 		if readFigures(s.leader.figures, &v) == nil && v.Duties != nil {
-			s.configBytes = v.Duties.Origin.Sent + v.Duties.Origin.Received
-			s.sessionBytes = v.Duties.Sessions.Sent + v.Duties.Sessions.Received
-			s.entries = v.Duties.Sessions.Entries
+			s.configBytes = v.Duties.Origin.SentBytes + v.Duties.Origin.ReceivedBytes
+			s.sessionBytes = v.Duties.Sessions.SentBytes + v.Duties.Sessions.ReceivedBytes
+			s.entries = v.Duties.Sessions.LogEntries
 		}
 		s.leaderCPU = processorTime(s.leader.pid())
 	}
 	s.relayCPU, s.relayBytes = map[string]float64{}, map[string]uint64{}
 	for _, p := range f.relays {
-		var v relay.Figures
+		var v relay.Metrics
 		if readFigures(p.figures, &v) == nil {
 			s.relayCPU[p.name] = processorTime(p.pid())
-			s.relayBytes[p.name] = v.Serving.Sent + v.Serving.Received + v.Watching.Sent + v.Watching.Received
+			s.relayBytes[p.name] = v.Serving.SentBytes + v.Serving.ReceivedBytes + v.Watching.SentBytes + v.Watching.ReceivedBytes
 		}
 	}
 	for _, h := range f.hollows {
--- a/internal/lab/scale/partition.go
+++ b/internal/lab/scale/partition.go
@@ -16,7 +16,7 @@
 type partition struct {
 	own    string            // zone
 	zoneOf map[string]string // of each address
-	bytes  meter.Count
+	bytes  meter.ByteCounts
 
 	mu     sync.Mutex
 	inside map[string]bool // the zones that are cut off from all others; nil: none
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -210,9 +210,9 @@
 		}
 	})
 	for plant, sign := range map[string]string{
-		distribution.PlantLostChange:       "skipped",
-		distribution.PlantEarlyReport:      "reported revision",
-		distribution.PlantSnapshotRevision: "took a snapshot",
+		distribution.BugLostChange:       "skipped",
+		distribution.BugEarlyReport:      "reported revision",
+		distribution.BugSnapshotRevision: "took a snapshot",
 	} {
 		t.Run(plant, func(t *testing.T) {
 			t.Parallel()
--- a/internal/net/configwatch/client.go
+++ b/internal/net/configwatch/client.go
@@ -17,8 +17,8 @@
 	"puffinsaddle/internal/records"
 )
 
-// Follower is the process for which a client watches. Its methods are called one at a time, but for Report.
-type Follower interface {
+// Replica is the process for which a client watches. Its methods are called one at a time, but for Report.
+type Replica interface {
 	// Position is how far it is.
 	Position() distribution.Position
 	// Follow takes the next commit; it returns once the commit is in force.
@@ -36,39 +36,39 @@
 // ClientOptions set up a client.
 type ClientOptions struct {
 	Name     string
-	Relay    bool   // the follower serves others
+	IsRelay  bool   // the follower serves others
 	Region   string // of a relay
 	Preamble []byte // what a connection begins with: the copies of the store take others at the same address
 	Selector *distribution.Selector
-	Follower Follower
+	Replica  Replica
 	Dial     func(ctx context.Context, address string) (net.Conn, error) // nil: over TCP
-	// On is called when a connection begins to be served, and with an error when it ends; nil: nobody asks.
-	On     func(address string, err error)
-	Steady *clock.Clock
-	Log    zerolog.Logger
-	Plant  string // a planted bug, for the laboratory; "": none
+	// OnConnectionChange is called when a connection begins to be served, and with an error when it ends; nil: nobody asks.
+	OnConnectionChange func(address string, err error)
+	Steady             *clock.Clock
+	Log                zerolog.Logger
+	InjectedBug        string // a planted bug, for the laboratory; "": none
 }
 
-// ClientFigures are counts of a client from its start.
-type ClientFigures struct {
-	Received  uint64 `json:"received"` // bytes
-	Sent      uint64 `json:"sent"`     // bytes
-	Connected uint64 `json:"connected"`
-	Snapshots uint64 `json:"snapshots"` // taken whole
-	Latest    uint64 `json:"latest"`    // revision, as far as the relay knows
-	Watching  string `json:"watching"`  // the relay's address; "": none serves
+// ClientMetrics are counts of a client from its start.
+type ClientMetrics struct {
+	ReceivedBytes  uint64 `json:"received"` // bytes
+	SentBytes      uint64 `json:"sent"`     // bytes
+	Connections    uint64 `json:"connected"`
+	Snapshots      uint64 `json:"snapshots"` // taken whole
+	LatestRevision uint64 `json:"latest"`    // revision, as far as the relay knows
+	RelayAddress   string `json:"watching"`  // the relay's address; "": none serves
 }
 
 // Client watches for one process.
 type Client struct {
-	o ClientOptions
+	options ClientOptions
 
-	bytes                        meter.Count
-	connected, snapshots, latest atomic.Uint64
+	traffic                                meter.ByteCounts
+	connections, snapshots, latestRevision atomic.Uint64
 
-	mu       sync.Mutex
-	watching string
-	last     string // the relay that served last
+	mu           sync.Mutex
+	relayAddress string
+	lastRelay    string // the relay that served last
 }
 
 const dialTimeout = time.Second
@@ -79,36 +79,36 @@
 		d := net.Dialer{Timeout: dialTimeout}
 		o.Dial = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 	}
-	return &Client{o: o}
+	return &Client{options: o}
 }
 
-// Figures reads the counts.
-func (c *Client) Figures() ClientFigures {
+// Metrics reads the counts.
+func (c *Client) Metrics() ClientMetrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return ClientFigures{c.bytes.In.Load(), c.bytes.Out.Load(), c.connected.Load(), c.snapshots.Load(), c.latest.Load(), c.watching}
+	return ClientMetrics{c.traffic.In.Load(), c.traffic.Out.Load(), c.connections.Load(), c.snapshots.Load(), c.latestRevision.Load(), c.relayAddress}
 }
 
 // Run watches until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		relay, wait, ok := c.o.Selector.Next(c.o.Steady.Now())
+		relay, wait, ok := c.options.Selector.Next(c.options.Steady.Now())
 		if ok {
 			err := c.watch(ctx, relay)
 			if r, refused := IsRefusal(err); refused {
-				wait = c.o.Selector.Refused(c.o.Steady.Now(), r.RetryMs, r.Elsewhere)
+				wait = c.options.Selector.Refused(c.options.Steady.Now(), r.RetryMS, r.AlternateAddresses)
 			} else {
-				wait = c.o.Selector.Failed()
+				wait = c.options.Selector.Failed()
 			}
-			c.o.Log.Debug().Err(err).Str("relay", relay.Address).Float64("wait_ms", wait).Msg("not watching")
+			c.options.Log.Debug().Err(err).Str("relay", relay.Address).Float64("wait_ms", wait).Msg("not watching")
 		}
-		c.pause(ctx, wait)
+		c.sleep(ctx, wait)
 	}
 }
 
-func (c *Client) pause(ctx context.Context, ms float64) {
+func (c *Client) sleep(ctx context.Context, ms float64) {
 	due := make(chan struct{})
-	t := c.o.Steady.After(ms, func() { close(due) })
+	t := c.options.Steady.After(ms, func() { close(due) })
 	defer t.Stop()
 	select {
 	case <-due:
@@ -118,56 +118,56 @@
 
 // watch serves one connection to its end.
 func (c *Client) watch(ctx context.Context, relay distribution.Relay) error {
-	raw, err := c.o.Dial(ctx, relay.Address)
+	raw, err := c.options.Dial(ctx, relay.Address)
 	if err != nil {
 		return err
 	}
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
-	conn := meter.New(raw, &c.bytes)
-	if len(c.o.Preamble) > 0 {
+	conn := meter.New(raw, &c.traffic)
+	if len(c.options.Preamble) > 0 {
 		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := conn.Write(c.o.Preamble); err != nil {
+		if _, err := conn.Write(c.options.Preamble); err != nil {
 			return err
 		}
 	}
-	w := Watch{Name: c.o.Name, At: c.o.Follower.Position(), Relay: c.o.Relay, Region: c.o.Region}
-	if err := frame.Send(conn, toFeed{Watch: &w}, maxReport); err != nil {
+	w := Watch{Name: c.options.Name, Position: c.options.Replica.Position(), IsRelay: c.options.IsRelay, Region: c.options.Region}
+	if err := frame.Send(conn, watcherMessage{Watch: &w}, maxReportBytes); err != nil {
 		return err
 	}
-	s := &stream{client: c, relay: relay, conn: conn, over: make(chan struct{})}
-	s.lose = c.o.Plant == distribution.PlantLostChange && c.last != "" && c.last != relay.Address
-	defer close(s.over)
+	s := &stream{client: c, relay: relay, conn: conn, done: make(chan struct{})}
+	s.skipNextCommit = c.options.InjectedBug == distribution.BugLostChange && c.lastRelay != "" && c.lastRelay != relay.Address
+	defer close(s.done)
 	err = s.read()
 	if s.served {
-		c.setWatching("")
-		if c.o.On != nil {
-			c.o.On(relay.Address, err)
+		c.setRelayAddress("")
+		if c.options.OnConnectionChange != nil {
+			c.options.OnConnectionChange(relay.Address, err)
 		}
 	}
 	return err
 }
 
-func (c *Client) setWatching(address string) {
+func (c *Client) setRelayAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watching = address
+	c.relayAddress = address
 	if address != "" {
-		c.last = address
+		c.lastRelay = address
 	}
 }
 
 // stream is one connection.
 type stream struct {
-	client    *Client
-	relay     distribution.Relay
-	conn      net.Conn
-	assembler *records.Assembler // of the snapshot that is coming; nil: none
-	header    records.Header
-	served    bool
-	lose      bool // the planted bug: the next commit is counted and not carried out
-	over      chan struct{}
+	client         *Client
+	relay          distribution.Relay
+	conn           net.Conn
+	assembler      *records.Assembler // of the snapshot that is coming; nil: none
+	header         records.Header
+	served         bool
+	skipNextCommit bool // the planted bug: the next commit is counted and not carried out
+	done           chan struct{}
 }
 
 func (s *stream) read() error {
@@ -176,7 +176,7 @@
 			s.assembler.Close()
 		}
 	}()
-	r := frame.NewReader(s.conn, silentTimeout, maxMessage)
+	r := frame.NewReader(s.conn, feedIdleTimeout, maxMessageBytes)
 	for {
 		content, err := r.NextBytes()
 		if err != nil {
@@ -186,132 +186,132 @@
 		if err != nil {
 			return err
 		}
-		if m.Refused != nil {
-			return m.Refused
+		if m.Refusal != nil {
+			return m.Refusal
 		}
 		if !s.served {
-			s.begin()
+			s.start()
 		}
-		if err := s.take(m); err != nil {
+		if err := s.handle(m); err != nil {
 			return err
 		}
 	}
 }
 
-// begin takes note that the relay serves.
-func (s *stream) begin() {
+// start takes note that the relay serves.
+func (s *stream) start() {
 	c := s.client
 	s.served = true
-	c.connected.Add(1)
-	keepFor := c.o.Selector.Served()
-	c.setWatching(s.relay.Address)
-	if c.o.On != nil {
-		c.o.On(s.relay.Address, nil)
+	c.connections.Add(1)
+	reconnectAfterMS := c.options.Selector.Served()
+	c.setRelayAddress(s.relay.Address)
+	if c.options.OnConnectionChange != nil {
+		c.options.OnConnectionChange(s.relay.Address, nil)
 	}
-	if keepFor > 0 {
-		t := c.o.Steady.After(keepFor, func() { s.conn.Close() })
+	if reconnectAfterMS > 0 {
+		t := c.options.Steady.After(reconnectAfterMS, func() { s.conn.Close() })
 		go func() {
-			<-s.over
+			<-s.done
 			t.Stop()
 		}()
 	}
-	go s.report()
+	go s.sendReports()
 }
 
-// report tells now and then how far the follower is.
-func (s *stream) report() {
+// sendReports tells now and then how far the follower is.
+func (s *stream) sendReports() {
 	for {
 		due := make(chan struct{})
-		t := s.client.o.Steady.After(heartbeatMs, func() { close(due) })
+		t := s.client.options.Steady.After(heartbeatIntervalMS, func() { close(due) })
 		select {
-		case <-s.over:
+		case <-s.done:
 			t.Stop()
 			return
 		case <-due:
 		}
-		r := s.client.o.Follower.Report()
-		if err := frame.Send(s.conn, toFeed{Report: &r}, maxReport); err != nil {
+		r := s.client.options.Replica.Report()
+		if err := frame.Send(s.conn, watcherMessage{Report: &r}, maxReportBytes); err != nil {
 			s.conn.Close()
 			return
 		}
 	}
 }
 
-func (s *stream) take(m toWatcher) error {
+func (s *stream) handle(m feedMessage) error {
 	c := s.client
 	switch {
 	case m.Commit != nil:
-		return s.follow(*m.Commit)
+		return s.applyCommit(*m.Commit)
 	case m.Header != nil:
 		return s.beginSnapshot(*m.Header)
-	case m.Piece != nil:
-		return s.addPiece(*m.Piece)
+	case m.Chunk != nil:
+		return s.addChunk(*m.Chunk)
 	case m.Heartbeat != nil:
-		c.latest.Store(*m.Heartbeat)
+		c.latestRevision.Store(*m.Heartbeat)
 		return nil
 	}
-	return errNoPart
+	return errEmptyMessage
 }
 
-func (s *stream) follow(commit records.Commit) error {
-	f := s.client.o.Follower
-	s.client.latest.Store(max(s.client.latest.Load(), commit.Revision))
+func (s *stream) applyCommit(commit records.Commit) error {
+	replica := s.client.options.Replica
+	s.client.latestRevision.Store(max(s.client.latestRevision.Load(), commit.Revision))
 	if s.assembler != nil {
-		return errPiece
+		return errSnapshotOrder
 	}
-	if skipper, ok := f.(interface{ Skip(records.Commit) error }); ok && s.lose {
-		s.lose = false
+	if skipper, ok := replica.(interface{ Skip(records.Commit) error }); ok && s.skipNextCommit {
+		s.skipNextCommit = false
 		return skipper.Skip(commit)
 	}
-	err := f.Follow(commit)
-	var order *records.OrderError
-	if errors.As(err, &order) && order.Differ {
-		f.Discard(err) // and the next watch begins with a snapshot
+	err := replica.Follow(commit)
+	var order *records.SequenceError
+	if errors.As(err, &order) && order.DigestMismatch {
+		replica.Discard(err) // and the next watch begins with a snapshot
 	}
 	return err
 }
 
 func (s *stream) beginSnapshot(h records.Header) error {
-	f := s.client.o.Follower
+	replica := s.client.options.Replica
 	if s.assembler != nil {
-		return errPiece
+		return errSnapshotOrder
 	}
-	if h.Revision < f.Position().Revision {
+	if h.Revision < replica.Position().Revision {
 		// A feed that is behind its watcher sends it away, so this one knows the watcher's revision, and with other records.
-		f.Discard(errOther)
+		replica.Discard(errDivergentRecords)
 	}
-	a, err := records.NewAssembler(h, f.KeepsRecords())
+	assembler, err := records.NewAssembler(h, replica.KeepsRecords())
 	if err != nil {
 		return err
 	}
-	s.assembler, s.header = a, h
-	if h.Pieces == 0 {
-		return s.adopt()
+	s.assembler, s.header = assembler, h
+	if h.ChunkCount == 0 {
+		return s.adoptSnapshot()
 	}
 	return nil
 }
 
-func (s *stream) addPiece(p records.Piece) error {
+func (s *stream) addChunk(p records.Chunk) error {
 	if s.assembler == nil {
-		return errPiece
+		return errSnapshotOrder
 	}
 	if err := s.assembler.Add(p); err != nil {
 		return err
 	}
-	if p.Number+1 < s.header.Pieces {
+	if p.Index+1 < s.header.ChunkCount {
 		return nil
 	}
-	return s.adopt()
+	return s.adoptSnapshot()
 }
 
-func (s *stream) adopt() error {
+func (s *stream) adoptSnapshot() error {
 	table, err := s.assembler.Finish()
 	s.assembler.Close()
 	s.assembler = nil
 	if err != nil {
 		return err
 	}
-	if err := s.client.o.Follower.Adopt(s.header, table); err != nil {
+	if err := s.client.options.Replica.Adopt(s.header, table); err != nil {
 		return err
 	}
 	s.client.snapshots.Add(1)
--- a/internal/net/configwatch/configwatch_test.go
+++ b/internal/net/configwatch/configwatch_test.go
@@ -25,7 +25,7 @@
 	"puffinsaddle/internal/replica"
 )
 
-const patience = 30 * time.Second // a test that hangs fails by then; none is timed
+const testTimeout = 30 * time.Second // a test that hangs fails by then; none is timed
 
 // feed is a server with the records that it serves.
 type feed struct {
@@ -42,11 +42,11 @@
 	return f.set.Table().Clone(), f.set.Revision()
 }
 
-func openFeed(t *testing.T, limits distribution.Limits, change ...func(*configwatch.ServerOptions)) *feed {
+func startFeed(t *testing.T, limits distribution.Limits, modify ...func(*configwatch.ServerOptions)) *feed {
 	t.Helper()
 	f := &feed{t: t, set: records.NewSet(records.DefaultLimits)}
 	o := configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Monotonic(), Log: zerolog.Nop()}
-	for _, c := range change {
+	for _, c := range modify {
 		c(&o)
 	}
 	f.server = configwatch.NewServer(o)
@@ -56,7 +56,7 @@
 	}
 	t.Cleanup(func() {
 		f.ln.Close()
-		f.server.DropAll()
+		f.server.DisconnectAll()
 	})
 	go func() {
 		for {
@@ -70,7 +70,7 @@
 	return f
 }
 
-func (f *feed) at() string { return f.ln.Addr().String() }
+func (f *feed) address() string { return f.ln.Addr().String() }
 
 // commit has some records changed.
 func (f *feed) commit(names ...string) records.Commit {
@@ -97,8 +97,8 @@
 	return f.set.Digest()
 }
 
-// watching is a replica with its client.
-type watching struct {
+// watcher is a replica with its client.
+type watcher struct {
 	*replica.Replica
 	client  *configwatch.Client
 	commits chan uint64
@@ -106,13 +106,13 @@
 	done    chan struct{}
 }
 
-func watch(t *testing.T, path string, relays []distribution.Relay, change ...func(*configwatch.ClientOptions)) *watching {
+func startWatcher(t *testing.T, path string, relays []distribution.Relay, modify ...func(*configwatch.ClientOptions)) *watcher {
 	t.Helper()
-	w := &watching{commits: make(chan uint64, 100000), done: make(chan struct{})}
-	w.Replica = replica.Open(replica.Options{Name: "server", Path: path, Log: zerolog.Nop(), Committed: func(c records.Commit) { w.commits <- c.Revision }})
-	o := configwatch.ClientOptions{Name: "server", Follower: w.Replica, Steady: clock.Monotonic(), Log: zerolog.Nop(),
-		Selector: distribution.NewSelector(relays, distribution.Place{Zone: "z"}, 1)}
-	for _, c := range change {
+	w := &watcher{commits: make(chan uint64, 100000), done: make(chan struct{})}
+	w.Replica = replica.Open(replica.Options{Name: "server", Path: path, Log: zerolog.Nop(), OnCommit: func(c records.Commit) { w.commits <- c.Revision }})
+	o := configwatch.ClientOptions{Name: "server", Replica: w.Replica, Steady: clock.Monotonic(), Log: zerolog.Nop(),
+		Selector: distribution.NewSelector(relays, distribution.Locality{Zone: "z"}, 1)}
+	for _, c := range modify {
 		c(&o)
 	}
 	w.client = configwatch.NewClient(o)
@@ -130,88 +130,88 @@
 	return w
 }
 
-func to(feeds ...*feed) (relays []distribution.Relay) {
+func relaysOf(feeds ...*feed) (relays []distribution.Relay) {
 	for _, f := range feeds {
-		relays = append(relays, distribution.Relay{Name: f.at(), Address: f.at(), Zone: "z"})
+		relays = append(relays, distribution.Relay{Name: f.address(), Address: f.address(), Zone: "z"})
 	}
 	return relays
 }
 
-func until(t *testing.T, what string, holds func() bool) {
+func waitUntil(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for late := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatalf("not within %s: %s", patience, what)
+	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %s: %s", testTimeout, condition)
 		}
 	}
 }
 
-func (w *watching) level(t *testing.T, f *feed) {
+func (w *watcher) waitUntilCurrent(t *testing.T, f *feed) {
 	t.Helper()
-	until(t, "the watcher has what the feed has", func() bool {
+	waitUntil(t, "the watcher has what the feed has", func() bool {
 		p := w.Position()
-		return p.Revision == f.server.At().Revision && p.Digest == f.digest()
+		return p.Revision == f.server.Position().Revision && p.Digest == f.digest()
 	})
 }
 
-// tookSnapshot waits until it is counted: that is later than the records are there.
-func (w *watching) tookSnapshot(t *testing.T) {
+// waitForSnapshot waits until it is counted: that is later than the records are there.
+func (w *watcher) waitForSnapshot(t *testing.T) {
 	t.Helper()
-	until(t, "one snapshot is counted", func() bool { return w.client.Figures().Snapshots == 1 })
+	waitUntil(t, "one snapshot is counted", func() bool { return w.client.Metrics().Snapshots == 1 })
 }
 
 // A watcher sees each commit once and in order, also over a feed that ends: it goes on with another from its own revision.
-func TestWatchGoesOnAtAnotherFeed(t *testing.T) {
-	a, b := openFeed(t, distribution.DefaultLimits), openFeed(t, distribution.DefaultLimits)
-	both := func(names ...string) {
+func TestWatchContinuesAtAnotherFeed(t *testing.T) {
+	a, b := startFeed(t, distribution.DefaultLimits), startFeed(t, distribution.DefaultLimits)
+	commitBoth := func(names ...string) {
 		a.commit(names...)
 		b.commit(names...)
 	}
-	both("one", "two")
-	w := watch(t, "", to(a, b))
+	commitBoth("one", "two")
+	w := startWatcher(t, "", relaysOf(a, b))
 	for i := range 50 {
-		both(fmt.Sprint("n", i%5))
+		commitBoth(fmt.Sprint("n", i%5))
 	}
-	w.level(t, b)
+	w.waitUntilCurrent(t, b)
 	first, second := a, b
-	if w.client.Figures().Watching == b.at() {
+	if w.client.Metrics().RelayAddress == b.address() {
 		first, second = b, a
 	}
 	first.ln.Close()
-	first.server.DropAll()
+	first.server.DisconnectAll()
 	for i := range 50 {
-		both(fmt.Sprint("n", i%5))
+		commitBoth(fmt.Sprint("n", i%5))
 	}
-	w.level(t, second)
+	w.waitUntilCurrent(t, second)
 	for want := uint64(1); want <= 101; want++ {
 		if got := <-w.commits; got != want {
 			t.Fatalf("commit %d came where %d was due", got, want)
 		}
 	}
-	if n := w.client.Figures().Snapshots; n != 0 {
+	if n := w.client.Metrics().Snapshots; n != 0 {
 		t.Errorf("%d snapshots were sent", n)
 	}
 }
 
 // A restarted server asks for what it missed alone; a spoilt copy is thrown away and fetched anew.
-func TestRestartAsksForWhatItMissed(t *testing.T) {
-	f := openFeed(t, distribution.Limits{Commits: 30, Bytes: 1 << 20, Watchers: 10, Snapshots: 2})
+func TestRestartFetchesOnlyMissedCommits(t *testing.T) {
+	f := startFeed(t, distribution.Limits{Commits: 30, Bytes: 1 << 20, Watchers: 10, Snapshots: 2})
 	for i := range 100 {
 		f.commit(fmt.Sprint("n", i))
 	}
 	path := filepath.Join(t.TempDir(), "records")
-	w := watch(t, path, to(f))
-	w.level(t, f)
-	w.tookSnapshot(t)
+	w := startWatcher(t, path, relaysOf(f))
+	w.waitUntilCurrent(t, f)
+	w.waitForSnapshot(t)
 	f.commit("behind-the-snapshot")
-	w.level(t, f)
+	w.waitUntilCurrent(t, f)
 	w.stop()
 	for i := range 20 {
 		f.commit(fmt.Sprint("missed", i))
 	}
-	w = watch(t, path, to(f))
-	w.level(t, f)
-	if n := w.client.Figures(); n.Snapshots != 0 || len(w.commits) != 20 {
+	w = startWatcher(t, path, relaysOf(f))
+	w.waitUntilCurrent(t, f)
+	if n := w.client.Metrics(); n.Snapshots != 0 || len(w.commits) != 20 {
 		t.Errorf("%d snapshots and %d commits for a server that missed 20", n.Snapshots, len(w.commits))
 	}
 	w.stop()
@@ -223,9 +223,9 @@
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w = watch(t, path, to(f))
-	w.level(t, f)
-	w.tookSnapshot(t)
+	w = startWatcher(t, path, relaysOf(f))
+	w.waitUntilCurrent(t, f)
+	w.waitForSnapshot(t)
 	w.stop()
 	if b, err = os.ReadFile(path); err != nil {
 		t.Fatal(err)
@@ -234,121 +234,121 @@
 		t.Fatal(err)
 	}
 	f.commit("later")
-	w = watch(t, path, to(f))
-	w.level(t, f)
+	w = startWatcher(t, path, relaysOf(f))
+	w.waitUntilCurrent(t, f)
 }
 
 // A watcher that holds what was never agreed on throws it away.
-func TestOtherRecordsAreThrownAway(t *testing.T) {
-	a, b := openFeed(t, distribution.DefaultLimits), openFeed(t, distribution.DefaultLimits)
+func TestDivergentRecordsAreReplaced(t *testing.T) {
+	a, b := startFeed(t, distribution.DefaultLimits), startFeed(t, distribution.DefaultLimits)
 	for range 5 {
 		a.commit("of-a")
 		b.commit("of-b")
 	}
 	path := filepath.Join(t.TempDir(), "records")
-	w := watch(t, path, to(a))
-	w.level(t, a)
+	w := startWatcher(t, path, relaysOf(a))
+	w.waitUntilCurrent(t, a)
 	w.stop()
-	w = watch(t, path, to(b))
-	w.level(t, b)
-	w.tookSnapshot(t)
+	w = startWatcher(t, path, relaysOf(b))
+	w.waitUntilCurrent(t, b)
+	w.waitForSnapshot(t)
 }
 
 // The same where the feed's snapshot is older than the revision that the watcher claims: it must not be left without any.
-func TestOtherRecordsAreThrownAwayForAnOlderSnapshot(t *testing.T) {
+func TestDivergentRecordsAreReplacedByOlderSnapshot(t *testing.T) {
 	limits := distribution.Limits{Commits: 10, Bytes: 1 << 20, Watchers: 10, Snapshots: 2}
-	a, b := openFeed(t, distribution.DefaultLimits), openFeed(t, limits)
+	a, b := startFeed(t, distribution.DefaultLimits), startFeed(t, limits)
 	for range 23 {
 		a.commit("of-a")
 	}
 	for range 20 {
 		b.commit("of-b")
 	}
-	watch(t, "", to(b)).level(t, b) // makes the snapshot, as of 20
+	startWatcher(t, "", relaysOf(b)).waitUntilCurrent(t, b) // makes the snapshot, as of 20
 	for range 5 {
 		b.commit("of-b")
 	}
 	path := filepath.Join(t.TempDir(), "records")
-	w := watch(t, path, to(a))
-	w.level(t, a)
+	w := startWatcher(t, path, relaysOf(a))
+	w.waitUntilCurrent(t, a)
 	w.stop()
-	w = watch(t, path, to(b))
-	w.level(t, b)
-	w.tookSnapshot(t)
+	w = startWatcher(t, path, relaysOf(b))
+	w.waitUntilCurrent(t, b)
+	w.waitForSnapshot(t)
 }
 
 // One that is full names another and a time; the watcher goes there.
-func TestRefusedWatchersGoElsewhere(t *testing.T) {
-	other := openFeed(t, distribution.DefaultLimits)
-	full := openFeed(t, distribution.Limits{Commits: 10, Bytes: 1 << 20, Watchers: 0, Snapshots: 1}, func(o *configwatch.ServerOptions) { o.Elsewhere = []string{other.at()} })
+func TestRefusedWatcherTriesAlternateAddress(t *testing.T) {
+	other := startFeed(t, distribution.DefaultLimits)
+	full := startFeed(t, distribution.Limits{Commits: 10, Bytes: 1 << 20, Watchers: 0, Snapshots: 1}, func(o *configwatch.ServerOptions) { o.AlternateAddresses = []string{other.address()} })
 	other.commit("x")
-	relays := []distribution.Relay{{Name: "full", Address: full.at(), Zone: "z"}, {Name: "other", Address: other.at(), Zone: "y"}}
-	w := watch(t, "", relays)
-	w.level(t, other)
-	if full.server.Figures().Refused == 0 {
+	relays := []distribution.Relay{{Name: "full", Address: full.address(), Zone: "z"}, {Name: "other", Address: other.address(), Zone: "y"}}
+	w := startWatcher(t, "", relays)
+	w.waitUntilCurrent(t, other)
+	if full.server.Metrics().Refused == 0 {
 		t.Error("the full one was not asked")
 	}
 }
 
 // A watcher that reads nothing is cut off, and what the feed holds for it stays within its limits.
-func TestSlowWatcherIsCutOff(t *testing.T) {
+func TestSlowWatcherIsDisconnected(t *testing.T) {
 	limits := distribution.Limits{Commits: 50, Bytes: 1 << 20, Watchers: 10, Snapshots: 2}
-	f := openFeed(t, limits)
-	conn, err := net.Dial("tcp", f.at())
+	f := startFeed(t, limits)
+	conn, err := net.Dial("tcp", f.address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	conn.Write(message(t, `{"watch":{"name":"slow","at":{"revision":0,"digest":"00000000000000000000000000000000"}}}`))
-	until(t, "it is served", func() bool { return f.server.Figures().Watchers == 1 })
-	w := watch(t, "", to(f))
+	conn.Write(frameMessage(t, `{"watch":{"name":"slow","at":{"revision":0,"digest":"00000000000000000000000000000000"}}}`))
+	waitUntil(t, "it is served", func() bool { return f.server.Metrics().Watchers == 1 })
+	w := startWatcher(t, "", relaysOf(f))
 	large := strings.Repeat("n", 128)
-	until(t, "it is cut off", func() bool {
+	waitUntil(t, "it is cut off", func() bool {
 		f.commit(large, large[:100], large[:99], large[:98])
-		if held := f.server.Figures().Held; held > limits.Bytes {
+		if held := f.server.Metrics().RetainedBytes; held > limits.Bytes {
 			t.Fatalf("%d bytes are held, %d at most", held, limits.Bytes)
 		}
-		w.level(t, f) // the others are served all the while
-		return f.server.Figures().Watchers == 1
+		w.waitUntilCurrent(t, f) // the others are served all the while
+		return f.server.Metrics().Watchers == 1
 	})
-	if f.server.Figures().Cut == 0 {
+	if f.server.Metrics().Disconnected == 0 {
 		t.Error("it is not counted")
 	}
 }
 
-func message(t *testing.T, text string) []byte {
+func frameMessage(t *testing.T, text string) []byte {
 	t.Helper()
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 }
 
 // What no watcher of ours would send ends its own connection and touches nothing.
-func TestMalformedWatchesEndTheirConnection(t *testing.T) {
-	f := openFeed(t, distribution.DefaultLimits)
+func TestMalformedWatchClosesConnection(t *testing.T) {
+	f := startFeed(t, distribution.DefaultLimits)
 	f.commit("x")
-	w := watch(t, "", to(f))
-	w.level(t, f)
-	const good = `{"watch":{"name":"x","at":{"revision":1,"digest":"%s"}}}`
-	hello := string(message(t, fmt.Sprintf(good, f.digest())))
+	w := startWatcher(t, "", relaysOf(f))
+	w.waitUntilCurrent(t, f)
+	const validWatch = `{"watch":{"name":"x","at":{"revision":1,"digest":"%s"}}}`
+	firstMessage := string(frameMessage(t, fmt.Sprintf(validWatch, f.digest())))
 	for name, text := range map[string]string{
-		"no JSON":            string(message(t, "{")),
-		"no part":            string(message(t, "{}")),
-		"a report first":     string(message(t, `{"report":{"servers":1}}`)),
-		"no name":            string(message(t, `{"watch":{"at":{}}}`)),
-		"a bad digest":       string(message(t, `{"watch":{"name":"x","at":{"revision":1,"digest":"zz"}}}`)),
+		"no JSON":            string(frameMessage(t, "{")),
+		"no part":            string(frameMessage(t, "{}")),
+		"a report first":     string(frameMessage(t, `{"report":{"servers":1}}`)),
+		"no name":            string(frameMessage(t, `{"watch":{"at":{}}}`)),
+		"a bad digest":       string(frameMessage(t, `{"watch":{"name":"x","at":{"revision":1,"digest":"zz"}}}`)),
 		"a length of zero":   "\x00\x00\x00\x00",
 		"a huge length":      "\xff\xff\xff\xff",
-		"two watches":        hello + hello,
-		"a huge report":      hello + "\x00\x10\x00\x00",
-		"noise":              hello + strings.Repeat("\xfe", 4000),
-		"half a message":     hello[:9],
-		"a negative revison": string(message(t, `{"watch":{"name":"x","at":{"revision":-1}}}`)),
+		"two watches":        firstMessage + firstMessage,
+		"a huge report":      firstMessage + "\x00\x10\x00\x00",
+		"noise":              firstMessage + strings.Repeat("\xfe", 4000),
+		"half a message":     firstMessage[:9],
+		"a negative revison": string(frameMessage(t, `{"watch":{"name":"x","at":{"revision":-1}}}`)),
 	} {
-		conn, err := net.Dial("tcp", f.at())
+		conn, err := net.Dial("tcp", f.address())
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		conn.Write([]byte(text))
 		if name == "half a message" {
 			conn.(*net.TCPConn).CloseWrite()
@@ -358,13 +358,13 @@
 		}
 		conn.Close()
 	}
-	until(t, "one watcher is left", func() bool { return f.server.Figures().Watchers == 1 })
+	waitUntil(t, "one watcher is left", func() bool { return f.server.Metrics().Watchers == 1 })
 	f.commit("y")
-	w.level(t, f)
+	w.waitUntilCurrent(t, f)
 }
 
-// scripted answers each connection with bytes of the test's own.
-func scripted(t *testing.T, bytes func(n int) []byte) (address string, ended *atomic.Int64) {
+// startScriptedFeed answers each connection with bytes of the test's own.
+func startScriptedFeed(t *testing.T, bytes func(n int) []byte) (address string, ended *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -389,7 +389,7 @@
 }
 
 // A feed that sends what none of ours would is left, and what the watcher has stays as it is.
-func TestMalformedFeedsAreLeft(t *testing.T) {
+func TestWatcherLeavesMalformedFeed(t *testing.T) {
 	set := records.NewSet(records.DefaultLimits)
 	var commits []string
 	for i := range 3 {
@@ -397,38 +397,38 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := configwatch.Encode(c)
+		b, err := configwatch.EncodeCommit(c)
 		if err != nil {
 			t.Fatal(err)
 		}
 		commits = append(commits, string(b))
 	}
-	const head = 4 // bytes of a message's length
-	first := commits[0][head:]
-	header := string(message(t, `{"header":{"revision":9,"digest":"00000000000000000000000000000000","records":5,"pieces":1}}`))
+	const prefixBytes = 4 // bytes of a message's length
+	first := commits[0][prefixBytes:]
+	header := string(frameMessage(t, `{"header":{"revision":9,"digest":"00000000000000000000000000000000","records":5,"pieces":1}}`))
 	for name, text := range map[string]string{
-		"no JSON":           string(message(t, "[1")),
-		"no part":           string(message(t, "{}")),
+		"no JSON":           string(frameMessage(t, "[1")),
+		"no part":           string(frameMessage(t, "{}")),
 		"a huge length":     "\x7f\xff\xff\xff",
 		"a gap":             commits[0] + commits[2],
 		"a commit twice":    commits[0] + commits[0],
-		"a piece alone":     string(message(t, `{"piece":{"number":0,"data":"AA=="}}`)),
-		"a spoilt piece":    header + string(message(t, `{"piece":{"number":0,"data":"AAAA"}}`)),
-		"a commit cut":      string(message(t, first[:len(first)-1])),
-		"a commit and more": string(message(t, first+"\x00")),
-		"another encoding":  string(message(t, "\x02"+first[1:])),
-		"a commit in JSON":  string(message(t, `{"commit":{"revision":1}}`)),
-		"no commit":         string(message(t, first[:1])),
+		"a piece alone":     string(frameMessage(t, `{"piece":{"number":0,"data":"AA=="}}`)),
+		"a spoilt piece":    header + string(frameMessage(t, `{"piece":{"number":0,"data":"AAAA"}}`)),
+		"a commit cut":      string(frameMessage(t, first[:len(first)-1])),
+		"a commit and more": string(frameMessage(t, first+"\x00")),
+		"another encoding":  string(frameMessage(t, "\x02"+first[1:])),
+		"a commit in JSON":  string(frameMessage(t, `{"commit":{"revision":1}}`)),
+		"no commit":         string(frameMessage(t, first[:1])),
 		"two headers":       header + header,
 		"a commit inside":   header + commits[0],
-		"no end of records": string(message(t, `{"header":{"revision":9,"records":999999999999,"pieces":1}}`)),
-		"nothing promised":  string(message(t, `{"header":{"revision":9,"records":0,"pieces":1}}`)),
+		"no end of records": string(frameMessage(t, `{"header":{"revision":9,"records":999999999999,"pieces":1}}`)),
+		"nothing promised":  string(frameMessage(t, `{"header":{"revision":9,"records":0,"pieces":1}}`)),
 	} {
 		t.Run(name, func(t *testing.T) {
-			at, ended := scripted(t, func(int) []byte { return []byte(text) })
-			w := watch(t, "", []distribution.Relay{{Name: "bad", Address: at, Zone: "z"}})
-			until(t, "it is left", func() bool { return ended.Load() > 0 })
-			if p := w.Position(); p.Revision > 1 || w.Records() > 1 {
+			address, ended := startScriptedFeed(t, func(int) []byte { return []byte(text) })
+			w := startWatcher(t, "", []distribution.Relay{{Name: "bad", Address: address, Zone: "z"}})
+			waitUntil(t, "it is left", func() bool { return ended.Load() > 0 })
+			if p := w.Position(); p.Revision > 1 || w.RecordCount() > 1 {
 				t.Errorf("it took %+v", p)
 			}
 		})
@@ -436,23 +436,23 @@
 }
 
 // What the watchers report comes to one report, with the reasons by name.
-func TestReportsTellWhatWasTurnedDown(t *testing.T) {
-	f := openFeed(t, distribution.DefaultLimits)
-	w := &watching{}
-	w.Replica = replica.Open(replica.Options{Name: "picky", Log: zerolog.Nop(), Check: func(p records.Put) error {
+func TestReportsIncludeRejectedRecords(t *testing.T) {
+	f := startFeed(t, distribution.DefaultLimits)
+	w := &watcher{}
+	w.Replica = replica.Open(replica.Options{Name: "picky", Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
 		if p.Name == "bad" {
 			return errors.New("not to my liking")
 		}
 		return nil
 	}})
-	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: "picky", Follower: w.Replica, Steady: clock.Monotonic(), Log: zerolog.Nop(),
-		Selector: distribution.NewSelector(to(f), distribution.Place{}, 1)})
+	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: "picky", Replica: w.Replica, Steady: clock.Monotonic(), Log: zerolog.Nop(),
+		Selector: distribution.NewSelector(relaysOf(f), distribution.Locality{}, 1)})
 	go w.client.Run(t.Context())
 	f.commit("good")
 	f.commit("bad")
-	until(t, "the reason is heard", func() bool {
+	waitUntil(t, "the reason is heard", func() bool {
 		r := f.server.Report()
-		return r.Servers == 1 && r.Lowest == 2 && r.Rejecting == 1 && len(r.Rejections) == 1 && r.Rejections[0].Key == "setting/bad" &&
+		return r.Servers == 1 && r.LowestRevision == 2 && r.ServersRejecting == 1 && len(r.Rejections) == 1 && r.Rejections[0].Key == "setting/bad" &&
 			r.Rejections[0].Reason == "not to my liking" && r.Rejections[0].Revision == 2
 	})
 	f.mu.Lock()
@@ -461,7 +461,7 @@
 	if err = errors.Join(err, f.server.Publish(commit)); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "it is heard that nothing is turned down", func() bool { r := f.server.Report(); return r.Lowest == 3 && r.Rejecting == 0 })
+	waitUntil(t, "it is heard that nothing is turned down", func() bool { r := f.server.Report(); return r.LowestRevision == 3 && r.ServersRejecting == 0 })
 }
 
 // BenchmarkFanOut measures what a commit costs a feed, by the number of its watchers.
@@ -471,50 +471,50 @@
 			f := &feed{t: b, set: records.NewSet(records.DefaultLimits)}
 			limits := distribution.DefaultLimits
 			f.server = configwatch.NewServer(configwatch.ServerOptions{Limits: limits, Source: f, Steady: clock.Monotonic(), Log: zerolog.Nop()})
-			var got sync.WaitGroup
+			var received sync.WaitGroup
 			for i := range n {
-				here, there := net.Pipe()
-				b.Cleanup(func() { here.Close() })
-				go f.server.Serve(there)
+				clientConn, serverConn := net.Pipe()
+				b.Cleanup(func() { clientConn.Close() })
+				go f.server.Serve(serverConn)
 				go func() {
 					text := fmt.Sprintf(`{"watch":{"name":"w%d","at":{"revision":0,"digest":"00000000000000000000000000000000"}}}`, i)
-					here.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...))
+					clientConn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...))
 					buf := make([]byte, 4)
 					for {
-						if _, err := io.ReadFull(here, buf); err != nil {
+						if _, err := io.ReadFull(clientConn, buf); err != nil {
 							return
 						}
 						body := make([]byte, binary.BigEndian.Uint32(buf))
-						if _, err := io.ReadFull(here, body); err != nil {
+						if _, err := io.ReadFull(clientConn, body); err != nil {
 							return
 						}
 						if body[0] != '{' { // a commit: the other messages are JSON
-							got.Done()
+							received.Done()
 						}
 					}
 				}()
 			}
-			for f.server.Figures().Watchers < n {
+			for f.server.Metrics().Watchers < n {
 				time.Sleep(time.Millisecond)
 			}
 			i := 0
 			for b.Loop() {
-				got.Add(n)
+				received.Add(n)
 				i++
 				f.commit(fmt.Sprint("n", i%100))
-				got.Wait()
+				received.Wait()
 			}
 		})
 	}
 }
 
 // Snapshots together go no faster than they may, however many watchers ask for one.
-func TestSnapshotsAreThrottled(t *testing.T) {
-	const bytesASecond, burst, watchers = 4 << 20, 1 << 20, 3
-	f := openFeed(t, distribution.Limits{Commits: 1, Bytes: 1 << 20, Watchers: 8, Snapshots: 4}, func(o *configwatch.ServerOptions) { o.SnapshotBytes = bytesASecond })
+func TestSnapshotsAreRateLimited(t *testing.T) {
+	const bytesPerSecond, burst, watchers = 4 << 20, 1 << 20, 3
+	f := startFeed(t, distribution.Limits{Commits: 1, Bytes: 1 << 20, Watchers: 8, Snapshots: 4}, func(o *configwatch.ServerOptions) { o.SnapshotBytesPerSecond = bytesPerSecond })
 	random := rand.NewChaCha8([32]byte{1})
 	for i := range 40 { // what can't be compressed
-		value := make([]byte, records.MaxSetting)
+		value := make([]byte, records.MaxSettingBytes)
 		random.Read(value)
 		f.mu.Lock()
 		commit, err := f.set.Apply(records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Setting, Name: fmt.Sprint(i)}, Value: value}}})
@@ -523,19 +523,19 @@
 			t.Fatal(err)
 		}
 	}
-	began := time.Now()
-	var all []*watching
+	start := time.Now()
+	var all []*watcher
 	for range watchers {
-		all = append(all, watch(t, "", to(f)))
+		all = append(all, startWatcher(t, "", relaysOf(f)))
 	}
 	for _, w := range all {
-		w.level(t, f)
+		w.waitUntilCurrent(t, f)
 	}
-	least := time.Duration(float64(watchers*40*records.MaxSetting-burst) / bytesASecond * float64(time.Second))
-	if took := time.Since(began); took < least {
-		t.Errorf("%d snapshots took %s, at least %s is wanted", watchers, took, least)
+	minDuration := time.Duration(float64(watchers*40*records.MaxSettingBytes-burst) / bytesPerSecond * float64(time.Second))
+	if took := time.Since(start); took < minDuration {
+		t.Errorf("%d snapshots took %s, at least %s is wanted", watchers, took, minDuration)
 	}
-	if n := f.server.Figures().Snapshots; n < watchers {
+	if n := f.server.Metrics().Snapshots; n < watchers {
 		t.Errorf("%d snapshots were sent", n)
 	}
 }
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -27,135 +27,135 @@
 )
 
 const (
-	dialFor    = time.Second
-	firstRetry = 0.2  // renewals within which another copy is tried after the first failure,
-	maxRetry   = 2.0  // and after the last; so a server finds the copy that leads before its presence ends
-	fullMost   = 20.0 // after which a copy that says that it is full is tried again, whatever it says
-	answerFor  = 3.0  // renewals without an answer after which another copy is tried
-	endedEvery = 50.0 // ms; ends of effects that come within it go as one command
-	mostEnded  = 256  // of them in one
-	mostEnds   = 1 << 14
-	commandFor = 3000.0 // ms that a command waits for its answer
+	dialTimeout           = time.Second
+	firstBackoffRenewals  = 0.2  // renewals within which another copy is tried after the first failure,
+	maxBackoffRenewals    = 2.0  // and after the last; so a server finds the copy that leads before its presence ends
+	maxLimitRetryRenewals = 20.0 // after which a copy that says that it is full is tried again, whatever it says
+	replyTimeoutRenewals  = 3.0  // renewals without an answer after which another copy is tried
+	outcomeBatchMS        = 50.0 // ms; ends of effects that come within it go as one command
+	maxOutcomesPerCommand = 256  // of them in one
+	maxPendingOutcomes    = 1 << 14
+	commandTimeoutMS      = 3000.0 // ms that a command waits for its answer
 )
 
 // Options set up a client.
 type Options struct {
-	Me     string            // name and incarnation
-	Copies map[string]string // address of each copy, by its id
-	Rules  duty.Rules
-	Seed   uint64
-	Steady *clock.Clock
-	Log    zerolog.Logger
-	Plant  string // a planted bug, for the laboratory; "": none
+	ProcessID        string            // name and incarnation
+	ReplicaAddresses map[string]string // address of each copy, by its id
+	Rules            duty.Rules
+	Seed             uint64
+	Steady           *clock.Clock
+	Log              zerolog.Logger
+	InjectedBug      string // a planted bug, for the laboratory; "": none
 
 	// Dial opens connections; nil: over TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
-	// On is called for each event, in order, on a goroutine of its own: an action of duty.Machine, Allotted or Published.
-	On func(any)
+	// OnEvent is called for each event, in order, on a goroutine of its own: an action of duty.Machine, Allotted or Published.
+	OnEvent func(any)
 	// Need tells what the server could use beyond its part for being alone, in thousandths of a call in hand; nil: nothing.
 	Need func() int64
 }
 
 type (
-	// Allotted tells of another share; it is in force until the presence ends. Used has to be called once no more than that
+	// ShareChanged tells of another share; it is in force until the presence ends. Used has to be called once no more than that
 	// is used.
-	Allotted struct {
+	ShareChanged struct {
 		Amount  int64
 		Version uint64
 	}
-	// Published tells that a version is out that was not heard of before.
-	Published struct{ No uint64 }
-	// Linked tells of the first answer of a session: the copy leads.
-	Linked struct{}
+	// VersionPublished tells that a version is out that was not heard of before.
+	VersionPublished struct{ Version uint64 }
+	// SessionEstablished tells of the first answer of a session: the copy leads.
+	SessionEstablished struct{}
 )
 
 // Client holds an order server's session with whichever copy leads.
 type Client struct {
-	o     Options
-	on    *mailbox.Box[any]
-	fence atomic.Uint64 // commands refused for their epoch
-
-	mu      sync.Mutex
-	m       *duty.Machine
-	line    *line
-	conn    net.Conn
-	since   float64 // when the connection was made, or brought the last answer
-	hint    string  // id of the copy that is said to lead
-	next    int     // of the copies' order, where there is no hint
-	no      uint64
-	waits   map[uint64]chan toServer
-	mine    allot.LocalShare
-	used    uint64 // version of the share that is in use
-	version uint64 // published, heard of
-	ended   []string
-	failed  []string
-	ending  bool
-	timer   *clock.Timer
-	led     bool // the present session has brought an answer
-	order   []string
+	options        Options
+	events         *mailbox.Box[any]
+	fencedCommands atomic.Uint64 // commands refused for their epoch
+
+	mu                sync.Mutex
+	machine           *duty.Machine
+	writer            *messageWriter
+	conn              net.Conn
+	lastReplyAt       float64 // when the connection was made, or brought the last answer
+	leaderHint        string  // id of the copy that is said to lead
+	nextReplica       int     // of the copies' order, where there is no hint
+	lastRequestID     uint64
+	pendingReplies    map[uint64]chan serverMessage
+	share             allot.LocalShare
+	acknowledgedShare uint64 // version of the share that is in use
+	publishedVersion  uint64 // published, heard of
+	succeededEffects  []string
+	failedEffects     []string
+	reportScheduled   bool
+	stepTimer         *clock.Timer
+	established       bool // the present session has brought an answer
+	replicaIDs        []string
 }
 
 // NewClient makes a client; Run has to be called for it to seek the copies.
 func NewClient(o Options) *Client {
-	m := duty.NewMachine(o.Rules, o.Me, o.Seed)
-	m.InjectedBug = o.Plant
+	m := duty.NewMachine(o.Rules, o.ProcessID, o.Seed)
+	m.InjectedBug = o.InjectedBug
 	if o.Dial == nil {
-		d := net.Dialer{Timeout: dialFor}
+		d := net.Dialer{Timeout: dialTimeout}
 		o.Dial = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 	}
-	c := &Client{o: o, on: mailbox.New[any](), m: m, waits: map[uint64]chan toServer{}, order: slices.Sorted(maps.Keys(o.Copies))}
-	if n := len(c.order); n > 0 {
-		c.next = int(o.Seed % uint64(n))
+	c := &Client{options: o, events: mailbox.New[any](), machine: m, pendingReplies: map[uint64]chan serverMessage{}, replicaIDs: slices.Sorted(maps.Keys(o.ReplicaAddresses))}
+	if n := len(c.replicaIDs); n > 0 {
+		c.nextReplica = int(o.Seed % uint64(n))
 	}
 	return c
 }
 
 // Run holds a session until the context ends.
 func (c *Client) Run(ctx context.Context) {
-	go c.events(ctx)
+	go c.dispatchEvents(ctx)
 	c.mu.Lock()
 	c.step()
 	c.mu.Unlock()
-	retry := backoff.New(firstRetry*c.o.Rules.RenewIntervalMS, maxRetry*c.o.Rules.RenewIntervalMS, rand.New(rand.NewPCG(c.o.Seed, 2)))
+	backoffs := backoff.New(firstBackoffRenewals*c.options.Rules.RenewIntervalMS, maxBackoffRenewals*c.options.Rules.RenewIntervalMS, rand.New(rand.NewPCG(c.options.Seed, 2)))
 	for ctx.Err() == nil {
 		var err error
-		if at := c.seek(); at != "" {
-			err = c.try(ctx, at)
-			c.o.Log.Debug().Err(err).Str("at", at).Msg("session over")
+		if address := c.nextAddress(); address != "" {
+			err = c.connect(ctx, address)
+			c.options.Log.Debug().Err(err).Str("at", address).Msg("session over")
 		}
-		if c.wasServed() {
-			retry.Reset()
+		if c.takeEstablished() {
+			backoffs.Reset()
 		}
-		wait := retry.Next()
-		if full := (*fullError)(nil); errors.As(err, &full) {
-			wait += full.retryMs
+		wait := backoffs.Next()
+		if limitErr := (*sessionLimitError)(nil); errors.As(err, &limitErr) {
+			wait += limitErr.retryMS
 		}
-		c.pause(ctx, wait)
+		c.sleep(ctx, wait)
 	}
 }
 
-// try opens a session with a copy and holds it to its end.
-func (c *Client) try(ctx context.Context, at string) error {
-	conn, err := c.o.Dial(ctx, at)
+// connect opens a session with a copy and holds it to its end.
+func (c *Client) connect(ctx context.Context, address string) error {
+	conn, err := c.options.Dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	return c.hold(ctx, conn)
+	return c.serve(ctx, conn)
 }
 
-// wasServed tells whether the last session had an answer, and forgets it.
-func (c *Client) wasServed() bool {
+// takeEstablished tells whether the last session had an answer, and forgets it.
+func (c *Client) takeEstablished() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	served := c.led
-	c.led = false
-	return served
+	established := c.established
+	c.established = false
+	return established
 }
 
-func (c *Client) pause(ctx context.Context, ms float64) {
+func (c *Client) sleep(ctx context.Context, ms float64) {
 	due := make(chan struct{})
-	t := c.o.Steady.After(ms, func() { close(due) })
+	t := c.options.Steady.After(ms, func() { close(due) })
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -163,115 +163,115 @@
 	}
 }
 
-func (c *Client) events(ctx context.Context) {
+func (c *Client) dispatchEvents(ctx context.Context) {
 	var batch []any
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.on.Ready:
+		case <-c.events.Ready:
 		}
-		batch = c.on.TakeAll(batch)
+		batch = c.events.TakeAll(batch)
 		for _, e := range batch {
-			if c.o.On != nil {
-				c.o.On(e)
+			if c.options.OnEvent != nil {
+				c.options.OnEvent(e)
 			}
 		}
 	}
 }
 
-// seek is the address of the copy to try next.
-func (c *Client) seek() string {
+// nextAddress is the address of the copy to try next.
+func (c *Client) nextAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at := c.o.Copies[c.hint]; at != "" {
-		c.hint = "" // once: it may know no better than we do
-		return at
+	if address := c.options.ReplicaAddresses[c.leaderHint]; address != "" {
+		c.leaderHint = "" // once: it may know no better than we do
+		return address
 	}
-	if len(c.order) == 0 {
+	if len(c.replicaIDs) == 0 {
 		return ""
 	}
-	c.next++
-	return c.o.Copies[c.order[c.next%len(c.order)]]
+	c.nextReplica++
+	return c.options.ReplicaAddresses[c.replicaIDs[c.nextReplica%len(c.replicaIDs)]]
 }
 
-// hold serves one connection to its end.
-func (c *Client) hold(ctx context.Context, conn net.Conn) error {
+// serve serves one connection to its end.
+func (c *Client) serve(ctx context.Context, conn net.Conn) error {
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	conn.SetWriteDeadline(time.Now().Add(frame.MessageTimeout))
-	if _, err := conn.Write([]byte{store.ForSessions}); err != nil {
+	if _, err := conn.Write([]byte{store.PurposeSessions}); err != nil {
 		return err
 	}
-	l := newLine(conn)
-	defer close(l.done)
+	writer := newMessageWriter(conn)
+	defer close(writer.done)
 	c.mu.Lock()
-	c.line, c.conn, c.since, c.led = l, conn, c.o.Steady.Now(), false
-	c.m.ExpediteHeartbeat()
+	c.writer, c.conn, c.lastReplyAt, c.established = writer, conn, c.options.Steady.Now(), false
+	c.machine.ExpediteHeartbeat()
 	c.step()
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.line, c.conn = nil, nil
-		for no, w := range c.waits { // what was asked on it gets no answer any more
-			delete(c.waits, no)
-			close(w)
+		c.writer, c.conn = nil, nil
+		for id, reply := range c.pendingReplies { // what was asked on it gets no answer any more
+			delete(c.pendingReplies, id)
+			close(reply)
 		}
 	}()
 	r := newReader(conn, 0)
 	for {
-		var m toServer
+		var m serverMessage
 		if err := r.Next(&m); err != nil {
 			return err
 		}
-		if err := c.hear(m); err != nil {
+		if err := c.handleMessage(m); err != nil {
 			return err
 		}
 	}
 }
 
-func (c *Client) hear(m toServer) error {
+func (c *Client) handleMessage(m serverMessage) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m.Else != nil {
-		c.hint = *m.Else
-		if w := c.waits[m.No]; w != nil {
-			delete(c.waits, m.No)
-			w <- m
+	if m.LeaderID != nil {
+		c.leaderHint = *m.LeaderID
+		if reply := c.pendingReplies[m.RequestID]; reply != nil {
+			delete(c.pendingReplies, m.RequestID)
+			reply <- m
 		}
-		return fmt.Errorf("session: %q leads", *m.Else)
+		return fmt.Errorf("session: %q leads", *m.LeaderID)
 	}
-	if m.RetryMs > 0 {
-		return &fullError{min(m.RetryMs, fullMost*c.o.Rules.RenewIntervalMS)}
+	if m.RetryMS > 0 {
+		return &sessionLimitError{min(m.RetryMS, maxLimitRetryRenewals*c.options.Rules.RenewIntervalMS)}
 	}
 	if m.Reply != nil {
-		now := c.o.Steady.Now()
-		c.since = now
-		if !c.led {
-			c.led = true
-			c.on.Put(Linked{})
+		now := c.options.Steady.Now()
+		c.lastReplyAt = now
+		if !c.established {
+			c.established = true
+			c.events.Put(SessionEstablished{})
 		}
-		current := m.Reply.LogIndex >= c.m.SeenIndex()
-		c.do(c.m.HandleReply(now, *m.Reply))
+		current := m.Reply.LogIndex >= c.machine.SeenIndex()
+		c.handleActions(c.machine.HandleReply(now, *m.Reply))
 		if current {
-			if _, here := c.m.ActiveGrant(now, duty.PresenceName(c.o.Me)); here && m.Share != nil && m.Share.Version > c.mine.Version {
-				c.mine.Apply(*m.Share)
-				c.on.Put(Allotted{c.mine.Amount, c.mine.Version})
+			if _, present := c.machine.ActiveGrant(now, duty.PresenceName(c.options.ProcessID)); present && m.Share != nil && m.Share.Version > c.share.Version {
+				c.share.Apply(*m.Share)
+				c.events.Put(ShareChanged{c.share.Amount, c.share.Version})
 			}
-			if m.Version > c.version {
-				c.version = m.Version
-				c.on.Put(Published{m.Version})
+			if m.Version > c.publishedVersion {
+				c.publishedVersion = m.Version
+				c.events.Put(VersionPublished{m.Version})
 			}
 		}
 		c.step()
 		return nil
 	}
-	if w := c.waits[m.No]; w != nil {
-		delete(c.waits, m.No)
-		w <- m
-	} else if m.Error != "" && m.No == 0 { // else it answers what nobody waits for any more
+	if reply := c.pendingReplies[m.RequestID]; reply != nil {
+		delete(c.pendingReplies, m.RequestID)
+		reply <- m
+	} else if m.Error != "" && m.RequestID == 0 { // else it answers what nobody waits for any more
 		return fmt.Errorf("session: %s", m.Error)
 	}
 	return nil
@@ -279,175 +279,177 @@
 
 // step lets the machine look at the time, and comes back when it has to again. The lock is held.
 func (c *Client) step() {
-	now := c.o.Steady.Now()
-	c.do(c.m.Tick(now))
-	if c.conn != nil && now > c.since+answerFor*c.o.Rules.RenewIntervalMS {
+	now := c.options.Steady.Now()
+	c.handleActions(c.machine.Tick(now))
+	if c.conn != nil && now > c.lastReplyAt+replyTimeoutRenewals*c.options.Rules.RenewIntervalMS {
 		c.conn.Close() // guards against a copy that stands still, or can't be heard: another may lead by now
 	}
-	if c.timer != nil {
-		c.timer.Stop()
+	if c.stepTimer != nil {
+		c.stepTimer.Stop()
 	}
-	c.timer = c.o.Steady.After(max(c.m.NextTick()-now, 1), func() {
+	c.stepTimer = c.options.Steady.After(max(c.machine.NextTick()-now, 1), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.step()
 	})
 }
 
-func (c *Client) do(actions []duty.Action) {
+func (c *Client) handleActions(actions []duty.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case duty.SendHeartbeat:
-			if c.line != nil {
+			if c.writer != nil {
 				need := int64(0)
-				if c.o.Need != nil {
-					need = c.o.Need()
+				if c.options.Need != nil {
+					need = c.options.Need()
 				}
-				c.line.send(toCopy{Heartbeat: &a.Heartbeat, Ack: c.used, Need: need})
+				c.writer.send(clientMessage{Heartbeat: &a.Heartbeat, ShareAck: c.acknowledgedShare, Need: need})
 			}
 		case duty.LeaseEnded:
-			if a.Name == duty.PresenceName(c.o.Me) {
-				c.mine, c.used = allot.LocalShare{}, 0
+			if a.Name == duty.PresenceName(c.options.ProcessID) {
+				c.share, c.acknowledgedShare = allot.LocalShare{}, 0
 			}
-			c.on.Put(a)
+			c.events.Put(a)
 		default:
-			c.on.Put(a)
+			c.events.Put(a)
 		}
 	}
 }
 
-// Used tells that no more than the share of a version is used.
-func (c *Client) Used(version uint64) {
+// AcknowledgeShare tells that no more than the share of a version is used.
+func (c *Client) AcknowledgeShare(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if version == c.mine.Version {
-		c.used = version
-		c.m.ExpediteHeartbeat()
+	if version == c.share.Version {
+		c.acknowledgedShare = version
+		c.machine.ExpediteHeartbeat()
 		c.step()
 	}
 }
 
-// May tells whether an act under a duty may begin now, and under which epoch. It is to be asked before each.
-func (c *Client) May(name string) (duty.Ref, bool) {
+// ActiveGrant tells whether an act under a duty may begin now, and under which epoch. It is to be asked before each.
+func (c *Client) ActiveGrant(name string) (duty.Ref, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.m.ActiveGrant(c.o.Steady.Now(), name)
+	return c.machine.ActiveGrant(c.options.Steady.Now(), name)
 }
 
-// Holding is the end of a holding on the steady clock, yields included.
-func (c *Client) Holding(name string) (duty.Ref, float64, bool) {
+// LeaseEnd is the end of a holding on the steady clock, yields included.
+func (c *Client) LeaseEnd(name string) (duty.Ref, float64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.m.LeaseEnd(name)
+	return c.machine.LeaseEnd(name)
 }
 
 // Presence is this process's own lease, and until when it is in force.
-func (c *Client) Presence() (duty.Ref, float64, bool) { return c.Holding(duty.PresenceName(c.o.Me)) }
+func (c *Client) Presence() (duty.Ref, float64, bool) {
+	return c.LeaseEnd(duty.PresenceName(c.options.ProcessID))
+}
 
-// Fenced counts commands that were refused for their epoch.
-func (c *Client) Fenced() uint64 { return c.fence.Load() }
+// FencedCommands counts commands that were refused for their epoch.
+func (c *Client) FencedCommands() uint64 { return c.fencedCommands.Load() }
 
-// Quiet tells that no act is under way under a grant that yields.
-func (c *Client) Quiet(r duty.Ref) {
+// Quiesced tells that no act is under way under a grant that yields.
+func (c *Client) Quiesced(r duty.Ref) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.do(c.m.Quiesced(c.o.Steady.Now(), r))
+	c.handleActions(c.machine.Quiesced(c.options.Steady.Now(), r))
 	c.step()
 }
 
-// Switch puts the server into a mode.
-func (c *Client) Switch(mode duty.Mode) {
+// SetMode puts the server into a mode.
+func (c *Client) SetMode(mode duty.Mode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.do(c.m.SetMode(c.o.Steady.Now(), mode))
+	c.handleActions(c.machine.SetMode(c.options.Steady.Now(), mode))
 	c.step()
 }
 
-// Leave gives back all that is held, at the end of the process.
-func (c *Client) Leave() {
+// ReleaseAll gives back all that is held, at the end of the process.
+func (c *Client) ReleaseAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.do(c.m.ReleaseAll(c.o.Steady.Now()))
+	c.handleActions(c.machine.ReleaseAll(c.options.Steady.Now()))
 }
 
-// ask sends a message that wants an answer, and waits for it. ErrNotSent: it was not carried out.
-func (c *Client) ask(ctx context.Context, m toCopy) (toServer, error) {
+// request sends a message that wants an answer, and waits for it. ErrNotExecuted: it was not carried out.
+func (c *Client) request(ctx context.Context, m clientMessage) (serverMessage, error) {
 	c.mu.Lock()
-	l := c.line
-	if l == nil {
+	writer := c.writer
+	if writer == nil {
 		c.mu.Unlock()
-		return toServer{}, ErrNotSent
+		return serverMessage{}, ErrNotExecuted
 	}
-	c.no++
-	m.No = c.no
-	w := make(chan toServer, 1)
-	c.waits[m.No] = w
-	l.send(m)
+	c.lastRequestID++
+	m.RequestID = c.lastRequestID
+	reply := make(chan serverMessage, 1)
+	c.pendingReplies[m.RequestID] = reply
+	writer.send(m)
 	c.mu.Unlock()
-	late := make(chan struct{})
-	t := c.o.Steady.After(commandFor, func() { close(late) })
+	expired := make(chan struct{})
+	t := c.options.Steady.After(commandTimeoutMS, func() { close(expired) })
 	defer t.Stop()
 	select {
-	case got, ok := <-w:
+	case response, ok := <-reply:
 		if !ok {
-			return got, ErrUnconfirmed
+			return response, ErrUnconfirmed
 		}
-		if got.Else != nil {
-			return got, ErrNotSent
+		if response.LeaderID != nil {
+			return response, ErrNotExecuted
 		}
-		if got.Error != "" {
-			return got, fmt.Errorf("%w: %s", ErrUnconfirmed, got.Error)
+		if response.Error != "" {
+			return response, fmt.Errorf("%w: %s", ErrUnconfirmed, response.Error)
 		}
-		return got, nil
-	case <-late:
+		return response, nil
+	case <-expired:
 	case <-ctx.Done():
 	}
 	c.mu.Lock()
-	delete(c.waits, m.No)
+	delete(c.pendingReplies, m.RequestID)
 	c.mu.Unlock()
-	return toServer{}, ErrUnconfirmed
+	return serverMessage{}, ErrUnconfirmed
 }
 
 // Do has a command carried out. It is sent once: whoever gets ErrUnconfirmed has to look what came of it.
 func (c *Client) Do(ctx context.Context, cmd state.Command) (state.Result, error) {
-	got, err := c.ask(ctx, toCopy{Do: &cmd})
+	response, err := c.request(ctx, clientMessage{Command: &cmd})
 	if err != nil {
 		return state.Result{}, err
 	}
-	if got.Result == nil {
+	if response.Result == nil {
 		return state.Result{}, ErrUnconfirmed
 	}
-	if got.Result.Stale {
-		c.fence.Add(1)
-		return *got.Result, fmt.Errorf("%w: %s", ErrStale, got.Result.Error)
+	if response.Result.Stale {
+		c.fencedCommands.Add(1)
+		return *response.Result, fmt.Errorf("%w: %s", ErrStaleEpoch, response.Result.Error)
 	}
-	if got.Result.Error != "" {
-		return *got.Result, fmt.Errorf("session: refused: %s", got.Result.Error)
+	if response.Result.Error != "" {
+		return *response.Result, fmt.Errorf("session: refused: %s", response.Result.Error)
 	}
-	return *got.Result, nil
+	return *response.Result, nil
 }
 
-// Act does something under a duty. The epoch goes with it, and is checked in the step in which the act takes effect.
-func (c *Client) Act(ctx context.Context, under duty.Ref, do ...state.Command) (state.Result, error) {
-	return c.Do(ctx, state.Command{Op: state.OpFenced, Fence: &under, Batch: do})
+// DoFenced does something under a duty. The epoch goes with it, and is checked in the step in which the act takes effect.
+func (c *Client) DoFenced(ctx context.Context, grant duty.Ref, commands ...state.Command) (state.Result, error) {
+	return c.Do(ctx, state.Command{Op: state.OpFenced, Fence: &grant, Batch: commands})
 }
 
 // Read asks a question; the answer holds as of some time after it was asked.
-func (c *Client) Read(ctx context.Context, what string, into any) error {
-	got, err := c.ask(ctx, toCopy{Read: what})
+func (c *Client) Read(ctx context.Context, query string, result any) error {
+	response, err := c.request(ctx, clientMessage{Query: query})
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(got.Body, into)
+	return json.Unmarshal(response.Body, result)
 }
 
 // Begin records an effect with the copies before its run, under this process's presence. It is a core.EffectLog.
 func (c *Client) Begin(id string) (bool, error) {
-	here, ok := c.May(duty.PresenceName(c.o.Me))
+	presence, ok := c.ActiveGrant(duty.PresenceName(c.options.ProcessID))
 	if !ok {
-		return false, fmt.Errorf("%w: no presence is in force", ErrNotSent)
+		return false, fmt.Errorf("%w: no presence is in force", ErrNotExecuted)
 	}
-	r, err := c.Do(context.Background(), state.Command{Op: state.OpBeginEffect, Key: id, Process: c.o.Me, Epoch: here.Epoch, NoEviction: true})
+	r, err := c.Do(context.Background(), state.Command{Op: state.OpBeginEffect, Key: id, Process: c.options.ProcessID, Epoch: presence.Epoch, NoEviction: true})
 	return err == nil && r.WasAbsent, err
 }
 
@@ -455,61 +457,61 @@
 func (c *Client) Ended(id string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.ended)+len(c.failed) >= mostEnds {
+	if len(c.succeededEffects)+len(c.failedEffects) >= maxPendingOutcomes {
 		return
 	}
 	if ok {
-		c.ended = append(c.ended, id)
+		c.succeededEffects = append(c.succeededEffects, id)
 	} else {
-		c.failed = append(c.failed, id)
+		c.failedEffects = append(c.failedEffects, id)
 	}
-	c.endSoon()
+	c.scheduleReport()
 }
 
-func (c *Client) endSoon() {
-	if !c.ending {
-		c.ending = true
-		c.o.Steady.After(endedEvery, func() { go c.end() })
+func (c *Client) scheduleReport() {
+	if !c.reportScheduled {
+		c.reportScheduled = true
+		c.options.Steady.After(outcomeBatchMS, func() { go c.reportOutcomes() })
 	}
 }
 
-// end sends the ends on; what is not confirmed is sent again, since to book an end twice changes nothing.
-func (c *Client) end() {
+// reportOutcomes sends the ends on; what is not confirmed is sent again, since to book an end twice changes nothing.
+func (c *Client) reportOutcomes() {
 	c.mu.Lock()
-	ok, failed := c.ended[:min(len(c.ended), mostEnded)], c.failed[:min(len(c.failed), mostEnded)]
-	cmd := state.Command{Op: state.OpEndEffects, Process: c.o.Me, EffectIDs: slices.Clone(ok), FailedIDs: slices.Clone(failed)}
+	succeeded, failed := c.succeededEffects[:min(len(c.succeededEffects), maxOutcomesPerCommand)], c.failedEffects[:min(len(c.failedEffects), maxOutcomesPerCommand)]
+	cmd := state.Command{Op: state.OpEndEffects, Process: c.options.ProcessID, EffectIDs: slices.Clone(succeeded), FailedIDs: slices.Clone(failed)}
 	c.mu.Unlock()
 	_, err := c.Do(context.Background(), cmd)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = false
+	c.reportScheduled = false
 	if err == nil {
-		c.ended, c.failed = c.ended[len(cmd.EffectIDs):], c.failed[len(cmd.FailedIDs):]
+		c.succeededEffects, c.failedEffects = c.succeededEffects[len(cmd.EffectIDs):], c.failedEffects[len(cmd.FailedIDs):]
 	}
-	if len(c.ended)+len(c.failed) > 0 {
-		c.endSoon()
+	if len(c.succeededEffects)+len(c.failedEffects) > 0 {
+		c.scheduleReport()
 	}
 }
 
-// Version asks for the latest published version.
-func (c *Client) Version(ctx context.Context) (v publish.Version, err error) {
+// LatestVersion asks for the latest published version.
+func (c *Client) LatestVersion(ctx context.Context) (v publish.Version, err error) {
 	err = c.Read(ctx, ReadVersion, &v)
 	return v, err
 }
 
-// Linked tells whether a session stands at a copy that leads.
-func (c *Client) Linked() bool {
+// Connected tells whether a session stands at a copy that leads.
+func (c *Client) Connected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.line != nil && c.led
+	return c.writer != nil && c.established
 }
 
 // Share is what this process may use beyond its part for being alone, now.
 func (c *Client) Share() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, here := c.m.ActiveGrant(c.o.Steady.Now(), duty.PresenceName(c.o.Me)); !here {
+	if _, present := c.machine.ActiveGrant(c.options.Steady.Now(), duty.PresenceName(c.options.ProcessID)); !present {
 		return 0
 	}
-	return c.mine.Amount
+	return c.share.Amount
 }
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -21,80 +21,80 @@
 	"puffinsaddle/internal/store"
 )
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 var rules = duty.Rules{ClockBounds: duty.ClockBounds{MaxDrift: 0.1, MarginMS: 50}, RenewIntervalMS: 300, CooldownMS: 1000, ColdWaitMS: 1000, PresenceTTLMS: 2000,
 	Duties: []duty.DutyRule{{Name: "allotter", TTLMS: 2000}}}
 
-// oneCopy is a copy whose log is agreed on at once, unless the test says that it does not lead.
-type oneCopy struct {
-	mu    sync.Mutex
-	st    *state.State
-	term  uint64
-	leads bool
-	other string
-	index uint64
-
-	begin   chan struct{} // no entry is agreed on before it is closed; nil: each is at once
-	largest int           // orders of one entry
+// fakeReplica is a copy whose log is agreed on at once, unless the test says that it does not lead.
+type fakeReplica struct {
+	mu       sync.Mutex
+	st       *state.State
+	term     uint64
+	leads    bool
+	leaderID string
+	index    uint64
+
+	proveGate chan struct{} // no entry is agreed on before it is closed; nil: each is at once
+	maxOrders int           // orders of one entry
 }
 
-func (c *oneCopy) Office() (uint64, bool) {
+func (c *fakeReplica) Leadership() (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.term, c.leads
 }
 
-func (c *oneCopy) Leader() string { return c.other }
+func (c *fakeReplica) Leader() string { return c.leaderID }
 
-func (c *oneCopy) Propose(cmd state.Command) func() (state.Result, error) {
+func (c *fakeReplica) Propose(cmd state.Command) func() (state.Result, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index++
-	c.largest = max(c.largest, len(cmd.Orders))
+	c.maxOrders = max(c.maxOrders, len(cmd.Orders))
 	r := c.st.Apply(cmd, c.term)
 	return func() (state.Result, error) { return r, nil }
 }
 
-func (c *oneCopy) Prove() func() error {
+func (c *fakeReplica) ConfirmLeadership() func() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index++
 	return func() error {
-		if c.begin != nil {
-			<-c.begin
+		if c.proveGate != nil {
+			<-c.proveGate
 		}
 		return nil
 	}
 }
 
-func (c *oneCopy) View(look func(*state.State, uint64)) {
+func (c *fakeReplica) View(look func(*state.State, uint64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	look(c.st, c.index)
 }
 
-// place is a server on a port.
-type place struct {
-	copy   *oneCopy
-	server *Server
-	at     string
+// testServer is a server on a port.
+type testServer struct {
+	replica *fakeReplica
+	server  *Server
+	address string
 }
 
-func open(t *testing.T, c *oneCopy, steady *clock.Clock) *place {
+func startServer(t *testing.T, c *fakeReplica, steady *clock.Clock) *testServer {
 	t.Helper()
-	return openFor(t, c, steady, rules, 16)
+	return startServerWith(t, c, steady, rules, 16)
 }
 
-// openFor opens a server for so many sessions.
-func openFor(t *testing.T, c *oneCopy, steady *clock.Clock, r duty.Rules, sessions int) *place {
+// startServerWith opens a server for so many sessions.
+func startServerWith(t *testing.T, c *fakeReplica, steady *clock.Clock, r duty.Rules, maxSessions int) *testServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	p := &place{copy: c, at: ln.Addr().String(), server: NewServer(c, &duty.Grantor{Rules: r, Seed: 1}, sessions, steady, zerolog.Nop())}
+	s := &testServer{replica: c, address: ln.Addr().String(), server: NewServer(c, &duty.Grantor{Rules: r, Seed: 1}, maxSessions, steady, zerolog.Nop())}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -103,60 +103,60 @@
 			}
 			go func() {
 				var purpose [1]byte
-				if _, err := io.ReadFull(conn, purpose[:]); err != nil || purpose[0] != store.ForSessions {
+				if _, err := io.ReadFull(conn, purpose[:]); err != nil || purpose[0] != store.PurposeSessions {
 					conn.Close()
 					return
 				}
-				p.server.Serve(conn)
+				s.server.Serve(conn)
 			}()
 		}
 	}()
-	go p.server.Run(t.Context())
-	return p
+	go s.server.Run(t.Context())
+	return s
 }
 
-func join(t *testing.T, me string, copies map[string]string, steady *clock.Clock) (*Client, chan any) {
+func startClient(t *testing.T, processID string, addresses map[string]string, steady *clock.Clock) (*Client, chan any) {
 	events := make(chan any, 1000)
-	c := NewClient(Options{Me: me, Copies: copies, Rules: rules, Seed: 1, Steady: steady, Log: zerolog.Nop(), On: func(e any) { events <- e }})
+	c := NewClient(Options{ProcessID: processID, ReplicaAddresses: addresses, Rules: rules, Seed: 1, Steady: steady, Log: zerolog.Nop(), OnEvent: func(e any) { events <- e }})
 	go c.Run(t.Context())
 	return c, events
 }
 
-// want waits for an event of a kind.
-func want[T any](t *testing.T, events chan any, is func(T) bool) T {
+// waitForEvent waits for an event of a kind.
+func waitForEvent[T any](t *testing.T, events chan any, matches func(T) bool) T {
 	t.Helper()
-	late := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case e := <-events:
-			if v, ok := e.(T); ok && is(v) {
+			if v, ok := e.(T); ok && matches(v) {
 				return v
 			}
-		case <-late:
+		case <-timeout:
 			var v T
 			t.Fatalf("no %T came", v)
 		}
 	}
 }
 
-func leads(st *state.State) *oneCopy { return &oneCopy{st: st, term: 1, leads: true} }
+func newLeader(st *state.State) *fakeReplica { return &fakeReplica{st: st, term: 1, leads: true} }
 
-func gains(g duty.LeaseGained) bool { return g.Name == "allotter" }
+func isAllotterGrant(g duty.LeaseGained) bool { return g.Name == "allotter" }
 
 // A server is sent on to the copy that leads, gains what it stands for, acts under it, and is refused under any other
 // epoch.
-func TestHolderActsAndForgedEpochsAreRefused(t *testing.T) {
+func TestHolderRunsCommandsAndForgedEpochsAreRefused(t *testing.T) {
 	steady := clock.Monotonic()
-	lead := open(t, leads(state.New()), steady)
-	follow := open(t, &oneCopy{st: state.New(), term: 1, other: "lead"}, steady)
-	c, events := join(t, "a#1", map[string]string{"lead": lead.at, "follow": follow.at}, steady)
-	g := want(t, events, gains)
-	if r, err := c.Act(t.Context(), g.Ref, state.Command{Op: state.OpIncrementCounter}); err != nil || r.Value != 1 {
+	leader := startServer(t, newLeader(state.New()), steady)
+	follower := startServer(t, &fakeReplica{st: state.New(), term: 1, leaderID: "lead"}, steady)
+	c, events := startClient(t, "a#1", map[string]string{"lead": leader.address, "follow": follower.address}, steady)
+	g := waitForEvent(t, events, isAllotterGrant)
+	if r, err := c.DoFenced(t.Context(), g.Ref, state.Command{Op: state.OpIncrementCounter}); err != nil || r.Value != 1 {
 		t.Errorf("%+v %v", r, err)
 	}
 	forged := duty.Ref{Name: g.Name, Epoch: g.Epoch + 1}
-	if _, err := c.Act(t.Context(), forged, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStale) || c.Fenced() != 1 {
-		t.Errorf("a forged epoch: %v, %d counted", err, c.Fenced())
+	if _, err := c.DoFenced(t.Context(), forged, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStaleEpoch) || c.FencedCommands() != 1 {
+		t.Errorf("a forged epoch: %v, %d counted", err, c.FencedCommands())
 	}
 	if fresh, err := c.Begin("0a"); !fresh || err != nil {
 		t.Errorf("%v %v", fresh, err)
@@ -164,8 +164,8 @@
 	if fresh, err := c.Begin("0a"); fresh || err != nil {
 		t.Errorf("begun twice: %v %v", fresh, err)
 	}
-	var d Duties
-	if err := c.Read(t.Context(), ReadDuties, &d); err != nil || d.Marks["allotter"] != 1 || d.Stale["allotter"] != 1 {
+	var d DutyStatus
+	if err := c.Read(t.Context(), ReadDuties, &d); err != nil || d.Marks["allotter"] != 1 || d.StaleCommands["allotter"] != 1 {
 		t.Errorf("%+v %v", d, err)
 	}
 	if err := c.Read(t.Context(), "nonsense", &d); err == nil {
@@ -174,28 +174,28 @@
 	if _, err := c.Do(t.Context(), state.Command{Op: state.OpRequestYield, Key: "allotter"}); err != nil {
 		t.Fatal(err)
 	}
-	y := want(t, events, func(duty.YieldRequested) bool { return true })
-	c.Quiet(y.Ref)
-	want(t, events, func(e duty.LeaseEnded) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
-	for late := time.Now().Add(patience); ; {
+	y := waitForEvent(t, events, func(duty.YieldRequested) bool { return true })
+	c.Quiesced(y.Ref)
+	waitForEvent(t, events, func(e duty.LeaseEnded) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
+	for deadline := time.Now().Add(testTimeout); ; {
 		if err := c.Read(t.Context(), ReadDuties, &d); err != nil {
 			t.Fatal(err)
 		}
 		if l := d.Table.Leases["allotter"]; l.Holder == "" || l.Epoch > y.Epoch {
 			break
 		}
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			t.Fatal("what was handed on is not given back")
 		}
 	}
-	if _, err := c.Act(t.Context(), y.Ref, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStale) {
+	if _, err := c.DoFenced(t.Context(), y.Ref, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStaleEpoch) {
 		t.Errorf("an act after the duty was handed on: %v", err)
 	}
 }
 
 // What no client of ours would send ends its own connection and changes nothing.
-func TestMalformedMessagesEndTheirConnection(t *testing.T) {
-	lead := open(t, leads(state.New()), clock.Monotonic())
+func TestMalformedMessageClosesConnection(t *testing.T) {
+	leader := startServer(t, newLeader(state.New()), clock.Monotonic())
 	message := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
@@ -212,12 +212,12 @@
 		"names without end":          message(fmt.Sprintf(`{"beat":{"from":"x#1","no":1,"stands":[%s"x"]}}`, string(repeat(`"x",`, 100)))),
 		"an end in the middle":       message(`{"beat":{"from":"x#1"}}`)[:9],
 	} {
-		conn, err := net.Dial("tcp", lead.at)
+		conn, err := net.Dial("tcp", leader.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
-		conn.Write(append([]byte{store.ForSessions}, b...))
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		conn.Write(append([]byte{store.PurposeSessions}, b...))
 		if name == "an end in the middle" {
 			conn.(*net.TCPConn).CloseWrite()
 		}
@@ -226,7 +226,7 @@
 		}
 		conn.Close()
 	}
-	lead.copy.View(func(st *state.State, _ uint64) {
+	leader.replica.View(func(st *state.State, _ uint64) {
 		if len(st.Duties.Leases)+len(st.Values)+len(st.Effects.Effects) > 0 {
 			t.Errorf("something was changed: %+v %+v %+v", st.Duties.Leases, st.Values, st.Effects.Effects)
 		}
@@ -241,47 +241,47 @@
 }
 
 // Sessions past the bound are turned away, and their room is free again when one ends.
-func TestSessionsAreBounded(t *testing.T) {
-	lead := open(t, leads(state.New()), clock.Monotonic())
+func TestSessionLimitIsEnforced(t *testing.T) {
+	leader := startServer(t, newLeader(state.New()), clock.Monotonic())
 	var conns []net.Conn
-	ask := func() error { // opens a session and has one question answered
-		conn, err := net.Dial("tcp", lead.at)
+	openSession := func() error { // opens a session and has one question answered
+		conn, err := net.Dial("tcp", leader.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(patience))
-		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Read: ReadFleet, No: 1}))...))
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		conn.Write(append([]byte{store.PurposeSessions}, must(encodeFrame(clientMessage{Query: ReadCapacity, RequestID: 1}))...))
 		conns = append(conns, conn)
-		var m toServer
+		var m serverMessage
 		if err := newReader(conn, 0).Next(&m); err != nil {
 			return err
 		}
-		if m.RetryMs > 0 {
-			return &fullError{m.RetryMs}
+		if m.RetryMS > 0 {
+			return &sessionLimitError{m.RetryMS}
 		}
-		if m.No != 1 {
+		if m.RequestID != 1 {
 			t.Fatalf("%+v", m)
 		}
 		return nil
 	}
 	for range 16 {
-		if err := ask(); err != nil {
+		if err := openSession(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var full *fullError
-	if err := ask(); !errors.As(err, &full) {
+	var limitErr *sessionLimitError
+	if err := openSession(); !errors.As(err, &limitErr) {
 		t.Errorf("one more than the bound is not told when to come back: %v", err)
-	} else if least, most := fullRetry*rules.RenewIntervalMS*0.5, fullRetry*rules.RenewIntervalMS*1.5; full.retryMs < least || full.retryMs > most {
-		t.Errorf("it may come back in %v ms; from %v to %v are wanted", full.retryMs, least, most)
+	} else if minDelay, maxDelay := limitRetryRenewals*rules.RenewIntervalMS*0.5, limitRetryRenewals*rules.RenewIntervalMS*1.5; limitErr.retryMS < minDelay || limitErr.retryMS > maxDelay {
+		t.Errorf("it may come back in %v ms; from %v to %v are wanted", limitErr.retryMS, minDelay, maxDelay)
 	}
-	if f := lead.server.Figures(); f.Open != 16 || f.Cut != 1 {
+	if f := leader.server.Metrics(); f.OpenSessions != 16 || f.Terminated != 1 {
 		t.Errorf("%+v", f)
 	}
 	conns[0].Close()
-	for late := time.Now().Add(patience); ask() != nil; {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(testTimeout); openSession() != nil; {
+		if time.Now().After(deadline) {
 			t.Fatal("no room after one has ended")
 		}
 	}
@@ -289,61 +289,61 @@
 
 // Servers that come at once, while the copy is busy with its term's first entry, are all granted their presence, in entries that
 // are each bounded.
-func TestServersThatComeAtOnceAreTakenInSteps(t *testing.T) {
+func TestSimultaneousArrivalsAreGrantedInBoundedEntries(t *testing.T) {
 	const fleet = 2*duty.MaxOrdersPerTick + 100
-	copy := leads(state.New())
-	copy.begin = make(chan struct{})
-	patient := rules
-	patient.RenewIntervalMS = clock.Millis(patience) // no session is cut off for its silence while the others come
-	lead := openFor(t, copy, clock.Monotonic(), patient, fleet)
+	replica := newLeader(state.New())
+	replica.proveGate = make(chan struct{})
+	slowRules := rules
+	slowRules.RenewIntervalMS = clock.Millis(testTimeout) // no session is cut off for its silence while the others come
+	leader := startServerWith(t, replica, clock.Monotonic(), slowRules, fleet)
 	for i := range fleet {
-		conn, err := net.Dial("tcp", lead.at)
+		conn, err := net.Dial("tcp", leader.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		who := fmt.Sprintf("os-%d#1", i)
-		conn.Write(append([]byte{store.ForSessions}, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, Seq: 1, Candidacies: []string{duty.PresenceName(who)}}}))...))
+		processID := fmt.Sprintf("os-%d#1", i)
+		conn.Write(append([]byte{store.PurposeSessions}, must(encodeFrame(clientMessage{Heartbeat: &duty.Heartbeat{From: processID, Seq: 1, Candidacies: []string{duty.PresenceName(processID)}}}))...))
 		go io.Copy(io.Discard, conn)
 	}
-	until := func(what string, holds func() bool) {
-		for late := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
-			if time.Now().After(late) {
-				t.Fatalf("not within %s: %s", patience, what)
+	waitUntil := func(condition string, holds func() bool) {
+		for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("not within %s: %s", testTimeout, condition)
 			}
 		}
 	}
-	until("all heartbeats are in", func() bool { return lead.server.Figures().Heartbeats == fleet })
-	close(copy.begin)
+	waitUntil("all heartbeats are in", func() bool { return leader.server.Metrics().Heartbeats == fleet })
+	close(replica.proveGate)
 	present := 0
-	until("all are present", func() bool {
-		copy.View(func(st *state.State, _ uint64) { present = max(present, st.Duties.CountPresent()) })
+	waitUntil("all are present", func() bool {
+		replica.View(func(st *state.State, _ uint64) { present = max(present, st.Duties.CountPresent()) })
 		return present == fleet
 	})
-	copy.mu.Lock()
-	defer copy.mu.Unlock()
-	if copy.largest > duty.MaxOrdersPerTick {
-		t.Errorf("an entry with %d orders", copy.largest)
+	replica.mu.Lock()
+	defer replica.mu.Unlock()
+	if replica.maxOrders > duty.MaxOrdersPerTick {
+		t.Errorf("an entry with %d orders", replica.maxOrders)
 	}
 }
 
 // A server that a full copy sends away comes back no sooner than it was told, and is served once there is room.
-func TestServerComesBackWhenItWasTold(t *testing.T) {
+func TestRefusedServerWaitsForRetryDelay(t *testing.T) {
 	t.Parallel()
-	steady, slow := clock.Monotonic(), rules
-	slow.RenewIntervalMS = 1000 // so that no session is given up as silent on a busy machine
-	lead := openFor(t, leads(state.New()), steady, slow, 16)
+	steady, slowRules := clock.Monotonic(), rules
+	slowRules.RenewIntervalMS = 1000 // so that no session is given up as silent on a busy machine
+	leader := startServerWith(t, newLeader(state.New()), steady, slowRules, 16)
 	var conns []net.Conn
 	for range 16 {
-		conn, err := net.Dial("tcp", lead.at)
+		conn, err := net.Dial("tcp", leader.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conn.Write([]byte{store.ForSessions})
+		conn.Write([]byte{store.PurposeSessions})
 		go func() { // a session that says nothing is cut off
-			for conn.SetWriteDeadline(time.Now().Add(patience)) == nil {
-				if _, err := conn.Write(must(framed(toCopy{Read: ReadFleet, No: 1}))); err != nil {
+			for conn.SetWriteDeadline(time.Now().Add(testTimeout)) == nil {
+				if _, err := conn.Write(must(encodeFrame(clientMessage{Query: ReadCapacity, RequestID: 1}))); err != nil {
 					return
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -352,51 +352,51 @@
 		go io.Copy(io.Discard, conn)
 		conns = append(conns, conn)
 	}
-	for late := time.Now().Add(patience); lead.server.Figures().Open < 16; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(testTimeout); leader.server.Metrics().OpenSessions < 16; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("the sessions do not open")
 		}
 	}
 	var mu sync.Mutex
-	var tries []float64
-	c := NewClient(Options{Me: "a#1", Copies: map[string]string{"lead": lead.at}, Rules: slow, Seed: 1, Steady: steady, Log: zerolog.Nop(),
+	var attempts []float64
+	c := NewClient(Options{ProcessID: "a#1", ReplicaAddresses: map[string]string{"lead": leader.address}, Rules: slowRules, Seed: 1, Steady: steady, Log: zerolog.Nop(),
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			mu.Lock()
-			tries = append(tries, steady.Now())
+			attempts = append(attempts, steady.Now())
 			mu.Unlock()
 			return new(net.Dialer).DialContext(ctx, "tcp", address)
 		}})
 	go c.Run(t.Context())
-	for late := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		mu.Lock()
-		n := len(tries)
+		n := len(attempts)
 		mu.Unlock()
 		if n >= 3 {
 			break
 		}
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%d tries", n)
 		}
 	}
 	mu.Lock()
-	for i := 1; i < len(tries); i++ {
-		if gap := tries[i] - tries[i-1]; gap < fullRetry*slow.RenewIntervalMS*0.5 {
+	for i := 1; i < len(attempts); i++ {
+		if gap := attempts[i] - attempts[i-1]; gap < limitRetryRenewals*slowRules.RenewIntervalMS*0.5 {
 			t.Errorf("tried again after %v ms", gap)
 		}
 	}
 	mu.Unlock()
 	conns[0].Close()
-	for late := time.Now().Add(patience); !c.Linked(); time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(testTimeout); !c.Connected(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("not served once there is room")
 		}
 	}
 }
 
 // A copy that sends a server away for days, or for longer than a clock can wait, is tried again after some renewals, no sooner.
-func TestRetryOfAFullCopyIsBounded(t *testing.T) {
-	for _, retryMs := range []float64{1e9, 1e300} {
-		t.Run(fmt.Sprint(retryMs), func(t *testing.T) {
+func TestRetryDelayIsBounded(t *testing.T) {
+	for _, retryMS := range []float64{1e9, 1e300} {
+		t.Run(fmt.Sprint(retryMS), func(t *testing.T) {
 			t.Parallel()
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -404,29 +404,29 @@
 			}
 			t.Cleanup(func() { ln.Close() })
 			steady := clock.Monotonic()
-			tries := make(chan float64, 1000)
+			attempts := make(chan float64, 1000)
 			go func() {
 				for {
 					conn, err := ln.Accept()
 					if err != nil {
 						return
 					}
-					tries <- steady.Now()
-					conn.Write(must(framed(toServer{RetryMs: retryMs})))
+					attempts <- steady.Now()
+					conn.Write(must(encodeFrame(serverMessage{RetryMS: retryMS})))
 					go io.Copy(io.Discard, conn)
 				}
 			}()
-			quick := rules
-			quick.RenewIntervalMS = 200
-			c := NewClient(Options{Me: "a#1", Copies: map[string]string{"a": ln.Addr().String()}, Rules: quick, Seed: 1, Steady: steady, Log: zerolog.Nop()})
+			fastRules := rules
+			fastRules.RenewIntervalMS = 200
+			c := NewClient(Options{ProcessID: "a#1", ReplicaAddresses: map[string]string{"a": ln.Addr().String()}, Rules: fastRules, Seed: 1, Steady: steady, Log: zerolog.Nop()})
 			go c.Run(t.Context())
-			first := <-tries
+			first := <-attempts
 			select {
-			case second := <-tries:
-				if gap := second - first; gap < fullMost*quick.RenewIntervalMS {
+			case second := <-attempts:
+				if gap := second - first; gap < maxLimitRetryRenewals*fastRules.RenewIntervalMS {
 					t.Errorf("tried again after %v ms", gap)
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("not tried again")
 			}
 		})
@@ -441,25 +441,25 @@
 }
 
 // The copy that leads falls silent and another takes office with the same log: the holder finds it and keeps its duty.
-func TestHolderKeepsItsDutyOverAChangeOfLeader(t *testing.T) {
+func TestHolderKeepsDutyAcrossLeaderChange(t *testing.T) {
 	steady := clock.Monotonic()
 	st := state.New()
-	first := leads(st)
-	one := open(t, first, steady)
-	second := &oneCopy{st: st, term: 1, other: "one"}
-	two := open(t, second, steady)
-	c, events := join(t, "a#1", map[string]string{"one": one.at, "two": two.at}, steady)
-	g := want(t, events, gains)
+	first := newLeader(st)
+	firstServer := startServer(t, first, steady)
+	second := &fakeReplica{st: st, term: 1, leaderID: "one"}
+	secondServer := startServer(t, second, steady)
+	c, events := startClient(t, "a#1", map[string]string{"one": firstServer.address, "two": secondServer.address}, steady)
+	g := waitForEvent(t, events, isAllotterGrant)
 	first.mu.Lock()
-	first.leads, first.other = false, "two"
+	first.leads, first.leaderID = false, "two"
 	index := first.index
 	first.mu.Unlock()
 	second.mu.Lock()
 	second.leads, second.term, second.index = true, 2, index
 	second.mu.Unlock()
-	want(t, events, func(Linked) bool { return true })
-	want(t, events, func(h duty.LeaseRenewed) bool { return h.Name == "allotter" })
-	if r, ok := c.May("allotter"); !ok || r != g.Ref {
+	waitForEvent(t, events, func(SessionEstablished) bool { return true })
+	waitForEvent(t, events, func(h duty.LeaseRenewed) bool { return h.Name == "allotter" })
+	if r, ok := c.ActiveGrant("allotter"); !ok || r != g.Ref {
 		t.Errorf("held under %+v, %v; gained under %+v", r, ok, g.Ref)
 	}
 }
@@ -496,34 +496,34 @@
 		fleet = append(fleet, m)
 		byName[m.ProcessID] = m
 	}
-	var entries, in, out, heartbeats int
-	var ours, theirs time.Duration
+	var entries, bytesIn, bytesOut, heartbeats int
+	var replicaTime, clientTime time.Duration
 	run := func() { // one second
-		for end := now + 1000; now < end; now += batchEvery {
-			begun := time.Now()
-			var came [][]byte
+		for end := now + 1000; now < end; now += batchIntervalMS {
+			start := time.Now()
+			var heartbeatFrames [][]byte
 			for _, m := range fleet {
 				for _, a := range m.Tick(now) {
 					if s, ok := a.(duty.SendHeartbeat); ok {
-						came = append(came, must(framed(toCopy{Heartbeat: &s.Heartbeat})))
+						heartbeatFrames = append(heartbeatFrames, must(encodeFrame(clientMessage{Heartbeat: &s.Heartbeat})))
 					}
 				}
 			}
-			theirs += time.Since(begun)
-			begun = time.Now()
+			clientTime += time.Since(start)
+			start = time.Now()
 			var orders []duty.Order
-			var from []duty.Heartbeat
-			for _, f := range came {
-				var m toCopy
+			var processed []duty.Heartbeat
+			for _, f := range heartbeatFrames {
+				var m clientMessage
 				if err := json.Unmarshal(f[4:], &m); err != nil {
 					b.Fatal(err)
 				}
-				in += len(f)
-				from = append(from, *m.Heartbeat)
+				bytesIn += len(f)
+				processed = append(processed, *m.Heartbeat)
 				orders = append(orders, g.HandleHeartbeat(now, *m.Heartbeat, st.Duties)...)
 			}
 			orders = append(orders, g.Tick(now, st.Duties)...)
-			if len(orders)+len(came) > 0 {
+			if len(orders)+len(heartbeatFrames) > 0 {
 				entries++
 				index++
 			}
@@ -531,38 +531,38 @@
 			for _, o := range orders {
 				g.HandleOrderResult(now, o, st.Duties)
 			}
-			var told [][]byte
-			for _, f := range from {
+			var replyFrames [][]byte
+			for _, f := range processed {
 				a := g.Reply(f.From, f.Seq, index, st.Duties)
-				told = append(told, must(framed(toServer{Reply: &a})))
-				out += len(told[len(told)-1])
+				replyFrames = append(replyFrames, must(encodeFrame(serverMessage{Reply: &a})))
+				bytesOut += len(replyFrames[len(replyFrames)-1])
 			}
-			ours += time.Since(begun)
-			begun = time.Now()
-			for i, f := range told {
-				var m toServer
+			replicaTime += time.Since(start)
+			start = time.Now()
+			for i, f := range replyFrames {
+				var m serverMessage
 				if err := json.Unmarshal(f[4:], &m); err != nil {
 					b.Fatal(err)
 				}
-				byName[from[i].From].HandleReply(now, *m.Reply)
+				byName[processed[i].From].HandleReply(now, *m.Reply)
 			}
-			theirs += time.Since(begun)
-			heartbeats += len(came)
+			clientTime += time.Since(start)
+			heartbeats += len(heartbeatFrames)
 		}
 	}
 	run()
 	run()
-	entries, in, out, heartbeats, ours, theirs = 0, 0, 0, 0, 0, 0
+	entries, bytesIn, bytesOut, heartbeats, replicaTime, clientTime = 0, 0, 0, 0, 0, 0
 	for b.Loop() {
 		run()
 	}
 	n := float64(b.N)
 	b.ReportMetric(float64(entries)/n, "entries/s")
 	b.ReportMetric(float64(heartbeats)/n, "heartbeats/s")
-	b.ReportMetric(float64(in)/n, "bytes-in/s")
-	b.ReportMetric(float64(out)/n, "bytes-out/s")
-	b.ReportMetric(float64(ours.Microseconds())/n, "copy-µs/s")
-	b.ReportMetric(float64(theirs.Microseconds())/n/float64(servers), "server-µs/s")
+	b.ReportMetric(float64(bytesIn)/n, "bytes-in/s")
+	b.ReportMetric(float64(bytesOut)/n, "bytes-out/s")
+	b.ReportMetric(float64(replicaTime.Microseconds())/n, "copy-µs/s")
+	b.ReportMetric(float64(clientTime.Microseconds())/n/float64(servers), "server-µs/s")
 }
 
 // BenchmarkArrivals measures at the copy that leads, on a set clock, what it takes until all servers of a fleet that comes at one
@@ -577,22 +577,22 @@
 				st, now := state.New(), 1000.0
 				g := &duty.Grantor{Rules: r, Seed: 1}
 				g.StartTerm(1, now)
-				var came [][]byte
+				var heartbeatFrames [][]byte
 				for i := range servers {
-					who := fmt.Sprintf("os-%d#%016x", i, i)
-					came = append(came, must(framed(toCopy{Heartbeat: &duty.Heartbeat{From: who, Seq: 1, Candidacies: []string{duty.PresenceName(who)}}})))
+					processID := fmt.Sprintf("os-%d#%016x", i, i)
+					heartbeatFrames = append(heartbeatFrames, must(encodeFrame(clientMessage{Heartbeat: &duty.Heartbeat{From: processID, Seq: 1, Candidacies: []string{duty.PresenceName(processID)}}})))
 				}
 				for entries = 0; st.Duties.CountPresent() < servers; entries++ {
-					begun := time.Now()
+					start := time.Now()
 					var orders []duty.Order
-					for _, f := range came {
-						var m toCopy
+					for _, f := range heartbeatFrames {
+						var m clientMessage
 						if err := json.Unmarshal(f[4:], &m); err != nil {
 							b.Fatal(err)
 						}
 						orders = append(orders, g.HandleHeartbeat(now, *m.Heartbeat, st.Duties)...)
 					}
-					came = nil
+					heartbeatFrames = nil
 					orders = append(orders, g.Tick(now, st.Duties)...)
 					text, err := json.Marshal(state.Command{Op: state.OpLeaseOrders, Orders: orders})
 					if err != nil {
@@ -606,8 +606,8 @@
 					for _, o := range orders {
 						g.HandleOrderResult(now, o, st.Duties)
 					}
-					longest = max(longest, time.Since(begun))
-					now += batchEvery
+					longest = max(longest, time.Since(start))
+					now += batchIntervalMS
 				}
 			}
 			b.ReportMetric(float64(longest.Microseconds()), "longest-step-µs")
--- a/internal/recordfile/file.go
+++ b/internal/recordfile/file.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	magic      = "puffinsaddle records\n"
-	format     = 1
-	headBytes  = 13 // of a block: type, length, checksum
-	maxBlock   = 1 << 20
-	suffix     = ".new"
-	blockHead  = 'H' // the header of the snapshot, as JSON
-	blockPiece = 'P' // a piece, as it is sent
-	blockDone  = 'D' // the snapshot is whole
-	blockEntry = 'C' // a commit, packed
+	magic               = "puffinsaddle records\n"
+	formatVersion       = 1
+	blockHeaderBytes    = 13 // of a block: type, length, checksum
+	maxBlockBytes       = 1 << 20
+	tempSuffix          = ".new"
+	blockSnapshotHeader = 'H' // the header of the snapshot, as JSON
+	blockChunk          = 'P' // a piece, as it is sent
+	blockSnapshotEnd    = 'D' // the snapshot is whole
+	blockCommit         = 'C' // a commit, packed
 )
 
-// ErrSpoilt is the error of a file that is not as it was written.
-var ErrSpoilt = errors.New("recordfile: spoilt")
+// ErrCorrupt is the error of a file that is not as it was written.
+var ErrCorrupt = errors.New("recordfile: spoilt")
 
 // Content is what a file holds.
 type Content struct {
@@ -39,8 +39,8 @@
 	Revision uint64 // of the snapshot
 	Commits  []records.Commit
 
-	end  int64 // of what is whole
-	tail int64 // bytes of the commits
+	validEnd    int64 // of what is whole
+	commitBytes int64 // bytes of the commits
 }
 
 // Read reads a file. A file that is not there is os.ErrNotExist.
@@ -51,16 +51,16 @@
 	}
 	defer f.Close()
 	r := &countingReader{r: bufio.NewReaderSize(f, 1<<20)}
-	head := make([]byte, len(magic)+1)
-	if _, err := io.ReadFull(r, head); err != nil || string(head[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: %s does not begin as such a file", ErrSpoilt, path)
+	prefix := make([]byte, len(magic)+1)
+	if _, err := io.ReadFull(r, prefix); err != nil || string(prefix[:len(magic)]) != magic {
+		return nil, fmt.Errorf("%w: %s does not begin as such a file", ErrCorrupt, path)
 	}
-	if head[len(magic)] != format {
-		return nil, fmt.Errorf("%w: %s has format %d, and this build knows %d", ErrSpoilt, path, head[len(magic)], format)
+	if prefix[len(magic)] != formatVersion {
+		return nil, fmt.Errorf("%w: %s has format %d, and this build knows %d", ErrCorrupt, path, prefix[len(magic)], formatVersion)
 	}
 	c, err := readSnapshot(r)
 	if err == nil {
-		c.end = r.n
+		c.validEnd = r.bytesRead
 		err = c.readCommits(r)
 	}
 	if err != nil {
@@ -71,86 +71,86 @@
 
 // countingReader knows how far a file was read.
 type countingReader struct {
-	r io.Reader
-	n int64
+	r         io.Reader
+	bytesRead int64
 }
 
 // Read counts.
 func (c *countingReader) Read(b []byte) (int, error) {
 	n, err := c.r.Read(b)
-	c.n += int64(n)
+	c.bytesRead += int64(n)
 	return n, err
 }
 
 // readBlock reads one block. io.EOF: there is none; io.ErrUnexpectedEOF: it is cut.
-func readBlock(r io.Reader) (kind byte, data []byte, err error) {
-	var head [headBytes]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+func readBlock(r io.Reader) (blockType byte, data []byte, err error) {
+	var header [blockHeaderBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, err
 	}
-	size := binary.BigEndian.Uint32(head[1:])
-	if size > maxBlock {
-		return 0, nil, fmt.Errorf("%w: a block of %d bytes", ErrSpoilt, size)
+	size := binary.BigEndian.Uint32(header[1:])
+	if size > maxBlockBytes {
+		return 0, nil, fmt.Errorf("%w: a block of %d bytes", ErrCorrupt, size)
 	}
 	data = make([]byte, size)
 	if _, err := io.ReadFull(r, data); err != nil {
 		return 0, nil, io.ErrUnexpectedEOF
 	}
-	if records.Checksum(data)^uint64(head[0]) != binary.BigEndian.Uint64(head[5:]) {
-		return 0, nil, fmt.Errorf("%w: a block has another checksum", ErrSpoilt)
+	if records.Checksum(data)^uint64(header[0]) != binary.BigEndian.Uint64(header[5:]) {
+		return 0, nil, fmt.Errorf("%w: a block has another checksum", ErrCorrupt)
 	}
-	return head[0], data, nil
+	return header[0], data, nil
 }
 
-func appendBlock(b []byte, kind byte, data []byte) []byte {
-	b = append(b, kind)
+func appendBlock(b []byte, blockType byte, data []byte) []byte {
+	b = append(b, blockType)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(data)))
-	b = binary.BigEndian.AppendUint64(b, records.Checksum(data)^uint64(kind))
+	b = binary.BigEndian.AppendUint64(b, records.Checksum(data)^uint64(blockType))
 	return append(b, data...)
 }
 
 func readSnapshot(r io.Reader) (*Content, error) {
 	var assembler *records.Assembler
 	var header records.Header
-	for number := 0; ; {
-		kind, data, err := readBlock(r)
+	for chunkIndex := 0; ; {
+		blockType, data, err := readBlock(r)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			err = fmt.Errorf("%w: its snapshot is cut", ErrSpoilt)
+			err = fmt.Errorf("%w: its snapshot is cut", ErrCorrupt)
 		}
 		if err != nil {
 			return nil, err
 		}
 		switch {
-		case kind == blockHead && assembler == nil:
+		case blockType == blockSnapshotHeader && assembler == nil:
 			if err = json.Unmarshal(data, &header); err == nil {
 				assembler, err = records.NewAssembler(header, true)
 			}
 			if err == nil {
 				defer assembler.Close()
 			}
-		case kind == blockPiece && assembler != nil:
-			err = assembler.Add(records.Piece{Number: number, Checksum: records.Checksum(data), Data: data})
-			number++
-		case kind == blockDone && assembler != nil:
+		case blockType == blockChunk && assembler != nil:
+			err = assembler.Add(records.Chunk{Index: chunkIndex, Checksum: records.Checksum(data), Data: data})
+			chunkIndex++
+		case blockType == blockSnapshotEnd && assembler != nil:
 			table, err := assembler.Finish()
 			if err != nil {
-				return nil, fmt.Errorf("%w: %v", ErrSpoilt, err)
+				return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 			}
 			return &Content{Table: table, Revision: header.Revision}, nil
 		default:
 			err = errors.New("a block out of place")
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%w: %v", ErrSpoilt, err)
+			return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 		}
 	}
 }
 
 // readCommits reads what stands behind the snapshot; a cut block at the end is one that a crash lost.
 func (c *Content) readCommits(r *countingReader) error {
-	next := c.Revision + 1
+	nextRevision := c.Revision + 1
 	for {
-		kind, data, err := readBlock(r)
+		blockType, data, err := readBlock(r)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
@@ -158,21 +158,21 @@
 			return err
 		}
 		commit, err := records.ParseCommit(data)
-		if kind != blockEntry || err != nil || commit.Revision != next {
-			return fmt.Errorf("%w: no commit %d", ErrSpoilt, next)
+		if blockType != blockCommit || err != nil || commit.Revision != nextRevision {
+			return fmt.Errorf("%w: no commit %d", ErrCorrupt, nextRevision)
 		}
 		c.Commits = append(c.Commits, commit)
-		c.tail += r.n - c.end
-		c.end = r.n
-		next++
+		c.commitBytes += r.bytesRead - c.validEnd
+		c.validEnd = r.bytesRead
+		nextRevision++
 	}
 }
 
 // File is a file that is being kept.
 type File struct {
-	path    string
-	f       *os.File
-	commits int64 // bytes of commits behind the snapshot
+	path        string
+	f           *os.File
+	commitBytes int64 // bytes of commits behind the snapshot
 }
 
 // Write writes a whole new file and puts it in place of the one at the path, if there is any.
@@ -180,7 +180,7 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, err
 	}
-	f, err := os.Create(path + suffix)
+	f, err := os.Create(path + tempSuffix)
 	if err != nil {
 		return nil, err
 	}
@@ -189,7 +189,7 @@
 		err = f.Sync()
 	}
 	if err == nil {
-		err = os.Rename(path+suffix, path)
+		err = os.Rename(path+tempSuffix, path)
 	}
 	if err != nil {
 		f.Close()
@@ -205,12 +205,12 @@
 		return err
 	}
 	w.WriteString(magic)
-	w.WriteByte(format)
-	w.Write(appendBlock(nil, blockHead, header))
-	for _, p := range s.Content {
-		w.Write(appendBlock(nil, blockPiece, p.Data))
+	w.WriteByte(formatVersion)
+	w.Write(appendBlock(nil, blockSnapshotHeader, header))
+	for _, p := range s.Chunks {
+		w.Write(appendBlock(nil, blockChunk, p.Data))
 	}
-	w.Write(appendBlock(nil, blockDone, nil))
+	w.Write(appendBlock(nil, blockSnapshotEnd, nil))
 	return w.Flush()
 }
 
@@ -220,25 +220,25 @@
 	if err != nil {
 		return nil, err
 	}
-	if err = f.Truncate(c.end); err == nil {
-		_, err = f.Seek(c.end, io.SeekStart)
+	if err = f.Truncate(c.validEnd); err == nil {
+		_, err = f.Seek(c.validEnd, io.SeekStart)
 	}
 	if err != nil {
 		f.Close()
 		return nil, err
 	}
-	return &File{path: path, f: f, commits: c.tail}, nil
+	return &File{path: path, f: f, commitBytes: c.commitBytes}, nil
 }
 
 // Append adds the next commit.
 func (f *File) Append(c records.Commit) error {
-	n, err := f.f.Write(appendBlock(nil, blockEntry, records.AppendCommit(nil, c)))
-	f.commits += int64(n)
+	n, err := f.f.Write(appendBlock(nil, blockCommit, records.AppendCommit(nil, c)))
+	f.commitBytes += int64(n)
 	return err
 }
 
-// Commits is the bytes of commits behind the snapshot: past some, a new file is shorter.
-func (f *File) Commits() int64 { return f.commits }
+// CommitBytes is the bytes of commits behind the snapshot: past some, a new file is shorter.
+func (f *File) CommitBytes() int64 { return f.commitBytes }
 
 // Close ends the keeping; the file stays.
 func (f *File) Close() error { return f.f.Close() }
--- a/internal/records/frozen.go
+++ b/internal/records/frozen.go
@@ -5,62 +5,62 @@
 	"slices"
 )
 
-// Frozen is a Set as of one moment, for the snapshots of the store's log. It is made at once; the work of compressing comes
+// SetSnapshot is a Set as of one moment, for the snapshots of the store's log. It is made at once; the work of compressing comes
 // with MarshalJSON, while the Set goes on.
-type Frozen struct {
+type SetSnapshot struct {
 	table    *Table
 	revision uint64
 	history  []Commit
 }
 
-// frozenJSON is its form in a file.
-type frozenJSON struct {
+// setSnapshotJSON is its form in a file.
+type setSnapshotJSON struct {
 	Header  Header   `json:"header"`
-	Pieces  []Piece  `json:"pieces"`
+	Chunks  []Chunk  `json:"pieces"`
 	History []Commit `json:"history,omitempty"`
 }
 
-// Freeze copies the set.
-func (s *Set) Freeze() *Frozen {
-	return &Frozen{table: s.table.Clone(), revision: s.revision, history: slices.Clone(s.history)}
+// Snapshot copies the set.
+func (s *Set) Snapshot() *SetSnapshot {
+	return &SetSnapshot{table: s.table.Clone(), revision: s.revision, history: slices.Clone(s.history)}
 }
 
-// Thaw makes a set of it.
-func (f *Frozen) Thaw(l Limits) *Set {
+// Restore makes a set of it.
+func (f *SetSnapshot) Restore(l Limits) *Set {
 	s := NewSet(l)
-	s.Adopt(f.table, f.revision)
+	s.ReplaceTable(f.table, f.revision)
 	for _, c := range f.history {
 		for _, k := range c.Deletes {
-			s.deleted[k] = c.Revision
+			s.deletedAt[k] = c.Revision
 		}
 		for _, p := range c.Puts {
-			delete(s.deleted, p.Key)
+			delete(s.deletedAt, p.Key)
 		}
-		s.remember(c)
+		s.appendHistory(c)
 	}
 	return s
 }
 
 // MarshalJSON writes the records compressed.
-func (f *Frozen) MarshalJSON() ([]byte, error) {
+func (f *SetSnapshot) MarshalJSON() ([]byte, error) {
 	s, err := NewSnapshot(f.table, f.revision)
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(frozenJSON{s.Header, s.Content, f.history})
+	return json.Marshal(setSnapshotJSON{s.Header, s.Chunks, f.history})
 }
 
 // UnmarshalJSON reads and checks them.
-func (f *Frozen) UnmarshalJSON(text []byte) error {
-	var j frozenJSON
+func (f *SetSnapshot) UnmarshalJSON(text []byte) error {
+	var j setSnapshotJSON
 	if err := json.Unmarshal(text, &j); err != nil {
 		return err
 	}
-	s := Snapshot{Header: j.Header, Content: j.Pieces}
+	s := Snapshot{Header: j.Header, Chunks: j.Chunks}
 	table, err := s.Assemble()
 	if err != nil {
 		return err
 	}
-	*f = Frozen{table: table, revision: j.Header.Revision, history: j.History}
+	*f = SetSnapshot{table: table, revision: j.Header.Revision, history: j.History}
 	return nil
 }
--- a/internal/records/pack.go
+++ b/internal/records/pack.go
@@ -37,18 +37,18 @@
 // ParseCommit reads a packed commit that takes all of b, and keeps nothing of b. It bounds what it reads like Check does, which
 // is left to who carries the commit out. Any error is ErrMalformed.
 func ParseCommit(b []byte) (Commit, error) {
-	p := unpacker{rest: b}
-	c := Commit{Revision: p.number(), Before: p.digest(), After: p.digest()}
+	p := unpacker{remaining: b}
+	c := Commit{Revision: p.uvarint(), Before: p.digest(), After: p.digest()}
 	puts := p.count(MaxChangeKeys)
 	for range puts {
 		k := p.key()
-		c.Puts = append(c.Puts, Put{k, []byte(p.text(k.Kind.MaxValue()))})
+		c.Puts = append(c.Puts, Put{k, []byte(p.text(k.Kind.MaxValueBytes()))})
 	}
 	deletes := p.count(MaxChangeKeys - puts)
 	for range deletes {
 		c.Deletes = append(c.Deletes, p.key())
 	}
-	if p.failed || len(p.rest) > 0 {
+	if p.failed || len(p.remaining) > 0 {
 		return Commit{}, ErrMalformed
 	}
 	return c, nil
@@ -56,23 +56,23 @@
 
 // unpacker reads the parts of a packed commit. After the first failure all parts are zero.
 type unpacker struct {
-	rest   []byte
-	failed bool
+	remaining []byte
+	failed    bool
 }
 
-func (p *unpacker) number() uint64 {
-	n, width := binary.Uvarint(p.rest)
+func (p *unpacker) uvarint() uint64 {
+	n, width := binary.Uvarint(p.remaining)
 	if p.failed || width <= 0 {
 		p.failed = true
 		return 0
 	}
-	p.rest = p.rest[width:]
+	p.remaining = p.remaining[width:]
 	return n
 }
 
-func (p *unpacker) count(most int) int {
-	n := p.number()
-	if n > uint64(max(most, 0)) {
+func (p *unpacker) count(limit int) int {
+	n := p.uvarint()
+	if n > uint64(max(limit, 0)) {
 		p.failed = true
 		return 0
 	}
@@ -80,16 +80,16 @@
 }
 
 func (p *unpacker) bytes(n int) []byte {
-	if p.failed || n > len(p.rest) {
+	if p.failed || n > len(p.remaining) {
 		p.failed = true
 		return nil
 	}
-	b := p.rest[:n]
-	p.rest = p.rest[n:]
+	b := p.remaining[:n]
+	p.remaining = p.remaining[n:]
 	return b
 }
 
-func (p *unpacker) text(most int) string { return string(p.bytes(p.count(most))) }
+func (p *unpacker) text(maxBytes int) string { return string(p.bytes(p.count(maxBytes))) }
 
 func (p *unpacker) digest() (d Digest) {
 	if b := p.bytes(digestBytes); b != nil {
@@ -103,5 +103,5 @@
 	if kind == nil {
 		return Key{}
 	}
-	return Key{Kind(kind[0]), p.text(MaxName)}
+	return Key{Kind(kind[0]), p.text(MaxNameBytes)}
 }
--- a/internal/records/record.go
+++ b/internal/records/record.go
@@ -26,25 +26,25 @@
 
 // Bounds of records and changes.
 const (
-	MaxName        = 128       // bytes of a key's name
-	MaxRoute       = 4 << 10   // bytes of a route
-	MaxTenant      = 1 << 10   // bytes of a tenant
-	MaxSetting     = 64 << 10  // bytes of a setting
-	MaxChangeKeys  = 1024      // keys of one change
-	MaxChangeBytes = 128 << 10 // bytes of all names and values of one change
+	MaxNameBytes    = 128       // bytes of a key's name
+	MaxRouteBytes   = 4 << 10   // bytes of a route
+	MaxTenantBytes  = 1 << 10   // bytes of a tenant
+	MaxSettingBytes = 64 << 10  // bytes of a setting
+	MaxChangeKeys   = 1024      // keys of one change
+	MaxChangeBytes  = 128 << 10 // bytes of all names and values of one change
 )
 
 // Errors for which a change is refused. A refusal is final: the same change against the same revision is refused again.
 var (
-	ErrKind      = errors.New("unknown kind of record")
-	ErrName      = errors.New("a name must have 1 to 128 printable characters without spaces")
-	ErrTooLarge  = errors.New("too large")
-	ErrTwice     = errors.New("key stands twice in the change")
-	ErrStale     = errors.New("changed since the revision that the change rests on")
-	ErrEmpty     = errors.New("a change without keys")
-	ErrRejected  = errors.New("rejected by the check")
-	ErrCompacted = errors.New("the revision is compacted")
-	ErrFuture    = errors.New("the revision is ahead of what is agreed on")
+	ErrUnknownKind    = errors.New("unknown kind of record")
+	ErrInvalidName    = errors.New("a name must have 1 to 128 printable characters without spaces")
+	ErrTooLarge       = errors.New("too large")
+	ErrDuplicateKey   = errors.New("key stands twice in the change")
+	ErrConflict       = errors.New("changed since the revision that the change rests on")
+	ErrEmptyChange    = errors.New("a change without keys")
+	ErrRejected       = errors.New("rejected by the check")
+	ErrCompacted      = errors.New("the revision is compacted")
+	ErrFutureRevision = errors.New("the revision is ahead of what is agreed on")
 )
 
 // String is the kind's name.
@@ -69,15 +69,15 @@
 	return nil
 }
 
-// MaxValue is the most bytes that a value of the kind may have; 0 for an unknown kind.
-func (k Kind) MaxValue() int {
+// MaxValueBytes is the most bytes that a value of the kind may have; 0 for an unknown kind.
+func (k Kind) MaxValueBytes() int {
 	switch k {
 	case Route:
-		return MaxRoute
+		return MaxRouteBytes
 	case Tenant:
-		return MaxTenant
+		return MaxTenantBytes
 	case Setting:
-		return MaxSetting
+		return MaxSettingBytes
 	}
 	return 0
 }
@@ -157,19 +157,19 @@
 	n := len(c.Puts) + len(c.Deletes)
 	switch {
 	case n == 0:
-		return &Refusal{Reason: ErrEmpty}
+		return &Refusal{Reason: ErrEmptyChange}
 	case n > MaxChangeKeys:
 		return &Refusal{Reason: fmt.Errorf("%w: %d keys, %d at most", ErrTooLarge, n, MaxChangeKeys)}
 	}
 	seen, size := make(map[Key]bool, n), 0
 	checkKey := func(k Key) error {
 		switch {
-		case k.Kind.MaxValue() == 0:
-			return &Refusal{k, ErrKind}
+		case k.Kind.MaxValueBytes() == 0:
+			return &Refusal{k, ErrUnknownKind}
 		case !validName(k.Name):
-			return &Refusal{k, ErrName}
+			return &Refusal{k, ErrInvalidName}
 		case seen[k]:
-			return &Refusal{k, ErrTwice}
+			return &Refusal{k, ErrDuplicateKey}
 		}
 		seen[k] = true
 		size += len(k.Name)
@@ -179,8 +179,8 @@
 		if err := checkKey(p.Key); err != nil {
 			return err
 		}
-		if len(p.Value) > p.Kind.MaxValue() {
-			return &Refusal{p.Key, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(p.Value), p.Kind.MaxValue())}
+		if len(p.Value) > p.Kind.MaxValueBytes() {
+			return &Refusal{p.Key, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(p.Value), p.Kind.MaxValueBytes())}
 		}
 		size += len(p.Value)
 	}
@@ -199,7 +199,7 @@
 func (c Commit) Check() error { return Change{Puts: c.Puts, Deletes: c.Deletes}.Check() }
 
 func validName(name string) bool {
-	if name == "" || len(name) > MaxName {
+	if name == "" || len(name) > MaxNameBytes {
 		return false
 	}
 	for i := range len(name) {
@@ -221,8 +221,8 @@
 
 // TenantValue is the value of a tenant, as JSON.
 type TenantValue struct {
-	Share float64 `json:"share"` // of the whole, from 0 to 1
-	Limit float64 `json:"limit"` // requests a second, above 0
+	Share             float64 `json:"share"` // of the whole, from 0 to 1
+	RequestsPerSecond float64 `json:"limit"` // requests a second, above 0
 }
 
 // CheckValue refuses a route or a tenant whose value makes no sense. Settings are checked by those who use them.
@@ -250,8 +250,8 @@
 		if !(v.Share >= 0 && v.Share <= 1) {
 			return fail("share must be from 0 to 1, not %v", v.Share)
 		}
-		if !(v.Limit > 0) {
-			return fail("limit must be above 0, not %v", v.Limit)
+		if !(v.RequestsPerSecond > 0) {
+			return fail("limit must be above 0, not %v", v.RequestsPerSecond)
 		}
 	}
 	return nil
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -14,7 +14,7 @@
 func tenantPut(name, value string) Put { return Put{Key{Tenant, name}, []byte(value)} }
 
 // A change whose form is wrong is refused with its key and reason, and nothing of it is carried out.
-func TestChangesAreRefusedWhole(t *testing.T) {
+func TestInvalidChangeRefusedAtomically(t *testing.T) {
 	s := NewSet(DefaultLimits)
 	if _, err := s.Apply(Change{Puts: []Put{tenantPut("a", "1"), tenantPut("b", "1")}}); err != nil {
 		t.Fatal(err)
@@ -25,31 +25,31 @@
 	if _, err := s.Apply(Change{Deletes: []Key{{Tenant, "b"}}}); err != nil {
 		t.Fatal(err)
 	}
-	before, many := s.Digest(), []Put{}
+	before, tooManyPuts := s.Digest(), []Put{}
 	for i := range MaxChangeKeys + 1 {
-		many = append(many, tenantPut(fmt.Sprint(i), ""))
+		tooManyPuts = append(tooManyPuts, tenantPut(fmt.Sprint(i), ""))
 	}
-	heavy := Change{}
+	oversized := Change{}
 	for i := range 3 {
-		heavy.Puts = append(heavy.Puts, Put{Key{Setting, fmt.Sprint(i)}, make([]byte, MaxSetting)})
+		oversized.Puts = append(oversized.Puts, Put{Key{Setting, fmt.Sprint(i)}, make([]byte, MaxSettingBytes)})
 	}
-	good := tenantPut("good", "1")
+	validPut := tenantPut("good", "1")
 	for name, c := range map[string]struct {
 		change Change
 		key    Key
 		reason error
 	}{
-		"empty":           {Change{}, Key{}, ErrEmpty},
-		"unknown kind":    {Change{Puts: []Put{good, {Key{9, "x"}, nil}}}, Key{9, "x"}, ErrKind},
-		"no name":         {Change{Puts: []Put{good, tenantPut("", "1")}}, Key{Tenant, ""}, ErrName},
-		"a space":         {Change{Puts: []Put{good, tenantPut("a b", "1")}}, Key{Tenant, "a b"}, ErrName},
-		"twice":           {Change{Puts: []Put{good}, Deletes: []Key{good.Key}}, good.Key, ErrTwice},
-		"a large value":   {Change{Puts: []Put{good, tenantPut("x", strings.Repeat("x", MaxTenant+1))}}, Key{Tenant, "x"}, ErrTooLarge},
-		"many keys":       {Change{Puts: many}, Key{}, ErrTooLarge},
-		"many bytes":      {heavy, Key{}, ErrTooLarge},
-		"stale":           {Change{Base: 1, Puts: []Put{good, tenantPut("a", "3")}}, Key{Tenant, "a"}, ErrStale},
-		"stale delete":    {Change{Base: 2, Deletes: []Key{good.Key, {Tenant, "b"}}}, Key{Tenant, "b"}, ErrStale},
-		"from the future": {Change{Base: 4, Puts: []Put{good}}, Key{}, ErrFuture},
+		"empty":           {Change{}, Key{}, ErrEmptyChange},
+		"unknown kind":    {Change{Puts: []Put{validPut, {Key{9, "x"}, nil}}}, Key{9, "x"}, ErrUnknownKind},
+		"no name":         {Change{Puts: []Put{validPut, tenantPut("", "1")}}, Key{Tenant, ""}, ErrInvalidName},
+		"a space":         {Change{Puts: []Put{validPut, tenantPut("a b", "1")}}, Key{Tenant, "a b"}, ErrInvalidName},
+		"twice":           {Change{Puts: []Put{validPut}, Deletes: []Key{validPut.Key}}, validPut.Key, ErrDuplicateKey},
+		"a large value":   {Change{Puts: []Put{validPut, tenantPut("x", strings.Repeat("x", MaxTenantBytes+1))}}, Key{Tenant, "x"}, ErrTooLarge},
+		"many keys":       {Change{Puts: tooManyPuts}, Key{}, ErrTooLarge},
+		"many bytes":      {oversized, Key{}, ErrTooLarge},
+		"stale":           {Change{Base: 1, Puts: []Put{validPut, tenantPut("a", "3")}}, Key{Tenant, "a"}, ErrConflict},
+		"stale delete":    {Change{Base: 2, Deletes: []Key{validPut.Key, {Tenant, "b"}}}, Key{Tenant, "b"}, ErrConflict},
+		"from the future": {Change{Base: 4, Puts: []Put{validPut}}, Key{}, ErrFutureRevision},
 	} {
 		_, err := s.Apply(c.change)
 		var refusal *Refusal
@@ -60,18 +60,18 @@
 			t.Fatalf("%s: something was carried out", name)
 		}
 	}
-	if _, err := s.Apply(Change{Base: 2, Puts: []Put{good, tenantPut("a", "3")}}); err != nil {
+	if _, err := s.Apply(Change{Base: 2, Puts: []Put{validPut, tenantPut("a", "3")}}); err != nil {
 		t.Errorf("a change on the latest of its keys: %v", err)
 	}
 }
 
 // Random changes on a table against a plain map; followers of the commits, snapshots and frozen sets have the same.
-func TestTableAgainstAMap(t *testing.T) {
+func TestTableMatchesMap(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		s, follower := NewSet(Limits{Commits: 50, Bytes: 1 << 20}), NewSet(Limits{})
-		marker := Marker{}
-		plain := map[Key]string{}
+		s, follower := NewSet(Limits{MaxCommits: 50, MaxBytes: 1 << 20}), NewSet(Limits{})
+		marker := DigestFollower{}
+		want := map[Key]string{}
 		for range 1500 {
 			c := randomChange(rng)
 			commit, err := s.Apply(c)
@@ -79,21 +79,21 @@
 				t.Fatal(err)
 			}
 			for _, p := range c.Puts {
-				plain[p.Key] = string(p.Value)
+				want[p.Key] = string(p.Value)
 			}
 			for _, k := range c.Deletes {
-				delete(plain, k)
+				delete(want, k)
 			}
-			if err := errors.Join(follower.Follow(commit), marker.Follow(commit)); err != nil {
+			if err := errors.Join(follower.ApplyCommit(commit), marker.ApplyCommit(commit)); err != nil {
 				t.Fatal(err)
 			}
-			if s.Table().Len() != len(plain) {
-				t.Fatalf("seed %d: %d records of %d", seed, s.Table().Len(), len(plain))
+			if s.Table().Len() != len(want) {
+				t.Fatalf("seed %d: %d records of %d", seed, s.Table().Len(), len(want))
 			}
 		}
-		sameRecords(t, s.Table(), plain)
-		sameRecords(t, follower.Table(), plain)
-		if marker.Digest != s.Digest() || follower.Digest() != s.Digest() || s.Digest() != sumOf(s.Table()) {
+		wantRecords(t, s.Table(), want)
+		wantRecords(t, follower.Table(), want)
+		if marker.Digest != s.Digest() || follower.Digest() != s.Digest() || s.Digest() != recomputedDigest(s.Table()) {
 			t.Errorf("seed %d: digests differ", seed)
 		}
 		snapshot, err := NewSnapshot(s.Table(), s.Revision())
@@ -104,37 +104,37 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sameRecords(t, table, plain)
-		thawed := thaw(t, s)
+		wantRecords(t, table, want)
+		restored := jsonRoundTrip(t, s)
 		for _, base := range []uint64{s.Revision() - 40, s.Revision() - 1} { // what is stale is so on every copy
 			for range 200 {
 				c := randomChange(rng)
 				c.Base = base
-				_, a := thaw(t, s).Apply(c)
-				_, b := thaw(t, thawed).Apply(c)
+				_, a := jsonRoundTrip(t, s).Apply(c)
+				_, b := jsonRoundTrip(t, restored).Apply(c)
 				if fmt.Sprint(a) != fmt.Sprint(b) {
 					t.Fatalf("seed %d: %v and %v", seed, a, b)
 				}
 				break
 			}
 		}
-		if s.Floor() != s.Revision()-50 || thawed.Floor() != s.Floor() {
-			t.Errorf("seed %d: floors %d and %d at %d", seed, s.Floor(), thawed.Floor(), s.Revision())
+		if s.OldestRevision() != s.Revision()-50 || restored.OldestRevision() != s.OldestRevision() {
+			t.Errorf("seed %d: floors %d and %d at %d", seed, s.OldestRevision(), restored.OldestRevision(), s.Revision())
 		}
 	}
 }
 
-func thaw(t *testing.T, s *Set) *Set {
+func jsonRoundTrip(t *testing.T, s *Set) *Set {
 	t.Helper()
-	b, err := json.Marshal(s.Freeze())
+	b, err := json.Marshal(s.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var f Frozen
+	var f SetSnapshot
 	if err := json.Unmarshal(b, &f); err != nil {
 		t.Fatal(err)
 	}
-	return f.Thaw(s.limits)
+	return f.Restore(s.limits)
 }
 
 func randomChange(rng *rand.Rand) (c Change) {
@@ -154,31 +154,31 @@
 	return c
 }
 
-func sameRecords(t *testing.T, table *Table, plain map[Key]string) {
+func wantRecords(t *testing.T, table *Table, want map[Key]string) {
 	t.Helper()
-	found := map[Key]string{}
+	got := map[Key]string{}
 	for r := range table.All() {
-		found[r.Key] = string(r.Value)
+		got[r.Key] = string(r.Value)
 	}
-	if !maps.Equal(found, plain) {
-		t.Errorf("%d records, and %d are wanted", len(found), len(plain))
+	if !maps.Equal(got, want) {
+		t.Errorf("%d records, and %d are wanted", len(got), len(want))
 	}
-	for k, v := range plain {
+	for k, v := range want {
 		if got, _, ok := table.Get(k); !ok || string(got) != v {
 			t.Fatalf("%s is not found", k)
 		}
 	}
 }
 
-func sumOf(t *Table) (d Digest) {
-	for i := range uint64(shards) {
-		d.merge(t.PartDigest(i))
+func recomputedDigest(t *Table) (d Digest) {
+	for i := range uint64(shardCount) {
+		d.merge(t.ShardDigest(i))
 	}
 	return d
 }
 
 // A clone stays as it was while the table goes on, and can be written to by itself.
-func TestClonesAreApart(t *testing.T) {
+func TestCloneIsIndependent(t *testing.T) {
 	table := NewTable()
 	for i := range 3000 {
 		table.Put(Record{Key{Tenant, fmt.Sprint(i)}, []byte("before"), 1})
@@ -187,7 +187,7 @@
 	for i := range 3000 {
 		table.Put(Record{Key{Tenant, fmt.Sprint(i)}, []byte("after"), 2})
 	}
-	if clone.Digest() != digest || sumOf(clone) != digest {
+	if clone.Digest() != digest || recomputedDigest(clone) != digest {
 		t.Error("the clone changed")
 	}
 	for i := range 10 {
@@ -196,26 +196,26 @@
 	if v, _, _ := table.Get(Key{Tenant, "3"}); string(v) != "after" {
 		t.Errorf("the table has %q", v)
 	}
-	if sumOf(table) != table.Digest() || sumOf(clone) != clone.Digest() {
+	if recomputedDigest(table) != table.Digest() || recomputedDigest(clone) != clone.Digest() {
 		t.Error("a digest is not that of the records")
 	}
 }
 
 // Space of records that were replaced is used again.
-func TestReplacedRecordsTakeNoRoom(t *testing.T) {
+func TestReplacedRecordMemoryReclaimed(t *testing.T) {
 	table := NewTable()
 	for round := range 200 {
 		for i := range 500 {
 			table.Put(Record{Key{Route, fmt.Sprint(i)}, make([]byte, 1000), uint64(round)})
 		}
 	}
-	if most := 16 * 6 * chunkBytes; table.Bytes() > most {
-		t.Errorf("%d bytes for %d of records, %d at most", table.Bytes(), 500*1000, most)
+	if maxBytes := 16 * 6 * pageBytes; table.MemoryBytes() > maxBytes {
+		t.Errorf("%d bytes for %d of records, %d at most", table.MemoryBytes(), 500*1000, maxBytes)
 	}
 }
 
 // Followers refuse what is not the next commit of the same records.
-func TestFollowersRefuseWhatDoesNotFollow(t *testing.T) {
+func TestFollowersRefuseOutOfSequenceCommits(t *testing.T) {
 	s := NewSet(DefaultLimits)
 	var commits []Commit
 	for i := range 5 {
@@ -225,19 +225,19 @@
 		}
 		commits = append(commits, c)
 	}
-	other := commits[2]
-	other.Puts = []Put{tenantPut("2", "y")}
-	for name, order := range map[string][]Commit{
+	divergent := commits[2]
+	divergent.Puts = []Put{tenantPut("2", "y")}
+	for name, sequence := range map[string][]Commit{
 		"one left out": {commits[0], commits[2]},
 		"one twice":    {commits[0], commits[0]},
 		"out of order": {commits[1]},
-		"another":      {commits[0], commits[1], other},
+		"another":      {commits[0], commits[1], divergent},
 	} {
-		f, m, failed := NewSet(Limits{}), Marker{}, false
-		for _, c := range order {
-			var e *OrderError
-			failed = errors.As(f.Follow(c), &e)
-			if marked := m.Follow(c) != nil; marked != failed && name != "another" {
+		f, m, failed := NewSet(Limits{}), DigestFollower{}, false
+		for _, c := range sequence {
+			var e *SequenceError
+			failed = errors.As(f.ApplyCommit(c), &e)
+			if markerFailed := m.ApplyCommit(c) != nil; markerFailed != failed && name != "another" {
 				t.Errorf("%s: a marker and a set differ", name)
 			}
 		}
@@ -248,43 +248,43 @@
 }
 
 // A snapshot that was spoilt anywhere is refused, and takes no more memory than its bounds.
-func TestSpoiltSnapshotsAreRefused(t *testing.T) {
+func TestCorruptSnapshotsRefused(t *testing.T) {
 	table := NewTable()
 	for i := range 9000 {
 		table.Put(Record{Key{Route, fmt.Sprint(i)}, []byte(strings.Repeat(fmt.Sprint(i), 20)), uint64(i)})
 	}
-	whole, err := NewSnapshot(table, 7)
-	if err != nil || whole.Pieces < 3 {
-		t.Fatal(err, whole.Pieces)
+	original, err := NewSnapshot(table, 7)
+	if err != nil || original.ChunkCount < 3 {
+		t.Fatal(err, original.ChunkCount)
 	}
-	for name, change := range map[string]func(s *Snapshot){
-		"a byte":            func(s *Snapshot) { s.Content[1].Data[9] ^= 1 },
-		"a piece left out":  func(s *Snapshot) { s.Content = append(s.Content[:1], s.Content[2:]...) },
-		"a piece cut off":   func(s *Snapshot) { s.Content = s.Content[:len(s.Content)-1] },
-		"two exchanged":     func(s *Snapshot) { s.Content[0], s.Content[1] = s.Content[1], s.Content[0] },
+	for name, corrupt := range map[string]func(s *Snapshot){
+		"a byte":            func(s *Snapshot) { s.Chunks[1].Data[9] ^= 1 },
+		"a piece left out":  func(s *Snapshot) { s.Chunks = append(s.Chunks[:1], s.Chunks[2:]...) },
+		"a piece cut off":   func(s *Snapshot) { s.Chunks = s.Chunks[:len(s.Chunks)-1] },
+		"two exchanged":     func(s *Snapshot) { s.Chunks[0], s.Chunks[1] = s.Chunks[1], s.Chunks[0] },
 		"another digest":    func(s *Snapshot) { s.Digest.lo++ },
-		"fewer records":     func(s *Snapshot) { s.Records-- },
-		"more records":      func(s *Snapshot) { s.Records++ },
-		"no end of pieces":  func(s *Snapshot) { s.Pieces = maxPieces + 1 },
-		"pieces of nothing": func(s *Snapshot) { s.Records = 0 },
+		"fewer records":     func(s *Snapshot) { s.RecordCount-- },
+		"more records":      func(s *Snapshot) { s.RecordCount++ },
+		"no end of pieces":  func(s *Snapshot) { s.ChunkCount = maxChunks + 1 },
+		"pieces of nothing": func(s *Snapshot) { s.RecordCount = 0 },
 	} {
-		s := &Snapshot{Header: whole.Header}
-		for _, p := range whole.Content {
+		s := &Snapshot{Header: original.Header}
+		for _, p := range original.Chunks {
 			p.Data = append([]byte(nil), p.Data...)
-			s.Content = append(s.Content, p)
+			s.Chunks = append(s.Chunks, p)
 		}
-		change(s)
-		if _, err := s.Assemble(); !errors.Is(err, ErrSpoilt) {
+		corrupt(s)
+		if _, err := s.Assemble(); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := whole.Assemble(); err != nil {
+	if _, err := original.Assemble(); err != nil {
 		t.Error(err)
 	}
 }
 
-// FuzzPieces decodes what anybody may send as a piece.
-func FuzzPieces(f *testing.F) {
+// FuzzChunks decodes what anybody may send as a piece.
+func FuzzChunks(f *testing.F) {
 	table := NewTable()
 	for i := range 30 {
 		table.Put(Record{Key{Kind(1 + i%3), fmt.Sprint(i)}, []byte("value"), uint64(i)})
@@ -293,28 +293,28 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(s.Content[0].Data)
+	f.Add(s.Chunks[0].Data)
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		a, err := NewAssembler(Header{Records: 100, Pieces: 1}, true)
+		a, err := NewAssembler(Header{RecordCount: 100, ChunkCount: 1}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer a.Close()
-		if a.Add(Piece{Checksum: Checksum(data), Data: data}) == nil && a.table.Digest() != sumOf(a.table) {
+		if a.Add(Chunk{Checksum: Checksum(data), Data: data}) == nil && a.table.Digest() != recomputedDigest(a.table) {
 			t.Error("a digest is not that of the records")
 		}
 	})
 }
 
 // A packed commit is read as what it was, and no part of one is taken for a whole.
-func TestPackedCommits(t *testing.T) {
+func TestPackedCommitRoundTrip(t *testing.T) {
 	s := NewSet(DefaultLimits)
 	for _, c := range []Change{
 		{Puts: []Put{tenantPut("a", "1")}},
-		{Puts: []Put{tenantPut("a", "2"), {Key{Setting, "b"}, bytes.Repeat([]byte{0}, MaxSetting)}, {Key{Route, strings.Repeat("c", MaxName)}, nil}}},
+		{Puts: []Put{tenantPut("a", "2"), {Key{Setting, "b"}, bytes.Repeat([]byte{0}, MaxSettingBytes)}, {Key{Route, strings.Repeat("c", MaxNameBytes)}, nil}}},
 		{Deletes: []Key{{Tenant, "a"}, {Setting, "b"}}},
-		{Puts: []Put{tenantPut("a", "3")}, Deletes: []Key{{Route, strings.Repeat("c", MaxName)}}},
+		{Puts: []Put{tenantPut("a", "3")}, Deletes: []Key{{Route, strings.Repeat("c", MaxNameBytes)}}},
 	} {
 		commit, err := s.Apply(c)
 		if err != nil {
@@ -339,8 +339,8 @@
 	}
 }
 
-// FuzzCommits decodes what anybody may send as a commit.
-func FuzzCommits(f *testing.F) {
+// FuzzParseCommit decodes what anybody may send as a commit.
+func FuzzParseCommit(f *testing.F) {
 	s := NewSet(DefaultLimits)
 	c, err := s.Apply(Change{Puts: []Put{tenantPut("a", "1")}})
 	if err != nil {
@@ -354,25 +354,25 @@
 		if err != nil {
 			return
 		}
-		if again, err := ParseCommit(AppendCommit(nil, c)); err != nil || fmt.Sprint(again) != fmt.Sprint(c) {
-			t.Errorf("%+v is read as %+v once it is packed again: %v", c, again, err)
+		if decoded, err := ParseCommit(AppendCommit(nil, c)); err != nil || fmt.Sprint(decoded) != fmt.Sprint(c) {
+			t.Errorf("%+v is read as %+v once it is packed again: %v", c, decoded, err)
 		}
 		set := NewSet(DefaultLimits)
-		if err := set.Follow(c); err == nil && (set.Revision() != 1 || set.Digest() != c.After || c.Check() != nil) {
+		if err := set.ApplyCommit(c); err == nil && (set.Revision() != 1 || set.Digest() != c.After || c.Check() != nil) {
 			t.Error("a commit was taken that does not hold")
 		}
 	})
 }
 
-// sizedKind is a kind of records with the sizes at which it is measured, and what the records of docs/CAPACITY.md look like.
-type sizedKind struct {
+// benchmarkKind is a kind of records with the sizes at which it is measured, and what the records of docs/CAPACITY.md look like.
+type benchmarkKind struct {
 	kind  Kind
 	name  string
 	sizes []int
 	put   func(i, version int) Put
 }
 
-var sizedKinds = []sizedKind{
+var benchmarkKinds = []benchmarkKind{
 	{Tenant, "tenants", []int{50000, 100000, 200000, 400000}, func(i, version int) Put {
 		return tenantPut(fmt.Sprintf("tenant-%06d", i), fmt.Sprintf(`{"share":0.0000025,"limit":%d.5}`, version%500))
 	}},
@@ -382,8 +382,8 @@
 	}},
 }
 
-// filled is a table with n records of the kind.
-func (k sizedKind) filled(n int) *Table {
+// newTable is a table with n records of the kind.
+func (k benchmarkKind) newTable(n int) *Table {
 	table := NewTable()
 	for i := range n {
 		p := k.put(i, i)
@@ -394,18 +394,18 @@
 
 // BenchmarkTable measures what records take, and what a change of them costs.
 func BenchmarkTable(b *testing.B) {
-	for _, k := range sizedKinds {
+	for _, k := range benchmarkKinds {
 		for _, n := range k.sizes {
 			b.Run(fmt.Sprintf("%s=%d", k.name, n), func(b *testing.B) {
-				table := k.filled(n)
-				bytes := table.Bytes()
+				table := k.newTable(n)
+				memoryBytes := table.MemoryBytes()
 				i := 0
 				for b.Loop() {
 					i++
 					p := k.put(i*7919%n, i)
 					table.Put(Record{p.Key, p.Value, uint64(i)})
 				}
-				b.ReportMetric(float64(bytes), "bytes")
+				b.ReportMetric(float64(memoryBytes), "bytes")
 			})
 		}
 	}
@@ -413,9 +413,9 @@
 
 // BenchmarkSnapshot measures a snapshot's making and taking.
 func BenchmarkSnapshot(b *testing.B) {
-	for _, k := range sizedKinds {
+	for _, k := range benchmarkKinds {
 		for _, n := range k.sizes {
-			table := k.filled(n)
+			table := k.newTable(n)
 			var s *Snapshot
 			b.Run(fmt.Sprintf("make/%s=%d", k.name, n), func(b *testing.B) {
 				for b.Loop() {
@@ -424,7 +424,7 @@
 						b.Fatal(err)
 					}
 				}
-				b.ReportMetric(float64(s.Bytes), "bytes")
+				b.ReportMetric(float64(s.CompressedBytes), "bytes")
 			})
 			b.Run(fmt.Sprintf("take/%s=%d", k.name, n), func(b *testing.B) {
 				for b.Loop() {
@@ -443,7 +443,7 @@
 		var c Commit
 		c.Revision = 123456
 		for i := range n {
-			c.Puts = append(c.Puts, sizedKinds[i%2].put(i, i))
+			c.Puts = append(c.Puts, benchmarkKinds[i%2].put(i, i))
 		}
 		b.Run(fmt.Sprintf("puts=%d", n), func(b *testing.B) {
 			var packed []byte
--- a/internal/records/snapshot.go
+++ b/internal/records/snapshot.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	pieceBytes    = 256 << 10                  // of packed records in one piece, but for the last record
-	maxPieceBytes = pieceBytes + 2*MaxSetting  // of a piece that is taken
-	maxPieces     = 1 << 16                    // of a snapshot that is taken
-	maxRecords    = 1 << 24                    // of a snapshot that is taken
-	maxCompressed = maxPieceBytes + pieceBytes // of a piece as it is sent
+	targetChunkBytes        = 256 << 10                            // of packed records in one piece, but for the last record
+	maxChunkBytes           = targetChunkBytes + 2*MaxSettingBytes // of a piece that is taken
+	maxChunks               = 1 << 16                              // of a snapshot that is taken
+	maxSnapshotRecords      = 1 << 24                              // of a snapshot that is taken
+	maxCompressedChunkBytes = maxChunkBytes + targetChunkBytes     // of a piece as it is sent
 )
 
-// ErrSpoilt is the error of a snapshot that is not what its header says.
-var ErrSpoilt = errors.New("records: spoilt snapshot")
+// ErrCorrupt is the error of a snapshot that is not what its header says.
+var ErrCorrupt = errors.New("records: spoilt snapshot")
 
 // Header tells what a snapshot holds.
 type Header struct {
-	Revision uint64 `json:"revision"`
-	Digest   Digest `json:"digest"`
-	Records  int    `json:"records"`
-	Pieces   int    `json:"pieces"`
-	Bytes    int64  `json:"bytes"` // of all pieces, compressed
+	Revision        uint64 `json:"revision"`
+	Digest          Digest `json:"digest"`
+	RecordCount     int    `json:"records"`
+	ChunkCount      int    `json:"pieces"`
+	CompressedBytes int64  `json:"bytes"` // of all pieces, compressed
 }
 
-// Piece is a part of a snapshot.
-type Piece struct {
-	Number   int    `json:"number"` // from 0
+// Chunk is a part of a snapshot.
+type Chunk struct {
+	Index    int    `json:"number"` // from 0
 	Checksum uint64 `json:"checksum"`
 	Data     []byte `json:"data"` // packed records, compressed
 }
@@ -39,33 +39,33 @@
 // Snapshot is all records as of one revision, in compressed pieces.
 type Snapshot struct {
 	Header
-	Content []Piece
+	Chunks []Chunk
 }
 
 // NewSnapshot compresses a table that nobody changes meanwhile.
 func NewSnapshot(t *Table, revision uint64) (*Snapshot, error) {
-	z, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(pieceBytes))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(targetChunkBytes))
 	if err != nil {
 		return nil, err
 	}
-	defer z.Close()
-	s := &Snapshot{Header: Header{Revision: revision, Digest: t.Digest(), Records: t.Len()}}
-	for packed := range packs(t) {
-		data := bytes.Clone(z.EncodeAll(packed, nil))
-		s.Content = append(s.Content, Piece{Number: len(s.Content), Checksum: Checksum(data), Data: data})
-		s.Bytes += int64(len(data))
+	defer encoder.Close()
+	s := &Snapshot{Header: Header{Revision: revision, Digest: t.Digest(), RecordCount: t.Len()}}
+	for packed := range packedChunks(t) {
+		data := bytes.Clone(encoder.EncodeAll(packed, nil))
+		s.Chunks = append(s.Chunks, Chunk{Index: len(s.Chunks), Checksum: Checksum(data), Data: data})
+		s.CompressedBytes += int64(len(data))
 	}
-	s.Pieces = len(s.Content)
+	s.ChunkCount = len(s.Chunks)
 	return s, nil
 }
 
-// packs gathers packed records into pieces; a piece is valid until the next one.
-func packs(t *Table) iter.Seq[[]byte] {
+// packedChunks gathers packed records into pieces; a piece is valid until the next one.
+func packedChunks(t *Table) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		var b []byte
 		for i := range t.shards {
 			for entry := range t.shards[i].entries() {
-				if b = append(b, entry...); len(b) < pieceBytes {
+				if b = append(b, entry...); len(b) < targetChunkBytes {
 					continue
 				}
 				if !yield(b) {
@@ -82,64 +82,64 @@
 
 // Assembler puts a snapshot together from pieces that come in order.
 type Assembler struct {
-	header Header
-	next   int
-	table  *Table
-	keep   bool
-	z      *zstd.Decoder
+	header      Header
+	nextIndex   int
+	table       *Table
+	keepRecords bool
+	decoder     *zstd.Decoder
 }
 
 // NewAssembler begins a snapshot. Without keep the records are checked and not held, for followers that hold digests alone.
-func NewAssembler(h Header, keep bool) (*Assembler, error) {
-	if h.Pieces < 0 || h.Pieces > maxPieces || h.Records < 0 || h.Records > maxRecords || (h.Pieces == 0) != (h.Records == 0) {
-		return nil, fmt.Errorf("%w: %d records in %d pieces", ErrSpoilt, h.Records, h.Pieces)
+func NewAssembler(h Header, keepRecords bool) (*Assembler, error) {
+	if h.ChunkCount < 0 || h.ChunkCount > maxChunks || h.RecordCount < 0 || h.RecordCount > maxSnapshotRecords || (h.ChunkCount == 0) != (h.RecordCount == 0) {
+		return nil, fmt.Errorf("%w: %d records in %d pieces", ErrCorrupt, h.RecordCount, h.ChunkCount)
 	}
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPieceBytes), zstd.WithDecoderLowmem(true))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxChunkBytes), zstd.WithDecoderLowmem(true))
 	if err != nil {
 		return nil, err
 	}
-	return &Assembler{header: h, table: NewTable(), keep: keep, z: z}, nil
+	return &Assembler{header: h, table: NewTable(), keepRecords: keepRecords, decoder: decoder}, nil
 }
 
 // Close frees what the assembler holds besides the table.
-func (a *Assembler) Close() { a.z.Close() }
+func (a *Assembler) Close() { a.decoder.Close() }
 
 // Add takes the next piece.
-func (a *Assembler) Add(p Piece) error {
+func (a *Assembler) Add(p Chunk) error {
 	switch {
-	case p.Number != a.next || p.Number >= a.header.Pieces:
-		return fmt.Errorf("%w: piece %d in place of %d of %d", ErrSpoilt, p.Number, a.next, a.header.Pieces)
-	case len(p.Data) > maxCompressed:
-		return fmt.Errorf("%w: piece %d has %d bytes", ErrSpoilt, p.Number, len(p.Data))
+	case p.Index != a.nextIndex || p.Index >= a.header.ChunkCount:
+		return fmt.Errorf("%w: piece %d in place of %d of %d", ErrCorrupt, p.Index, a.nextIndex, a.header.ChunkCount)
+	case len(p.Data) > maxCompressedChunkBytes:
+		return fmt.Errorf("%w: piece %d has %d bytes", ErrCorrupt, p.Index, len(p.Data))
 	case Checksum(p.Data) != p.Checksum:
-		return fmt.Errorf("%w: piece %d has another checksum", ErrSpoilt, p.Number)
+		return fmt.Errorf("%w: piece %d has another checksum", ErrCorrupt, p.Index)
 	}
-	packed, err := a.z.DecodeAll(p.Data, nil)
+	packed, err := a.decoder.DecodeAll(p.Data, nil)
 	if err != nil {
-		return fmt.Errorf("%w: piece %d: %v", ErrSpoilt, p.Number, err)
+		return fmt.Errorf("%w: piece %d: %v", ErrCorrupt, p.Index, err)
 	}
 	for len(packed) > 0 {
 		e, err := parseEntry(packed)
 		if err != nil {
-			return fmt.Errorf("%w: piece %d: %v", ErrSpoilt, p.Number, err)
+			return fmt.Errorf("%w: piece %d: %v", ErrCorrupt, p.Index, err)
 		}
-		if err := a.take(e, packed[:e.size]); err != nil {
+		if err := a.addEntry(e, packed[:e.size]); err != nil {
 			return err
 		}
 		packed = packed[e.size:]
 	}
-	a.next++
+	a.nextIndex++
 	return nil
 }
 
-func (a *Assembler) take(e parsed, packed []byte) error {
-	if !a.keep {
+func (a *Assembler) addEntry(e parsedEntry, packed []byte) error {
+	if !a.keepRecords {
 		a.table.count++
 		a.table.digest.add(packed)
 		return nil
 	}
-	if a.table.Len() >= a.header.Records {
-		return fmt.Errorf("%w: more than %d records", ErrSpoilt, a.header.Records)
+	if a.table.Len() >= a.header.RecordCount {
+		return fmt.Errorf("%w: more than %d records", ErrCorrupt, a.header.RecordCount)
 	}
 	a.table.Put(Record{Key{e.kind, string(e.name)}, e.value, e.revision})
 	return nil
@@ -148,12 +148,12 @@
 // Finish gives the table once all pieces have come. Without keep it is empty but for its digest and number.
 func (a *Assembler) Finish() (*Table, error) {
 	switch {
-	case a.next != a.header.Pieces:
-		return nil, fmt.Errorf("%w: %d of %d pieces", ErrSpoilt, a.next, a.header.Pieces)
-	case a.table.Len() != a.header.Records:
-		return nil, fmt.Errorf("%w: %d of %d records", ErrSpoilt, a.table.Len(), a.header.Records)
+	case a.nextIndex != a.header.ChunkCount:
+		return nil, fmt.Errorf("%w: %d of %d pieces", ErrCorrupt, a.nextIndex, a.header.ChunkCount)
+	case a.table.Len() != a.header.RecordCount:
+		return nil, fmt.Errorf("%w: %d of %d records", ErrCorrupt, a.table.Len(), a.header.RecordCount)
 	case a.table.Digest() != a.header.Digest:
-		return nil, fmt.Errorf("%w: another digest", ErrSpoilt)
+		return nil, fmt.Errorf("%w: another digest", ErrCorrupt)
 	}
 	return a.table, nil
 }
@@ -165,7 +165,7 @@
 		return nil, err
 	}
 	defer a.Close()
-	for _, p := range s.Content {
+	for _, p := range s.Chunks {
 		if err := a.Add(p); err != nil {
 			return nil, err
 		}
--- a/internal/records/table.go
+++ b/internal/records/table.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	shards     = 16 // by hash; copies of the store compare one of them at a time
-	chunkBytes = 256 << 10
-	alignment  = 8 // positions in chunks are counted in so many bytes, so that 32 bits reach far
-	minSlots   = 16
+	shardCount     = 16 // by hash; copies of the store compare one of them at a time
+	pageBytes      = 256 << 10
+	entryAlignment = 8 // positions in chunks are counted in so many bytes, so that 32 bits reach far
+	minSlots       = 16
 )
 
 // ErrMalformed is the error of bytes that are no record.
@@ -22,21 +22,21 @@
 // hashes. A pointer-free form keeps the memory of half a million records near their bytes and the collector's work small.
 // It is not safe for concurrent use. Entries are never changed in place, so a Clone may be read while the table goes on.
 type Table struct {
-	shards [shards]shard
+	shards [shardCount]shard
 	digest Digest
 	count  int
 }
 
 // shard is a part of a table, by hash.
 type shard struct {
-	chunks []chunk
-	slots  []uint32 // positions of entries, by hash, with linear probing; 0: free
-	count  int
-	live   int // bytes of entries that are in the index
-	used   int // bytes of all entries in the chunks
+	pages      []page
+	slots      []uint32 // positions of entries, by hash, with linear probing; 0: free
+	entryCount int
+	liveBytes  int // bytes of entries that are in the index
+	usedBytes  int // bytes of all entries in the chunks
 }
 
-type chunk []byte
+type page []byte
 
 // NewTable is an empty table.
 func NewTable() *Table { return &Table{} }
@@ -47,11 +47,11 @@
 // Digest sums all records.
 func (t *Table) Digest() Digest { return t.digest }
 
-// Bytes is what the records and their index take, in bytes.
-func (t *Table) Bytes() (n int) {
+// MemoryBytes is what the records and their index take, in bytes.
+func (t *Table) MemoryBytes() (n int) {
 	for i := range t.shards {
 		s := &t.shards[i]
-		n += len(s.slots)*4 + len(s.chunks)*chunkBytes
+		n += len(s.slots)*4 + len(s.pages)*pageBytes
 	}
 	return n
 }
@@ -76,8 +76,8 @@
 	return binary.PutUvarint(b[:], v)
 }
 
-// parsed is an entry in place: its parts point into the bytes that it was read from.
-type parsed struct {
+// parsedEntry is an entry in place: its parts point into the bytes that it was read from.
+type parsedEntry struct {
 	kind     Kind
 	name     []byte
 	revision uint64
@@ -86,50 +86,50 @@
 }
 
 // parseEntry reads the entry at the beginning of b.
-func parseEntry(b []byte) (e parsed, err error) {
+func parseEntry(b []byte) (e parsedEntry, err error) {
 	if len(b) == 0 {
 		return e, ErrMalformed
 	}
 	e.kind = Kind(b[0])
-	at := 1
-	field := func(most uint64) []byte {
-		n, width := binary.Uvarint(b[at:])
-		if width <= 0 || n > most || n > uint64(len(b)-at-width) {
+	offset := 1
+	field := func(maxBytes uint64) []byte {
+		n, width := binary.Uvarint(b[offset:])
+		if width <= 0 || n > maxBytes || n > uint64(len(b)-offset-width) {
 			err = ErrMalformed
 			return nil
 		}
-		at += width + int(n)
-		return b[at-int(n) : at]
+		offset += width + int(n)
+		return b[offset-int(n) : offset]
 	}
-	if e.name = field(MaxName); err != nil || e.kind.MaxValue() == 0 {
+	if e.name = field(MaxNameBytes); err != nil || e.kind.MaxValueBytes() == 0 {
 		return e, ErrMalformed
 	}
-	revision, width := binary.Uvarint(b[at:])
+	revision, width := binary.Uvarint(b[offset:])
 	if width <= 0 {
 		return e, ErrMalformed
 	}
 	e.revision = revision
-	at += width
-	if e.value = field(uint64(e.kind.MaxValue())); err != nil {
+	offset += width
+	if e.value = field(uint64(e.kind.MaxValueBytes())); err != nil {
 		return e, ErrMalformed
 	}
-	e.size = at
+	e.size = offset
 	return e, nil
 }
 
 func hashKey(kind Kind, name string) uint64 { return xxh3.HashStringSeed(name, uint64(kind)) }
 
-func (s *shard) entry(position uint32) []byte {
-	at := int(position) * alignment
-	return s.chunks[at/chunkBytes][at%chunkBytes:]
+func (s *shard) entryAt(position uint32) []byte {
+	offset := int(position) * entryAlignment
+	return s.pages[offset/pageBytes][offset%pageBytes:]
 }
 
 // Get finds a record. The value must not be changed.
 func (t *Table) Get(k Key) (value []byte, revision uint64, ok bool) {
 	h := hashKey(k.Kind, k.Name)
-	s := &t.shards[h%shards]
+	s := &t.shards[h%shardCount]
 	if i, found := s.find(h, k); found {
-		e, _ := parseEntry(s.entry(s.slots[i]))
+		e, _ := parseEntry(s.entryAt(s.slots[i]))
 		return e.value, e.revision, true
 	}
 	return nil, 0, false
@@ -141,11 +141,11 @@
 		return 0, false
 	}
 	mask := len(s.slots) - 1
-	for i := int(h/shards) & mask; ; i = (i + 1) & mask {
+	for i := int(h/shardCount) & mask; ; i = (i + 1) & mask {
 		if s.slots[i] == 0 {
 			return i, false
 		}
-		if e, _ := parseEntry(s.entry(s.slots[i])); e.kind == k.Kind && string(e.name) == k.Name {
+		if e, _ := parseEntry(s.entryAt(s.slots[i])); e.kind == k.Kind && string(e.name) == k.Name {
 			return i, true
 		}
 	}
@@ -154,80 +154,80 @@
 // Put sets a record.
 func (t *Table) Put(r Record) {
 	h := hashKey(r.Kind, r.Name)
-	s := &t.shards[h%shards]
-	if s.count*3 >= len(s.slots)*2 {
+	s := &t.shards[h%shardCount]
+	if s.entryCount*3 >= len(s.slots)*2 {
 		s.grow()
 	}
 	i, found := s.find(h, r.Key)
 	if found {
-		t.digest.remove(s.drop(i))
+		t.digest.remove(s.uncountEntry(i))
 		t.count--
 	}
-	position, entry := s.write(r)
+	position, entry := s.appendRecord(r)
 	s.slots[i] = position
-	s.count++
-	s.live += len(entry)
+	s.entryCount++
+	s.liveBytes += len(entry)
 	t.count++
 	t.digest.add(entry)
-	if s.used > 2*s.live+chunkBytes {
+	if s.usedBytes > 2*s.liveBytes+pageBytes {
 		s.compact()
 	}
 }
 
-// drop takes an entry out of the counts and returns its bytes; its slot is the caller's to fill.
-func (s *shard) drop(i int) []byte {
-	b := s.entry(s.slots[i])
+// uncountEntry takes an entry out of the counts and returns its bytes; its slot is the caller's to fill.
+func (s *shard) uncountEntry(i int) []byte {
+	b := s.entryAt(s.slots[i])
 	e, _ := parseEntry(b)
-	s.count--
-	s.live -= e.size
+	s.entryCount--
+	s.liveBytes -= e.size
 	return b[:e.size]
 }
 
-// write appends an entry to the chunks.
-func (s *shard) write(r Record) (position uint32, entry []byte) {
+// appendRecord appends an entry to the chunks.
+func (s *shard) appendRecord(r Record) (position uint32, entry []byte) {
 	size := entrySize(r)
-	last := len(s.chunks) - 1
-	if last < 0 || len(s.chunks[last])+size > chunkBytes {
-		fresh := make(chunk, 0, chunkBytes)
+	last := len(s.pages) - 1
+	if last < 0 || len(s.pages[last])+size > pageBytes {
+		newPage := make(page, 0, pageBytes)
 		if last < 0 {
-			fresh = fresh[:alignment] // position 0 stands for a free slot
+			newPage = newPage[:entryAlignment] // position 0 stands for a free slot
 		}
-		s.chunks = append(s.chunks, fresh)
+		s.pages = append(s.pages, newPage)
 		last++
 	}
-	if cap(s.chunks[last]) < chunkBytes { // the rest of it is another table's
-		s.chunks[last] = append(make(chunk, 0, chunkBytes), s.chunks[last]...)
+	if cap(s.pages[last]) < pageBytes { // the rest of it is another table's
+		s.pages[last] = append(make(page, 0, pageBytes), s.pages[last]...)
 	}
-	begin := len(s.chunks[last])
-	c := appendEntry(s.chunks[last], r)
-	entry = c[begin:]
-	padded := min((len(c)+alignment-1)/alignment*alignment, chunkBytes)
-	s.chunks[last] = c[:padded]
-	s.used += size
-	return uint32((last*chunkBytes + begin) / alignment), entry
+	start := len(s.pages[last])
+	pageData := appendEntry(s.pages[last], r)
+	entry = pageData[start:]
+	padded := min((len(pageData)+entryAlignment-1)/entryAlignment*entryAlignment, pageBytes)
+	s.pages[last] = pageData[:padded]
+	s.usedBytes += size
+	return uint32((last*pageBytes + start) / entryAlignment), entry
 }
 
 // Delete removes a record; false: it was not there.
 func (t *Table) Delete(k Key) bool {
 	h := hashKey(k.Kind, k.Name)
-	s := &t.shards[h%shards]
+	s := &t.shards[h%shardCount]
 	i, found := s.find(h, k)
 	if !found {
 		return false
 	}
-	t.digest.remove(s.drop(i))
+	t.digest.remove(s.uncountEntry(i))
 	t.count--
-	s.closeGap(i)
+	s.freeSlot(i)
 	return true
 }
 
-// closeGap frees a slot and moves back those behind it that would not be found past a free one.
-func (s *shard) closeGap(gap int) {
+// freeSlot frees a slot and moves back those behind it that would not be found past a free one.
+func (s *shard) freeSlot(gap int) {
 	mask := len(s.slots) - 1
 	s.slots[gap] = 0
 	for i := (gap + 1) & mask; s.slots[i] != 0; i = (i + 1) & mask {
-		e, _ := parseEntry(s.entry(s.slots[i]))
-		home := int(hashKey(e.kind, string(e.name))/shards) & mask
+		e, _ := parseEntry(s.entryAt(s.slots[i]))
+		home := int(hashKey(e.kind, string(e.name))/shardCount) & mask
 		if (i-home)&mask >= (i-gap)&mask {
 			s.slots[gap], s.slots[i] = s.slots[i], 0
 			gap = i
@@ -243,27 +243,27 @@
 // compact leaves out the entries that are no longer in the index.
 func (s *shard) compact() {
 	old := *s
-	s.chunks, s.used = nil, 0
+	s.pages, s.usedBytes = nil, 0
 	s.rebuild(len(old.slots), func(position uint32) uint32 {
-		e, _ := parseEntry(old.entry(position))
-		moved, _ := s.write(Record{Key{e.kind, string(e.name)}, e.value, e.revision})
-		return moved
+		e, _ := parseEntry(old.entryAt(position))
+		newPosition, _ := s.appendRecord(Record{Key{e.kind, string(e.name)}, e.value, e.revision})
+		return newPosition
 	})
 }
 
 // rebuild makes the index anew, with positions moved.
-func (s *shard) rebuild(size int, move func(uint32) uint32) {
+func (s *shard) rebuild(slotCount int, relocate func(uint32) uint32) {
 	old := s.slots
-	s.slots = make([]uint32, size)
+	s.slots = make([]uint32, slotCount)
 	for _, position := range old {
 		if position == 0 {
 			continue
 		}
-		position = move(position)
-		e, _ := parseEntry(s.entry(position))
-		i := int(hashKey(e.kind, string(e.name))/shards) & (size - 1)
+		position = relocate(position)
+		e, _ := parseEntry(s.entryAt(position))
+		i := int(hashKey(e.kind, string(e.name))/shardCount) & (slotCount - 1)
 		for s.slots[i] != 0 {
-			i = (i + 1) & (size - 1)
+			i = (i + 1) & (slotCount - 1)
 		}
 		s.slots[i] = position
 	}
@@ -290,7 +290,7 @@
 			if position == 0 {
 				continue
 			}
-			b := s.entry(position)
+			b := s.entryAt(position)
 			e, _ := parseEntry(b)
 			if !yield(b[:e.size]) {
 				return
@@ -299,9 +299,9 @@
 	}
 }
 
-// PartDigest sums one of sixteen parts from the entries as they stand in memory.
-func (t *Table) PartDigest(part uint64) (d Digest) {
-	for entry := range t.shards[part%shards].entries() {
+// ShardDigest sums one of sixteen parts from the entries as they stand in memory.
+func (t *Table) ShardDigest(shard uint64) (d Digest) {
+	for entry := range t.shards[shard%shardCount].entries() {
 		d.add(entry)
 	}
 	return d
@@ -313,9 +313,9 @@
 	for i := range c.shards {
 		s := &c.shards[i]
 		s.slots = append([]uint32(nil), s.slots...)
-		s.chunks = append([]chunk(nil), s.chunks...)
-		if last := len(s.chunks) - 1; last >= 0 { // a clone that is written to must not write into the shared chunk
-			s.chunks[last] = s.chunks[last][:len(s.chunks[last]):len(s.chunks[last])]
+		s.pages = append([]page(nil), s.pages...)
+		if last := len(s.pages) - 1; last >= 0 { // a clone that is written to must not write into the shared chunk
+			s.pages[last] = s.pages[last][:len(s.pages[last]):len(s.pages[last])]
 		}
 	}
 	return &c
--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -43,7 +43,7 @@
 	addAll(partition, "mark", s.Counters, add)
 	addAll(partition, "stale", s.StaleRefusals, add)
 	if s.Records.Revision() > 0 {
-		sum += s.Records.Table().PartDigest(partition).Sum64()
+		sum += s.Records.Table().ShardDigest(partition).Sum64()
 	}
 	if partition == 0 {
 		if r := s.Records.Revision(); r > 0 {
