--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -253,21 +253,21 @@
 
 // Snapshot is the encoded form of the state. Earlier versions wrote only the fields values and order.
 type Snapshot struct {
-	Values        map[string][]byte  `json:"values"`
-	EffectOrder   []string           `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
-	Duties        *duty.Table        `json:"duties,omitempty"`
-	Allocations   *allot.Allocations `json:"shares,omitempty"`
-	Effects       *settle.EffectLog  `json:"effects,omitempty"`
-	Config        *publish.History   `json:"config,omitempty"`
-	Records       *records.Frozen    `json:"records,omitempty"`
-	Counters      map[string]uint64  `json:"marks,omitempty"`
-	StaleRefusals map[string]uint64  `json:"stale,omitempty"`
+	Values        map[string][]byte    `json:"values"`
+	EffectOrder   []string             `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
+	Duties        *duty.Table          `json:"duties,omitempty"`
+	Allocations   *allot.Allocations   `json:"shares,omitempty"`
+	Effects       *settle.EffectLog    `json:"effects,omitempty"`
+	Config        *publish.History     `json:"config,omitempty"`
+	Records       *records.SetSnapshot `json:"records,omitempty"`
+	Counters      map[string]uint64    `json:"marks,omitempty"`
+	StaleRefusals map[string]uint64    `json:"stale,omitempty"`
 }
 
 // Snapshot copies the state, so that it can be encoded while further commands are applied.
 func (s *State) Snapshot() *Snapshot {
 	return &Snapshot{Values: maps.Clone(s.Values), Duties: s.Duties.Clone(), Allocations: s.Allocations.Clone(), Effects: s.Effects.Clone(),
-		Config: s.Config.Clone(), Records: s.Records.Freeze(), Counters: maps.Clone(s.Counters), StaleRefusals: maps.Clone(s.StaleRefusals)}
+		Config: s.Config.Clone(), Records: s.Records.Snapshot(), Counters: maps.Clone(s.Counters), StaleRefusals: maps.Clone(s.StaleRefusals)}
 }
 
 // ReadSnapshot decodes a snapshot, in the present format or that of earlier versions.
@@ -298,7 +298,7 @@
 		}
 	}
 	if k.Records != nil {
-		s.Records = k.Records.Thaw(records.DefaultLimits)
+		s.Records = k.Records.Restore(records.DefaultLimits)
 	}
 	if k.Effects != nil {
 		s.Effects = k.Effects
