--- a/internal/lab/scale/check.go
+++ b/internal/lab/scale/check.go
@@ -13,44 +13,44 @@
 	"puffinsaddle/internal/trace"
 )
 
-// What hollow servers write down besides the events of package trace.
+// Trace events of simulated servers, besides those of package trace.
 const (
-	eventDown    = "down"    // the server has ended
-	eventSpoilt  = "spoilt"  // its copy is spoilt, or was found to be
-	eventStalled = "stalled" // it reads nothing until Until
+	eventDown    = "down"    // the server has stopped
+	eventSpoilt  = "spoilt"  // its replica of the configuration was corrupted, or found to be corrupt
+	eventStalled = "stalled" // the server does not read from its connection until Until
 )
 
-// agreed is one commit of the copies of the store.
+// agreed is one commit of the store. Times are in ms of the machine's monotonic clock.
 type agreed struct {
-	at     float64 // when the first copy had it
+	at     float64 // when the first replica applied it
 	digest string
 }
 
-// findings is what the checker found.
+// findings holds the violations and the measurements that the checker derives from the traces.
 type findings struct {
 	violations []string
 	commits    map[uint64]agreed
 	last       uint64
-	inForce    []*hdrhistogram.Histogram // by size, in microseconds
-	burst      []float64                 // by size: the most
-	catchUp    []float64                 // by size: the most, in ms
-	faults     []int                     // by size
+	inForce    []*hdrhistogram.Histogram // by size: delay from commit to in force, in microseconds
+	burst      []float64                 // by size: the longest delay of a commit in a burst, in ms
+	catchUp    []float64                 // by size: the longest time to catch up after an outage or a snapshot, in ms
+	faults     []int                     // by size: injected faults
 }
 
 func (f *findings) broken(format string, a ...any) {
 	f.violations = append(f.violations, fmt.Sprintf(format, a...))
 }
 
-// fill writes what was found into a point.
+// fill copies the measurements of size i into its point.
 func (f *findings) fill(p *Point, i int) {
 	at := func(q float64) float64 { return float64(f.inForce[i].ValueAtQuantile(q)) / 1000 }
 	p.InForceP50, p.InForceP99, p.InForceMax = at(50), at(99), float64(f.inForce[i].Max())/1000
 	p.Faults, p.CatchUpMax, p.BurstMax = f.faults[i], f.catchUp[i], f.burst[i]
 }
 
-const longest = int64(10 * 60 * 1e6) // microseconds that a histogram holds
+const longest = int64(10 * 60 * 1e6) // upper bound of the histograms: ten minutes in microseconds
 
-// check reads what each process wrote down and holds it against what was agreed on.
+// check reads the traces of all processes and verifies them against the commits of the store.
 func check(o *outcome) *findings {
 	f := &findings{commits: map[uint64]agreed{}}
 	n := len(o.points)
@@ -72,7 +72,7 @@
 		f.broken("%v", err)
 		return f
 	}
-	followers := map[string][]trace.Event{} // by process, all its lives
+	followers := map[string][]trace.Event{} // by process, over all its incarnations
 	for _, path := range files {
 		events, err := trace.Read(path)
 		if err != nil {
@@ -97,7 +97,7 @@
 	return f
 }
 
-// agree takes what one copy of the store had.
+// agree collects the commits of one store replica's trace, and checks that the replicas agree on their digests.
 func (f *findings) agree(events []trace.Event) {
 	applied := map[uint64]float64{}
 	for _, e := range events {
@@ -111,7 +111,7 @@
 			}
 			c, known := f.commits[e.N]
 			if known && c.digest != e.Text {
-				f.broken("copies differ: revision %d has digest %s and %s", e.N, c.digest, e.Text)
+				f.broken("store replicas differ: revision %d has digests %s and %s", e.N, c.digest, e.Text)
 			}
 			if !known || at < c.at {
 				f.commits[e.N] = agreed{at, e.Text}
@@ -121,19 +121,20 @@
 	}
 }
 
+// checkChain checks that the commits have no gap in their revisions.
 func (f *findings) checkChain() {
 	for n := uint64(1); n <= f.last; n++ {
 		if _, ok := f.commits[n]; !ok {
-			f.broken("revision %d of %d was agreed on by no copy", n, f.last)
+			f.broken("revision %d of %d was applied by no store replica", n, f.last)
 			return
 		}
 	}
 }
 
-// outage is a time in which a server could not follow: cut off, down, or not reading.
+// outage is a period in which a process could not receive commits, because it was partitioned, down or not reading.
 type outage struct{ from, to float64 }
 
-// outages are those of one process.
+// outages returns the outages of one process, from the injected faults and from its own trace.
 func (o *outcome) outages(who, zone string, events []trace.Event) (all []outage) {
 	for _, m := range o.made {
 		if m.cutOff(zone) || slices.Contains(m.Down, who) {
@@ -157,7 +158,7 @@
 	return all
 }
 
-// zone is where a follower stands: hollow servers have it in their names.
+// zone returns the zone of a process. The names of simulated servers begin with their zone.
 func (o *outcome) zone(who string) string {
 	if z, ok := o.zoneOf[who]; ok {
 		return z
@@ -166,6 +167,7 @@
 	return zone
 }
 
+// pointOf returns the index of the size that was running at a time, or -1.
 func (o *outcome) pointOf(at float64) int {
 	for i, s := range o.spans {
 		if at >= s.from && at <= s.to {
@@ -175,20 +177,21 @@
 	return -1
 }
 
+// inBurst reports whether a time is within a burst of changes.
 func (o *outcome) inBurst(at float64) bool {
 	return slices.ContainsFunc(o.bursts, func(b span) bool { return at >= b.from && at <= b.to })
 }
 
-// follower is how far one process is, as the checker reads its events.
+// follower tracks the revision of one process while the checker reads its events.
 type follower struct {
 	who      string
 	revision uint64
 	digest   string
-	up       float64 // when its life began
-	spoilt   bool    // it began this life without a copy, or with a spoilt one
+	up       float64 // when the current incarnation started
+	spoilt   bool    // the current incarnation started without a replica of the records, or with a corrupt one
 }
 
-// follow checks one process over all its lives.
+// follow checks the events of one process over all its incarnations.
 func (f *findings) follow(o *outcome, who string, events []trace.Event) {
 	outages := o.outages(who, o.zone(who), events)
 	p := follower{who: who}
@@ -204,17 +207,18 @@
 			f.cameIntoForce(o, &p, e, outages)
 		case trace.Reported:
 			if e.N > p.revision {
-				f.broken("%s reported revision %d at %.1f, and %d was in force", who, e.N, e.At, p.revision)
+				f.broken("%s reported revision %d at %.1f ms, but revision %d was in force", who, e.N, e.At, p.revision)
 			}
 		}
 	}
-	// Processes of a size that is over ended where that size did.
+	// The processes of an earlier size stopped at the end of that size, at the revision of that time.
 	if last := f.expected(o, events); p.revision != last {
-		f.broken("%s ended at revision %d, and %d was the latest", who, p.revision, last)
+		f.broken("%s ended at revision %d, but the latest was %d", who, p.revision, last)
 	}
 }
 
-// expected is the revision at which a process should have ended: hollow ones of earlier sizes ended with these.
+// expected returns the revision that a process must have reached: the latest one at the time when it stopped, or of the whole run
+// if its trace doesn't end with a stop.
 func (f *findings) expected(o *outcome, events []trace.Event) uint64 {
 	if len(events) == 0 {
 		return 0
@@ -232,13 +236,14 @@
 	return last
 }
 
+// installed checks a snapshot that a process installed, or the state that it loaded at its start.
 func (f *findings) installed(o *outcome, p *follower, e trace.Event) {
 	if c, ok := f.commits[e.N]; e.N > 0 && !ok {
-		f.broken("%s took a snapshot of revision %d, which was never agreed on", p.who, e.N)
+		f.broken("%s installed a snapshot of revision %d, which was never committed", p.who, e.N)
 	} else if ok && c.digest != e.Text {
-		f.broken("%s took a snapshot as of revision %d with digest %s, and agreed on was %s", p.who, e.N, e.Text, c.digest)
+		f.broken("%s installed a snapshot of revision %d with digest %s, but the committed digest is %s", p.who, e.N, e.Text, c.digest)
 	} else if ok && c.at > e.At {
-		f.broken("%s had revision %d before it was agreed on", p.who, e.N)
+		f.broken("%s had revision %d before it was committed", p.who, e.N)
 	}
 	if point := o.pointOf(e.At); point >= 0 && e.N > 0 && p.spoilt && p.up > 0 {
 		f.catchUp[point] = max(f.catchUp[point], e.At-p.up)
@@ -247,22 +252,23 @@
 	p.revision, p.digest = e.N, e.Text
 }
 
+// cameIntoForce checks commits that a process put into force: their order, their digest and their delay.
 func (f *findings) cameIntoForce(o *outcome, p *follower, e trace.Event, outages []outage) {
 	if e.Index != p.revision+1 {
 		kind := "skipped"
 		if e.Index <= p.revision {
 			kind = "doubled or out of order"
 		}
-		f.broken("%s: %s: revision %d came into force after %d", p.who, kind, e.Index, p.revision)
+		f.broken("%s: %s: revision %d came into force after revision %d", p.who, kind, e.Index, p.revision)
 	}
 	p.revision, p.digest = e.N, e.Text
 	c, ok := f.commits[e.N]
 	switch {
 	case !ok:
-		f.broken("%s put revision %d into force, which was never agreed on", p.who, e.N)
+		f.broken("%s put revision %d into force, which was never committed", p.who, e.N)
 		return
 	case c.digest != e.Text:
-		f.broken("%s has digest %s at revision %d, and agreed on was %s", p.who, e.Text, e.N, c.digest)
+		f.broken("%s has digest %s at revision %d, but the committed digest is %s", p.who, e.Text, e.N, c.digest)
 	}
 	for n := e.Index; n <= e.N; n++ {
 		if c, ok := f.commits[n]; ok {
@@ -271,10 +277,11 @@
 	}
 }
 
-// late books how long a commit took. One that a server could not follow at once counts from the end of what kept it.
+// late records the delay of a commit until it was in force at one process. If an outage delayed it, the time counts from the
+// end of that outage, as catching up.
 func (f *findings) late(o *outcome, from, to float64, outages []outage) {
 	if to < from {
-		f.broken("a revision came into force %.1f ms before it was agreed on", from-to)
+		f.broken("a revision came into force %.1f ms before it was committed", from-to)
 		return
 	}
 	point := o.pointOf(from)
--- a/internal/lab/scale/cmd.go
+++ b/internal/lab/scale/cmd.go
@@ -1,6 +1,7 @@
-// Package scale plays the distribution of configuration at the size of a large fleet: real copies of the store, relays and some
-// order servers beside hollow ones, spread over regions and zones, with faults between them, and a checker over what all of
-// them wrote down. docs/lab.md has its figures and their units.
+// Package scale tests the distribution of configuration at the size of a large fleet. It runs real store replicas, relays and
+// some order servers together with simulated servers ("hollow" in commands, flags and files), spread over regions and zones,
+// injects faults between them, and checks the traces of all of them. docs/lab.md describes the reported metrics and their
+// units.
 package scale
 
 import (
@@ -21,7 +22,7 @@
 	"puffinsaddle/internal/lab"
 )
 
-// Cmd plays the scale run. Its flags and the JSON of its last line are kept stable.
+// Cmd is the command that runs the scale test. Its flags and the JSON of the last line of its output are a stable interface.
 type Cmd struct {
 	Seed     uint64        `default:"1" help:"One seed gives one schedule of faults and changes."`
 	Servers  []int         `default:"300,1000,4300" help:"Order servers that follow the configuration, real ones included; rising."`
@@ -38,22 +39,22 @@
 	Today    bool          `help:"Publish a file the way it is done without relays too, and measure that beside."`
 }
 
-// Setup is a checked command.
+// Setup is a validated command with absolute paths.
 type Setup struct {
 	Cmd
 	Binary string
 	Out    string
 }
 
-// Result is the last line of the output.
+// Result is printed as JSON in the last line of the output.
 type Result struct {
 	Seed       uint64  `json:"seed"`
 	Violations int     `json:"violations"`
 	Points     []Point `json:"points"`
 }
 
-// Point is one size. Parts of a core, bytes a second and milliseconds; what is said of a server holds for one hollow server,
-// but for its memory, which is the most of a real one.
+// Point holds the measurements of one fleet size. CPU is in cores, bytes are per second, times are in milliseconds. The Server
+// fields are means of the simulated servers, except for ServerMemory, which is the maximum of the real order servers.
 type Point struct {
 	Servers            int     `json:"servers"`
 	Hollow             int     `json:"hollow"`
@@ -62,8 +63,8 @@
 	LeaderSessionBytes float64 `json:"leader_session_bytes_s"`
 	LeaderConfigCPU    float64 `json:"leader_config_cpu"`
 	LeaderSessionCPU   float64 `json:"leader_session_cpu"`
-	RelayBytes         float64 `json:"relay_bytes_s"` // of the one that sends most
-	RelayCPU           float64 `json:"relay_cpu"`     // of the one that takes most
+	RelayBytes         float64 `json:"relay_bytes_s"` // maximum of all relays
+	RelayCPU           float64 `json:"relay_cpu"`     // maximum of all relays
 	ServerBytes        float64 `json:"server_bytes_s"`
 	ServerCPU          float64 `json:"server_cpu"`
 	ServerMemory       int64   `json:"server_memory_bytes"`
@@ -74,12 +75,12 @@
 	Faults             int     `json:"faults"`
 	CatchUpMax         float64 `json:"catch_up_ms_max"`
 
-	// Beyond the interface that is kept stable.
-	RelayMemory     int64   `json:"relay_memory_bytes"`  // the most
-	LeaderMemory    int64   `json:"leader_memory_bytes"` // at the end of the size
-	ServerConfigCPU float64 `json:"server_config_cpu"`   // without sessions
+	// The fields from here on are not part of the stable interface.
+	RelayMemory     int64   `json:"relay_memory_bytes"`  // maximum of all relays
+	LeaderMemory    int64   `json:"leader_memory_bytes"` // maximum of the store replicas, at the end of the size
+	ServerConfigCPU float64 `json:"server_config_cpu"`   // measured before the sessions open
 	ServerConfig    float64 `json:"server_config_bytes_s"`
-	BurstMax        float64 `json:"burst_in_force_ms_max"` // of the changes of both bursts
+	BurstMax        float64 `json:"burst_in_force_ms_max"` // maximum over the changes of all bursts
 	TodayBytes      float64 `json:"today_leader_bytes_s,omitempty"`
 	TodayCPU        float64 `json:"today_leader_cpu,omitempty"`
 	TodayEntries    float64 `json:"today_log_entries_s,omitempty"`
@@ -91,10 +92,10 @@
 	minFor        = time.Second
 	maxFor        = 10 * time.Minute
 	maxRecords    = 1 << 21
-	memoryDivisor = 2 // the run takes this part of the machine's memory at most
+	memoryDivisor = 2 // a run may take the machine's memory divided by this
 )
 
-// Run plays.
+// Run lists the faults and the injected bugs, or runs the scale test, checks the traces and writes the report.
 func (c *Cmd) Run(out io.Writer) error {
 	if c.List {
 		fmt.Fprintln(out, "faults:")
@@ -142,9 +143,10 @@
 	return nil
 }
 
+// wrong returns an error of wrong usage.
 func wrong(format string, a ...any) error { return &lab.WrongUse{Text: fmt.Sprintf(format, a...)} }
 
-// setup checks the command before anything is started.
+// setup validates the command before any process is started.
 func (c *Cmd) setup() (Setup, error) {
 	s := Setup{Cmd: *c}
 	var err error
@@ -156,9 +158,9 @@
 	}
 	switch {
 	case len(c.Servers) == 0:
-		return s, wrong("--servers names no size")
+		return s, wrong("--servers names no fleet size")
 	case c.Plant != "" && !slices.Contains(distribution.Plants, c.Plant):
-		return s, wrong("no plant %q; there are %s", c.Plant, strings.Join(distribution.Plants, ", "))
+		return s, wrong("--plant: unknown bug %q; known bugs are %s", c.Plant, strings.Join(distribution.Plants, ", "))
 	case c.For < minFor || c.For > maxFor:
 		return s, wrong("--for must be from %s to %s, not %s", minFor, maxFor, c.For)
 	case c.Regions < 2 || c.Regions > c.Zones:
@@ -171,11 +173,11 @@
 	for i, n := range c.Servers {
 		switch {
 		case n < c.Real+c.Zones:
-			return s, wrong("--servers: %d are fewer than %d real ones and a hollow one in each of %d zones", n, c.Real, c.Zones)
+			return s, wrong("--servers: %d are fewer than %d real servers and a simulated one in each of %d zones", n, c.Real, c.Zones)
 		case n > maxServers:
-			return s, wrong("--servers: %d, %d at most", n, maxServers)
+			return s, wrong("--servers: %d is too large, %d at most", n, maxServers)
 		case i > 0 && n <= c.Servers[i-1]:
-			return s, wrong("--servers: %d does not rise above %d", n, c.Servers[i-1])
+			return s, wrong("--servers: %d is not greater than %d; sizes must rise", n, c.Servers[i-1])
 		}
 	}
 	if err := s.fits(); err != nil {
@@ -184,26 +186,28 @@
 	return s, writable(s.Out)
 }
 
-// processes of the run at its largest.
+// processes returns the number of processes at the largest size: store replicas, a relay and a process of simulated servers
+// for each zone, real order servers, and the harness itself.
 func (s Setup) processes() int { return copies + 2*s.Zones + s.Real + 1 }
 
-// memoryNeed estimates what the run takes at its largest, in bytes, from what was measured (docs/CAPACITY.md).
+// memoryNeed estimates the memory of all processes at the largest size, in bytes. docs/CAPACITY.md has the measurements behind
+// it.
 func (s Setup) memoryNeed() int64 {
 	const (
-		program     = 40 << 20 // of a process without records
-		hollow      = 160 << 10
+		program     = 40 << 20  // bytes of a process without records
+		hollow      = 160 << 10 // bytes of a simulated server
 		routeBytes  = 190
 		tenantBytes = 110
-		ofCopy      = 8 // times the records: the log, its form in JSON, what was not collected yet
-		ofRelay     = 3
-		ofServer    = 3
+		ofCopy      = 8 // a store replica's memory, as a multiple of the records: the log, its JSON, garbage not collected yet
+		ofRelay     = 3 // likewise
+		ofServer    = 3 // likewise
 	)
 	of := int64(s.Routes)*routeBytes + int64(s.Tenants)*tenantBytes
 	largest := int64(s.Servers[len(s.Servers)-1])
 	return int64(s.processes())*program + largest*hollow + of*int64(copies*ofCopy+s.Zones*ofRelay+s.Real*ofServer)
 }
 
-// fits refuses a run that would take more of the machine than it may.
+// fits rejects a run that would exceed the limit of processes or of memory.
 func (s Setup) fits() error {
 	if n := s.processes(); n > maxProcesses {
 		return wrong("%d processes would be started, %d at most", n, maxProcesses)
@@ -213,11 +217,12 @@
 		return err
 	}
 	if need := s.memoryNeed(); need > total/memoryDivisor {
-		return wrong("the run would take about %d MB, and half of the machine's memory is %d MB", need>>20, total/memoryDivisor>>20)
+		return wrong("the run would take about %d MB, but half of the machine's memory is %d MB", need>>20, total/memoryDivisor>>20)
 	}
 	return nil
 }
 
+// writable creates the directory and checks that files can be written to it.
 func writable(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return wrong("--out: %v", err)
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -14,7 +14,7 @@
 	"puffinsaddle/internal/clock"
 )
 
-// Kinds of faults.
+// Kinds of injected faults. The values appear on the report page.
 const (
 	relayKill  = "relay-kill"
 	leaderKill = "leader-kill"
@@ -26,16 +26,16 @@
 )
 
 var faultKinds = []struct{ kind, text string }{
-	{relayKill, "the relay of a zone is killed, and started again later"},
-	{leaderKill, "the copy of the store that leads is killed, and started again later"},
-	{zoneCut, "a zone is cut off from all others"},
-	{regionCut, "a region is cut off from all others for a scaled hour"},
+	{relayKill, "the relay of a zone is killed and restarted later"},
+	{leaderKill, "the leader of the store is killed and restarted later"},
+	{zoneCut, "a zone is partitioned from all others"},
+	{regionCut, "a region is partitioned from all others for an hour, scaled to the length of the run"},
 	{restarts, "a third of the servers restart at once"},
-	{slowReader, "some servers read nothing for a while, as large changes come"},
-	{spoiltCopy, "a byte of a real server's copy is changed while it restarts, and some hollow ones hold what was never agreed on"},
+	{slowReader, "some servers stop reading for a while, during large changes"},
+	{spoiltCopy, "a byte in the records file of a real server is changed while it restarts, and some simulated servers have a digest that was never committed"},
 }
 
-// fault is one of the schedule. Times are parts of the phase.
+// fault is a scheduled fault. At and For are fractions of the phase.
 type fault struct {
 	Kind string
 	At   float64
@@ -44,12 +44,12 @@
 }
 
 const (
-	shareOfRegionCut = 0.3  // of the phase
-	shareOfRest      = 0.09 // of the phase, for each other fault
-	shareOfSlot      = 0.75 // of a fault's slot, for which it lasts
+	shareOfRegionCut = 0.3  // of the phase, for the slot of the region's partition
+	shareOfRest      = 0.09 // of the phase, for the slot of each other fault
+	shareOfSlot      = 0.75 // of its slot, for which a fault lasts; the rest is for recovery
 )
 
-// schedule is the faults of one phase: one of each kind, in an order that the seed draws, one after the other.
+// schedule returns the faults of one phase: one of each kind, one after the other, in an order drawn from the seed.
 func schedule(seed uint64) (all []fault) {
 	rng := rand.New(rand.NewPCG(seed, 31))
 	at := 0.02
@@ -64,18 +64,18 @@
 	return all
 }
 
-// made is a fault that was made.
+// made is a fault that was injected.
 type made struct {
 	Point int
 	Kind  string
 	Hit   string
-	From  float64 // ms of the machine's clock
+	From  float64 // ms of the machine's monotonic clock
 	To    float64
-	Cut   []string // zones that were cut off; none: no zone was
-	Down  []string // real processes that were down
+	Cut   []string // zones that were partitioned from the others; empty: none
+	Down  []string // names of the real processes that were down
 }
 
-// inject makes the faults of one phase, one after the other, and returns once all are over.
+// inject injects the faults of one phase, one after the other, and returns when the last one has ended.
 func (r *run) inject(ctx context.Context, point int, w *writer) {
 	seed := r.Seed + uint64(point)*1009
 	begin := time.Now()
@@ -93,6 +93,7 @@
 	}
 }
 
+// sleepUntil waits until t. It returns false if the context ended first.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	select {
 	case <-time.After(time.Until(t)):
@@ -102,9 +103,10 @@
 	}
 }
 
+// pause waits for d, or until the context ends.
 func pause(ctx context.Context, d time.Duration) { sleepUntil(ctx, time.Now().Add(d)) }
 
-// make makes one fault and ends it.
+// make injects one fault and ends it after its duration. Simulated servers that it restarts come back by themselves.
 func (r *run) make(ctx context.Context, m *made, f fault, lasts time.Duration, w *writer) error {
 	switch f.Kind {
 	case relayKill:
@@ -167,18 +169,21 @@
 
 const (
 	stallMs      = 5000.0
-	fatPerSecond = 8.0
+	fatPerSecond = 8.0 // large changes per second, while some servers don't read
 )
 
-// regionCutRate is as many changes a second as an hour's, scaled, as far as one machine carries what they cost all servers.
+// regionCutRate returns the changes per second during a region's partition. They should add up to those of an hour; the rate is
+// bounded, because each change costs CPU on all servers, which share one machine.
 func regionCutRate(servers int) float64 { return min(125, 60000/float64(max(servers, 1))) }
 
+// killFor kills a process and restarts it after d.
 func (r *run) killFor(ctx context.Context, p *process, d time.Duration) error {
 	p.end(syscall.SIGKILL)
 	pause(ctx, d)
 	return p.start(r.spawner, r.Binary)
 }
 
+// restart ends a process with a signal, calls between (if any) while it is down, and starts it again.
 func (r *run) restart(p *process, sig syscall.Signal, between func() error) error {
 	p.end(sig)
 	if between != nil {
@@ -189,7 +194,7 @@
 	return p.start(r.spawner, r.Binary)
 }
 
-// cutFor cuts zones off for a while, with something going on meanwhile.
+// cutFor partitions zones from all others for d, and runs meanwhile (if any) during that time.
 func (r *run) cutFor(ctx context.Context, zones []string, d time.Duration, meanwhile func(context.Context)) error {
 	if err := r.cut(zones); err != nil {
 		return err
@@ -206,7 +211,7 @@
 	return err
 }
 
-// spoilFile changes one byte in the middle of a file.
+// spoilFile flips one bit in the second quarter of a file.
 func spoilFile(path string, pick uint64) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -217,5 +222,5 @@
 	return os.WriteFile(path, b, 0o644)
 }
 
-// cutOff tells whether a zone was cut off by a fault.
+// cutOff reports whether the fault partitioned a zone.
 func (m made) cutOff(zone string) bool { return slices.Contains(m.Cut, zone) }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -18,55 +18,56 @@
 )
 
 const (
-	copies     = 3
-	copyCores  = 3.0    // of one copy: with one, 4,300 sessions that open at once keep every copy from holding office
-	electionMs = 1000.0 // with half of that, every process of the run beside them keeps copies from being heard in time
-	renewMs    = 500.0
-	presenceMs = 3000.0
-	clockRate  = 0.1
-	marginMs   = 50.0
-	dutyTTL    = 3000.0
-	aloneUnits = 0.001 // calls in hand that a server may have below without a share
+	copies     = 3      // store replicas
+	copyCores  = 3.0    // of one store replica: with one core, 4,300 sessions that open at once prevent a stable leader
+	electionMs = 1000.0 // with 500 ms, heartbeats arrive too late because all processes of the run share the machine
+	renewMs    = 500.0  // interval at which sessions renew their presence
+	presenceMs = 3000.0 // time to live of a session's presence
+	clockRate  = 0.1    // assumed maximum drift between clocks, as a fraction
+	marginMs   = 50.0   // safety margin of leases
+	dutyTTL    = 3000.0 // ms
+	aloneUnits = 0.001  // downstream calls in flight that a server may have without an allocation
 )
 
-// terms are the terms of sessions of servers that stand for no duty.
+// terms returns the rules of sessions of servers that are not candidates for any duty.
 func terms(renew, presence float64) duty.Rules {
 	return duty.Rules{ClockBounds: duty.ClockBounds{MaxDrift: clockRate, MarginMS: marginMs}, RenewIntervalMS: renew, PresenceTTLMS: presence}
 }
 
-// boundary is a link between two places.
+// boundary is a network link between two zones.
 type boundary struct {
 	link     *lab.Link
 	from, to string // zones
 }
 
-// fleet is all processes of a run.
+// fleet holds all processes of a run and the links between them.
 type fleet struct {
 	Setup
 	spawner *spawner
 	zones   []string
-	regions map[string]string // of each zone
+	regions map[string]string // region by zone
 	copies  []*process
 	relays  []*process
-	servers []*process // real ones that follow the configuration
-	hollows []*process // one a zone
-	stores  map[string]string
-	at      map[string]string // address of each relay
+	servers []*process        // real order servers without a store replica
+	hollows []*process        // processes of simulated servers, one for each zone
+	stores  map[string]string // address by store replica
+	at      map[string]string // address by relay
 	links   []boundary
 	stands  []*lab.StandIn
-	largest int
+	largest int // the largest size, in servers
 
 	mu    sync.Mutex
-	crash []string
+	crash []string // unexpected exits
 }
 
-// loopback is an address of this run's own: connections that are made come from 127.0.0.1, and so take none of its ports.
+// loopback is a loopback address derived from the process id. Outgoing connections use 127.0.0.1 as their source, so their
+// ephemeral ports don't collide with the ports that are picked here.
 var loopback = fmt.Sprintf("127.%d.%d.1", 64+os.Getpid()/250%128, os.Getpid()%250+1)
 
-// handedOut are the addresses that were picked: the system may give one that is free again a second time.
+// handedOut holds the addresses that were picked: the system may offer a closed port again before its process listens on it.
 var handedOut sync.Map
 
-// freeAddress picks an address that is free now.
+// freeAddress returns an address with an unused TCP port.
 func freeAddress() (string, error) {
 	for {
 		ln, err := net.Listen("tcp", loopback+":0")
@@ -81,7 +82,7 @@
 	}
 }
 
-// newFleet lays addresses, links and folders out; nothing is started.
+// newFleet assigns addresses, opens links and clears directories. It starts no process.
 func newFleet(s Setup) (*fleet, error) {
 	f := &fleet{Setup: s, regions: map[string]string{}, stores: map[string]string{}, at: map[string]string{}, largest: s.Servers[len(s.Servers)-1]}
 	for i := range s.Zones {
@@ -108,6 +109,7 @@
 	return f, nil
 }
 
+// newProcess returns a process with an empty directory and an address for its metrics.
 func (f *fleet) newProcess(name, zone string) (*process, error) {
 	p := &process{name: name, zone: zone, dir: filepath.Join(f.Out, "p", name), ended: f.endedByItself}
 	if err := os.RemoveAll(p.dir); err != nil {
@@ -118,19 +120,21 @@
 	return p, err
 }
 
+// endedByItself records that a process exited unexpectedly.
 func (f *fleet) endedByItself(p *process, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crash = append(f.crash, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+	f.crash = append(f.crash, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
 }
 
+// crashes returns the unexpected exits so far.
 func (f *fleet) crashes() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.crash...)
 }
 
-// connect makes a link between two places.
+// connect opens a link to an address in another zone and returns the link's address.
 func (f *fleet) connect(from, to, address string) (string, error) {
 	l, err := lab.NewLink()
 	if err != nil {
@@ -141,7 +145,7 @@
 	return l.Addr(), nil
 }
 
-// connectAll makes a link to each address.
+// connectAll opens a link to each address and returns the links' addresses by the same ids.
 func (f *fleet) connectAll(from string, addresses map[string]string, zoneOf func(id string) string) (map[string]string, error) {
 	out := map[string]string{}
 	for id, address := range addresses {
@@ -153,6 +157,7 @@
 	return out, nil
 }
 
+// zoneOfCopy returns the zone of a store replica.
 func (f *fleet) zoneOfCopy(id string) string {
 	for _, p := range f.copies {
 		if p.name == id {
@@ -164,11 +169,12 @@
 
 type yamlMap = map[string]any
 
+// tracePath returns the path of the trace of the process's current incarnation.
 func (f *fleet) tracePath(p *process) string {
 	return filepath.Join(f.Out, "traces", fmt.Sprintf("%s.%d.trace", p.name, p.life))
 }
 
-// duties is the section of an order server.
+// duties returns the section "duties" of an order server's operator file.
 func (f *fleet) duties(copies map[string]string, publishes bool) yamlMap {
 	most := 2*f.largest + 64
 	d := yamlMap{"copies": copies, "sessions": 2*f.largest + 64, "renew_ms": renewMs, "presence_ms": presenceMs, "clock_rate": clockRate, "margin_ms": marginMs,
@@ -181,7 +187,7 @@
 	return d
 }
 
-// write writes the two files of an order server.
+// write writes the platform's file and the operator's file of an order server.
 func (f *fleet) write(p *process, listen, executor string, operator yamlMap) error {
 	platform := lab.PlatformFile{Name: p.name, Listen: listen, Executor: executor, Vault: executor, Operator: p.figures, Seed: f.Seed*1000 + uint64(p.life),
 		Servers: f.largest, Slots: f.largest, MemoryMB: 192, Sockets: 1024}
@@ -203,13 +209,14 @@
 	return os.WriteFile(path, b, 0o644)
 }
 
-const labEnv = "PUFFINSADDLE_LAB=1" // the processes are a laboratory's
+const labEnv = "PUFFINSADDLE_LAB=1" // allows the settings of the lab in an operator's file
 
 func orderServerEnv(p *process) []string {
 	return []string{labEnv, "RELAY_CONFIG=" + filepath.Join(p.dir, "config.json"), "PUFFINSADDLE_OPERATOR=" + filepath.Join(p.dir, "operator.yaml")}
 }
 
-// layOrderServer lays out where an order server listens and who does its work. operator is its operator's file, made for each life.
+// layOrderServer assigns an order server its address and a fake executor. operator returns its operator's file, which is
+// written anew for each incarnation.
 func (f *fleet) layOrderServer(p *process, operator func() yamlMap) error {
 	listen, err := freeAddress()
 	if err != nil {
@@ -225,7 +232,7 @@
 	return nil
 }
 
-// layCopies lays the copies of the store out, each in a region of its own as far as there are enough.
+// layCopies sets up the order servers with a store replica, each in a region of its own if there are enough regions.
 func (f *fleet) layCopies() error {
 	for i := range copies {
 		p, err := f.newProcess(fmt.Sprintf("c%d", i+1), f.zones[i%len(f.zones)])
@@ -263,7 +270,7 @@
 	return nil
 }
 
-// layRelays lays one relay a zone out.
+// layRelays sets up one relay in each zone.
 func (f *fleet) layRelays() error {
 	for _, zone := range f.zones {
 		p, err := f.newProcess("relay-"+zone, zone)
@@ -298,7 +305,8 @@
 	return nil
 }
 
-// relayList is what a server in a zone knows of the relays; addresses may lead through links.
+// relayList returns the relays as a server's settings name them. through, if any, returns the address at which the server
+// reaches a relay.
 func (f *fleet) relayList(through func(p *process) (string, error)) (list []distribution.Relay, err error) {
 	for _, p := range f.relays {
 		at := f.at[p.name]
@@ -312,7 +320,7 @@
 	return list, nil
 }
 
-// layServers lays the real order servers out, in zones that keep no copy first.
+// layServers sets up the real order servers, beginning with zones that have no store replica.
 func (f *fleet) layServers() error {
 	for i := range f.Real {
 		zone := f.zones[(copies+i)%len(f.zones)]
@@ -340,7 +348,8 @@
 	return nil
 }
 
-// layHollows lays the hollow servers of one size out, one process a zone.
+// layHollows sets up the simulated servers of one size, in one process for each zone. They start with the records as of
+// position at.
 func (f *fleet) layHollows(point, count int, at distribution.Position) error {
 	f.hollows = nil
 	relays, err := f.relayList(nil)
@@ -379,7 +388,7 @@
 	return nil
 }
 
-// startAll starts some processes.
+// startAll starts the processes one after the other.
 func (f *fleet) startAll(all []*process) error {
 	for _, p := range all {
 		if err := p.start(f.spawner, f.Binary); err != nil {
@@ -389,7 +398,7 @@
 	return nil
 }
 
-// orderAll gives all processes of hollow servers an order.
+// orderAll sends a command to all processes of simulated servers and waits for their responses.
 func (f *fleet) orderAll(o hollowOrder) error {
 	var wait sync.WaitGroup
 	errs := make([]error, len(f.hollows))
@@ -409,7 +418,7 @@
 	return nil
 }
 
-// cut separates zones from all others; heal ends that.
+// cut partitions zones from all others, for real and simulated servers. heal ends the partition.
 func (f *fleet) cut(zones []string) error {
 	inside := map[string]bool{}
 	for _, z := range zones {
@@ -423,6 +432,7 @@
 	return f.orderAll(hollowOrder{Kind: orderCut, Zones: zones})
 }
 
+// heal removes all partitions.
 func (f *fleet) heal() error {
 	for _, b := range f.links {
 		b.link.Heal()
@@ -430,7 +440,7 @@
 	return f.orderAll(hollowOrder{Kind: orderCut})
 }
 
-// leader is the copy that leads; nil: none says so.
+// leader returns the store replica that reports the highest term as leader, or nil if none reports to be leader.
 func (f *fleet) leader() *process {
 	var leads *process
 	term := uint64(0)
@@ -443,7 +453,7 @@
 	return leads
 }
 
-// endAll ends processes, all at once.
+// endAll ends processes concurrently and waits for them.
 func endAll(all []*process, sig syscall.Signal) {
 	var wait sync.WaitGroup
 	for _, p := range all {
@@ -456,7 +466,7 @@
 	wait.Wait()
 }
 
-// stop ends all processes in an order in which each can say what it has to.
+// stop ends all processes, those that depend on others first, so that each can finish its trace.
 func (f *fleet) stop() {
 	endAll(f.hollows, syscall.SIGTERM)
 	endAll(f.servers, syscall.SIGTERM)
@@ -464,7 +474,7 @@
 	endAll(f.copies, syscall.SIGTERM)
 }
 
-// close frees what is left, at any end.
+// close ends all processes and releases links, fake executors and the spawner.
 func (f *fleet) close() {
 	f.stop()
 	for _, b := range f.links {
@@ -478,7 +488,7 @@
 	}
 }
 
-// waitFor asks until something holds.
+// waitFor polls a condition until it holds. Its error includes the state that the condition last returned.
 func waitFor(within time.Duration, what string, holds func() (bool, string)) error {
 	late := time.Now().Add(within)
 	for {
@@ -487,7 +497,7 @@
 			return nil
 		}
 		if time.Now().After(late) {
-			return fmt.Errorf("scale: after %s: %s: %s", within, what, state)
+			return fmt.Errorf("scale: timed out after %s: %s: %s", within, what, state)
 		}
 		time.Sleep(lookEvery)
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -28,13 +28,13 @@
 	"puffinsaddle/internal/trace"
 )
 
-// HollowCmd runs hollow servers: the clients of order servers, for sessions, shares and configuration, without requests. The
-// laboratory starts it and gives it orders on its standard input.
+// HollowCmd is the command that runs simulated servers: the clients that an order server uses for sessions, shares and
+// configuration, without requests. The scale test starts it and sends it commands on its standard input.
 type HollowCmd struct {
 	Config string `required:"" type:"existingfile" help:"What the laboratory wrote for this process."`
 }
 
-// hollowConfig sets up a process of hollow servers.
+// hollowConfig configures a process of simulated servers.
 type hollowConfig struct {
 	Zone     string                `json:"zone"`
 	Region   string                `json:"region"`
@@ -42,27 +42,28 @@
 	Seed     uint64                `json:"seed"`
 	Relays   []distribution.Relay  `json:"relays"`
 	Copies   map[string]string     `json:"copies"`
-	ZoneOf   map[string]string     `json:"zone_of"` // of each address
+	ZoneOf   map[string]string     `json:"zone_of"` // zone by address
 	Position distribution.Position `json:"position"`
-	Empty    int                   `json:"empty"` // servers that have no copy on their disk
+	Empty    int                   `json:"empty"` // number of servers that start without records
 	Journal  string                `json:"journal"`
 	Plant    string                `json:"plant"`
 	RenewMs  float64               `json:"renew_ms"`
 	Presence float64               `json:"presence_ms"`
-	Today    bool                  `json:"today"` // versions that are published without relays are read too
+	Today    bool                  `json:"today"` // servers also read whole published versions from the store
 }
 
-// Orders of the laboratory.
+// Commands of the scale test to a process of simulated servers.
 const (
-	orderSessions = "sessions" // every server opens a session within Ms
-	orderCut      = "cut"      // Zones are cut off from all others; none: the cut is healed
-	orderRestart  = "restart"  // Percent of the servers are ended, and start again within DownMs
-	orderStall    = "stall"    // Count servers read nothing for Ms
-	orderSpoil    = "spoil"    // Count servers start again with another copy than was agreed on
+	orderSessions = "sessions" // each server opens a session at a random time within Ms
+	orderCut      = "cut"      // Zones are partitioned from all others; empty: the partition is healed
+	orderRestart  = "restart"  // Percent of the servers stop and start again within Ms
+	orderStall    = "stall"    // Count servers stop reading for Ms
+	orderSpoil    = "spoil"    // Count servers restart with a digest that was never committed
 	orderFigures  = "figures"
 	orderStop     = "stop"
 )
 
+// hollowOrder is a command of the scale test, one line of JSON.
 type hollowOrder struct {
 	Kind    string   `json:"kind"`
 	Zones   []string `json:"zones,omitempty"`
@@ -72,15 +73,15 @@
 	Seed    uint64   `json:"seed,omitempty"`
 }
 
-// hollowAnswer answers each order.
+// hollowAnswer is the response to each command.
 type hollowAnswer struct {
-	Lowest  uint64 `json:"lowest"` // revision of the servers
-	Present int    `json:"present"`
-	Bytes   uint64 `json:"bytes"` // of all servers, both ways, from the start
+	Lowest  uint64 `json:"lowest"`  // lowest revision of the servers
+	Present int    `json:"present"` // servers whose presence is in force
+	Bytes   uint64 `json:"bytes"`   // of all servers, in both directions, since the start
 	Error   string `json:"error,omitempty"`
 }
 
-// hollowProcess is the servers of one process.
+// hollowProcess holds the simulated servers of one process.
 type hollowProcess struct {
 	c       hollowConfig
 	part    *partition
@@ -88,10 +89,10 @@
 	steady  *clock.Clock
 	ctx     context.Context
 	servers []*hollowServer
-	withSes atomic.Bool
+	withSes atomic.Bool // servers that start open a session
 }
 
-// hollowServer is one server without requests.
+// hollowServer is one simulated server. It implements configwatch.Replica by digests alone.
 type hollowServer struct {
 	p    *hollowProcess
 	name string
@@ -99,9 +100,9 @@
 
 	mu      sync.Mutex
 	marker  records.DigestFollower
-	pending trace.Event // commits that came into force one after the other, not written down yet
-	early   uint64
-	told    uint64
+	pending trace.Event // consecutive commits in force that are not yet written to the trace
+	early   uint64      // revision that the injected bug reports before it is in force
+	told    uint64      // the highest reported revision
 	life    int
 	stop    context.CancelFunc
 	done    sync.WaitGroup
@@ -109,7 +110,7 @@
 	session *session.Client
 }
 
-// Run serves the laboratory's orders to the end of its input.
+// Run starts the servers and carries out commands until the stop command or the end of the input.
 func (h *HollowCmd) Run(out io.Writer) error {
 	b, err := os.ReadFile(h.Config)
 	if err != nil {
@@ -122,7 +123,7 @@
 	if p.journal, err = openJournal(p.c.Journal, p.steady); err != nil {
 		return err
 	}
-	signal.Ignore(os.Interrupt) // the laboratory ends its processes itself
+	signal.Ignore(os.Interrupt) // the scale test ends its processes itself
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	p.ctx = ctx
@@ -160,6 +161,7 @@
 	return p.journal.close()
 }
 
+// figures fills a response with the current state of the servers.
 func (p *hollowProcess) figures(a *hollowAnswer) {
 	for i, s := range p.servers {
 		s.mu.Lock()
@@ -176,6 +178,7 @@
 	a.Bytes = p.part.bytes.In.Load() + p.part.bytes.Out.Load()
 }
 
+// carryOut executes a command on the servers that its seed selects.
 func (p *hollowProcess) carryOut(o hollowOrder) {
 	rng := rand.New(rand.NewPCG(o.Seed, p.c.Seed))
 	switch o.Kind {
@@ -205,7 +208,7 @@
 	}
 }
 
-// start begins a life of the server, from what its copy holds. A spoilt copy is nothing that it says to have in force.
+// start starts an incarnation of the server, from the position that it has. A corrupt position is not traced as installed.
 func (s *hollowServer) start(spoilt bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -228,7 +231,7 @@
 	}
 }
 
-// dial remembers the connection to the relay, so that it can be stalled.
+// dial connects to a relay, and keeps the connection so that it can be stalled.
 func (s *hollowServer) dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := s.p.part.dial(ctx, address)
 	if err != nil {
@@ -240,7 +243,7 @@
 	return conn, nil
 }
 
-// openSession opens a session with the copies of the store. The lock is held.
+// openSession opens a session with the store replicas. The caller holds the lock.
 func (s *hollowServer) openSession() {
 	ctx, cancel := context.WithCancel(s.p.ctx)
 	before := s.stop
@@ -274,7 +277,7 @@
 	}()
 }
 
-// readVersion does what an order server does with a version that is published whole: it reads it and says so.
+// readVersion reads a whole published version and acknowledges it, as an order server does.
 func readVersion(ctx context.Context, c *session.Client, me string) {
 	v, err := c.LatestVersion(ctx)
 	if err != nil {
@@ -283,7 +286,7 @@
 	c.Do(ctx, state.Command{Op: state.OpAcknowledgeVersion, Process: me, Acknowledgement: &publish.Acknowledgement{No: v.No}})
 }
 
-// end ends this life.
+// end stops the current incarnation and waits for its goroutines.
 func (s *hollowServer) end() {
 	s.mu.Lock()
 	stop := s.stop
@@ -297,7 +300,7 @@
 	s.p.journal.add(trace.Event{Who: s.name, What: eventDown})
 }
 
-// restart ends the server at once and starts it again later, with its copy as it was, or spoilt.
+// restart stops the server and starts it again after downMs, with its digest unchanged or corrupted.
 func (s *hollowServer) restart(downMs float64, spoil bool) {
 	s.end()
 	if spoil {
@@ -312,7 +315,7 @@
 	}
 }
 
-// stall keeps the server from reading what its relay sends.
+// stall keeps the server from reading what its relay sends, for d.
 func (s *hollowServer) stall(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -324,21 +327,21 @@
 }
 
 const (
-	coalesceMs     = 20.0 // commits that come into force within it are written down as one event, with the time of the last
-	earlyReportFor = 300 * time.Millisecond
+	coalesceMs     = 20.0                   // commits that come into force within this window are traced as one event, with the time of the last
+	earlyReportFor = 300 * time.Millisecond // between report and application, with the injected bug
 )
 
-// Position is how far the server is.
+// Position returns the latest position that the server has applied.
 func (s *hollowServer) Position() distribution.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return distribution.Position(s.marker)
 }
 
-// KeepsRecords is false: hollow servers hold digests alone.
+// KeepsRecords returns false: simulated servers hold digests alone.
 func (s *hollowServer) KeepsRecords() bool { return false }
 
-// Follow takes the next commit.
+// Follow applies the next commit.
 func (s *hollowServer) Follow(c records.Commit) error {
 	if s.p.c.Plant == distribution.PlantEarlyReport {
 		s.mu.Lock()
@@ -362,7 +365,7 @@
 	return nil
 }
 
-// flush writes down what is pending. The lock is held.
+// flush writes the pending event to the trace. The caller holds the lock.
 func (s *hollowServer) flush() {
 	if s.pending.N > 0 {
 		s.p.journal.add(s.pending)
@@ -370,7 +373,7 @@
 	}
 }
 
-// Adopt takes a snapshot.
+// Adopt replaces the position by that of a snapshot.
 func (s *hollowServer) Adopt(h records.Header, t *records.Table) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -380,7 +383,7 @@
 	return nil
 }
 
-// Discard throws away what is held.
+// Discard drops the position, because it differs from the committed one.
 func (s *hollowServer) Discard(error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -389,7 +392,7 @@
 	s.p.journal.add(trace.Event{Who: s.name, What: eventSpoilt})
 }
 
-// Skip counts a commit and does not carry it out: a planted bug.
+// Skip advances the position without applying the commit: an injected bug.
 func (s *hollowServer) Skip(c records.Commit) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -397,11 +400,11 @@
 	return nil
 }
 
-// Report tells how far the server is.
+// Report returns the progress of the server.
 func (s *hollowServer) Report() distribution.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flush() // what is reported was in force, and is written down before
+	s.flush() // the trace must have the commits in force before the report of them
 	lowest := max(s.marker.Revision, s.early)
 	if lowest > s.told {
 		s.told = lowest
--- a/internal/lab/scale/journal.go
+++ b/internal/lab/scale/journal.go
@@ -11,7 +11,7 @@
 	"puffinsaddle/internal/trace"
 )
 
-// journal writes down what many hollow servers of one process did, for the checker.
+// journal writes the trace of all simulated servers of one process, for the checker.
 type journal struct {
 	steady *clock.Clock
 	mu     sync.Mutex
@@ -22,6 +22,7 @@
 
 const flushEvery = 200 * time.Millisecond
 
+// openJournal creates the trace file and starts to flush it periodically.
 func openJournal(path string, steady *clock.Clock) (*journal, error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -45,7 +46,7 @@
 	return j, nil
 }
 
-// add writes an event with the time of now, or its own where it has one.
+// add writes an event. An event without a time gets the current time.
 func (j *journal) add(e trace.Event) {
 	if e.At == 0 {
 		e.At = j.steady.Now()
@@ -59,6 +60,7 @@
 	j.w.Write(append(b, '\n'))
 }
 
+// close flushes and closes the file.
 func (j *journal) close() error {
 	close(j.stop)
 	j.mu.Lock()
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -20,14 +20,14 @@
 const (
 	changesADay  = 24000.0
 	burstChanges = 100
-	loaders      = 6 // changes of the first load that are under way at once
+	loaders      = 6 // concurrent changes of the initial load
 	retryPause   = 50 * time.Millisecond
-	fatKeys      = 400 // of a change that is meant to fill the buffers of watchers that do not read
+	fatKeys      = 400 // in a large change, which fills the send buffers of watchers that don't read
 )
 
-// writer has records changed.
+// writer changes records through a session with the store.
 type writer struct {
-	root   context.Context // of the run: a change that has begun is seen through, though its phase ends
+	root   context.Context // of the run: a change that has begun completes even if its phase ends
 	client *session.Client
 	routes int
 	tenant int
@@ -35,10 +35,11 @@
 
 	mu     sync.Mutex
 	latest uint64 // revision
-	n      int    // changes agreed on
-	serial int
+	n      int    // committed changes
+	serial int    // of the last change that was generated
 }
 
+// newWriter opens a session that runs until the context ends.
 func newWriter(ctx context.Context, f *fleet) *writer {
 	w := &writer{root: ctx, routes: f.Routes, tenant: f.Tenants, rng: rand.New(rand.NewPCG(f.Seed, 21))}
 	rules := terms(renewMs, 0)
@@ -47,18 +48,20 @@
 	return w
 }
 
+// route returns a put of route i. The version varies its value.
 func route(i, version int) records.Put {
 	v, _ := json.Marshal(records.RouteValue{Service: fmt.Sprintf("svc-%05d", i/9), Class: "book-delivery", Group: fmt.Sprintf("group-%02d", i%40), Weight: float64(version%9 + 1),
 		Regions: []string{"r1", "r2"}})
 	return records.Put{Key: records.Key{Kind: records.Route, Name: fmt.Sprintf("svc-%05d/%05d", i/9, i)}, Value: v}
 }
 
+// tenant returns a put of tenant i. The version varies its value.
 func tenant(i, version int) records.Put {
 	v, _ := json.Marshal(records.TenantValue{Share: 0.0000025, RequestsPerSecond: float64(version%500) + 0.5})
 	return records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i)}, Value: v}
 }
 
-// load fills the store.
+// load puts all routes and tenants into the store.
 func (w *writer) load(ctx context.Context) error {
 	changes := make(chan records.Change)
 	errs := make(chan error, loaders)
@@ -105,7 +108,7 @@
 	return ctx.Err()
 }
 
-// do has a change agreed on. It is tried again where it is not known what came of it: to put the same again does no harm.
+// do commits a change. It retries if the outcome is unknown, which is safe because the same puts and deletes are idempotent.
 func (w *writer) do(ctx context.Context, c records.Change) error {
 	for ctx.Err() == nil {
 		r, err := w.client.Do(ctx, state.Command{Op: state.OpChangeRecords, Change: &c})
@@ -124,7 +127,8 @@
 	return ctx.Err()
 }
 
-// next is a change as the day brings it: a few keys, now and then a key taken out or put back.
+// next returns a random change of some routes and tenants. It also puts or deletes one further key, so that both operations
+// occur.
 func (w *writer) next(keys int) (c records.Change) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -158,7 +162,7 @@
 
 const keysAChange = 3
 
-// steady makes changes at a rate, by chance, until the context ends.
+// steady makes changes until the context ends, with exponentially distributed waits between them.
 func (w *writer) steady(ctx context.Context, perSecond float64, keys int) {
 	for {
 		w.mu.Lock()
@@ -173,7 +177,7 @@
 	}
 }
 
-// burst makes many changes within a second.
+// burst makes n changes within a second.
 func (w *writer) burst(ctx context.Context, n int) {
 	var wait sync.WaitGroup
 	t := time.NewTicker(time.Second / time.Duration(n))
@@ -192,7 +196,7 @@
 	wait.Wait()
 }
 
-// agreed is the latest revision that this writer knows, and how many changes it made.
+// agreed returns the latest revision that this writer committed, and the number of its changes.
 func (w *writer) agreed() (revision uint64, changes int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -18,15 +18,15 @@
 	"puffinsaddle/internal/relay"
 )
 
-// machineMemory is the memory of the machine, in bytes.
+// machineMemory returns the memory of the machine, in bytes.
 func machineMemory() (int64, error) { return procField("/proc/meminfo", "MemTotal:") }
 
-// residentMemory is what a process has in memory, in bytes.
+// residentMemory returns the resident set size of a process, in bytes.
 func residentMemory(pid int) (int64, error) {
 	return procField(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
 }
 
-// procField reads a field in kB of one of the kernel's files.
+// procField reads a field in kB from a file in /proc and returns it in bytes.
 func procField(path, field string) (int64, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return 0, fmt.Errorf("scale: %s has no %s", path, field)
 }
 
-// processorTime is what a process's threads have used, in seconds.
+// processorTime returns the CPU time of a process's current threads, in seconds.
 func processorTime(pid int) (seconds float64) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
@@ -62,7 +62,7 @@
 	return seconds
 }
 
-// serverFigures is what the laboratory reads of an order server.
+// serverFigures holds the metrics that the scale test reads from an order server.
 type serverFigures struct {
 	Duties *struct {
 		Me       string                 `json:"me"`
@@ -81,6 +81,7 @@
 
 var web = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
+// readFigures decodes the metrics that the process serves at an address.
 func readFigures(at string, into any) error {
 	r, err := web.Get("http://" + at + "/-/metrics")
 	if err != nil {
@@ -90,21 +91,21 @@
 	return json.NewDecoder(io.LimitReader(r.Body, 4<<20)).Decode(into)
 }
 
-// sample is what is read at one moment.
+// sample holds counters read at one time. CPU times are in seconds.
 type sample struct {
 	at           time.Time
 	leader       *process
 	leaderCPU    float64
 	configBytes  uint64
 	sessionBytes uint64
-	entries      uint64
+	entries      uint64 // of the replicated log
 	relayCPU     map[string]float64
 	relayBytes   map[string]uint64
 	hollowCPU    float64
 	hollowBytes  uint64
 }
 
-// take reads all counters.
+// take reads the counters of the leader, the relays and the simulated servers.
 func (f *fleet) take() (s sample) {
 	s.at = time.Now()
 	s.leader = f.leader()
@@ -134,14 +135,15 @@
 	return s
 }
 
-// rates are the differences of two samples, a second.
+// rates holds the differences between two samples per second: CPU in cores, traffic in bytes, log entries.
 type rates struct {
 	leaderCPU, configBytes, sessionBytes, entries float64
-	oneLeader                                     bool    // the same copy led at both; else nothing is known of it
-	relayCPU, relayBytes                          float64 // the most of any
+	oneLeader                                     bool    // both samples have the same leader; otherwise the leader's rates are unknown
+	relayCPU, relayBytes                          float64 // maximum of all relays
 	hollowCPU, hollowBytes                        float64
 }
 
+// between returns the rates between samples a and b.
 func between(a, b sample) (r rates) {
 	seconds := b.at.Sub(a.at).Seconds()
 	if r.oneLeader = a.leader == b.leader && a.leader != nil; r.oneLeader {
--- a/internal/lab/scale/partition.go
+++ b/internal/lab/scale/partition.go
@@ -11,28 +11,29 @@
 	"puffinsaddle/internal/net/meter"
 )
 
-// partition cuts a process of hollow servers off from addresses in other zones, as a network does: what is under way waits, and
-// connections that are made get no answer.
+// partition simulates a network partition between a process of simulated servers and addresses in other zones: reads and
+// writes on open connections block, and new connections time out.
 type partition struct {
-	own    string            // zone
-	zoneOf map[string]string // of each address
+	own    string            // zone of this process
+	zoneOf map[string]string // zone by address
 	bytes  meter.Count
 
 	mu     sync.Mutex
-	inside map[string]bool // the zones that are cut off from all others; nil: none
+	inside map[string]bool // the zones that are partitioned from all others; nil: none
 	healed chan struct{}   // closed at the next change
 }
 
 const (
 	dialTimeout   = time.Second
-	receiveBuffer = 32 << 10 // bytes that the system takes for a server that does not read
+	receiveBuffer = 32 << 10 // socket buffer in bytes, small so that a server that stops reading soon blocks its relay
 )
 
+// newPartition returns a partition that blocks nothing yet.
 func newPartition(own string, zoneOf map[string]string) *partition {
 	return &partition{own: own, zoneOf: zoneOf, healed: make(chan struct{})}
 }
 
-// cut separates zones from all others; none: all reach all.
+// cut partitions zones from all others, in place of the partition before. Without zones it blocks nothing.
 func (p *partition) cut(zones []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,14 +48,15 @@
 	p.healed = make(chan struct{})
 }
 
-// blocked tells whether an address is on the other side, and what is closed at the next change.
+// blocked reports whether an address is on the other side of the partition, and returns a channel that is closed at the next
+// change of the partition.
 func (p *partition) blocked(address string) (bool, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.inside != nil && p.inside[p.own] != p.inside[p.zoneOf[address]], p.healed
 }
 
-// dial opens a connection through the partition.
+// dial opens a connection that is subject to the partition.
 func (p *partition) dial(ctx context.Context, address string) (net.Conn, error) {
 	if blocked, _ := p.blocked(address); blocked {
 		t := time.NewTimer(dialTimeout)
@@ -63,7 +65,7 @@
 		case <-t.C:
 		case <-ctx.Done():
 		}
-		return nil, errors.New("scale: no answer through the partition")
+		return nil, errors.New("scale: connection timed out in the simulated partition")
 	}
 	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -76,7 +78,7 @@
 	return &partitionedConn{Conn: meter.New(conn, &p.bytes), p: p, address: address, closed: make(chan struct{})}, nil
 }
 
-// partitionedConn holds bytes back while its peer is on the other side.
+// partitionedConn is a connection that blocks while its peer is on the other side of the partition.
 type partitionedConn struct {
 	net.Conn
 	p       *partition
@@ -86,16 +88,16 @@
 
 	mu          sync.Mutex
 	read, write time.Time // deadlines
-	stalledTill time.Time // it reads nothing before
+	stalledTill time.Time // reads return nothing before
 }
 
-// Close ends the connection, and whatever waits on it.
+// Close closes the connection and ends blocked reads and writes.
 func (c *partitionedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-// SetReadDeadline notes the deadline, which also ends a wait for the partition to heal.
+// SetReadDeadline sets the deadline, which also bounds a read's wait for the partition to heal.
 func (c *partitionedConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	c.read = t
@@ -103,7 +105,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// SetWriteDeadline does the same for writes.
+// SetWriteDeadline sets the deadline, which also bounds a write's wait for the partition to heal.
 func (c *partitionedConn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	c.write = t
@@ -111,14 +113,14 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// stall keeps the connection from reading for a while.
+// stall delays all reads until d has passed.
 func (c *partitionedConn) stall(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stalledTill = time.Now().Add(d)
 }
 
-// Read reads what came, late where it crossed the partition.
+// Read reads from the connection. It returns the data after a stall or a partition has ended.
 func (c *partitionedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if err != nil {
@@ -137,7 +139,7 @@
 	return n, c.pass(deadline)
 }
 
-// Write sends, or waits until the partition has healed.
+// Write waits until the peer is reachable, and writes.
 func (c *partitionedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	deadline := c.write
@@ -148,7 +150,7 @@
 	return c.Conn.Write(b)
 }
 
-// pass waits until the peer is reached.
+// pass waits until the peer is reachable, the deadline passes or the connection is closed.
 func (c *partitionedConn) pass(deadline time.Time) error {
 	var late <-chan time.Time
 	for {
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -15,10 +15,11 @@
 	"time"
 )
 
-// spawner starts processes that end with the laboratory, however that ends: the kernel ends children with the thread that
-// started them, so one thread starts all.
+// spawner starts processes that the kernel kills when the scale test ends, even if that crashes. The parent death signal is
+// bound to the thread that started the child, so one locked thread starts all processes.
 type spawner struct{ starts chan func() }
 
+// newSpawner returns a spawner with its thread running.
 func newSpawner() *spawner {
 	s := &spawner{make(chan func())}
 	go func() {
@@ -30,36 +31,39 @@
 	return s
 }
 
+// start starts a command on the spawner's thread.
 func (s *spawner) start(cmd *exec.Cmd) error {
-	// A group of its own: Ctrl-C is the laboratory's, which then ends all that it began.
+	// A separate process group, so that Ctrl-C reaches only the scale test, which then ends its processes itself.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	errs := make(chan error)
 	s.starts <- func() { errs <- cmd.Start() }
 	return <-errs
 }
 
+// close ends the spawner's goroutine.
 func (s *spawner) close() { close(s.starts) }
 
-// process is a process of the program.
+// process is one process of the program over all its incarnations.
 type process struct {
 	name    string
 	zone    string
 	dir     string
-	figures string // address of its figures; "": none
+	figures string // address at which it serves metrics
 	args    []string
 	env     []string
 	life    int
-	before  func(p *process) error // writes its files for the next life
-	ended   func(p *process, err error)
+	before  func(p *process) error      // writes its files before each start
+	ended   func(p *process, err error) // called when it exits unexpectedly
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
-	want bool // it is not to end by itself
+	want bool // it should be running
 	in   io.WriteCloser
 	out  *bufio.Reader
 }
 
+// pid returns the process id of the current incarnation, or 0 before the first.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,7 +73,7 @@
 	return p.cmd.Process.Pid
 }
 
-// start starts the next life of the process.
+// start starts the next incarnation of the process.
 func (p *process) start(s *spawner, binary string) error {
 	p.life++
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
@@ -84,7 +88,7 @@
 	}
 	defer log.Close()
 	cmd := exec.Command(binary, p.args...)
-	cmd.Env = p.env // without TMPDIR: a process that was killed is not replaced beside itself
+	cmd.Env = p.env // without TMPDIR, so that a restarted process attempts no handover from its predecessor
 	if cmd.Env == nil {
 		cmd.Env = []string{}
 	}
@@ -122,7 +126,7 @@
 
 const endWithin = 10 * time.Second
 
-// end asks the process to end, or kills it, and waits.
+// end sends a signal to the process and waits for its exit. It kills the process if that takes too long.
 func (p *process) end(sig syscall.Signal) {
 	p.mu.Lock()
 	p.want = false
@@ -143,9 +147,9 @@
 	}
 }
 
-var errNoAnswer = errors.New("scale: a process of hollow servers does not answer")
+var errNoAnswer = errors.New("scale: a process of simulated servers does not respond")
 
-// order gives a process of hollow servers an order and reads its answer.
+// order sends a command to a process of simulated servers and reads the response.
 func (p *process) order(o hollowOrder) (a hollowAnswer, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -18,14 +18,14 @@
 	chartBottom = 30
 )
 
-// series is one curve of a chart.
+// series is one line of a chart.
 type series struct {
 	name  string
 	color string
 	value func(Point) float64
 }
 
-// chart draws curves over the number of servers.
+// chart draws series over the number of servers, as SVG.
 func chart(title, unit string, points []Point, all ...series) template.HTML {
 	var b bytes.Buffer
 	c := svg.New(&b)
@@ -64,24 +64,24 @@
 	return template.HTML(b.String())
 }
 
-// charts are the curves of a report.
+// charts returns all charts of the report page.
 func charts(points []Point) []template.HTML {
 	const blue, red, green = "#246", "#c33", "#283"
 	return []template.HTML{
 		chart("time until a change is in force", "ms", points, series{"median", blue, func(p Point) float64 { return p.InForceP50 }},
-			series{"99th in 100", green, func(p Point) float64 { return p.InForceP99 }}, series{"most", red, func(p Point) float64 { return p.InForceMax }}),
-		chart("the copy that leads: processor time", "core", points, series{"configuration", blue, func(p Point) float64 { return p.LeaderConfigCPU }},
+			series{"99th percentile", green, func(p Point) float64 { return p.InForceP99 }}, series{"most", red, func(p Point) float64 { return p.InForceMax }}),
+		chart("store leader: CPU time", "core", points, series{"configuration", blue, func(p Point) float64 { return p.LeaderConfigCPU }},
 			series{"sessions", red, func(p Point) float64 { return p.LeaderSessionCPU }}),
-		chart("the copy that leads: bytes a second for configuration", "B/s", points, series{"configuration", blue, func(p Point) float64 { return p.LeaderConfigBytes }}),
-		chart("the copy that leads: bytes a second for sessions", "B/s", points, series{"sessions", red, func(p Point) float64 { return p.LeaderSessionBytes }}),
-		chart("the busiest relay: processor time", "core", points, series{"relay", blue, func(p Point) float64 { return p.RelayCPU }}),
-		chart("one server: processor time", "core", points, series{"with sessions", red, func(p Point) float64 { return p.ServerCPU }},
+		chart("store leader: bytes per second for configuration", "B/s", points, series{"configuration", blue, func(p Point) float64 { return p.LeaderConfigBytes }}),
+		chart("store leader: bytes per second for sessions", "B/s", points, series{"sessions", red, func(p Point) float64 { return p.LeaderSessionBytes }}),
+		chart("busiest relay: CPU time", "core", points, series{"relay", blue, func(p Point) float64 { return p.RelayCPU }}),
+		chart("one server: CPU time", "core", points, series{"with sessions", red, func(p Point) float64 { return p.ServerCPU }},
 			series{"configuration alone", blue, func(p Point) float64 { return p.ServerConfigCPU }}),
-		chart("one server: bytes a second", "B/s", points, series{"with sessions", red, func(p Point) float64 { return p.ServerBytes }},
+		chart("one server: bytes per second", "B/s", points, series{"with sessions", red, func(p Point) float64 { return p.ServerBytes }},
 			series{"configuration alone", blue, func(p Point) float64 { return p.ServerConfig }}),
-		chart("memory of a process", "MB", points, series{"order server, the most", blue, func(p Point) float64 { return float64(p.ServerMemory) / (1 << 20) }},
-			series{"relay, the most", green, func(p Point) float64 { return float64(p.RelayMemory) / (1 << 20) }},
-			series{"copy of the store, the most", red, func(p Point) float64 { return float64(p.LeaderMemory) / (1 << 20) }}),
+		chart("memory per process", "MB", points, series{"order server, maximum", blue, func(p Point) float64 { return float64(p.ServerMemory) / (1 << 20) }},
+			series{"relay, maximum", green, func(p Point) float64 { return float64(p.RelayMemory) / (1 << 20) }},
+			series{"store replica, maximum", red, func(p Point) float64 { return float64(p.LeaderMemory) / (1 << 20) }}),
 	}
 }
 
@@ -89,23 +89,24 @@
 <html lang="en"><head><meta charset="utf-8"><title>puffinsaddle scale run</title>
 <style>body{font-family:sans-serif;margin:24px;max-width:1140px}table{border-collapse:collapse;font-size:13px}td,th{border:1px solid #ccc;padding:2px 8px;text-align:left}.bad{color:#b00}svg{margin:8px}</style></head><body>
 <h1>puffinsaddle scale run</h1>
-<p>seed {{.Setup.Seed}}, {{.Setup.For}} a phase, {{.Setup.Zones}} zones in {{.Setup.Regions}} regions, {{.Setup.Routes}} routes, {{.Setup.Tenants}} tenants{{if .Setup.Plant}}, planted: {{.Setup.Plant}}{{end}}</p>
-<p>{{.Result.Violations}} invariants broken</p>{{range .Violations}}<p class="bad">{{.}}</p>{{end}}
+<p>seed {{.Setup.Seed}}, {{.Setup.For}} per phase, {{.Setup.Zones}} zones in {{.Setup.Regions}} regions, {{.Setup.Routes}} routes, {{.Setup.Tenants}} tenants{{if .Setup.Plant}}, injected bug: {{.Setup.Plant}}{{end}}</p>
+<p>{{.Result.Violations}} invariant violations</p>{{range .Violations}}<p class="bad">{{.}}</p>{{end}}
 {{range .Charts}}{{.}}{{end}}
 <h2>Points</h2><table>{{range .Result.Points}}<tr><td>{{printf "%+v" .}}</td></tr>{{end}}</table>
 <h2>Faults</h2><table><tr><th>size</th><th>kind</th><th>hit</th><th>ms</th></tr>{{range .Faults}}<tr><td>{{.Size}}</td><td>{{.Kind}}</td><td>{{.Hit}}</td><td>{{printf "%.0f" .Ms}}</td></tr>{{end}}</table>
 {{range .Notes}}<p>{{.}}</p>{{end}}
 </body></html>`))
 
+// faultRow is an injected fault as the report page shows it.
 type faultRow struct {
 	Size      int
 	Kind, Hit string
 	Ms        float64
 }
 
-const maxShown = 50 // violations on the page
+const maxShown = 50 // maximum number of violations on the page
 
-// writeReport writes the page.
+// writeReport writes the report page as HTML.
 func writeReport(path string, s Setup, r Result, o *outcome, found *findings) error {
 	f, err := os.Create(path)
 	if err != nil {
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -22,16 +22,16 @@
 	convergeWithin  = 60 * time.Second
 	presentWithin   = 60 * time.Second
 	steadyPerSecond = changesADay / 86400
-	faultPerSecond  = 2.0 // changes while faults are made
-	warmUp          = time.Second
-	sessionsMs      = 6000.0 // in which all sessions of a size open
+	faultPerSecond  = 2.0         // changes per second while faults are injected
+	warmUp          = time.Second // before a measurement starts
+	sessionsMs      = 6000.0      // period over which all sessions of a size open
 	publishedDir    = "published"
 	manifestName    = "SUMS"
-	todayBytes      = 64 << 10 // of a file that is published the way it is done without relays
-	todayEvery      = 5 * time.Second
+	todayBytes      = 64 << 10        // minimum size of a file that is published whole, as without relays
+	todayEvery      = 5 * time.Second // interval between published versions
 )
 
-// run is one run.
+// run is the state of one run of the scale test.
 type run struct {
 	*fleet
 	steady      *clock.Clock
@@ -42,10 +42,10 @@
 	spans       []span
 }
 
-// span is the time of one size on the machine's clock.
+// span is a period in ms of the machine's monotonic clock.
 type span struct{ from, to float64 }
 
-// outcome is what a run left behind.
+// outcome is what a run leaves for the checker and the report, besides the traces.
 type outcome struct {
 	setup   Setup
 	points  []Point
@@ -53,16 +53,18 @@
 	made    []made
 	notes   []string
 	crash   []string
-	zoneOf  map[string]string // of relays and real servers
+	zoneOf  map[string]string // zone by name, of relays and real servers
 	bursts  []span
-	problem []string // what did not converge
+	problem []string // phases that did not converge
 }
 
+// note adds a note to the report.
 func (r *run) note(format string, a ...any) { r.notes = append(r.notes, fmt.Sprintf(format, a...)) }
 
+// say prints a line of progress.
 func (r *run) say(format string, a ...any) { fmt.Fprintf(r.out, format+"\n", a...) }
 
-// play makes the run. An error is one of the laboratory; what the processes did wrong is in the outcome.
+// play executes the run. It returns an error if the test itself fails; failures of the tested processes are part of the outcome.
 func play(ctx context.Context, s Setup, out io.Writer) (*outcome, error) {
 	f, err := newFleet(s)
 	if err != nil {
@@ -93,7 +95,7 @@
 	return o, nil
 }
 
-// begin starts the copies, fills the store, and starts relays and real servers.
+// begin starts the store replicas, loads the records, and starts the relays and real servers.
 func (r *run) begin(ctx context.Context) (*writer, error) {
 	if r.Today {
 		if err := r.publish(0); err != nil {
@@ -103,7 +105,7 @@
 	if err := r.startAll(r.copies); err != nil {
 		return nil, err
 	}
-	if err := waitFor(readyWithin, "no copy leads", func() (bool, string) { return ctx.Err() != nil || r.leader() != nil, "" }); err != nil {
+	if err := waitFor(readyWithin, "store has no leader", func() (bool, string) { return ctx.Err() != nil || r.leader() != nil, "" }); err != nil {
 		return nil, err
 	}
 	w := newWriter(ctx, r.fleet)
@@ -124,7 +126,7 @@
 	return w, nil
 }
 
-// position is where the real servers and the relays are: at the latest revision, all with the same records.
+// position waits until the processes have converged, and returns their common position.
 func (r *run) position(ctx context.Context, w *writer) (p distribution.Position, err error) {
 	if err := r.converge(ctx, w); err != nil {
 		return p, err
@@ -137,9 +139,9 @@
 	return p, p.Digest.UnmarshalText([]byte(v.Records.Digest))
 }
 
-// converge waits until all that run have the latest revision.
+// converge waits until all running processes have the latest revision.
 func (r *run) converge(ctx context.Context, w *writer) error {
-	return waitFor(convergeWithin, "not all have the latest revision", func() (bool, string) {
+	return waitFor(convergeWithin, "not all processes have the latest revision", func() (bool, string) {
 		if ctx.Err() != nil {
 			return true, ""
 		}
@@ -147,7 +149,7 @@
 		for _, p := range r.servers {
 			var v serverFigures
 			if err := readFigures(p.figures, &v); err != nil || v.Records == nil || v.Records.Revision < latest {
-				return false, fmt.Sprintf("%s is behind %d (%v)", p.name, latest, err)
+				return false, fmt.Sprintf("%s has not reached revision %d (%v)", p.name, latest, err)
 			}
 		}
 		for _, p := range r.relays {
@@ -157,19 +159,19 @@
 				} `json:"serving"`
 			}
 			if err := readFigures(p.figures, &v); err != nil || v.Serving.Revision < latest {
-				return false, fmt.Sprintf("%s is behind %d (%v)", p.name, latest, err)
+				return false, fmt.Sprintf("%s has not reached revision %d (%v)", p.name, latest, err)
 			}
 		}
 		for _, h := range r.hollows {
 			if a, err := h.order(hollowOrder{Kind: orderFigures}); err != nil || a.Lowest < latest {
-				return false, fmt.Sprintf("%s is at %d of %d (%v)", h.name, a.Lowest, latest, err)
+				return false, fmt.Sprintf("%s is at revision %d of %d (%v)", h.name, a.Lowest, latest, err)
 			}
 		}
 		return true, ""
 	})
 }
 
-// point plays one size: without sessions, with them, and with faults.
+// point measures one size: first without sessions, then with them, and at last under faults.
 func (r *run) point(ctx context.Context, o *outcome, i, servers int, w *writer) (p Point, err error) {
 	at, err := r.position(ctx, w)
 	if err != nil {
@@ -198,7 +200,7 @@
 			return p, err
 		}
 		if err := r.present(ctx); err != nil {
-			o.problem = append(o.problem, fmt.Sprintf("%d servers open sessions: %v", servers, err))
+			o.problem = append(o.problem, fmt.Sprintf("%d servers, opening sessions: %v", servers, err))
 		}
 		r.fill(&p, config, r.measured(ctx, o, w))
 	}
@@ -209,11 +211,11 @@
 	}
 	r.faults(ctx, i, w)
 	if err := r.converge(ctx, w); err != nil && ctx.Err() == nil {
-		o.problem = append(o.problem, fmt.Sprintf("%d servers after the faults: %v", servers, err))
+		o.problem = append(o.problem, fmt.Sprintf("%d servers, revisions after the faults: %v", servers, err))
 	}
 	if r.Sessions {
 		if err := r.present(ctx); err != nil && ctx.Err() == nil {
-			o.problem = append(o.problem, fmt.Sprintf("%d servers after the faults: %v", servers, err))
+			o.problem = append(o.problem, fmt.Sprintf("%d servers, sessions after the faults: %v", servers, err))
 		}
 	}
 	r.memory(&p)
@@ -225,26 +227,26 @@
 	r.spans = append(r.spans, s)
 	_, after := w.agreed()
 	p.Changes = after - before
-	r.say("%d servers: %d changes, leader %.4f of a core and %.0f bytes a second for configuration, %.4f and %.0f for sessions", servers, p.Changes,
+	r.say("%d servers: %d changes; leader uses %.4f cores and %.0f bytes per second for configuration, %.4f and %.0f for sessions", servers, p.Changes,
 		p.LeaderConfigCPU, p.LeaderConfigBytes, p.LeaderSessionCPU, p.LeaderSessionBytes)
 	return p, ctx.Err()
 }
 
 const phaseTries = 3
 
-// measured measures one phase. One in which another copy took office tells nothing of the copy that leads, and is played again.
+// measured measures one phase. It repeats the phase if the leader changed, because the leader's counters are then not comparable.
 func (r *run) measured(ctx context.Context, o *outcome, w *writer) (rate rates) {
 	for range phaseTries {
 		if rate = r.phase(ctx, o, w); rate.oneLeader || ctx.Err() != nil {
 			return rate
 		}
-		r.note("another copy took office while %d servers were measured", r.hollowCount+r.Real)
+		r.note("the store leader changed while %d servers were measured", r.hollowCount+r.Real)
 	}
-	o.problem = append(o.problem, fmt.Sprintf("no copy leads for a whole phase of %s, in %d of them", r.For, phaseTries))
+	o.problem = append(o.problem, fmt.Sprintf("no replica led the store for a whole phase of %s, in %d attempts", r.For, phaseTries))
 	return rate
 }
 
-// phase runs one phase of changes, with a burst in its middle.
+// phase makes changes for one phase, with a burst in its middle, and returns the rates of the phase.
 func (r *run) phase(ctx context.Context, o *outcome, w *writer) rates {
 	pause(ctx, warmUp)
 	first := r.take()
@@ -263,6 +265,7 @@
 	return between(first, r.take())
 }
 
+// fill sets the rates of a point. config was measured without sessions, both with sessions and configuration.
 func (r *run) fill(p *Point, config, both rates) {
 	p.LeaderConfigBytes, p.LeaderConfigCPU = config.configBytes, config.leaderCPU
 	p.LeaderSessionBytes, p.LeaderSessionCPU = both.sessionBytes, max(both.leaderCPU-config.leaderCPU, 0)
@@ -272,6 +275,7 @@
 	p.ServerConfig, p.ServerConfigCPU = config.hollowBytes/n, config.hollowCPU/n
 }
 
+// memory sets the maximum memory of each kind of process.
 func (r *run) memory(p *Point) {
 	most := func(all []*process) (most int64) {
 		for _, q := range all {
@@ -284,7 +288,7 @@
 	p.ServerMemory, p.RelayMemory, p.LeaderMemory = most(r.servers), most(r.relays), most(r.copies)
 }
 
-// present waits until every hollow server's session has a presence in force.
+// present waits until the presence of every simulated server is in force.
 func (r *run) present(ctx context.Context) error {
 	return waitFor(presentWithin, "not all servers are present", func() (bool, string) {
 		n := 0
@@ -297,7 +301,7 @@
 	})
 }
 
-// faults makes the faults of one size, with changes going on.
+// faults injects the faults of one size while changes are made.
 func (r *run) faults(ctx context.Context, point int, w *writer) {
 	during, stop := context.WithTimeout(ctx, r.For)
 	defer stop()
@@ -307,7 +311,7 @@
 	wait.Wait()
 }
 
-// today measures what a file costs that is published whole, to each server by the copy that leads.
+// today measures the cost of publishing a whole file without relays, where the leader sends it to each server.
 func (r *run) today(ctx context.Context, p *Point) error {
 	pause(ctx, warmUp)
 	first := r.take()
@@ -322,7 +326,7 @@
 	return nil
 }
 
-// publish writes another version of a file, with its manifest.
+// publish writes another version of the published file, with its manifest.
 func (r *run) publish(version int) error {
 	dir := filepath.Join(r.Out, publishedDir)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -20,30 +20,30 @@
 func TestOneSeedGivesOneSchedule(t *testing.T) {
 	a, b := schedule(7), schedule(7)
 	if !reflect.DeepEqual(a, b) || len(a) != len(faultKinds) {
-		t.Errorf("%d and %d faults", len(a), len(b))
+		t.Errorf("the schedules differ or are incomplete: %d and %d faults", len(a), len(b))
 	}
 	if reflect.DeepEqual(a, schedule(8)) {
-		t.Error("another seed gives the same")
+		t.Error("another seed gives the same schedule")
 	}
 	for i, f := range a {
 		if f.At < 0 || f.At+f.For > 1 || i > 0 && f.At < a[i-1].At+a[i-1].For {
-			t.Errorf("%+v", f)
+			t.Errorf("fault outside the phase or overlapping: %+v", f)
 		}
 	}
 }
 
-// Wrong use is refused with the reason, before anything starts.
+// Invalid flags must be rejected with the reason before any process starts.
 func TestWrongUseIsRefused(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for reason, change := range map[string]func(c *Cmd){
-		"does not rise":                func(c *Cmd) { c.Servers = []int{300, 300} },
+		"sizes must rise":              func(c *Cmd) { c.Servers = []int{300, 300} },
 		"at most":                      func(c *Cmd) { c.Servers = []int{300, 30000} },
 		"are fewer than":               func(c *Cmd) { c.Servers = []int{0} },
-		"names no size":                func(c *Cmd) { c.Servers = nil },
-		"no plant":                     func(c *Cmd) { c.Plant = "weeds" },
+		"names no fleet size":          func(c *Cmd) { c.Servers = nil },
+		"--plant: unknown bug":         func(c *Cmd) { c.Plant = "no-such-bug" },
 		"--for must":                   func(c *Cmd) { c.For = 0 },
 		"--regions must":               func(c *Cmd) { c.Regions = 30 },
 		"--real must":                  func(c *Cmd) { c.Real = 0 },
@@ -55,12 +55,12 @@
 		c := Cmd{Servers: []int{300, 1000}, For: time.Second, Out: filepath.Join(t.TempDir(), "out"), Zones: 23, Regions: 6, Real: 6, Routes: 1000, Tenants: 1000, Sessions: true}
 		change(&c)
 		if err := c.Run(&bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), reason) {
-			t.Errorf("%s: %v", reason, err)
+			t.Errorf("error must contain %q: %v", reason, err)
 		}
 	}
 }
 
-// story is what one server wrote down, over three revisions that were agreed on.
+// story returns the violations in the trace of one server, where the store committed three revisions.
 func story(t *testing.T, events ...trace.Event) []string {
 	t.Helper()
 	out := t.TempDir()
@@ -88,7 +88,7 @@
 	return check(&outcome{setup: Setup{Out: out}, points: make([]Point, 1), spans: []span{{0, 100}}}).violations
 }
 
-// The checker finds each way in which a server may go wrong, and nothing in one that did not.
+// The checker must find each kind of violation, and none in a correct trace.
 func TestCheckerFindsWhatIsWrong(t *testing.T) {
 	force := func(at float64, from, to uint64, digest string) trace.Event {
 		return trace.Event{At: at, What: trace.InForce, Index: from, N: to, Text: digest}
@@ -97,26 +97,26 @@
 		return trace.Event{At: at, What: trace.Installed, N: n, Text: digest}
 	}
 	if v := story(t, install(5, 0, ""), force(12, 1, 1, "d1"), force(31, 2, 3, "d3"), trace.Event{At: 32, What: trace.Reported, N: 3}); len(v) > 0 {
-		t.Errorf("nothing is wrong: %v", v)
+		t.Errorf("violations in a correct trace: %v", v)
 	}
 	for want, events := range map[string][]trace.Event{
 		"skipped":                 {force(12, 1, 1, "d1"), force(31, 3, 3, "d3")},
 		"doubled or out of order": {force(12, 1, 1, "d1"), force(21, 1, 2, "d2"), force(31, 3, 3, "d3")},
-		"never agreed on":         {force(12, 1, 1, "d1"), force(31, 2, 3, "d3"), force(41, 4, 4, "d4")},
-		"and agreed on was":       {force(12, 1, 1, "d1"), force(31, 2, 3, "dx")},
-		"before it was agreed on": {force(12, 1, 1, "d1"), force(25, 2, 3, "d3")},
+		"never committed":         {force(12, 1, 1, "d1"), force(31, 2, 3, "d3"), force(41, 4, 4, "d4")},
+		"the committed digest is": {force(12, 1, 1, "d1"), force(31, 2, 3, "dx")},
+		"before it was committed": {force(12, 1, 1, "d1"), force(25, 2, 3, "d3")},
 		"reported revision":       {force(12, 1, 1, "d1"), {At: 25, What: trace.Reported, N: 3}, force(31, 2, 3, "d3")},
-		"took a snapshot as of":   {install(31, 3, "d2")},
-		"ended at revision":       {force(12, 1, 1, "d1")},
+		"installed a snapshot of revision 3 with digest": {install(31, 3, "d2")},
+		"ended at revision": {force(12, 1, 1, "d1")},
 	} {
 		found := story(t, events...)
 		if len(found) == 0 || !strings.Contains(strings.Join(found, "\n"), want) {
-			t.Errorf("%s: %v", want, found)
+			t.Errorf("violations must contain %q: %v", want, found)
 		}
 	}
 }
 
-// build builds the program for runs of the laboratory.
+// build builds the program and returns its path.
 func build(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "puffinsaddle")
@@ -126,12 +126,12 @@
 	return binary
 }
 
-// small is the command line of a small run.
+// small returns the arguments of a small run.
 func small(t *testing.T, args ...string) []string {
 	return append([]string{"lab", "scale", "--servers", "20", "--zones", "4", "--regions", "2", "--real", "2", "--routes", "300", "--tenants", "900", "--for", "4s", "--out", t.TempDir()}, args...)
 }
 
-// processesOf lists the processes that run a program.
+// processesOf returns the ids of the processes that run a program.
 func processesOf(t *testing.T, binary string) (pids []string) {
 	t.Helper()
 	links, err := filepath.Glob("/proc/[0-9]*/exe")
@@ -146,7 +146,7 @@
 	return pids
 }
 
-// Ctrl-C in the middle of a run ends it, with a word on why, and every process that it began.
+// An interrupt must end the run with its reason, and every process that the run started.
 func TestInterruptEndsAllProcesses(t *testing.T) {
 	const patience = 2 * time.Minute
 	binary := build(t)
@@ -167,7 +167,7 @@
 		if strings.Contains(lines.Text(), "have them from snapshots") {
 			began = true
 			if n := len(processesOf(t, binary)); n < 10 {
-				t.Errorf("%d processes run", n)
+				t.Errorf("%d processes are running, want at least 10", n)
 			}
 			cmd.Process.Signal(os.Interrupt)
 		}
@@ -175,14 +175,14 @@
 	err = cmd.Wait()
 	var exit *exec.ExitError
 	if !began || !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(errs.String(), "ended before its time") {
-		t.Errorf("began %v; %v; %s", began, err, errs.String())
+		t.Errorf("started %v; exit %v; %s", began, err, errs.String())
 	}
 	if left := processesOf(t, binary); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("processes still running: %v", left)
 	}
 }
 
-// played is a small run's status and result.
+// played executes a small run and returns its exit status, its result and its output.
 func played(t *testing.T, binary string, args ...string) (status int, r Result, text string) {
 	t.Helper()
 	cmd := exec.Command(binary, small(t, args...)...)
@@ -196,7 +196,7 @@
 	return cmd.ProcessState.ExitCode(), r, string(out)
 }
 
-// A small run with every kind of fault breaks nothing, and each planted bug is found.
+// A small run with every kind of fault must have no violations, and each injected bug must be found.
 func TestSmallRunAndPlants(t *testing.T) {
 	binary := build(t)
 	t.Run("none", func(t *testing.T) {
@@ -212,7 +212,7 @@
 	for plant, sign := range map[string]string{
 		distribution.PlantLostChange:       "skipped",
 		distribution.PlantEarlyReport:      "reported revision",
-		distribution.PlantSnapshotRevision: "took a snapshot",
+		distribution.PlantSnapshotRevision: "installed a snapshot",
 	} {
 		t.Run(plant, func(t *testing.T) {
 			t.Parallel()
