--- a/internal/lab/scale/check.go
+++ b/internal/lab/scale/check.go
@@ -16,141 +16,142 @@
 // Trace events of simulated servers, besides those of package trace.
 const (
 	eventDown    = "down"    // the server has stopped
-	eventSpoilt  = "spoilt"  // its replica of the configuration was corrupted, or found to be corrupt
+	eventCorrupt = "spoilt"  // its replica of the configuration was corrupted, or found to be corrupt
 	eventStalled = "stalled" // the server does not read from its connection until Until
 )
 
-// agreed is one commit of the store. Times are in ms of the machine's monotonic clock.
-type agreed struct {
-	at     float64 // when the first replica applied it
-	digest string
+// commit is one commit of the store. Times are in ms of the machine's monotonic clock.
+type commit struct {
+	committedAt float64 // when the first replica applied it
+	digest      string
 }
 
 // findings holds the violations and the measurements that the checker derives from the traces.
 type findings struct {
-	violations []string
-	commits    map[uint64]agreed
-	last       uint64
-	inForce    []*hdrhistogram.Histogram // by size: delay from commit to in force, in microseconds
-	burst      []float64                 // by size: the longest delay of a commit in a burst, in ms
-	catchUp    []float64                 // by size: the longest time to catch up after an outage or a snapshot, in ms
-	faults     []int                     // by size: injected faults
+	violations     []string
+	commits        map[uint64]commit
+	lastRevision   uint64
+	inForceDelays  []*hdrhistogram.Histogram // by size: delay from commit to in force, in microseconds
+	maxBurstDelays []float64                 // by size: the longest delay of a commit in a burst, in ms
+	maxCatchUps    []float64                 // by size: the longest time to catch up after an outage or a snapshot, in ms
+	faultCounts    []int                     // by size: injected faults
 }
 
-func (f *findings) broken(format string, a ...any) {
+// addViolation records a violation.
+func (f *findings) addViolation(format string, a ...any) {
 	f.violations = append(f.violations, fmt.Sprintf(format, a...))
 }
 
-// fill copies the measurements of size i into its point.
-func (f *findings) fill(p *Point, i int) {
-	at := func(q float64) float64 { return float64(f.inForce[i].ValueAtQuantile(q)) / 1000 }
-	p.InForceP50, p.InForceP99, p.InForceMax = at(50), at(99), float64(f.inForce[i].Max())/1000
-	p.Faults, p.CatchUpMax, p.BurstMax = f.faults[i], f.catchUp[i], f.burst[i]
+// fillPoint copies the measurements of size i into its point.
+func (f *findings) fillPoint(p *Point, i int) {
+	quantile := func(q float64) float64 { return float64(f.inForceDelays[i].ValueAtQuantile(q)) / 1000 }
+	p.InForceP50, p.InForceP99, p.InForceMax = quantile(50), quantile(99), float64(f.inForceDelays[i].Max())/1000
+	p.Faults, p.CatchUpMax, p.BurstMax = f.faultCounts[i], f.maxCatchUps[i], f.maxBurstDelays[i]
 }
 
-const longest = int64(10 * 60 * 1e6) // upper bound of the histograms: ten minutes in microseconds
+const maxDelayMicros = int64(10 * 60 * 1e6) // upper bound of the histograms: ten minutes in microseconds
 
-// check reads the traces of all processes and verifies them against the commits of the store.
-func check(o *outcome) *findings {
-	f := &findings{commits: map[uint64]agreed{}}
+// checkTraces reads the traces of all processes and verifies them against the commits of the store.
+func checkTraces(o *outcome) *findings {
+	f := &findings{commits: map[uint64]commit{}}
 	n := len(o.points)
 	for range n {
-		f.inForce = append(f.inForce, hdrhistogram.New(1, longest, 3))
+		f.inForceDelays = append(f.inForceDelays, hdrhistogram.New(1, maxDelayMicros, 3))
 	}
-	f.burst, f.catchUp, f.faults = make([]float64, n), make([]float64, n), make([]int, n)
-	for _, m := range o.made {
-		f.faults[m.Point]++
+	f.maxBurstDelays, f.maxCatchUps, f.faultCounts = make([]float64, n), make([]float64, n), make([]int, n)
+	for _, m := range o.injectedFaults {
+		f.faultCounts[m.Point]++
 	}
-	for _, c := range o.crash {
-		f.broken("crash: %s", c)
+	for _, c := range o.unexpectedExits {
+		f.addViolation("crash: %s", c)
 	}
-	for _, p := range o.problem {
-		f.broken("not converged: %s", p)
+	for _, p := range o.unconverged {
+		f.addViolation("not converged: %s", p)
 	}
 	files, err := filepath.Glob(filepath.Join(o.setup.Out, "traces", "*.trace"))
 	if err != nil {
-		f.broken("%v", err)
+		f.addViolation("%v", err)
 		return f
 	}
-	followers := map[string][]trace.Event{} // by process, over all its incarnations
+	eventsByProcess := map[string][]trace.Event{} // by process, over all its incarnations
 	for _, path := range files {
 		events, err := trace.Read(path)
 		if err != nil {
-			f.broken("%v", err)
+			f.addViolation("%v", err)
 			continue
 		}
 		if name := filepath.Base(path); strings.HasPrefix(name, "c") {
-			f.agree(events)
+			f.collectCommits(events)
 			continue
 		}
 		for _, e := range events {
-			who, _, _ := strings.Cut(e.Who, "#")
-			followers[who] = append(followers[who], e)
+			processName, _, _ := strings.Cut(e.Who, "#")
+			eventsByProcess[processName] = append(eventsByProcess[processName], e)
 		}
 	}
-	f.checkChain()
-	for who, events := range followers {
+	f.checkRevisionsComplete()
+	for processName, events := range eventsByProcess {
 		slices.SortStableFunc(events, func(a, b trace.Event) int { return cmp.Compare(a.At, b.At) })
-		f.follow(o, who, events)
+		f.checkProcess(o, processName, events)
 	}
 	slices.Sort(f.violations)
 	return f
 }
 
-// agree collects the commits of one store replica's trace, and checks that the replicas agree on their digests.
-func (f *findings) agree(events []trace.Event) {
-	applied := map[uint64]float64{}
+// collectCommits collects the commits of one store replica's trace, and checks that the replicas agree on their digests.
+func (f *findings) collectCommits(events []trace.Event) {
+	appliedAt := map[uint64]float64{}
 	for _, e := range events {
 		switch {
 		case e.What == trace.Applied && e.Text == state.OpChangeRecords && e.Cause == "":
-			applied[e.N] = e.At
+			appliedAt[e.N] = e.At
 		case e.What == trace.Agreed:
-			at, ok := applied[e.N]
+			at, ok := appliedAt[e.N]
 			if !ok {
 				at = e.At
 			}
 			c, known := f.commits[e.N]
 			if known && c.digest != e.Text {
-				f.broken("store replicas differ: revision %d has digests %s and %s", e.N, c.digest, e.Text)
+				f.addViolation("store replicas differ: revision %d has digests %s and %s", e.N, c.digest, e.Text)
 			}
-			if !known || at < c.at {
-				f.commits[e.N] = agreed{at, e.Text}
+			if !known || at < c.committedAt {
+				f.commits[e.N] = commit{at, e.Text}
 			}
-			f.last = max(f.last, e.N)
+			f.lastRevision = max(f.lastRevision, e.N)
 		}
 	}
 }
 
-// checkChain checks that the commits have no gap in their revisions.
-func (f *findings) checkChain() {
-	for n := uint64(1); n <= f.last; n++ {
+// checkRevisionsComplete checks that the commits have no gap in their revisions.
+func (f *findings) checkRevisionsComplete() {
+	for n := uint64(1); n <= f.lastRevision; n++ {
 		if _, ok := f.commits[n]; !ok {
-			f.broken("revision %d of %d was applied by no store replica", n, f.last)
+			f.addViolation("revision %d of %d was applied by no store replica", n, f.lastRevision)
 			return
 		}
 	}
 }
 
 // outage is a period in which a process could not receive commits, because it was partitioned, down or not reading.
-type outage struct{ from, to float64 }
+type outage struct{ fromMS, toMS float64 }
 
-// outages returns the outages of one process, from the injected faults and from its own trace.
-func (o *outcome) outages(who, zone string, events []trace.Event) (all []outage) {
-	for _, m := range o.made {
-		if m.cutOff(zone) || slices.Contains(m.Down, who) {
-			all = append(all, outage{m.From, m.To})
+// outagesOf returns the outages of one process, from the injected faults and from its own trace.
+func (o *outcome) outagesOf(processName, zone string, events []trace.Event) (all []outage) {
+	for _, m := range o.injectedFaults {
+		if m.cutsZone(zone) || slices.Contains(m.DownProcesses, processName) {
+			all = append(all, outage{m.FromMS, m.ToMS})
 		}
 	}
-	down := -1.0
+	stoppedAt := -1.0
 	for _, e := range events {
 		switch e.What {
 		case eventDown:
-			down = e.At
+			stoppedAt = e.At
 		case trace.Up:
-			if down >= 0 {
-				all = append(all, outage{down, e.At})
+			if stoppedAt >= 0 {
+				all = append(all, outage{stoppedAt, e.At})
 			}
-			down = -1
+			stoppedAt = -1
 		case eventStalled:
 			all = append(all, outage{e.At, e.Until})
 		}
@@ -158,19 +159,19 @@
 	return all
 }
 
-// zone returns the zone of a process. The names of simulated servers begin with their zone.
-func (o *outcome) zone(who string) string {
-	if z, ok := o.zoneOf[who]; ok {
+// zoneOfProcess returns the zone of a process. The names of simulated servers begin with their zone.
+func (o *outcome) zoneOfProcess(processName string) string {
+	if z, ok := o.zoneOf[processName]; ok {
 		return z
 	}
-	zone, _, _ := strings.Cut(who, "-")
+	zone, _, _ := strings.Cut(processName, "-")
 	return zone
 }
 
-// pointOf returns the index of the size that was running at a time, or -1.
-func (o *outcome) pointOf(at float64) int {
-	for i, s := range o.spans {
-		if at >= s.from && at <= s.to {
+// pointAt returns the index of the size that was running at a time, or -1.
+func (o *outcome) pointAt(timeMS float64) int {
+	for i, s := range o.sizeSpans {
+		if timeMS >= s.fromMS && timeMS <= s.toMS {
 			return i
 		}
 	}
@@ -178,128 +179,128 @@
 }
 
 // inBurst reports whether a time is within a burst of changes.
-func (o *outcome) inBurst(at float64) bool {
-	return slices.ContainsFunc(o.bursts, func(b span) bool { return at >= b.from && at <= b.to })
+func (o *outcome) inBurst(timeMS float64) bool {
+	return slices.ContainsFunc(o.bursts, func(b span) bool { return timeMS >= b.fromMS && timeMS <= b.toMS })
 }
 
-// follower tracks the revision of one process while the checker reads its events.
-type follower struct {
-	who      string
-	revision uint64
-	digest   string
-	up       float64 // when the current incarnation started
-	spoilt   bool    // the current incarnation started without a replica of the records, or with a corrupt one
+// processProgress tracks the revision of one process while the checker reads its events.
+type processProgress struct {
+	name         string
+	revision     uint64
+	digest       string
+	startedAt    float64 // when the current incarnation started
+	lacksRecords bool    // the incarnation has no snapshot yet: it started without records, or they were corrupt
 }
 
-// follow checks the events of one process over all its incarnations.
-func (f *findings) follow(o *outcome, who string, events []trace.Event) {
-	outages := o.outages(who, o.zone(who), events)
-	p := follower{who: who}
+// checkProcess checks the events of one process over all its incarnations.
+func (f *findings) checkProcess(o *outcome, processName string, events []trace.Event) {
+	outages := o.outagesOf(processName, o.zoneOfProcess(processName), events)
+	p := processProgress{name: processName}
 	for _, e := range events {
 		switch e.What {
 		case trace.Up:
-			p.up, p.spoilt = e.At, false
-		case eventSpoilt:
-			p.spoilt = true
+			p.startedAt, p.lacksRecords = e.At, false
+		case eventCorrupt:
+			p.lacksRecords = true
 		case trace.Installed:
-			f.installed(o, &p, e)
+			f.checkInstalled(o, &p, e)
 		case trace.InForce:
-			f.cameIntoForce(o, &p, e, outages)
+			f.checkInForce(o, &p, e, outages)
 		case trace.Reported:
 			if e.N > p.revision {
-				f.broken("%s reported revision %d at %.1f ms, but revision %d was in force", who, e.N, e.At, p.revision)
+				f.addViolation("%s reported revision %d at %.1f ms, but revision %d was in force", processName, e.N, e.At, p.revision)
 			}
 		}
 	}
 	// The processes of an earlier size stopped at the end of that size, at the revision of that time.
-	if last := f.expected(o, events); p.revision != last {
-		f.broken("%s ended at revision %d, but the latest was %d", who, p.revision, last)
+	if last := f.expectedRevision(o, events); p.revision != last {
+		f.addViolation("%s ended at revision %d, but the latest was %d", processName, p.revision, last)
 	}
 }
 
-// expected returns the revision that a process must have reached: the latest one at the time when it stopped, or of the whole run
-// if its trace doesn't end with a stop.
-func (f *findings) expected(o *outcome, events []trace.Event) uint64 {
+// expectedRevision returns the revision that a process must have reached: the latest one at the time when it stopped, or of
+// the whole run if its trace doesn't end with a stop.
+func (f *findings) expectedRevision(o *outcome, events []trace.Event) uint64 {
 	if len(events) == 0 {
 		return 0
 	}
-	ended := events[len(events)-1]
-	if ended.What != eventDown {
-		return f.last
+	lastEvent := events[len(events)-1]
+	if lastEvent.What != eventDown {
+		return f.lastRevision
 	}
-	last := uint64(0)
+	latest := uint64(0)
 	for n, c := range f.commits {
-		if c.at <= ended.At {
-			last = max(last, n)
+		if c.committedAt <= lastEvent.At {
+			latest = max(latest, n)
 		}
 	}
-	return last
+	return latest
 }
 
-// installed checks a snapshot that a process installed, or the state that it loaded at its start.
-func (f *findings) installed(o *outcome, p *follower, e trace.Event) {
+// checkInstalled checks a snapshot that a process installed, or the state that it loaded at its start.
+func (f *findings) checkInstalled(o *outcome, p *processProgress, e trace.Event) {
 	if c, ok := f.commits[e.N]; e.N > 0 && !ok {
-		f.broken("%s installed a snapshot of revision %d, which was never committed", p.who, e.N)
+		f.addViolation("%s installed a snapshot of revision %d, which was never committed", p.name, e.N)
 	} else if ok && c.digest != e.Text {
-		f.broken("%s installed a snapshot of revision %d with digest %s, but the committed digest is %s", p.who, e.N, e.Text, c.digest)
-	} else if ok && c.at > e.At {
-		f.broken("%s had revision %d before it was committed", p.who, e.N)
+		f.addViolation("%s installed a snapshot of revision %d with digest %s, but the committed digest is %s", p.name, e.N, e.Text, c.digest)
+	} else if ok && c.committedAt > e.At {
+		f.addViolation("%s had revision %d before it was committed", p.name, e.N)
 	}
-	if point := o.pointOf(e.At); point >= 0 && e.N > 0 && p.spoilt && p.up > 0 {
-		f.catchUp[point] = max(f.catchUp[point], e.At-p.up)
+	if point := o.pointAt(e.At); point >= 0 && e.N > 0 && p.lacksRecords && p.startedAt > 0 {
+		f.maxCatchUps[point] = max(f.maxCatchUps[point], e.At-p.startedAt)
 	}
-	p.spoilt = e.N == 0 || p.spoilt && e.At <= p.up
+	p.lacksRecords = e.N == 0 || p.lacksRecords && e.At <= p.startedAt
 	p.revision, p.digest = e.N, e.Text
 }
 
-// cameIntoForce checks commits that a process put into force: their order, their digest and their delay.
-func (f *findings) cameIntoForce(o *outcome, p *follower, e trace.Event, outages []outage) {
+// checkInForce checks commits that a process put into force: their order, their digest and their delay.
+func (f *findings) checkInForce(o *outcome, p *processProgress, e trace.Event, outages []outage) {
 	if e.Index != p.revision+1 {
 		kind := "skipped"
 		if e.Index <= p.revision {
 			kind = "doubled or out of order"
 		}
-		f.broken("%s: %s: revision %d came into force after revision %d", p.who, kind, e.Index, p.revision)
+		f.addViolation("%s: %s: revision %d came into force after revision %d", p.name, kind, e.Index, p.revision)
 	}
 	p.revision, p.digest = e.N, e.Text
 	c, ok := f.commits[e.N]
 	switch {
 	case !ok:
-		f.broken("%s put revision %d into force, which was never committed", p.who, e.N)
+		f.addViolation("%s put revision %d into force, which was never committed", p.name, e.N)
 		return
 	case c.digest != e.Text:
-		f.broken("%s has digest %s at revision %d, but the committed digest is %s", p.who, e.Text, e.N, c.digest)
+		f.addViolation("%s has digest %s at revision %d, but the committed digest is %s", p.name, e.Text, e.N, c.digest)
 	}
 	for n := e.Index; n <= e.N; n++ {
 		if c, ok := f.commits[n]; ok {
-			f.late(o, c.at, e.At, outages)
+			f.recordDelay(o, c.committedAt, e.At, outages)
 		}
 	}
 }
 
-// late records the delay of a commit until it was in force at one process. If an outage delayed it, the time counts from the
-// end of that outage, as catching up.
-func (f *findings) late(o *outcome, from, to float64, outages []outage) {
-	if to < from {
-		f.broken("a revision came into force %.1f ms before it was committed", from-to)
+// recordDelay records the delay of a commit until it was in force at one process. If an outage delayed it, the time counts
+// from the end of that outage, as catching up.
+func (f *findings) recordDelay(o *outcome, committedAt, inForceAt float64, outages []outage) {
+	if inForceAt < committedAt {
+		f.addViolation("a revision came into force %.1f ms before it was committed", committedAt-inForceAt)
 		return
 	}
-	point := o.pointOf(from)
+	point := o.pointAt(committedAt)
 	if point < 0 {
 		return
 	}
-	healed := -1.0
-	for _, out := range outages {
-		if out.from <= to && out.to >= from {
-			healed = max(healed, out.to)
+	lastOutageEnd := -1.0
+	for _, interval := range outages {
+		if interval.fromMS <= inForceAt && interval.toMS >= committedAt {
+			lastOutageEnd = max(lastOutageEnd, interval.toMS)
 		}
 	}
-	if healed < 0 {
-		f.inForce[point].RecordValue(int64((to - from) * 1000))
-		if o.inBurst(from) {
-			f.burst[point] = max(f.burst[point], to-from)
+	if lastOutageEnd < 0 {
+		f.inForceDelays[point].RecordValue(int64((inForceAt - committedAt) * 1000))
+		if o.inBurst(committedAt) {
+			f.maxBurstDelays[point] = max(f.maxBurstDelays[point], inForceAt-committedAt)
 		}
 		return
 	}
-	f.catchUp[point] = max(f.catchUp[point], to-max(from, min(healed, to)))
+	f.maxCatchUps[point] = max(f.maxCatchUps[point], inForceAt-max(committedAt, min(lastOutageEnd, inForceAt)))
 }
--- a/internal/lab/scale/cmd.go
+++ b/internal/lab/scale/cmd.go
@@ -80,19 +80,19 @@
 	LeaderMemory    int64   `json:"leader_memory_bytes"` // maximum of the store replicas, at the end of the size
 	ServerConfigCPU float64 `json:"server_config_cpu"`   // measured before the sessions open
 	ServerConfig    float64 `json:"server_config_bytes_s"`
-	BurstMax        float64 `json:"burst_in_force_ms_max"` // maximum over the changes of all bursts
-	TodayBytes      float64 `json:"today_leader_bytes_s,omitempty"`
+	BurstMax        float64 `json:"burst_in_force_ms_max"`          // maximum over the changes of all bursts
+	TodayBytes      float64 `json:"today_leader_bytes_s,omitempty"` // Today fields: cost of publishing whole files without relays
 	TodayCPU        float64 `json:"today_leader_cpu,omitempty"`
 	TodayEntries    float64 `json:"today_log_entries_s,omitempty"`
 }
 
 const (
-	maxProcesses  = 300
-	maxServers    = 16384
-	minFor        = time.Second
-	maxFor        = 10 * time.Minute
-	maxRecords    = 1 << 21
-	memoryDivisor = 2 // a run may take the machine's memory divided by this
+	maxProcesses     = 300   // started by a run
+	maxServers       = 16384 // of a size
+	minPhaseDuration = time.Second
+	maxPhaseDuration = 10 * time.Minute
+	maxRecordCount   = 1 << 21 // routes and tenants
+	memoryDivisor    = 2       // a run may take the machine's memory divided by this
 )
 
 // Run lists the faults and the injected bugs, or runs the scale test, checks the traces and writes the report.
@@ -108,23 +108,23 @@
 		}
 		return nil
 	}
-	set, err := c.setup()
+	setup, err := c.validate()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	o, err := play(ctx, set, out)
+	runOutcome, err := execute(ctx, setup, out)
 	if err != nil {
 		return err
 	}
-	found := check(o)
-	for i := range o.points {
-		found.fill(&o.points[i], i)
+	found := checkTraces(runOutcome)
+	for i := range runOutcome.points {
+		found.fillPoint(&runOutcome.points[i], i)
 	}
-	r := Result{Seed: set.Seed, Violations: len(found.violations), Points: o.points}
-	path := filepath.Join(set.Out, "report.html")
-	if err := writeReport(path, set, r, o, found); err != nil {
+	r := Result{Seed: setup.Seed, Violations: len(found.violations), Points: runOutcome.points}
+	path := filepath.Join(setup.Out, "report.html")
+	if err := writeReport(path, setup, r, runOutcome, found); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "report:", path)
@@ -143,11 +143,11 @@
 	return nil
 }
 
-// wrong returns an error of wrong usage.
-func wrong(format string, a ...any) error { return &lab.WrongUse{Text: fmt.Sprintf(format, a...)} }
+// usageError returns an error of wrong usage.
+func usageError(format string, a ...any) error { return &lab.WrongUse{Text: fmt.Sprintf(format, a...)} }
 
-// setup validates the command before any process is started.
-func (c *Cmd) setup() (Setup, error) {
+// validate validates the command before any process is started.
+func (c *Cmd) validate() (Setup, error) {
 	s := Setup{Cmd: *c}
 	var err error
 	if s.Binary, err = os.Executable(); err != nil {
@@ -158,78 +158,78 @@
 	}
 	switch {
 	case len(c.Servers) == 0:
-		return s, wrong("--servers names no fleet size")
+		return s, usageError("--servers names no fleet size")
 	case c.Plant != "" && !slices.Contains(distribution.Plants, c.Plant):
-		return s, wrong("--plant: unknown bug %q; known bugs are %s", c.Plant, strings.Join(distribution.Plants, ", "))
-	case c.For < minFor || c.For > maxFor:
-		return s, wrong("--for must be from %s to %s, not %s", minFor, maxFor, c.For)
+		return s, usageError("--plant: unknown bug %q; known bugs are %s", c.Plant, strings.Join(distribution.Plants, ", "))
+	case c.For < minPhaseDuration || c.For > maxPhaseDuration:
+		return s, usageError("--for must be from %s to %s, not %s", minPhaseDuration, maxPhaseDuration, c.For)
 	case c.Regions < 2 || c.Regions > c.Zones:
-		return s, wrong("--regions must be from 2 to --zones, not %d", c.Regions)
+		return s, usageError("--regions must be from 2 to --zones, not %d", c.Regions)
 	case c.Real < 1:
-		return s, wrong("--real must be 1 or more, not %d", c.Real)
-	case c.Routes < 1 || c.Tenants < 1 || c.Routes+c.Tenants > maxRecords:
-		return s, wrong("--routes and --tenants must be 1 or more, and %d at most together, not %d and %d", maxRecords, c.Routes, c.Tenants)
+		return s, usageError("--real must be 1 or more, not %d", c.Real)
+	case c.Routes < 1 || c.Tenants < 1 || c.Routes+c.Tenants > maxRecordCount:
+		return s, usageError("--routes and --tenants must be 1 or more, and %d at most together, not %d and %d", maxRecordCount, c.Routes, c.Tenants)
 	}
 	for i, n := range c.Servers {
 		switch {
 		case n < c.Real+c.Zones:
-			return s, wrong("--servers: %d are fewer than %d real servers and a simulated one in each of %d zones", n, c.Real, c.Zones)
+			return s, usageError("--servers: %d are fewer than %d real servers and a simulated one in each of %d zones", n, c.Real, c.Zones)
 		case n > maxServers:
-			return s, wrong("--servers: %d is too large, %d at most", n, maxServers)
+			return s, usageError("--servers: %d is too large, %d at most", n, maxServers)
 		case i > 0 && n <= c.Servers[i-1]:
-			return s, wrong("--servers: %d is not greater than %d; sizes must rise", n, c.Servers[i-1])
+			return s, usageError("--servers: %d is not greater than %d; sizes must rise", n, c.Servers[i-1])
 		}
 	}
-	if err := s.fits(); err != nil {
+	if err := s.checkResources(); err != nil {
 		return s, err
 	}
-	return s, writable(s.Out)
+	return s, checkWritable(s.Out)
 }
 
-// processes returns the number of processes at the largest size: store replicas, a relay and a process of simulated servers
+// processCount returns the number of processes at the largest size: store replicas, a relay and a process of simulated servers
 // for each zone, real order servers, and the harness itself.
-func (s Setup) processes() int { return copies + 2*s.Zones + s.Real + 1 }
+func (s Setup) processCount() int { return replicaCount + 2*s.Zones + s.Real + 1 }
 
-// memoryNeed estimates the memory of all processes at the largest size, in bytes. docs/CAPACITY.md has the measurements behind
-// it.
-func (s Setup) memoryNeed() int64 {
+// estimatedMemory estimates the memory of all processes at the largest size, in bytes. docs/CAPACITY.md has the measurements
+// behind it.
+func (s Setup) estimatedMemory() int64 {
 	const (
-		program     = 40 << 20  // bytes of a process without records
-		hollow      = 160 << 10 // bytes of a simulated server
-		routeBytes  = 190
-		tenantBytes = 110
-		ofCopy      = 8 // a store replica's memory, as a multiple of the records: the log, its JSON, garbage not collected yet
-		ofRelay     = 3 // likewise
-		ofServer    = 3 // likewise
+		processBytes         = 40 << 20  // bytes of a process without records
+		simulatedServerBytes = 160 << 10 // bytes of a simulated server
+		routeBytes           = 190
+		tenantBytes          = 110
+		storeReplicaFactor   = 8 // memory as a multiple of the records: the log, its JSON, uncollected garbage
+		relayFactor          = 3 // likewise
+		serverFactor         = 3 // likewise
 	)
-	of := int64(s.Routes)*routeBytes + int64(s.Tenants)*tenantBytes
-	largest := int64(s.Servers[len(s.Servers)-1])
-	return int64(s.processes())*program + largest*hollow + of*int64(copies*ofCopy+s.Zones*ofRelay+s.Real*ofServer)
+	recordBytes := int64(s.Routes)*routeBytes + int64(s.Tenants)*tenantBytes
+	largestSize := int64(s.Servers[len(s.Servers)-1])
+	return int64(s.processCount())*processBytes + largestSize*simulatedServerBytes + recordBytes*int64(replicaCount*storeReplicaFactor+s.Zones*relayFactor+s.Real*serverFactor)
 }
 
-// fits rejects a run that would exceed the limit of processes or of memory.
-func (s Setup) fits() error {
-	if n := s.processes(); n > maxProcesses {
-		return wrong("%d processes would be started, %d at most", n, maxProcesses)
+// checkResources rejects a run that would exceed the limit of processes or of memory.
+func (s Setup) checkResources() error {
+	if n := s.processCount(); n > maxProcesses {
+		return usageError("%d processes would be started, %d at most", n, maxProcesses)
 	}
 	total, err := machineMemory()
 	if err != nil {
 		return err
 	}
-	if need := s.memoryNeed(); need > total/memoryDivisor {
-		return wrong("the run would take about %d MB, but half of the machine's memory is %d MB", need>>20, total/memoryDivisor>>20)
+	if estimate := s.estimatedMemory(); estimate > total/memoryDivisor {
+		return usageError("the run would take about %d MB, but half of the machine's memory is %d MB", estimate>>20, total/memoryDivisor>>20)
 	}
 	return nil
 }
 
-// writable creates the directory and checks that files can be written to it.
-func writable(dir string) error {
+// checkWritable creates the directory and checks that files can be written to it.
+func checkWritable(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return wrong("--out: %v", err)
+		return usageError("--out: %v", err)
 	}
 	f, err := os.CreateTemp(dir, ".probe")
 	if err != nil {
-		return wrong("--out: %v", err)
+		return usageError("--out: %v", err)
 	}
 	return errors.Join(f.Close(), os.Remove(f.Name()))
 }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	copies     = 3      // store replicas
-	copyCores  = 3.0    // of one store replica: with one core, 4,300 sessions that open at once prevent a stable leader
-	electionMs = 1000.0 // with 500 ms, heartbeats arrive too late because all processes of the run share the machine
-	renewMs    = 500.0  // interval at which sessions renew their presence
-	presenceMs = 3000.0 // time to live of a session's presence
-	clockRate  = 0.1    // assumed maximum drift between clocks, as a fraction
-	marginMs   = 50.0   // safety margin of leases
-	dutyTTL    = 3000.0 // ms
-	aloneUnits = 0.001  // downstream calls in flight that a server may have without an allocation
+	replicaCount      = 3      // store replicas
+	replicaCores      = 3.0    // of one store replica: with one core, 4,300 sessions that open at once prevent a stable leader
+	electionTimeoutMS = 1000.0 // with 500 ms, heartbeats arrive too late because all processes of the run share the machine
+	renewIntervalMS   = 500.0  // interval at which sessions renew their presence
+	presenceTTLMS     = 3000.0 // time to live of a session's presence
+	maxClockDrift     = 0.1    // assumed maximum drift between clocks, as a fraction
+	marginMS          = 50.0   // safety margin of leases
+	dutyTTLMS         = 3000.0 // ms
+	unallocatedCalls  = 0.001  // downstream calls in flight that a server may have without an allocation
 )
 
-// terms returns the rules of sessions of servers that are not candidates for any duty.
-func terms(renew, presence float64) duty.Rules {
-	return duty.Rules{ClockBounds: duty.ClockBounds{MaxDrift: clockRate, MarginMS: marginMs}, RenewIntervalMS: renew, PresenceTTLMS: presence}
+// sessionRules returns the rules of sessions of servers that are not candidates for any duty.
+func sessionRules(renewMS, presenceMS float64) duty.Rules {
+	return duty.Rules{ClockBounds: duty.ClockBounds{MaxDrift: maxClockDrift, MarginMS: marginMS}, RenewIntervalMS: renewMS, PresenceTTLMS: presenceMS}
 }
 
-// boundary is a network link between two zones.
-type boundary struct {
+// zoneLink is a network link between two zones.
+type zoneLink struct {
 	link     *lab.Link
 	from, to string // zones
 }
@@ -43,29 +43,29 @@
 // fleet holds all processes of a run and the links between them.
 type fleet struct {
 	Setup
-	spawner *spawner
-	zones   []string
-	regions map[string]string // region by zone
-	copies  []*process
-	relays  []*process
-	servers []*process        // real order servers without a store replica
-	hollows []*process        // processes of simulated servers, one for each zone
-	stores  map[string]string // address by store replica
-	at      map[string]string // address by relay
-	links   []boundary
-	stands  []*lab.StandIn
-	largest int // the largest size, in servers
-
-	mu    sync.Mutex
-	crash []string // unexpected exits
+	spawner        *spawner
+	zones          []string
+	regions        map[string]string // region by zone
+	storeReplicas  []*process
+	relays         []*process
+	servers        []*process        // real order servers without a store replica
+	simulators     []*process        // processes of simulated servers, one for each zone
+	storeAddresses map[string]string // address by store replica
+	relayAddresses map[string]string // address by relay
+	links          []zoneLink
+	fakeExecutors  []*lab.StandIn
+	largestSize    int // the largest size, in servers
+
+	mu              sync.Mutex
+	unexpectedExits []string // messages
 }
 
 // loopback is a loopback address derived from the process id. Outgoing connections use 127.0.0.1 as their source, so their
 // ephemeral ports don't collide with the ports that are picked here.
 var loopback = fmt.Sprintf("127.%d.%d.1", 64+os.Getpid()/250%128, os.Getpid()%250+1)
 
-// handedOut holds the addresses that were picked: the system may offer a closed port again before its process listens on it.
-var handedOut sync.Map
+// usedAddresses holds the addresses that were picked: the system may offer a closed port again before its process listens on it.
+var usedAddresses sync.Map
 
 // freeAddress returns an address with an unused TCP port.
 func freeAddress() (string, error) {
@@ -76,7 +76,7 @@
 		}
 		address := ln.Addr().String()
 		ln.Close()
-		if _, again := handedOut.LoadOrStore(address, true); !again {
+		if _, used := usedAddresses.LoadOrStore(address, true); !used {
 			return address, nil
 		}
 	}
@@ -84,7 +84,7 @@
 
 // newFleet assigns addresses, opens links and clears directories. It starts no process.
 func newFleet(s Setup) (*fleet, error) {
-	f := &fleet{Setup: s, regions: map[string]string{}, stores: map[string]string{}, at: map[string]string{}, largest: s.Servers[len(s.Servers)-1]}
+	f := &fleet{Setup: s, regions: map[string]string{}, storeAddresses: map[string]string{}, relayAddresses: map[string]string{}, largestSize: s.Servers[len(s.Servers)-1]}
 	for i := range s.Zones {
 		zone := fmt.Sprintf("z%02d", i+1)
 		f.zones = append(f.zones, zone)
@@ -98,9 +98,9 @@
 			return nil, err
 		}
 	}
-	steps := []func() error{f.layCopies, f.layRelays, f.layServers}
-	for _, step := range steps {
-		if err := step(); err != nil {
+	setups := []func() error{f.setUpStoreReplicas, f.setUpRelays, f.setUpServers}
+	for _, setUp := range setups {
+		if err := setUp(); err != nil {
 			f.close()
 			return nil, err
 		}
@@ -111,27 +111,27 @@
 
 // newProcess returns a process with an empty directory and an address for its metrics.
 func (f *fleet) newProcess(name, zone string) (*process, error) {
-	p := &process{name: name, zone: zone, dir: filepath.Join(f.Out, "p", name), ended: f.endedByItself}
+	p := &process{name: name, zone: zone, dir: filepath.Join(f.Out, "p", name), onUnexpectedExit: f.addUnexpectedExit}
 	if err := os.RemoveAll(p.dir); err != nil {
 		return nil, err
 	}
 	var err error
-	p.figures, err = freeAddress()
+	p.metricsAddress, err = freeAddress()
 	return p, err
 }
 
-// endedByItself records that a process exited unexpectedly.
-func (f *fleet) endedByItself(p *process, err error) {
+// addUnexpectedExit records that a process exited unexpectedly.
+func (f *fleet) addUnexpectedExit(p *process, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crash = append(f.crash, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
+	f.unexpectedExits = append(f.unexpectedExits, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
 }
 
-// crashes returns the unexpected exits so far.
-func (f *fleet) crashes() []string {
+// listUnexpectedExits returns the unexpected exits so far.
+func (f *fleet) listUnexpectedExits() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string(nil), f.crash...)
+	return append([]string(nil), f.unexpectedExits...)
 }
 
 // connect opens a link to an address in another zone and returns the link's address.
@@ -141,7 +141,7 @@
 		return "", err
 	}
 	l.To(address)
-	f.links = append(f.links, boundary{l, from, to})
+	f.links = append(f.links, zoneLink{l, from, to})
 	return l.Addr(), nil
 }
 
@@ -157,9 +157,9 @@
 	return out, nil
 }
 
-// zoneOfCopy returns the zone of a store replica.
-func (f *fleet) zoneOfCopy(id string) string {
-	for _, p := range f.copies {
+// zoneOfReplica returns the zone of a store replica.
+func (f *fleet) zoneOfReplica(id string) string {
+	for _, p := range f.storeReplicas {
 		if p.name == id {
 			return p.zone
 		}
@@ -167,32 +167,33 @@
 	return ""
 }
 
+// yamlMap is a section of a YAML file.
 type yamlMap = map[string]any
 
 // tracePath returns the path of the trace of the process's current incarnation.
 func (f *fleet) tracePath(p *process) string {
-	return filepath.Join(f.Out, "traces", fmt.Sprintf("%s.%d.trace", p.name, p.life))
+	return filepath.Join(f.Out, "traces", fmt.Sprintf("%s.%d.trace", p.name, p.incarnation))
 }
 
-// duties returns the section "duties" of an order server's operator file.
-func (f *fleet) duties(copies map[string]string, publishes bool) yamlMap {
-	most := 2*f.largest + 64
-	d := yamlMap{"copies": copies, "sessions": 2*f.largest + 64, "renew_ms": renewMs, "presence_ms": presenceMs, "clock_rate": clockRate, "margin_ms": marginMs,
-		"list":  []yamlMap{{"name": "allotter", "ttl_ms": dutyTTL}, {"name": "settler", "ttl_ms": dutyTTL}},
-		"allot": yamlMap{"whole": float64(most) * aloneUnits * 2, "alone": aloneUnits, "servers": most}}
+// dutiesSection returns the section "duties" of an order server's operator file.
+func (f *fleet) dutiesSection(replicas map[string]string, publishes bool) yamlMap {
+	maxSessions := 2*f.largestSize + 64
+	section := yamlMap{"copies": replicas, "sessions": 2*f.largestSize + 64, "renew_ms": renewIntervalMS, "presence_ms": presenceTTLMS, "clock_rate": maxClockDrift, "margin_ms": marginMS,
+		"list":  []yamlMap{{"name": "allotter", "ttl_ms": dutyTTLMS}, {"name": "settler", "ttl_ms": dutyTTLMS}},
+		"allot": yamlMap{"whole": float64(maxSessions) * unallocatedCalls * 2, "alone": unallocatedCalls, "servers": maxSessions}}
 	if f.Today && publishes {
-		d["list"] = append(d["list"].([]yamlMap), yamlMap{"name": "publisher", "ttl_ms": dutyTTL})
-		d["publish"] = yamlMap{"manifest": filepath.Join(f.Out, publishedDir, manifestName), "every_ms": 200}
+		section["list"] = append(section["list"].([]yamlMap), yamlMap{"name": "publisher", "ttl_ms": dutyTTLMS})
+		section["publish"] = yamlMap{"manifest": filepath.Join(f.Out, publishedDir, manifestName), "every_ms": 200}
 	}
-	return d
+	return section
 }
 
-// write writes the platform's file and the operator's file of an order server.
-func (f *fleet) write(p *process, listen, executor string, operator yamlMap) error {
-	platform := lab.PlatformFile{Name: p.name, Listen: listen, Executor: executor, Vault: executor, Operator: p.figures, Seed: f.Seed*1000 + uint64(p.life),
-		Servers: f.largest, Slots: f.largest, MemoryMB: 192, Sockets: 1024}
+// writeServerFiles writes the platform's file and the operator's file of an order server.
+func (f *fleet) writeServerFiles(p *process, listen, executor string, operator yamlMap) error {
+	platform := lab.PlatformFile{Name: p.name, Listen: listen, Executor: executor, Vault: executor, Operator: p.metricsAddress, Seed: f.Seed*1000 + uint64(p.incarnation),
+		Servers: f.largestSize, Slots: f.largestSize, MemoryMB: 192, Sockets: 1024}
 	if _, ok := operator["store"]; ok {
-		platform.MemoryMB, platform.Cores = 1536, copyCores
+		platform.MemoryMB, platform.Cores = 1536, replicaCores
 	}
 	if err := platform.Write(filepath.Join(p.dir, "config.json")); err != nil {
 		return err
@@ -201,6 +202,7 @@
 	return writeYAML(filepath.Join(p.dir, "operator.yaml"), operator)
 }
 
+// writeYAML writes a value to a file as YAML.
 func writeYAML(path string, v any) error {
 	b, err := yaml.Marshal(v)
 	if err != nil {
@@ -211,57 +213,58 @@
 
 const labEnv = "PUFFINSADDLE_LAB=1" // allows the settings of the lab in an operator's file
 
+// orderServerEnv returns the environment of an order server.
 func orderServerEnv(p *process) []string {
 	return []string{labEnv, "RELAY_CONFIG=" + filepath.Join(p.dir, "config.json"), "PUFFINSADDLE_OPERATOR=" + filepath.Join(p.dir, "operator.yaml")}
 }
 
-// layOrderServer assigns an order server its address and a fake executor. operator returns its operator's file, which is
+// setUpOrderServer assigns an order server its address and a fake executor. operator returns its operator's file, which is
 // written anew for each incarnation.
-func (f *fleet) layOrderServer(p *process, operator func() yamlMap) error {
+func (f *fleet) setUpOrderServer(p *process, operator func() yamlMap) error {
 	listen, err := freeAddress()
 	if err != nil {
 		return err
 	}
-	stand, err := lab.NewStandIn(p.name)
+	executor, err := lab.NewStandIn(p.name)
 	if err != nil {
 		return err
 	}
-	f.stands = append(f.stands, stand)
+	f.fakeExecutors = append(f.fakeExecutors, executor)
 	p.env = orderServerEnv(p)
-	p.before = func(p *process) error { return f.write(p, listen, stand.Addr(), operator()) }
+	p.writeFiles = func(p *process) error { return f.writeServerFiles(p, listen, executor.Addr(), operator()) }
 	return nil
 }
 
-// layCopies sets up the order servers with a store replica, each in a region of its own if there are enough regions.
-func (f *fleet) layCopies() error {
-	for i := range copies {
+// setUpStoreReplicas sets up the order servers with a store replica, each in a region of its own if there are enough regions.
+func (f *fleet) setUpStoreReplicas() error {
+	for i := range replicaCount {
 		p, err := f.newProcess(fmt.Sprintf("c%d", i+1), f.zones[i%len(f.zones)])
 		if err != nil {
 			return err
 		}
-		if f.stores[p.name], err = freeAddress(); err != nil {
+		if f.storeAddresses[p.name], err = freeAddress(); err != nil {
 			return err
 		}
-		f.copies = append(f.copies, p)
+		f.storeReplicas = append(f.storeReplicas, p)
 	}
-	for _, p := range f.copies {
+	for _, p := range f.storeReplicas {
 		via := map[string]string{}
-		for _, other := range f.copies {
+		for _, other := range f.storeReplicas {
 			if other == p {
 				continue
 			}
 			var err error
-			if via[other.name], err = f.connect(p.zone, other.zone, f.stores[other.name]); err != nil {
+			if via[other.name], err = f.connect(p.zone, other.zone, f.storeAddresses[other.name]); err != nil {
 				return err
 			}
 		}
-		reach := map[string]string{p.name: f.stores[p.name]}
-		for id, at := range via {
-			reach[id] = at
+		reachable := map[string]string{p.name: f.storeAddresses[p.name]}
+		for id, address := range via {
+			reachable[id] = address
 		}
-		err := f.layOrderServer(p, func() yamlMap {
-			return yamlMap{"duties": f.duties(reach, true),
-				"store": yamlMap{"id": p.name, "listen": f.stores[p.name], "election_ms": electionMs, "dir": filepath.Join(p.dir, "store"), "peers": f.stores, "via": via}}
+		err := f.setUpOrderServer(p, func() yamlMap {
+			return yamlMap{"duties": f.dutiesSection(reachable, true),
+				"store": yamlMap{"id": p.name, "listen": f.storeAddresses[p.name], "election_ms": electionTimeoutMS, "dir": filepath.Join(p.dir, "store"), "peers": f.storeAddresses, "via": via}}
 		})
 		if err != nil {
 			return err
@@ -270,20 +273,20 @@
 	return nil
 }
 
-// layRelays sets up one relay in each zone.
-func (f *fleet) layRelays() error {
+// setUpRelays sets up one relay in each zone.
+func (f *fleet) setUpRelays() error {
 	for _, zone := range f.zones {
 		p, err := f.newProcess("relay-"+zone, zone)
 		if err != nil {
 			return err
 		}
-		if f.at[p.name], err = freeAddress(); err != nil {
+		if f.relayAddresses[p.name], err = freeAddress(); err != nil {
 			return err
 		}
 		f.relays = append(f.relays, p)
 	}
 	for _, p := range f.relays {
-		reach, err := f.connectAll(p.zone, f.stores, f.zoneOfCopy)
+		reachable, err := f.connectAll(p.zone, f.storeAddresses, f.zoneOfReplica)
 		if err != nil {
 			return err
 		}
@@ -295,10 +298,10 @@
 		}
 		p.args = []string{"relay"}
 		p.env = []string{labEnv, "PUFFINSADDLE_OPERATOR=" + filepath.Join(p.dir, "operator.yaml")}
-		p.before = func(p *process) error {
+		p.writeFiles = func(p *process) error {
 			return writeYAML(filepath.Join(p.dir, "operator.yaml"), yamlMap{
-				"relay": yamlMap{"name": p.name, "region": f.regions[p.zone], "listen": f.at[p.name], "figures": p.figures, "copies": reach, "elsewhere": elsewhere,
-					"path": filepath.Join(p.dir, "records"), "watchers": f.largest + 64, "snapshots": 4, "memory_mb": 256},
+				"relay": yamlMap{"name": p.name, "region": f.regions[p.zone], "listen": f.relayAddresses[p.name], "figures": p.metricsAddress, "copies": reachable, "elsewhere": elsewhere,
+					"path": filepath.Join(p.dir, "records"), "watchers": f.largestSize + 64, "snapshots": 4, "memory_mb": 256},
 				"lab": yamlMap{"trace": f.tracePath(p), "plant": f.Plant}})
 		}
 	}
@@ -309,35 +312,35 @@
 // reaches a relay.
 func (f *fleet) relayList(through func(p *process) (string, error)) (list []distribution.Relay, err error) {
 	for _, p := range f.relays {
-		at := f.at[p.name]
+		address := f.relayAddresses[p.name]
 		if through != nil {
-			if at, err = through(p); err != nil {
+			if address, err = through(p); err != nil {
 				return nil, err
 			}
 		}
-		list = append(list, distribution.Relay{Name: p.name, Address: at, Zone: p.zone, Region: f.regions[p.zone]})
+		list = append(list, distribution.Relay{Name: p.name, Address: address, Zone: p.zone, Region: f.regions[p.zone]})
 	}
 	return list, nil
 }
 
-// layServers sets up the real order servers, beginning with zones that have no store replica.
-func (f *fleet) layServers() error {
+// setUpServers sets up the real order servers, beginning with zones that have no store replica.
+func (f *fleet) setUpServers() error {
 	for i := range f.Real {
-		zone := f.zones[(copies+i)%len(f.zones)]
+		zone := f.zones[(replicaCount+i)%len(f.zones)]
 		p, err := f.newProcess(fmt.Sprintf("s%02d", i+1), zone)
 		if err != nil {
 			return err
 		}
-		reach, err := f.connectAll(zone, f.stores, f.zoneOfCopy)
+		reachable, err := f.connectAll(zone, f.storeAddresses, f.zoneOfReplica)
 		if err != nil {
 			return err
 		}
-		relays, err := f.relayList(func(r *process) (string, error) { return f.connect(zone, r.zone, f.at[r.name]) })
+		relays, err := f.relayList(func(r *process) (string, error) { return f.connect(zone, r.zone, f.relayAddresses[r.name]) })
 		if err != nil {
 			return err
 		}
-		err = f.layOrderServer(p, func() yamlMap {
-			return yamlMap{"duties": f.duties(reach, false),
+		err = f.setUpOrderServer(p, func() yamlMap {
+			return yamlMap{"duties": f.dutiesSection(reachable, false),
 				"distribution": yamlMap{"zone": zone, "region": f.regions[zone], "relays": relays, "path": filepath.Join(p.dir, "records")}}
 		})
 		if err != nil {
@@ -348,20 +351,20 @@
 	return nil
 }
 
-// layHollows sets up the simulated servers of one size, in one process for each zone. They start with the records as of
-// position at.
-func (f *fleet) layHollows(point, count int, at distribution.Position) error {
-	f.hollows = nil
+// setUpSimulators sets up the simulated servers of one size, in one process for each zone. They start with the records as of
+// the position, except for one in each process that starts without records.
+func (f *fleet) setUpSimulators(point, count int, position distribution.Position) error {
+	f.simulators = nil
 	relays, err := f.relayList(nil)
 	if err != nil {
 		return err
 	}
 	zoneOf := map[string]string{}
 	for _, r := range f.relays {
-		zoneOf[f.at[r.name]] = r.zone
+		zoneOf[f.relayAddresses[r.name]] = r.zone
 	}
-	for _, c := range f.copies {
-		zoneOf[f.stores[c.name]] = c.zone
+	for _, c := range f.storeReplicas {
+		zoneOf[f.storeAddresses[c.name]] = c.zone
 	}
 	for i, zone := range f.zones {
 		p, err := f.newProcess(fmt.Sprintf("hollow-%s-%d", zone, point), zone)
@@ -372,18 +375,18 @@
 		if i < count%len(f.zones) {
 			n++
 		}
-		set := hollowConfig{Zone: zone, Region: f.regions[zone], Count: n, Seed: f.Seed*100 + uint64(i), Relays: relays, Copies: f.stores, ZoneOf: zoneOf,
-			Position: at, Empty: 1, Journal: filepath.Join(f.Out, "traces", fmt.Sprintf("hollow-%s.%d.trace", zone, point)), Plant: f.Plant,
-			RenewMs: renewMs, Presence: presenceMs, Today: f.Today}
+		config := simulatorConfig{Zone: zone, Region: f.regions[zone], Count: n, Seed: f.Seed*100 + uint64(i), Relays: relays, StoreReplicas: f.storeAddresses, ZoneOf: zoneOf,
+			Position: position, WithoutRecords: 1, TracePath: filepath.Join(f.Out, "traces", fmt.Sprintf("hollow-%s.%d.trace", zone, point)), InjectedBug: f.Plant,
+			RenewIntervalMS: renewIntervalMS, PresenceTTLMS: presenceTTLMS, WholeVersions: f.Today}
 		p.args = []string{"lab", "hollow", "--config", filepath.Join(p.dir, "hollow.json")}
-		p.before = func(p *process) error {
-			b, err := json.Marshal(set)
+		p.writeFiles = func(p *process) error {
+			b, err := json.Marshal(config)
 			if err != nil {
 				return err
 			}
 			return os.WriteFile(filepath.Join(p.dir, "hollow.json"), b, 0o644)
 		}
-		f.hollows = append(f.hollows, p)
+		f.simulators = append(f.simulators, p)
 	}
 	return nil
 }
@@ -398,18 +401,18 @@
 	return nil
 }
 
-// orderAll sends a command to all processes of simulated servers and waits for their responses.
-func (f *fleet) orderAll(o hollowOrder) error {
-	var wait sync.WaitGroup
-	errs := make([]error, len(f.hollows))
-	for i, h := range f.hollows {
-		wait.Add(1)
+// sendCommandToAll sends a command to all processes of simulated servers and waits for their responses.
+func (f *fleet) sendCommandToAll(o simulatorCommand) error {
+	var running sync.WaitGroup
+	errs := make([]error, len(f.simulators))
+	for i, h := range f.simulators {
+		running.Add(1)
 		go func() {
-			defer wait.Done()
-			_, errs[i] = h.order(o)
+			defer running.Done()
+			_, errs[i] = h.sendCommand(o)
 		}()
 	}
-	wait.Wait()
+	running.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -429,7 +432,7 @@
 			b.link.Cut(lab.Both)
 		}
 	}
-	return f.orderAll(hollowOrder{Kind: orderCut, Zones: zones})
+	return f.sendCommandToAll(simulatorCommand{Kind: commandCut, Zones: zones})
 }
 
 // heal removes all partitions.
@@ -437,41 +440,41 @@
 	for _, b := range f.links {
 		b.link.Heal()
 	}
-	return f.orderAll(hollowOrder{Kind: orderCut})
+	return f.sendCommandToAll(simulatorCommand{Kind: commandCut})
 }
 
 // leader returns the store replica that reports the highest term as leader, or nil if none reports to be leader.
 func (f *fleet) leader() *process {
-	var leads *process
+	var leader *process
 	term := uint64(0)
-	for _, p := range f.copies {
-		var v serverFigures
-		if readFigures(p.figures, &v) == nil && v.Duties != nil && v.Duties.Sessions != nil && v.Duties.Sessions.Term > term {
-			leads, term = p, v.Duties.Sessions.Term
+	for _, p := range f.storeReplicas {
+		var metrics serverMetrics
+		if readMetrics(p.metricsAddress, &metrics) == nil && metrics.Duties != nil && metrics.Duties.Sessions != nil && metrics.Duties.Sessions.Term > term {
+			leader, term = p, metrics.Duties.Sessions.Term
 		}
 	}
-	return leads
+	return leader
 }
 
 // endAll ends processes concurrently and waits for them.
 func endAll(all []*process, sig syscall.Signal) {
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	for _, p := range all {
-		wait.Add(1)
+		running.Add(1)
 		go func() {
-			defer wait.Done()
+			defer running.Done()
 			p.end(sig)
 		}()
 	}
-	wait.Wait()
+	running.Wait()
 }
 
 // stop ends all processes, those that depend on others first, so that each can finish its trace.
 func (f *fleet) stop() {
-	endAll(f.hollows, syscall.SIGTERM)
+	endAll(f.simulators, syscall.SIGTERM)
 	endAll(f.servers, syscall.SIGTERM)
 	endAll(f.relays, syscall.SIGTERM)
-	endAll(f.copies, syscall.SIGTERM)
+	endAll(f.storeReplicas, syscall.SIGTERM)
 }
 
 // close ends all processes and releases links, fake executors and the spawner.
@@ -480,7 +483,7 @@
 	for _, b := range f.links {
 		b.link.Close()
 	}
-	for _, s := range f.stands {
+	for _, s := range f.fakeExecutors {
 		s.Close()
 	}
 	if f.spawner != nil {
@@ -489,18 +492,18 @@
 }
 
 // waitFor polls a condition until it holds. Its error includes the state that the condition last returned.
-func waitFor(within time.Duration, what string, holds func() (bool, string)) error {
-	late := time.Now().Add(within)
+func waitFor(timeout time.Duration, description string, condition func() (bool, string)) error {
+	deadline := time.Now().Add(timeout)
 	for {
-		ok, state := holds()
+		ok, state := condition()
 		if ok {
 			return nil
 		}
-		if time.Now().After(late) {
-			return fmt.Errorf("scale: timed out after %s: %s: %s", within, what, state)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("scale: timed out after %s: %s: %s", timeout, description, state)
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-const lookEvery = 100 * time.Millisecond
+const pollInterval = 100 * time.Millisecond
--- a/internal/lab/scale/journal.go
+++ b/internal/lab/scale/journal.go
@@ -11,32 +11,32 @@
 	"puffinsaddle/internal/trace"
 )
 
-// journal writes the trace of all simulated servers of one process, for the checker.
-type journal struct {
+// traceWriter writes the trace of all simulated servers of one process, for the checker.
+type traceWriter struct {
 	steady *clock.Clock
 	mu     sync.Mutex
-	f      *os.File
-	w      *bufio.Writer
+	file   *os.File
+	buffer *bufio.Writer
 	stop   chan struct{}
 }
 
-const flushEvery = 200 * time.Millisecond
+const flushInterval = 200 * time.Millisecond
 
-// openJournal creates the trace file and starts to flush it periodically.
-func openJournal(path string, steady *clock.Clock) (*journal, error) {
+// newTraceWriter creates the trace file and starts to flush it periodically.
+func newTraceWriter(path string, steady *clock.Clock) (*traceWriter, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, err
 	}
-	j := &journal{steady: steady, f: f, w: bufio.NewWriterSize(f, 256<<10), stop: make(chan struct{})}
+	j := &traceWriter{steady: steady, file: f, buffer: bufio.NewWriterSize(f, 256<<10), stop: make(chan struct{})}
 	go func() {
-		t := time.NewTicker(flushEvery)
+		t := time.NewTicker(flushInterval)
 		defer t.Stop()
 		for {
 			select {
 			case <-t.C:
 				j.mu.Lock()
-				j.w.Flush()
+				j.buffer.Flush()
 				j.mu.Unlock()
 			case <-j.stop:
 				return
@@ -47,7 +47,7 @@
 }
 
 // add writes an event. An event without a time gets the current time.
-func (j *journal) add(e trace.Event) {
+func (j *traceWriter) add(e trace.Event) {
 	if e.At == 0 {
 		e.At = j.steady.Now()
 	}
@@ -57,14 +57,14 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.w.Write(append(b, '\n'))
+	j.buffer.Write(append(b, '\n'))
 }
 
 // close flushes and closes the file.
-func (j *journal) close() error {
+func (j *traceWriter) close() error {
 	close(j.stop)
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.w.Flush()
-	return j.f.Close()
+	j.buffer.Flush()
+	return j.file.Close()
 }
