--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -339,7 +339,7 @@
 		case e.What == "killed", e.What == trace.Up:
 			delete(at, who) // its memory is gone
 			delete(asked, who)
-		case e.What == trace.Copy && e.Text == store.PhaseAsks:
+		case e.What == trace.Copy && e.Text == store.PhaseRejoining:
 			f.Anew++
 			asked[who] = e.At
 			if !strings.Contains(e.Cause, "differs from that of a majority") {
@@ -350,7 +350,7 @@
 				f.broken("only what is spoilt differs", who+" was found to differ, and nothing had spoilt it", e)
 			}
 			delete(at, who)
-		case e.What == trace.Copy && e.Text == store.PhaseRuns && asked[who] > 0:
+		case e.What == trace.Copy && e.Text == store.PhaseRunning && asked[who] > 0:
 			f.CatchUp = append(f.CatchUp, e.At-asked[who])
 			delete(asked, who)
 		}
--- a/internal/lab/figures.go
+++ b/internal/lab/figures.go
@@ -36,7 +36,7 @@
 
 // whole tells whether the process's copy takes part with its vote, where it keeps one and its build tells of it.
 func (s seen) whole() bool {
-	return s.Store == nil || s.Store.Phase == store.PhaseRuns && s.Store.Votes
+	return s.Store == nil || s.Store.Phase == store.PhaseRunning && s.Store.Votes
 }
 
 var web = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -192,8 +192,8 @@
 		return trace.Event{At: at, Who: who, What: what, Text: text, Cause: cause}
 	}
 	const differs = "b: the state of s02 differs from that of a majority"
-	spoil, ask := ev(1000, "s02", spoilt, "e", ""), ev(5000, "s02#1", trace.Copy, store.PhaseAsks, differs)
-	runs, died := ev(6000, "s02#1", trace.Copy, store.PhaseRuns, ""), ev(2000, "s02", "killed", "", "")
+	spoil, ask := ev(1000, "s02", spoilt, "e", ""), ev(5000, "s02#1", trace.Copy, store.PhaseRejoining, differs)
+	runs, died := ev(6000, "s02#1", trace.Copy, store.PhaseRunning, ""), ev(2000, "s02", "killed", "", "")
 	for want, events := range map[string][]trace.Event{
 		"":                            {spoil, ask, runs},
 		"what is spoilt is found":     {spoil},
--- a/internal/lab/scale/cmd.go
+++ b/internal/lab/scale/cmd.go
@@ -103,7 +103,7 @@
 			fmt.Fprintf(out, "  %-13s %s\n", f.kind, f.text)
 		}
 		fmt.Fprintln(out, "plants:")
-		for _, p := range distribution.Plants {
+		for _, p := range distribution.InjectedBugs {
 			fmt.Fprintln(out, "  "+p)
 		}
 		return nil
@@ -159,8 +159,8 @@
 	switch {
 	case len(c.Servers) == 0:
 		return s, usageError("--servers names no fleet size")
-	case c.Plant != "" && !slices.Contains(distribution.Plants, c.Plant):
-		return s, usageError("--plant: unknown bug %q; known bugs are %s", c.Plant, strings.Join(distribution.Plants, ", "))
+	case c.Plant != "" && !slices.Contains(distribution.InjectedBugs, c.Plant):
+		return s, usageError("--plant: unknown bug %q; known bugs are %s", c.Plant, strings.Join(distribution.InjectedBugs, ", "))
 	case c.For < minPhaseDuration || c.For > maxPhaseDuration:
 		return s, usageError("--for must be from %s to %s, not %s", minPhaseDuration, maxPhaseDuration, c.For)
 	case c.Regions < 2 || c.Regions > c.Zones:
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -220,7 +220,7 @@
 		s.simulator.traceWriter.add(trace.Event{Who: s.name, What: trace.Installed, N: s.position.Revision, Text: s.position.Digest.String()})
 	}
 	client := configwatch.NewClient(configwatch.ClientOptions{Name: s.name, Replica: s, Dial: s.dial, Steady: s.simulator.steady, Log: zerolog.Nop(), InjectedBug: s.simulator.config.InjectedBug,
-		Selector: distribution.NewSelector(s.simulator.config.Relays, distribution.Place{Zone: s.simulator.config.Zone, Region: s.simulator.config.Region}, s.seed+uint64(s.incarnation))})
+		Selector: distribution.NewSelector(s.simulator.config.Relays, distribution.Locality{Zone: s.simulator.config.Zone, Region: s.simulator.config.Region}, s.seed+uint64(s.incarnation))})
 	s.running.Add(1)
 	go func() {
 		defer s.running.Done()
@@ -343,7 +343,7 @@
 
 // Follow applies the next commit.
 func (s *simulatedServer) Follow(c records.Commit) error {
-	if s.simulator.config.InjectedBug == distribution.PlantEarlyReport {
+	if s.simulator.config.InjectedBug == distribution.BugEarlyReport {
 		s.mu.Lock()
 		s.earlyRevision = c.Revision
 		s.mu.Unlock()
@@ -410,5 +410,5 @@
 		s.reportedRevision = lowest
 		s.simulator.traceWriter.add(trace.Event{Who: s.name, What: trace.Reported, N: lowest})
 	}
-	return distribution.Report{Servers: 1, Lowest: lowest, LowestName: s.name}
+	return distribution.Report{Servers: 1, LowestRevision: lowest, LowestServer: s.name}
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -120,7 +120,7 @@
 	}
 	s.relayCPU, s.relayBytes = map[string]float64{}, map[string]uint64{}
 	for _, p := range f.relays {
-		var v relay.Figures
+		var v relay.Metrics
 		if readMetrics(p.metricsAddress, &v) == nil {
 			s.relayCPU[p.name] = cpuTime(p.pid())
 			s.relayBytes[p.name] = v.Serving.SentBytes + v.Serving.ReceivedBytes + v.Watching.SentBytes + v.Watching.ReceivedBytes
--- a/internal/lab/scale/partition.go
+++ b/internal/lab/scale/partition.go
@@ -16,7 +16,7 @@
 type partition struct {
 	ownZone string            // zone of this process
 	zoneOf  map[string]string // zone by address
-	traffic meter.Count
+	traffic meter.ByteCounts
 
 	mu       sync.Mutex
 	cutZones map[string]bool // the zones that are partitioned from all others; nil: none
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -210,9 +210,9 @@
 		}
 	})
 	for bug, wantText := range map[string]string{
-		distribution.PlantLostChange:       "skipped",
-		distribution.PlantEarlyReport:      "reported revision",
-		distribution.PlantSnapshotRevision: "installed a snapshot",
+		distribution.BugLostChange:       "skipped",
+		distribution.BugEarlyReport:      "reported revision",
+		distribution.BugSnapshotRevision: "installed a snapshot",
 	} {
 		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
