--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -24,56 +24,56 @@
 	return hex.EncodeToString(s[:])
 }
 
-// Violation is an invariant that was broken, with the lines that show it.
+// Violation is a violated invariant, with the trace events that show it.
 type Violation struct {
 	Rule  string        `json:"rule"`
 	Text  string        `json:"text"`
 	Trace []trace.Event `json:"trace,omitempty"`
 }
 
-// Span is a time in which a process believed that it held a duty; From and To in ms of the machine's clock.
+// Span is an interval in which a process believed that it held a duty. From and To are in ms of the machine's clock.
 type Span struct {
 	Duty, Who string
 	Epoch     uint64
 	From, To  float64
-	Why       string // of its end
+	Why       string // why it ended
 	first     trace.Event
 	last      trace.Event
 }
 
-// Found is what a checker makes of a run.
+// Found is the checker's result for one run.
 type Found struct {
 	Violations  []Violation
-	Spans       map[string][]Span // by duty, in order
+	Spans       map[string][]Span // by duty, ordered by From
 	Gaps        []Gap
 	Acts        int
-	Stale       int // acts refused for their epoch
+	Stale       int // fenced commands refused because of their epoch
 	Handovers   int
 	Effects     int
 	EffectTwice int
-	SharesMost  int64     // the most that was in force at once, in thousandths
-	Differed    int       // copies that were found to differ from the others
-	Anew        int       // copies that joined anew, for whatever was wrong with their folders
-	CatchUp     []float64 // ms from when a copy asked to be joined anew to when it took part with all that the others had
+	SharesMost  int64     // the largest sum of shares in force at once, in thousandths of a call
+	Differed    int       // store replicas whose state was found to differ from that of a majority
+	Anew        int       // store replicas that rejoined, whatever was wrong with their data directories
+	CatchUp     []float64 // ms from a replica's request to rejoin until it took part with the full state
 }
 
-// Gap is a time in which nobody held a duty.
+// Gap is an interval in which no process held a duty. From and To are in ms of the machine's clock.
 type Gap struct {
 	Duty     string
 	From, To float64
-	After    string  // why the holding before it ended
-	Office   float64 // when another copy began to grant meanwhile; 0: none did
+	After    string  // why the preceding holder's lease ended
+	Office   float64 // when another leader started to grant duties in the gap, ms; 0: none did
 }
 
-// Ms is its length.
+// Ms returns the length of the gap in ms.
 func (g Gap) Ms() float64 { return g.To - g.From }
 
-// SinceOffice is how long a copy that took office meanwhile took to grant the duty.
+// SinceOffice returns how many ms the leader that was elected in the gap took to grant the duty.
 func (g Gap) SinceOffice() float64 { return g.To - g.Office }
 
-// Over tells whether a gap is longer than the terms explain. A holder that ends without a word is waited for from when it
-// was last heard, or from when the copy that grants took office; who hands a duty on is not waited for. Next to that come
-// a renewal, and a few turns of the desk and entries of the log.
+// Over reports whether a gap is longer than the lab's lease settings explain. The leader waits for the TTL of a holder that
+// ends without a release, counted from its last heartbeat or from the start of the leader's term; it doesn't wait after a
+// yield or drain. One renewal interval is allowed on top, for the session and for a few log entries.
 func (g Gap) Over() bool {
 	wait := ttl * (1 + rate)
 	if g.After == duty.CauseYield || g.After == duty.CauseDrain {
@@ -82,7 +82,7 @@
 	return g.To-max(g.From, g.Office) > (wait+renew)/(1-rate)
 }
 
-// Check reads what all processes believed and did.
+// Check checks the invariants on the merged traces of all processes.
 func Check(o *Outcome) *Found {
 	f := &Found{Spans: map[string][]Span{}}
 	for _, c := range o.Crash {
@@ -106,7 +106,7 @@
 	f.Violations = append(f.Violations, Violation{rule, text, lines})
 }
 
-// killed lists when processes were killed, by name.
+// killed returns the times at which processes were killed, by process name.
 func killed(o *Outcome) map[string][]float64 {
 	at := map[string][]float64{}
 	for _, e := range o.Events {
@@ -122,7 +122,7 @@
 	return name
 }
 
-// holders checks that no two processes believed at one instant that they held a duty, and that epochs only grow.
+// holders checks that no two processes believed at the same time that they held a duty, and that epochs only increase.
 func (f *Found) holders(o *Outcome) {
 	deaths := killed(o)
 	type key struct {
@@ -173,7 +173,7 @@
 			if i == 0 {
 				continue
 			}
-			before := spans[0] // of those before, the one that lasts longest
+			before := spans[0] // the one among the earlier ones that ends last
 			for _, b := range spans[:i] {
 				if b.To > before.To {
 					before = b
@@ -184,7 +184,7 @@
 					name, before.Who, before.Epoch, before.To-s.From, s.Who, s.Epoch), before.first, before.last, s.first)
 			}
 			if s.Epoch <= spans[i-1].Epoch {
-				f.broken("epochs only grow", fmt.Sprintf("%s: %d after %d", name, s.Epoch, spans[i-1].Epoch), spans[i-1].first, s.first)
+				f.broken("epochs only increase", fmt.Sprintf("%s: %d after %d", name, s.Epoch, spans[i-1].Epoch), spans[i-1].first, s.first)
 			}
 			if before.Who != s.Who {
 				f.Handovers++
@@ -196,7 +196,7 @@
 	}
 }
 
-// lastOffice is when a copy last began to grant between two times; 0: none did.
+// lastOffice returns when a leader last started to grant duties between two times, or 0 if none did.
 func lastOffice(o *Outcome, from, to float64) (at float64) {
 	for _, e := range o.Events {
 		if e.What == trace.Office && e.At > from && e.At < to {
@@ -206,7 +206,8 @@
 	return at
 }
 
-// log checks that all copies carried out the same entries, and that no act of an epoch that had passed took effect.
+// log checks that all store replicas applied the same log entries, and that no fenced command took effect after its epoch
+// had ended.
 func (f *Found) log(o *Outcome) {
 	entries := map[uint64]trace.Event{}
 	for _, e := range o.Events {
@@ -218,14 +219,14 @@
 			entries[e.Index] = e
 			continue
 		}
-		if e.Text == state.OpCompareDigests { // its memory may be spoilt: differing looks at that
+		if e.Text == state.OpCompareDigests { // the replica's memory may be corrupt, which the method differing checks
 			continue
 		}
 		if first.Term != e.Term || first.Text != e.Text || first.Cause != e.Cause || first.Duty != e.Duty || first.Epoch != e.Epoch {
-			f.broken("copies agree", fmt.Sprintf("entry %d differs between %s and %s", e.Index, first.Who, e.Who), first, e)
+			f.broken("replicas agree", fmt.Sprintf("entry %d differs between %s and %s", e.Index, first.Who, e.Who), first, e)
 		}
 	}
-	newest := map[string]uint64{} // epoch of the latest act that took effect, by duty
+	newest := map[string]uint64{} // epoch of the latest fenced command that took effect, by duty
 	ended := map[string]trace.Event{}
 	holder := map[string]string{}
 	for _, i := range slices.Sorted(maps.Keys(entries)) {
@@ -253,11 +254,11 @@
 			}
 			f.Acts++
 			if end, over := ended[e.Duty]; over {
-				f.broken("no act of an old epoch", fmt.Sprintf("%s: an act of epoch %d took effect as entry %d, after entry %d had ended it",
+				f.broken("no command of an old epoch takes effect", fmt.Sprintf("%s: a command of epoch %d took effect as entry %d, after entry %d had ended the epoch",
 					e.Duty, e.Epoch, i, end.Index), end, e)
 			}
 			if e.Epoch < newest[e.Duty] {
-				f.broken("no act of an old epoch", fmt.Sprintf("%s: an act of epoch %d took effect as entry %d, after one of epoch %d",
+				f.broken("no command of an old epoch takes effect", fmt.Sprintf("%s: a command of epoch %d took effect as entry %d, after one of epoch %d",
 					e.Duty, e.Epoch, i, newest[e.Duty]), e)
 			}
 			newest[e.Duty] = max(newest[e.Duty], e.Epoch)
@@ -265,7 +266,7 @@
 	}
 }
 
-// shares checks that the shares in force never came to more than there was to divide.
+// shares checks that the sum of the shares in force never exceeded the pool.
 func (f *Found) shares(o *Outcome) {
 	deaths := killed(o)
 	type step struct {
@@ -314,20 +315,20 @@
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b step) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.d, b.d)) // what ends at an instant ends before what begins
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.d, b.d)) // at the same time, ends come before beginnings
 	})
 	sum := int64(0)
 	for _, s := range steps {
 		sum += s.d
 		f.SharesMost = max(f.SharesMost, sum)
 		if sum > o.Pool && s.d > 0 {
-			f.broken("shares stay within the whole", fmt.Sprintf("%d of %d thousandths are in force with the %d of %s", sum, o.Pool, s.d, s.e.Who), s.e)
+			f.broken("shares stay within the pool", fmt.Sprintf("%d of %d thousandths are in force, %d of them of %s", sum, o.Pool, s.d, s.e.Who), s.e)
 		}
 	}
 }
 
-// differing checks that a copy whose memory was spoilt was found by what the copies compare, and by that alone that none was
-// taken for spoilt which was not.
+// differing checks that the comparison between store replicas found each replica whose memory was corrupted, and that it
+// reported no other replica.
 func (f *Found) differing(o *Outcome) {
 	at := map[string]trace.Event{}
 	asked := map[string]float64{}
@@ -337,7 +338,7 @@
 		case e.What == spoilt:
 			at[who] = e
 		case e.What == "killed", e.What == trace.Up:
-			delete(at, who) // its memory is gone
+			delete(at, who) // its memory went with the process
 			delete(asked, who)
 		case e.What == trace.Copy && e.Text == store.PhaseAsks:
 			f.Anew++
@@ -347,7 +348,7 @@
 			}
 			f.Differed++
 			if _, was := at[who]; !was {
-				f.broken("only what is spoilt differs", who+" was found to differ, and nothing had spoilt it", e)
+				f.broken("only corrupt replicas differ", who+" was found to differ, and its memory had not been corrupted", e)
 			}
 			delete(at, who)
 		case e.What == trace.Copy && e.Text == store.PhaseRuns && asked[who] > 0:
@@ -357,7 +358,7 @@
 	}
 	for who, e := range at {
 		if o.Ended-e.At > 1000*compareAll {
-			f.broken("what is spoilt is found", fmt.Sprintf("%s differs since %.1f s before the end", who, (o.Ended-e.At)/1000), e)
+			f.broken("corrupt replicas are found", fmt.Sprintf("%s was corrupted %.1f s before the end and not found", who, (o.Ended-e.At)/1000), e)
 		}
 	}
 }
@@ -378,18 +379,19 @@
 	}
 }
 
-// mark is one act that counts a duty's mark one up under an epoch.
+// mark is the input of one fenced command that increments a duty's counter under an epoch.
 type mark struct {
 	epoch uint64
-	known bool // its answer came
+	known bool // the response arrived
 }
 
+// marked is the state of a duty's counter.
 type marked struct {
 	epoch, n uint64
 }
 
-// marks is the specification: an act of an epoch below the highest that acted has no effect, so one that is said to have
-// been carried out counts one up under an epoch that is no lower.
+// marks is the specification of the counter: a command whose epoch is lower than the highest one executed has no effect, so
+// a command that is confirmed as executed increments the counter by one under an epoch that is not lower.
 var marks = porcupine.Model{
 	Init: func() any { return marked{} },
 	Step: func(s, in, out any) (bool, any) {
@@ -398,14 +400,14 @@
 			return false, st
 		}
 		if m.epoch < st.epoch {
-			return !m.known, st // not answered: it may have been refused
+			return !m.known, st // without a response the command may have been refused
 		}
 		return true, marked{m.epoch, st.n + 1}
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// counters checks that the counts that holders were told are those of one count that all acted on in turn.
+// counters checks that the fenced commands on each duty's counter are linearizable.
 func (f *Found) counters(o *Outcome) {
 	ops := map[string][]porcupine.Operation{}
 	who := map[string]int{}
@@ -428,7 +430,7 @@
 			delete(open, k)
 		}
 	}
-	for _, e := range open { // no answer, or its process was killed before it was written down
+	for _, e := range open { // no response, or the process was killed before it recorded one
 		e.What = trace.Unknown
 		all = append(all, e)
 	}
@@ -438,13 +440,13 @@
 		}
 		op := porcupine.Operation{ClientId: who[e.Who], Input: mark{e.Epoch, e.What == trace.Act}, Call: int64(e.Began * 1e6), Output: e.N, Return: int64(e.At * 1e6)}
 		if e.What == trace.Unknown {
-			op.Return = math.MaxInt64 // it may still be carried out
+			op.Return = math.MaxInt64 // it may still be executed
 		}
 		ops[e.Duty] = append(ops[e.Duty], op)
 	}
 	for _, name := range slices.Sorted(maps.Keys(ops)) {
 		if porcupine.CheckOperationsTimeout(marks, ops[name], 30*time.Second) == porcupine.Illegal {
-			f.broken("acts are linearizable", fmt.Sprintf("%s: the counts of %d acts are not those of one count under growing epochs", name, len(ops[name])))
+			f.broken("fenced commands are linearizable", fmt.Sprintf("%s: the results of %d commands are not those of one counter under increasing epochs", name, len(ops[name])))
 		}
 	}
 }
--- a/internal/lab/cmd.go
+++ b/internal/lab/cmd.go
@@ -1,5 +1,5 @@
-// Package lab is the laboratory: it starts many processes of the program with links between them that can be cut, delayed,
-// throttled and reset, stalls and kills them, and checks what all of them believed and did.
+// Package lab is the fault-injection harness: it starts many processes of the program, connected by links that can be cut,
+// delayed, throttled and reset, stalls and kills the processes, and checks the invariants on the traces that they write.
 package lab
 
 import (
@@ -19,20 +19,21 @@
 	"puffinsaddle/internal/config"
 )
 
-// ErrBroken tells that an invariant is broken; the output says which.
-var ErrBroken = errors.New("lab: an invariant is broken")
+// ErrBroken is returned when an invariant was violated; the output names it.
+var ErrBroken = errors.New("lab: an invariant was violated")
 
-// WrongUse is a fault in what was asked for.
+// WrongUse is an error in the flags of a command.
 type WrongUse struct{ Text string }
 
 func (w *WrongUse) Error() string { return "lab: " + w.Text }
 
-// Cmd are the laboratory's commands.
+// Cmd holds the lab's commands.
 type Cmd struct {
 	Duties DutiesCmd `cmd:"" help:"Duties that one order server holds at a time, under faults."`
 }
 
-// DutiesCmd plays duties under faults. Its flags and the JSON of its last line are kept stable.
+// DutiesCmd runs order servers that hold duties while faults are injected. Its flags and the JSON of its last output line are
+// stable.
 type DutiesCmd struct {
 	Seed       uint64        `default:"1" help:"One seed gives one schedule."`
 	For        time.Duration `default:"60s" help:"How long the load runs."`
@@ -48,7 +49,7 @@
 	List       bool          `help:"Name the scenarios and the bugs that can be planted."`
 }
 
-// Result is the last line of the output.
+// Result is the last line of the output. Durations are in ms, calls in calls at once.
 type Result struct {
 	Seed         uint64         `json:"seed"`
 	Violations   int            `json:"violations"`
@@ -57,7 +58,7 @@
 	Handovers    int            `json:"handovers"`
 	GapP50       float64        `json:"gap_ms_p50"`
 	GapMax       float64        `json:"gap_ms_max"`
-	Gaps         map[string]Sum `json:"gaps"` // by why the holding before ended, and whether another copy took office
+	Gaps         map[string]Sum `json:"gaps"` // by why the preceding lease ended, and whether another leader was elected
 	GapsOver     int            `json:"gaps_over_terms"`
 	Faults       int            `json:"faults"`
 	Effects      int            `json:"effects"`
@@ -73,14 +74,14 @@
 	CatchUpMax   float64        `json:"catch_up_ms_max"`
 }
 
-// Sum is the gaps of one kind, in ms.
+// Sum summarizes the gaps of one kind. P50 and Max are in ms.
 type Sum struct {
 	N   int     `json:"n"`
 	P50 float64 `json:"p50"`
 	Max float64 `json:"max"`
 }
 
-// Run plays.
+// Run runs the scenario, writes the report page and prints the result.
 func (c *DutiesCmd) Run(out io.Writer) error {
 	if c.List {
 		fmt.Fprintln(out, "scenarios:")
@@ -162,7 +163,7 @@
 	case !known:
 		return Setup{}, &WrongUse{fmt.Sprintf("no scenario %q; --list names them", c.Scenario)}
 	case c.Plant != "" && !slices.Contains(config.Plants, c.Plant):
-		return Setup{}, &WrongUse{fmt.Sprintf("no plant %q; there are %s", c.Plant, strings.Join(config.Plants, ", "))}
+		return Setup{}, &WrongUse{fmt.Sprintf("no bug %q to inject; there are %s", c.Plant, strings.Join(config.Plants, ", "))}
 	case c.Copies != 3 && c.Copies != 5 && c.Copies != 7:
 		return Setup{}, &WrongUse{fmt.Sprintf("--copies must be 3, 5 or 7, not %d", c.Copies)}
 	case c.Servers < c.Copies || c.Servers > 100:
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -20,7 +20,7 @@
 	"puffinsaddle/internal/trace"
 )
 
-// inject makes a fault, waits for its span and undoes it. It tells what was hit.
+// inject starts a fault, waits for its duration and undoes it. It returns a description of what the fault hit.
 func (r *run) inject(ctx context.Context, f Fault) string {
 	span := func() { r.sleep(ctx, f.At+f.For) }
 	again := func(p *proc) {
@@ -116,8 +116,8 @@
 		heal()
 		return p.name + " holding " + name
 	case LateBack:
-		// Late answers, and then a holder that is heard no more while they still come: who counted from an answer would
-		// believe in its duty for longer than the others wait.
+		// Responses are delayed, and then the holder's requests no longer arrive while delayed responses still do. A holder
+		// that counted its lease from the arrival of a response would believe in it for longer than the leader waits.
 		p, name := r.holder(f.Pick)
 		then := r.later(ctx, f.At, p.links)
 		r.sleep(ctx, then+0.6)
@@ -126,13 +126,13 @@
 		heal()
 		return p.name + " holding " + name
 	case StaleLeader:
-		// Answers are on their way for so long that the holder keeps its session with a leader that stands still. That one
-		// then goes on with the holder's words before it and another leader long in office: who answered on the mere belief
-		// that it leads would renew what the other may grant anew.
+		// Responses are in transit long enough for the holder to keep its session with a stopped leader. When that leader
+		// resumes, the holder's heartbeats are waiting for it, and another leader has long been elected. A leader that
+		// answered without confirming its leadership would renew leases that the new leader may grant to others.
 		q := r.leader(f.Pick)
 		p, name := r.slowest(q)
 		if p == nil {
-			return "nobody: " + q.name + " leads and holds all"
+			return "nothing: " + q.name + " leads and holds all duties"
 		}
 		then := r.later(ctx, f.At, map[string]*Link{q.name: p.links[q.name]})
 		for id, l := range p.links {
@@ -141,7 +141,7 @@
 			}
 		}
 		q.signal(syscall.SIGSTOP)
-		r.sleep(ctx, then+1.5) // before the holder's time is up by what it was told until now
+		r.sleep(ctx, then+1.5) // before the lease expires by the responses received so far
 		p.links[q.name].Delay(0, Back)
 		q.signal(syscall.SIGCONT)
 		span()
@@ -179,7 +179,7 @@
 		return p.name + " holding " + name
 	case Replace:
 		if r.Servers == r.Copies {
-			return "nobody: the address and folder of a copy are held by its process"
+			return "nothing: a replica's process keeps its address and data directory"
 		}
 		p := r.procs[r.Copies+int(f.Pick%uint64(r.Servers-r.Copies))]
 		return r.replace(ctx, p)
@@ -204,8 +204,8 @@
 		return fmt.Sprintf("%s by %.0f ms", p.name, ms)
 	case OldFolder, NoFolder, Spoil, OldOfAll:
 		for _, s := range r.look() {
-			if !s.whole() { // with it a majority might be without its past, which nobody else has
-				return "nobody: a copy has not its vote back yet"
+			if !s.whole() { // a majority might lose log entries that no other replica has
+				return "nothing: a replica has not regained its vote yet"
 			}
 		}
 		p := r.procs[f.Pick%uint64(r.Copies)]
@@ -236,7 +236,7 @@
 	case SpoilMemory:
 		for _, s := range r.look() {
 			if !s.whole() {
-				return "nobody: a copy has not its vote back yet"
+				return "nothing: a replica has not regained its vote yet"
 			}
 		}
 		p := r.procs[f.Pick%uint64(r.Copies)]
@@ -247,12 +247,12 @@
 		resp, err := web.Do(req)
 		if err != nil {
 			r.note("spoil: %v", err)
-			return "nobody: " + err.Error()
+			return "nothing: " + err.Error()
 		}
 		b, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
 		resp.Body.Close()
 		if resp.StatusCode != http.StatusOK || len(b) == 0 {
-			return "nobody: nothing was held in memory"
+			return "nothing: the replica has no state in memory"
 		}
 		r.add(trace.Event{What: spoilt, Who: p.name, Text: string(b)})
 		span()
@@ -272,7 +272,7 @@
 	return "nothing"
 }
 
-// replace starts a second process of a server beside the first, as operators do.
+// replace starts a second process of a server next to the running one and then ends the first, as operators do.
 func (r *run) replace(ctx context.Context, p *proc) string {
 	ops, err := free(strings.Split(p.ops, ":")[0])
 	if err != nil {
@@ -305,15 +305,15 @@
 	select {
 	case <-oldDone:
 	case <-time.After(10 * time.Second):
-		r.note("the replaced process of %s did not end", p.name)
+		r.note("the replaced process of %s did not exit within 10 s of SIGTERM", p.name)
 		old.Process.Kill()
 		<-oldDone
 	}
 	oldExec.ln.Close()
-	return p.name + " beside itself"
+	return p.name + ", replaced by a second process"
 }
 
-// publish writes the files of a version, and their manifest last.
+// publish writes the files of a version, and last the manifest with their checksums.
 func (r *run) publish(n int) error {
 	dir := filepath.Join(r.Out, "published")
 	hosts := fmt.Sprintf("name,address,port,groups\nh%d,127.0.0.1,%d,runners\n", n, 3000+n)
@@ -328,11 +328,11 @@
 	return os.WriteFile(filepath.Join(dir, "SUMS"), []byte(sums), 0o644)
 }
 
-const compareAll = 13 // s in which the copies of a laboratory have compared all parts of their state, an election included
+const compareAll = 13 // s within which the replicas compare all parts of their state, one election included
 
-const spoilt = "spoilt" // a copy's memory was, by the laboratory
+const spoilt = "spoilt" // event: the lab corrupted a replica's memory
 
-// spoil changes some bits of a file, where the seed says.
+// spoil flips 1 to 20 bits of a file at positions that pick determines.
 func spoil(path string, pick uint64) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -345,13 +345,14 @@
 	return os.WriteFile(path, b, 0o600)
 }
 
+// copyFolder replaces a directory by a copy of another one.
 func copyFolder(from, to string) error {
 	if err := os.RemoveAll(to); err != nil {
 		return err
 	}
 	return filepath.WalkDir(from, func(path string, d fs.DirEntry, err error) error {
 		if errors.Is(err, fs.ErrNotExist) {
-			return nil // a snapshot that was being made
+			return nil // a snapshot in the making was renamed or removed
 		}
 		if err != nil {
 			return err
--- a/internal/lab/figures.go
+++ b/internal/lab/figures.go
@@ -14,19 +14,19 @@
 	"puffinsaddle/internal/store"
 )
 
-// office is what a copy says of its sessions.
+// office is a process's report of its leadership.
 type office struct {
-	Term uint64 `json:"term"` // in which it leads; 0: it does not
+	Term uint64 `json:"term"` // the term in which it leads; 0: it does not lead
 }
 
-// seen is what a process says of itself.
+// seen is the part of a process's metrics that the lab reads.
 type seen struct {
 	Duties *struct {
 		Me       string            `json:"me"`
 		Present  bool              `json:"present"`
 		Held     map[string]uint64 `json:"held"`
 		Sessions *office           `json:"sessions"`
-		Desk     *office           `json:"desk"` // the name of the same in earlier builds, one of which may be played beside
+		Desk     *office           `json:"desk"` // the key of Sessions in earlier builds, which --other-build may run
 	} `json:"duties"`
 	Store *struct {
 		Phase string `json:"phase"`
@@ -34,14 +34,15 @@
 	} `json:"store"`
 }
 
-// whole tells whether the process's copy takes part with its vote, where it keeps one and its build tells of it.
+// whole reports whether the process's store replica runs with its vote. It is true for a process without a replica and for a
+// build that doesn't report it.
 func (s seen) whole() bool {
 	return s.Store == nil || s.Store.Phase == store.PhaseRuns && s.Store.Votes
 }
 
 var web = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// look asks all processes for their figures.
+// look requests the metrics of all processes; one that doesn't answer is left out.
 func (r *run) look() map[*proc]seen {
 	var mu sync.Mutex
 	all := map[*proc]seen{}
@@ -67,7 +68,7 @@
 	return all
 }
 
-// settled waits until every duty has a holder and every process is present.
+// settled waits until every duty has a holder, every process is present and every replica has its vote.
 func (r *run) settled(ctx context.Context, within time.Duration) error {
 	late := time.Now().Add(within)
 	names := len(dutyNames)
@@ -91,7 +92,7 @@
 			return nil
 		}
 		if time.Now().After(late) {
-			return fmt.Errorf("%d of %d duties are held, %d of %d processes present, %d without a copy that has no vote", len(held), names, present, len(r.procs), whole)
+			return fmt.Errorf("%d of %d duties have a holder, %d of %d processes are present, %d are without a replica that lacks its vote", len(held), names, present, len(r.procs), whole)
 		}
 		select {
 		case <-ctx.Done():
@@ -101,8 +102,9 @@
 	}
 }
 
-const nothing = "nothing" // what a process holds that was picked because nobody holds a duty
+const nothing = "nothing" // the duty of a process that was picked while no duty has a holder
 
+// holder returns the holder of a duty that pick determines, or any process if no duty has a holder.
 func (r *run) holder(pick uint64) (*proc, string) {
 	var names []string
 	of := map[string]*proc{}
@@ -120,8 +122,8 @@
 	return of[name], name
 }
 
-// slowest is the holder, other than one process, whose clock runs slowest, and a duty that it holds; nil: there is none. It is
-// the one that believes in its duty for longest.
+// slowest returns the holder with the slowest clock, other than the process not, and a duty that it holds; nil if there is
+// none. With the slowest clock it believes in its lease for longest.
 func (r *run) slowest(not *proc) (slow *proc, duty string) {
 	for p, s := range r.look() {
 		for name := range s.Duties.Held {
@@ -133,8 +135,8 @@
 	return slow, duty
 }
 
-// later makes answers come later and later, to 1.2 s, and tells when it was done. Each step is less than the silence after
-// which a client seeks another copy, so the session stays.
+// later raises the delay of responses to 1.2 s in five steps and returns the time in s at which it had done so. Each step is
+// less than the silence after which a client tries another replica, so the session stays.
 func (r *run) later(ctx context.Context, at float64, links map[string]*Link) float64 {
 	for i := 1; i <= 5; i++ {
 		for _, l := range links {
@@ -146,6 +148,7 @@
 	return at
 }
 
+// leader returns the process that leads in the highest term, or any process with a replica if none leads.
 func (r *run) leader(pick uint64) *proc {
 	var best *proc
 	term := uint64(0)
--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -1,5 +1,5 @@
-// Package fit turns the output of benchmarks that run over several sizes into slopes: a straight line through the points, what it
-// leaves unexplained, and whether the points bend away from it.
+// Package fit fits straight lines to the output of benchmarks that run over several sizes, and reports the residual of each
+// line and whether the points are nonlinear.
 package fit
 
 import (
@@ -18,7 +18,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Cmd reads the output of go test -bench and prints a table.
+// Cmd reads the output of go test -bench and prints a table of fitted lines.
 type Cmd struct {
 	In string `arg:"" optional:"" type:"existingfile" help:"The output; without, standard input."`
 }
@@ -46,32 +46,33 @@
 	return nil
 }
 
-// Point is a size and what was measured there: the median, where it was measured several times.
+// Point is a size and the median of the values measured at it.
 type Point struct{ Size, Value float64 }
 
-// Line is one unit of one benchmark over its sizes.
+// Line is the fit of one unit of one benchmark over its sizes.
 type Line struct {
 	Name   string
 	Unit   string
 	Points []Point
-	// Value = Base + Slope * size, by least squares of the relative errors.
+	// Value = Base + Slope * size, by least squares of the relative errors. Base is in Unit, Slope in Unit per unit of size.
 	Base, Slope float64
-	// Residual is the largest distance of a point from the line, as a part of the point.
+	// Residual is the largest distance of a point from the line, as a fraction of the point's value.
 	Residual float64
 }
 
-// Bends tells that a straight line does not describe the points.
+// Bends reports whether the points are too far from a straight line.
 func (l Line) Bends() bool { return l.Residual > bendOver }
 
 const (
-	bendOver   = 0.15
-	leastSizes = 3
+	bendOver   = 0.15 // relative residual
+	leastSizes = 3    // sizes of a benchmark
 )
 
-// A benchmark's last part is its size: /servers=300-6, with the number of processors behind it.
+// benchmark matches a name that ends with its size and the number of processors, as in /servers=300-6.
 var benchmark = regexp.MustCompile(`^Benchmark(\S*?)/?([a-z]+)=(\d+)((?:/\S*?)?)(?:-\d+)?$`)
 
-// Read reads the output of benchmarks; those without a size, or with fewer than three of them, are left out.
+// Read reads the output of benchmarks and fits a line to each. Benchmarks without a size, or with fewer than three sizes, are
+// left out.
 func Read(in io.Reader) ([]Line, error) {
 	type key struct{ name, unit string }
 	all := map[key]map[float64][]float64{}
@@ -93,7 +94,7 @@
 		for i := 2; i+1 < len(words); i += 2 {
 			v, err := strconv.ParseFloat(words[i], 64)
 			if err != nil {
-				return nil, fmt.Errorf("fit: %s: %q is no number", words[0], words[i])
+				return nil, fmt.Errorf("fit: %s: %q is not a number", words[0], words[i])
 			}
 			k := key{m[1] + m[4] + " by " + m[2], words[i+1]}
 			if all[k] == nil {
@@ -113,12 +114,12 @@
 		}
 	}
 	if len(lines) == 0 {
-		return nil, errors.New("fit: no benchmark over three sizes or more")
+		return nil, errors.New("fit: no benchmark with three sizes or more")
 	}
 	return lines, nil
 }
 
-// newLine fits a line.
+// newLine fits a line to the values by size.
 func newLine(name, unit string, values map[float64][]float64) Line {
 	l := Line{Name: name, Unit: unit}
 	for size, v := range values {
@@ -129,7 +130,7 @@
 	var x, y, weights []float64
 	for _, p := range l.Points {
 		x, y = append(x, p.Size), append(y, p.Value)
-		weights = append(weights, 1/max(p.Value*p.Value, math.SmallestNonzeroFloat32)) // so that small sizes count as much as large ones
+		weights = append(weights, 1/max(p.Value*p.Value, math.SmallestNonzeroFloat32)) // relative errors, so that small sizes weigh as much as large ones
 	}
 	l.Base, l.Slope = stat.LinearRegression(x, y, weights, false)
 	for _, p := range l.Points {
@@ -140,7 +141,7 @@
 	return l
 }
 
-// At is the line's value at a size.
+// At returns the line's value at a size.
 func (l Line) At(size float64) float64 { return l.Base + l.Slope*size }
 
 func (l Line) row() string {
--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -42,7 +42,7 @@
 func TestWhatIsNoBenchmarkIsRefused(t *testing.T) {
 	for _, text := range []string{"", "BenchmarkX/n=1 1 2 ns/op\n", "BenchmarkX/n=1 1 two ns/op\n"} {
 		if _, err := Read(strings.NewReader(text)); err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("%d and %d faults", len(a), len(b))
 	}
 	if reflect.DeepEqual(a, Schedule(8, s, 200)) {
-		t.Error("another seed gives the same")
+		t.Error("another seed gives the same schedule")
 	}
 	kinds := map[string]bool{}
 	for _, f := range a {
@@ -41,7 +41,8 @@
 	}
 }
 
-// An echo through a link: cut one way, nothing comes back though it was said; healed, what was held back arrives late.
+// Guards against a link that loses bytes or lets them pass while it is cut: an echo server behind a link that is cut in one
+// direction at a time. After Heal the withheld bytes arrive.
 func TestLinksHoldBackAndPassOn(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -95,26 +96,26 @@
 	l.Cut(Back)
 	say("2")
 	if s := <-heard; s != "2" {
-		t.Errorf("heard %q", s)
+		t.Errorf("the server received %q, want 2", s)
 	}
 	l.Heal()
 	if s := back(); s != "2" {
-		t.Errorf("what was held back: %q", s)
+		t.Errorf("withheld bytes: got %q", s)
 	}
 	l.Cut(There)
 	say("3")
 	l.Heal()
 	if s := back(); s != "3" {
-		t.Errorf("what was held back: %q", s)
+		t.Errorf("withheld bytes: got %q", s)
 	}
 	<-heard
 	l.Reset()
 	if s := <-heard; s != "end" {
-		t.Errorf("after a reset: %q", s)
+		t.Errorf("after a reset the server received %q, want its end", s)
 	}
 }
 
-// Made-up histories, each with one thing that must not be, and one with none.
+// Guards against a checker that misses a violation: synthetic traces, each with one violation, and one without any.
 func TestCheckerFindsWhatIsWrong(t *testing.T) {
 	grant := func(at float64, index uint64, name, who string) trace.Event {
 		return trace.Event{At: at, Who: "s01", What: trace.Applied, Index: index, Term: 1, Text: "orders", Cause: "grant " + name + " " + who}
@@ -133,15 +134,15 @@
 		{At: 120, Who: "a#1", What: trace.Share, Amount: 60, Until: 200}, {At: 130, Who: "a#1", What: trace.Share, Amount: 30, Until: 200},
 		{At: 131, Who: "b#1", What: trace.Share, Amount: 70, Until: 220}, {At: 140, Who: "s01", What: trace.Exec, Text: "e1"}}
 	for want, more := range map[string][]trace.Event{
-		"":                             nil,
-		"one holder at a time":         {held(90, 95, "c#1", 3)},
-		"an epoch has one holder":      {held(400, 500, "c#1", 2)},
-		"epochs only grow":             {held(400, 500, "c#1", 1)},
-		"no act of an old epoch":       {acted(115, 6, 1)},
-		"copies agree":                 {{At: 9, Who: "s02", What: trace.Applied, Index: 2, Term: 1, Text: "act", Duty: "d", Epoch: 9}},
-		"shares stay within the whole": {{At: 150, Who: "c#1", What: trace.Share, Amount: 1, Until: 160}},
-		"no effect runs twice":         {{At: 150, Who: "s05", What: trace.Exec, Text: "e1"}},
-		"acts are linearizable":        {{At: 116, Who: "b#1", What: trace.Act, Text: "mark", Duty: "d", Epoch: 2, Began: 115, N: 2}},
+		"":                        nil,
+		"one holder at a time":    {held(90, 95, "c#1", 3)},
+		"an epoch has one holder": {held(400, 500, "c#1", 2)},
+		"epochs only increase":    {held(400, 500, "c#1", 1)},
+		"no command of an old epoch takes effect": {acted(115, 6, 1)},
+		"replicas agree":                   {{At: 9, Who: "s02", What: trace.Applied, Index: 2, Term: 1, Text: "act", Duty: "d", Epoch: 9}},
+		"shares stay within the pool":      {{At: 150, Who: "c#1", What: trace.Share, Amount: 1, Until: 160}},
+		"no effect runs twice":             {{At: 150, Who: "s05", What: trace.Exec, Text: "e1"}},
+		"fenced commands are linearizable": {{At: 116, Who: "b#1", What: trace.Act, Text: "mark", Duty: "d", Epoch: 2, Began: 115, N: 2}},
 	} {
 		o := &Outcome{Pool: 100, Events: append(append([]trace.Event(nil), good...), more...)}
 		f := Check(o)
@@ -158,8 +159,8 @@
 	}
 }
 
-// A gap is as long as its cause explains: the time to live of a holder that said nothing, from when a copy took office where
-// one did meanwhile, and next to nothing after a duty was handed on.
+// Guards against gaps that are judged by the wrong bound: the TTL after a holder that was killed, counted from the election
+// of a new leader if there was one, and only a renewal interval after a yield.
 func TestGapsThatTheTermsDoNotExplainAreCounted(t *testing.T) {
 	o := &Outcome{Begun: 1, Events: []trace.Event{
 		{At: 10, Who: "a#1", What: trace.Gained, Duty: "d", Epoch: 1, Until: 5000},
@@ -175,18 +176,18 @@
 	}
 	first, second := f.Gaps[0], f.Gaps[1]
 	if first.Ms() != 4400 || first.Office != 3000 || first.SinceOffice() != 2400 || first.Over() {
-		t.Errorf("%+v: a copy took office meanwhile", first)
+		t.Errorf("%+v: a leader was elected in the gap, which explains it", first)
 	}
 	if second.Ms() != 1000 || second.Office != 0 || !second.Over() {
-		t.Errorf("%+v: handed on", second)
+		t.Errorf("%+v: longer than a yield explains", second)
 	}
 	first.Office = 0
 	if !first.Over() {
-		t.Errorf("%+v: nothing explains it", first)
+		t.Errorf("%+v: without an election nothing explains it", first)
 	}
 }
 
-// A copy whose memory was spoilt has to be found by its difference, and no other may be.
+// Guards against a checker that accepts a corrupted replica that was never found, or a sound one that was reported.
 func TestWhatIsSpoiltHasToBeFound(t *testing.T) {
 	ev := func(at float64, who, what, text, cause string) trace.Event {
 		return trace.Event{At: at, Who: who, What: what, Text: text, Cause: cause}
@@ -195,9 +196,9 @@
 	spoil, ask := ev(1000, "s02", spoilt, "e", ""), ev(5000, "s02#1", trace.Copy, store.PhaseAsks, differs)
 	runs, died := ev(6000, "s02#1", trace.Copy, store.PhaseRuns, ""), ev(2000, "s02", "killed", "", "")
 	for want, events := range map[string][]trace.Event{
-		"":                            {spoil, ask, runs},
-		"what is spoilt is found":     {spoil},
-		"only what is spoilt differs": {ask, runs},
+		"":                             {spoil, ask, runs},
+		"corrupt replicas are found":   {spoil},
+		"only corrupt replicas differ": {ask, runs},
 	} {
 		f := Check(&Outcome{Events: events, Ended: 60000})
 		got := ""
@@ -209,11 +210,12 @@
 		}
 	}
 	if f := Check(&Outcome{Events: []trace.Event{spoil, died}, Ended: 60000}); len(f.Violations) > 0 {
-		t.Errorf("its memory went with its process: %+v", f.Violations)
+		t.Errorf("the corrupt memory went with its process: %+v", f.Violations)
 	}
 }
 
-// A process that is killed with an act under way writes down no answer: the act may have counted, and need not have.
+// Guards against false violations: a process that is killed with a fenced command in flight records no response, so the
+// command may have been executed or not.
 func TestActsCutOffByAKillMayHaveCounted(t *testing.T) {
 	act := func(what string, began, at float64, n uint64) trace.Event {
 		return trace.Event{At: at, Who: "a#1", What: what, Text: "mark", Duty: "d", Epoch: 1, Began: began, N: n}
@@ -224,18 +226,18 @@
 		t.Errorf("%+v", f.Violations)
 	}
 	if f := Check(&Outcome{Events: append(first, last...)}); len(f.Violations) != 1 {
-		t.Errorf("a count that nobody made: %+v", f.Violations)
+		t.Errorf("an increment without a command: %+v", f.Violations)
 	}
 	last[1].N = 2
 	if f := Check(&Outcome{Events: append(append(first, lost), last...)}); len(f.Violations) > 0 {
-		t.Errorf("not counted: %+v", f.Violations)
+		t.Errorf("the interrupted command was not executed: %+v", f.Violations)
 	}
 }
 
 func TestWrongUseIsNamed(t *testing.T) {
 	for want, c := range map[string]DutiesCmd{
 		"no scenario":   {Scenario: "none-such", Copies: 3, Servers: 12, For: time.Minute},
-		"no plant":      {Scenario: "all", Plant: "x", Copies: 3, Servers: 12, For: time.Minute},
+		"no bug":        {Scenario: "all", Plant: "x", Copies: 3, Servers: 12, For: time.Minute},
 		"--copies must": {Scenario: "all", Copies: 4, Servers: 12, For: time.Minute},
 		"--servers":     {Scenario: "all", Copies: 5, Servers: 3, For: time.Minute},
 		"--for must":    {Scenario: "all", Copies: 3, Servers: 12, For: time.Second},
@@ -247,8 +249,8 @@
 	}
 }
 
-// Processes of the real program with faults between them. What is checked is what must never be, so the verdict does not
-// hang on how fast the machine is; that every duty is held again at the end is given long.
+// Runs processes of the real program under faults and checks the invariants. Only safety is checked, so the verdict doesn't
+// depend on the speed of the machine; the wait for every duty to have a holder at the end has a long timeout.
 func TestProcessesKeepTheInvariants(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -270,10 +272,10 @@
 			t.Errorf("%s: %s: %s %+v", name, v.Rule, v.Text, v.Trace)
 		}
 		if f.Acts == 0 || f.Effects == 0 || len(o.Faults) == 0 {
-			t.Errorf("%s: %d acts, %d effects, %d faults: nothing was proven", name, f.Acts, f.Effects, len(o.Faults))
+			t.Errorf("%s: %d fenced commands, %d effects, %d faults: the run proves nothing", name, f.Acts, f.Effects, len(o.Faults))
 		}
-		if name == "folders" && f.Anew == 0 { // one of its faults empties a folder
-			t.Errorf("%s: no copy joined anew", name)
+		if name == "folders" && f.Anew == 0 { // one of its faults removes a data directory
+			t.Errorf("%s: no replica rejoined", name)
 		}
 		var page bytes.Buffer
 		if err := Report(&page, []Page{{Title: name, Setup: set, Outcome: o, Found: f, Result: result(set, o, f)}}); err != nil || page.Len() < 1000 {
@@ -285,7 +287,7 @@
 	}
 }
 
-// logs shows the last lines of each process.
+// logs prints the end of each process's log.
 func logs(t *testing.T, dir string) {
 	files, _ := filepath.Glob(filepath.Join(dir, "*", "log"))
 	for _, path := range files {
--- a/internal/lab/link.go
+++ b/internal/lab/link.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// Way is a direction of a link.
+// Way selects a direction of a link.
 type Way int
 
-// Ways.
+// Directions of a link.
 const (
-	There Way = iota // from the one that connects
-	Back
+	There Way = iota // from the side that connects
+	Back             // to the side that connects
 	Both
 )
 
-// Link is the one way from one process to another: a listening socket that passes connections on and can do to them what
-// networks do. Nothing that TCP promises is broken: bytes come late, or not at all and then the connection ends.
+// Link is the only path from one process to another: a TCP proxy that can inject network faults. It keeps the guarantees of
+// TCP: bytes arrive in order, late, or not at all, in which case the connection ends.
 type Link struct {
 	ln net.Listener
 
 	mu    sync.Mutex
 	to    string
-	cut   [2]bool          // bytes of a direction wait
-	delay [2]time.Duration // of what passes
-	rate  int              // bytes a second; 0: as many as come
-	pipes map[*pipe]bool   // open connections
-	wake  chan struct{}    // closed at each change
+	cut   [2]bool          // by direction: bytes are withheld
+	delay [2]time.Duration // by direction: added delay
+	rate  int              // bytes per second and connection; 0: unlimited
+	pipes map[*pipe]bool   // the open connections
+	wake  chan struct{}    // closed and replaced at each change
 	done  bool
 }
 
-// pipe is one connection through a link.
+// pipe is one connection through a link; gone is closed at its end.
 type pipe struct {
 	a, b net.Conn
 	once sync.Once
@@ -53,7 +53,7 @@
 	})
 }
 
-// NewLink opens a link; To has to be called for it to lead anywhere.
+// NewLink opens a link on a free port; its target has to be set before the first connection.
 func NewLink() (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,13 +64,13 @@
 	return l, nil
 }
 
-// Addr is where the link is entered.
+// Addr returns the address on which the link listens.
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// To sets where it leads.
+// To sets the address to which the link forwards new connections.
 func (l *Link) To(address string) { l.change(func() { l.to = address }) }
 
-// Cut holds back all bytes of a way until Heal: connections hang, and new ones do too.
+// Cut withholds all bytes of a direction until Heal: open connections and new ones hang.
 func (l *Link) Cut(w Way) {
 	l.change(func() {
 		if w != Back {
@@ -82,10 +82,10 @@
 	})
 }
 
-// Heal ends what was done to the link; what was held back is passed on late.
+// Heal removes all faults from the link; withheld bytes are then forwarded.
 func (l *Link) Heal() { l.change(func() { l.cut, l.delay, l.rate = [2]bool{}, [2]time.Duration{}, 0 }) }
 
-// Delay makes what passes late.
+// Delay adds a delay to the bytes of a direction.
 func (l *Link) Delay(d time.Duration, w Way) {
 	l.change(func() {
 		if w != Back {
@@ -97,10 +97,10 @@
 	})
 }
 
-// Throttle bounds the bytes a second of each connection's way.
+// Throttle limits each direction of each connection to rate bytes per second; 0 means unlimited.
 func (l *Link) Throttle(rate int) { l.change(func() { l.rate = rate }) }
 
-// Reset breaks all connections.
+// Reset ends all open connections with a TCP reset.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,13 +109,14 @@
 	}
 }
 
-// Close ends the link.
+// Close closes the link and resets its connections.
 func (l *Link) Close() {
 	l.change(func() { l.done = true })
 	l.ln.Close()
 	l.Reset()
 }
 
+// change applies a change of the faults and wakes all connections that wait for one.
 func (l *Link) change(do func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,7 +139,7 @@
 }
 
 func (l *Link) open(a net.Conn) {
-	// Who connects through a cut hears nothing, not even a refusal.
+	// A connection attempt through a cut link gets no response, not even a refusal.
 	if !l.pass(There, nil) {
 		a.Close()
 		return
@@ -171,7 +172,7 @@
 	l.mu.Unlock()
 }
 
-// pass waits until a way is open; false: the link or the connection has ended.
+// pass waits until a direction isn't cut. It returns false if the link or the connection was closed.
 func (l *Link) pass(w Way, p *pipe) bool {
 	var gone chan struct{}
 	if p != nil {
@@ -195,13 +196,14 @@
 	}
 }
 
+// chunk is what one read returned.
 type chunk struct {
 	b  []byte
-	at time.Time // when it may leave
+	at time.Time // when it may be forwarded
 }
 
-// carry passes bytes one way. Reading goes on while bytes are delayed, so that a delay is no throttle. At the end of the
-// one side what is on its way still arrives.
+// carry forwards the bytes of one direction. It keeps reading while bytes are delayed, so that a delay doesn't limit the
+// throughput. When the sending side closes, bytes in transit are still delivered.
 func (l *Link) carry(p *pipe, from, to net.Conn, w Way) {
 	queue := make(chan chunk, 1024)
 	go func() {
@@ -251,6 +253,7 @@
 	}
 }
 
+// wait waits for d or until gone is closed.
 func wait(d time.Duration, gone <-chan struct{}) {
 	if d <= 0 {
 		return
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -20,16 +20,16 @@
 	"puffinsaddle/internal/trace"
 )
 
-// Classes of the load. Bookings are effects; the call of a read may be left out for half of its worth.
+// Classes of the load. Bookings are effects; a read whose downstream call is skipped has half of its worth.
 const (
 	booking = "book-delivery"
 	reading = "tank-level"
 )
 
-const workFor = 15 * time.Millisecond // a run, apart from its call
+const workFor = 15 * time.Millisecond // duration of an attempt without its downstream call
 
-// executor stands in for the executor of one order server: it runs what it is told to, and writes down every run of an
-// effect. A new process of the server begins anew; runs of the one before go on without it.
+// executor is a fake of the executor of one order server: it runs requests and records every run of an effect. A new process
+// of the server starts with no notices; runs that its predecessor started continue.
 type executor struct {
 	ln    net.Listener
 	name  string
@@ -38,9 +38,9 @@
 
 	mu      sync.Mutex
 	conn    net.Conn
-	n       int // notices of the present process
+	n       int // notices sent to the present process
 	notices []string
-	waits   map[string]chan bool // runs at a call
+	waits   map[string]chan bool // runs that wait for their downstream call, by id
 	life    int
 }
 
@@ -68,7 +68,7 @@
 	fmt.Fprintf(conn, format+"\r\n", a...)
 }
 
-// notice tells the process of a life, if that is still the one that is linked.
+// notice sends a notice to the process of the given life, unless a newer process has linked since.
 func (x *executor) notice(life int, format string, a ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -149,7 +149,7 @@
 	}
 }
 
-// run works, stands at its one call, and works on.
+// run does half of the work, waits for its one downstream call, and does the other half.
 func (x *executor) run(life int, id, class string, body []byte) {
 	begun := time.Now()
 	time.Sleep(workFor / 2)
@@ -160,7 +160,7 @@
 	x.mu.Unlock()
 	x.notice(life, "CALLOUT # %s %d\r\n%s", id, len(class), class)
 	if called, ok := <-wait; !ok {
-		return // the process is gone
+		return // the process was replaced
 	} else if !called {
 		whole = "part"
 	}
@@ -169,7 +169,7 @@
 	x.notice(life, "EXIT # %s success %d %d\r\n%s", id, time.Since(begun).Milliseconds(), len(result), result)
 }
 
-// vault stands in for what all servers share: it slows down when it is crowded, and counts what is in hand.
+// vault is a fake of the vault that all servers share: it slows down when more calls than slots are in flight, and counts them.
 type vault struct {
 	ln    net.Listener
 	slots int
@@ -178,9 +178,9 @@
 	inHand int
 	most   int
 	calls  int
-	over   int // calls that found more in hand than there are slots
+	over   int // calls that found more calls in flight than slots
 	slow   float64
-	area   float64 // of calls in hand over time, in ms
+	area   float64 // integral of the calls in flight over time, in call ms
 	since  time.Time
 	begun  time.Time
 }
@@ -220,7 +220,7 @@
 	v.slow = by
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP responds to a call after a delay that grows with the calls in flight.
 func (v *vault) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d := v.count(1)
 	defer v.count(-1)
@@ -231,20 +231,20 @@
 	case <-t.C:
 		io.WriteString(w, "ok")
 	case <-r.Context().Done():
-		// Given up: it goes on for a while all the same, as work does.
+		// The caller has gone; the work of a vault continues all the same.
 		<-t.C
 	}
 }
 
-// Served is what the load came to.
+// Served counts the outcomes of the load's requests.
 type Served struct {
 	Asked   int     `json:"asked"`
-	Full    int     `json:"full"` // served with its call
-	Part    int     `json:"part"` // served without
+	Full    int     `json:"full"` // served with the downstream call
+	Part    int     `json:"part"` // served without it
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"`
-	None    int     `json:"none"`  // no answer in its time
-	Worth   float64 `json:"worth"` // served, as a part of what was asked for
+	None    int     `json:"none"`  // no response before the timeout
+	Worth   float64 `json:"worth"` // worth served, as a fraction of the worth requested
 }
 
 var worths = map[string]float64{booking: 4, reading: 1}
@@ -254,18 +254,18 @@
 	waitMs    = 2000.0
 )
 
-// routers is the load: requests come at times that are drawn ahead, whatever becomes of those before them, and the time
-// to an answer counts from then.
+// routers is an open-loop load generator: the send times are drawn independently of the responses, and latency counts from
+// the intended send time.
 type routers struct {
 	clk  *clock.Clock
 	hist *hdrhistogram.Histogram
 
 	mu     sync.Mutex
 	of     Served
-	asked  float64 // worth
-	got    float64
+	asked  float64 // worth of all requests
+	got    float64 // worth served
 	conns  map[string]*router
-	series map[int]*hdrhistogram.Histogram // by second
+	series map[int]*hdrhistogram.Histogram // latency by second of the run
 	begun  float64
 }
 
@@ -275,7 +275,7 @@
 		series: map[int]*hdrhistogram.Histogram{}, begun: clk.Now()}
 }
 
-// run sends so many requests a second to the addresses until stopped, drawn by the seed.
+// run sends perSecond requests per second on average to the addresses until stop is closed. The seed determines the requests.
 func (q *routers) run(seed uint64, perSecond float64, addresses func() []string, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	next := q.clk.Now()
@@ -304,7 +304,7 @@
 		if len(to) == 0 {
 			continue
 		}
-		at := to[int(skew*skew*float64(len(to)))] // some servers get far more than others
+		at := to[int(skew*skew*float64(len(to)))] // uneven: some servers get far more requests than others
 		q.send(at, class, id, next)
 	}
 }
@@ -373,14 +373,14 @@
 	return s
 }
 
-// router keeps one connection to one order server, made anew where it has ended or was asked to go.
+// router keeps one connection to one order server, and opens a new one when it has ended or the server asked to close it.
 type router struct {
 	to  string
 	mu  sync.Mutex
 	now *wire
 }
 
-// wire is one connection, read until all on it is answered.
+// wire is one connection. It is read until the server closes it.
 type wire struct {
 	conn  net.Conn
 	mu    sync.Mutex
@@ -388,6 +388,7 @@
 	waits map[int]func(verdict, body string)
 }
 
+// ask sends a request and reports whether it was written; end is called with the response.
 func (r *router) ask(class, id string, at float64, end func(string, string)) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -419,7 +420,7 @@
 	return true
 }
 
-// drop sends no more on a wire.
+// drop makes the next request open a new connection.
 func (r *router) drop(w *wire) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -456,11 +457,11 @@
 	}
 }
 
-// array reads one array of bulk strings.
+// array reads one RESP array of bulk strings.
 func array(r *bufio.Reader) ([]string, error) {
 	head, err := r.ReadString('\n')
 	if err != nil || head[0] != '*' {
-		return nil, fmt.Errorf("lab: no array: %q, %v", head, err)
+		return nil, fmt.Errorf("lab: want a RESP array, got %q, %v", head, err)
 	}
 	n, err := strconv.Atoi(strings.TrimSpace(head[1:]))
 	if err != nil {
--- a/internal/lab/platform.go
+++ b/internal/lab/platform.go
@@ -8,22 +8,22 @@
 	"puffinsaddle/internal/trace"
 )
 
-// PlatformFile is what the platform's file says to an order server of a laboratory.
+// PlatformFile is the content of the platform's file for an order server that the lab starts.
 type PlatformFile struct {
 	Name     string
 	Listen   string
 	Executor string
 	Vault    string
-	Operator string // the operators' address
+	Operator string // address for operators
 	Seed     uint64
-	Servers  int // of the whole fleet
-	Slots    int // of the vault
+	Servers  int // in the fleet
+	Slots    int // calls that the vault serves at once
 	MemoryMB int
 	Sockets  int
-	Cores    float64 // 0: 1
+	Cores    float64 // 0 means 1
 }
 
-// Write writes the file.
+// Write writes the file as JSON.
 func (p PlatformFile) Write(path string) error {
 	settings := m{
 		"classes": []m{{"name": reading, "aim": 1e9, "deadline": 2e9, "worth": 1.0, "lateValue": 0.2, "idempotency": "safe"},
@@ -49,10 +49,10 @@
 	return os.WriteFile(path, b, 0o644)
 }
 
-// StandIn answers in place of an executor, for processes that get no requests.
+// StandIn is a fake executor for processes that get no requests.
 type StandIn struct{ x *executor }
 
-// NewStandIn opens one.
+// NewStandIn starts a fake executor on a free port.
 func NewStandIn(name string) (*StandIn, error) {
 	x, err := newExecutor(name, func(trace.Event) {}, func() (bool, float64) { return false, 0 })
 	if err != nil {
@@ -61,8 +61,8 @@
 	return &StandIn{x}, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the fake listens.
 func (s *StandIn) Addr() string { return s.x.ln.Addr().String() }
 
-// Close ends it.
+// Close stops the fake from accepting connections.
 func (s *StandIn) Close() { s.x.ln.Close() }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -16,27 +16,27 @@
 	"puffinsaddle/internal/trace"
 )
 
-// proc is one order server of the run.
+// proc is one order server of the run; its process may be replaced by further ones.
 type proc struct {
 	name   string
-	copies bool // it keeps one
+	copies bool // it runs a store replica
 	dir    string
 	listen string
 	ops    string
 	store  string
 	rate   float64
 	exec   *executor
-	links  map[string]*Link // to each copy's sessions, by its id
-	peers  map[string]*Link // to each other copy's raft
+	links  map[string]*Link // to the sessions of each replica, by its id
+	peers  map[string]*Link // to the raft of each other replica, by its id
 	gen    int
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
-	want bool // it is not to end by itself
+	want bool // the process should be running; its end is a failure
 }
 
-// free picks a port that is free now.
+// free returns an address with a port that is free now.
 func free(ip string) (string, error) {
 	ln, err := net.Listen("tcp", ip+":0")
 	if err != nil {
@@ -46,7 +46,7 @@
 	return ln.Addr().String(), nil
 }
 
-// lay makes folders, addresses, links and files for all servers.
+// lay prepares directories, addresses, links and fake executors for all servers, and the first published version.
 func (r *run) lay() error {
 	ip := fmt.Sprintf("127.%d.%d.", 64+r.rng.IntN(128), os.Getpid()%250+1)
 	for i := range r.Servers {
@@ -68,7 +68,7 @@
 			}
 		}
 		p.rate = 1 + rate*(2*r.rng.Float64()-1)
-		switch i { // the worst that the terms allow is always there
+		switch i { // the extremes of the allowed clock rates are always present
 		case 0:
 			p.rate = 1 + rate
 		case r.Servers - 1:
@@ -104,6 +104,7 @@
 	return r.publish(1)
 }
 
+// boots returns whether executors report that they are cold, and the ms since they started.
 func (r *run) boots() (bool, float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +113,7 @@
 
 type m = map[string]any
 
-// write writes the two files of a server.
+// write writes the platform's file and the operator's file of a server.
 func (r *run) write(p *proc) error {
 	config := PlatformFile{Name: p.name, Listen: p.listen, Executor: p.exec.ln.Addr().String(), Vault: r.vault.ln.Addr().String(), Operator: p.ops,
 		Seed: r.Seed*1000 + uint64(p.gen), Servers: r.Servers, Slots: r.Slots, MemoryMB: 192, Sockets: 1024}
@@ -157,7 +158,7 @@
 	return os.WriteFile(filepath.Join(p.dir, "operator.yaml"), b, 0o644)
 }
 
-// start starts the next process of a server.
+// start starts the next process of a server. A watcher records its end as a failure unless the end was asked for.
 func (r *run) start(p *proc) error {
 	p.gen++
 	if err := r.write(p); err != nil {
@@ -187,7 +188,7 @@
 		p.mu.Lock()
 		if p.cmd == cmd && p.want {
 			r.mu.Lock()
-			r.crash = append(r.crash, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+			r.crash = append(r.crash, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
 			r.mu.Unlock()
 		}
 		p.mu.Unlock()
@@ -204,7 +205,7 @@
 	}
 }
 
-// kill ends a process at once; drain asks it to end, and waits.
+// kill ends a process with SIGKILL and waits for its end.
 func (r *run) kill(p *proc) {
 	p.mu.Lock()
 	p.want = false
@@ -215,6 +216,7 @@
 	r.add(trace.Event{What: "killed", Who: p.name})
 }
 
+// drain ends a process with SIGTERM. A process that takes too long is a failure; its goroutines are dumped to its log.
 func (r *run) drain(p *proc) {
 	p.mu.Lock()
 	p.want = false
@@ -225,9 +227,9 @@
 	case <-done:
 	case <-time.After(clock.Duration(2*stopMs) + 3*time.Second):
 		r.mu.Lock()
-		r.crash = append(r.crash, p.name+" did not end on SIGTERM; its log ends with where it stands")
+		r.crash = append(r.crash, p.name+" did not exit on SIGTERM; its log ends with a dump of its goroutines")
 		r.mu.Unlock()
-		p.signal(syscall.SIGQUIT) // it writes down its goroutines
+		p.signal(syscall.SIGQUIT) // dumps the goroutines
 		select {
 		case <-done:
 		case <-time.After(2 * time.Second):
@@ -236,7 +238,7 @@
 	}
 }
 
-// end drains all.
+// end drains all processes at once.
 func (r *run) end() {
 	var all sync.WaitGroup
 	for _, p := range r.procs {
@@ -249,7 +251,7 @@
 	all.Wait()
 }
 
-// closeAll ends what is left, at any end of the run.
+// closeAll kills all remaining processes and closes links and fakes, however the run ended.
 func (r *run) closeAll() {
 	for _, p := range r.procs {
 		p.mu.Lock()
@@ -273,7 +275,7 @@
 	}
 }
 
-// serving lists the addresses of the servers that are up, for the load.
+// serving returns the addresses of the servers that should be running, for the load.
 func (r *run) serving() []string {
 	var up []string
 	for _, p := range r.procs {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -14,6 +14,7 @@
 	"puffinsaddle/internal/trace"
 )
 
+// Layout of the report page, in px.
 const (
 	wide  = 1100
 	left  = 110
@@ -21,7 +22,7 @@
 	chart = 160
 )
 
-// Page is one run of a report.
+// Page is the part of a report that shows one run.
 type Page struct {
 	Title   string
 	Setup   Setup
@@ -30,13 +31,14 @@
 	Result  Result
 }
 
+// color returns an HSL color that depends on s alone.
 func color(s string) string {
 	h := fnv.New32a()
 	h.Write([]byte(s))
 	return fmt.Sprintf("hsl(%d,55%%,%d%%)", h.Sum32()%360, 45+h.Sum32()/360%20)
 }
 
-// x is a time's place.
+// x returns the horizontal position in px of a time in ms.
 func (p Page) x(at float64) int {
 	s := (at - p.Outcome.Begun) / 1000
 	return left + int(max(min(s/p.Setup.Seconds, 1.05), -0.02)*(wide-left-60))
@@ -57,7 +59,7 @@
 	}
 }
 
-// timeline draws who held what when, with the faults above it.
+// timeline draws the holders of each duty over time, with the faults above.
 func (p Page) timeline() template.HTML {
 	var b bytes.Buffer
 	names := slices.Sorted(maps.Keys(p.Found.Spans))
@@ -93,7 +95,7 @@
 	return template.HTML(b.String())
 }
 
-// line draws values over time.
+// line draws values over time, with at in ms of the machine's clock.
 func (p Page) line(title string, at, values []float64, unit string) template.HTML {
 	var b bytes.Buffer
 	c := svg.New(&b)
@@ -120,17 +122,17 @@
 	return template.HTML(b.String())
 }
 
-// latency draws the time to an answer by second.
+// latency draws the 99th percentile of the latency by second.
 func (p Page) latency() template.HTML {
 	var at, v []float64
 	for _, s := range slices.Sorted(maps.Keys(p.Outcome.Load.series)) {
 		at = append(at, p.Outcome.Begun+float64(s)*1000)
 		v = append(v, float64(p.Outcome.Load.series[s].ValueAtQuantile(99))/1000)
 	}
-	return p.line("time to an answer from the intended sending, 99th in 100, by second", at, v, "ms")
+	return p.line("latency from the intended send time, 99th percentile by second", at, v, "ms")
 }
 
-// shares draws what is in force of the pool.
+// shares draws the sum of the shares in force.
 func (p Page) shares() template.HTML {
 	now := map[string]int64{}
 	var at, v []float64
@@ -151,53 +153,53 @@
 		}
 		at, v = append(at, e.At), append(v, float64(sum)/1000)
 	}
-	return p.line(fmt.Sprintf("shares told, of %.1f calls in hand", float64(p.Outcome.Pool)/1000), at, v, "")
+	return p.line(fmt.Sprintf("shares in force, of %.1f concurrent calls", float64(p.Outcome.Pool)/1000), at, v, "")
 }
 
 var page = template.Must(template.New("report").Parse(`<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>puffinsaddle laboratory</title>
+<html lang="en"><head><meta charset="utf-8"><title>puffinsaddle fault-injection lab</title>
 <style>body{font-family:sans-serif;margin:24px;max-width:1140px}table{border-collapse:collapse;font-size:13px}td,th{border:1px solid #ccc;padding:2px 8px;text-align:left}.bad{color:#b00}pre{background:#f6f6f6;padding:8px;font-size:11px;overflow:auto}</style></head><body>
-<h1>puffinsaddle laboratory</h1>
+<h1>puffinsaddle fault-injection lab</h1>
 {{if gt (len .) 1}}<h2>Side by side</h2><table><tr><th></th>{{range .}}<th>{{.Title}}</th>{{end}}</tr>
 {{range $i, $n := (index . 0).Rows}}<tr><td>{{$n.Name}}</td>{{range $}}<td>{{(index .Rows $i).Value}}</td>{{end}}</tr>{{end}}</table>{{end}}
 {{range .}}<h2>{{.Title}}</h2>
-<p>seed {{.Setup.Seed}}, {{.Setup.Seconds}} s, {{.Setup.Copies}} copies, {{.Setup.Servers}} servers, scenario {{.Setup.Scenario.Name}}{{if .Setup.Plant}}, planted: {{.Setup.Plant}}{{end}}</p>
+<p>seed {{.Setup.Seed}}, {{.Setup.Seconds}} s, {{.Setup.Copies}} store replicas, {{.Setup.Servers}} servers, scenario {{.Setup.Scenario.Name}}{{if .Setup.Plant}}, injected bug: {{.Setup.Plant}}{{end}}</p>
 <table>{{range .Rows}}<tr><td>{{.Name}}</td><td>{{.Value}}</td></tr>{{end}}</table>
-{{if .Found.Violations}}<h3 class="bad">Broken</h3>{{range .Found.Violations}}<p class="bad"><b>{{.Rule}}</b>: {{.Text}}</p><pre>{{range .Trace}}{{printf "%+v" .}}
+{{if .Found.Violations}}<h3 class="bad">Violations</h3>{{range .Found.Violations}}<p class="bad"><b>{{.Rule}}</b>: {{.Text}}</p><pre>{{range .Trace}}{{printf "%+v" .}}
 {{end}}</pre>{{end}}{{end}}
-<h3>Who held what</h3>{{.Timeline}}
+<h3>Holders of duties</h3>{{.Timeline}}
 {{.Latency}}{{.Shares}}
 <h3>Faults</h3><table><tr><th>at</th><th>for</th><th>kind</th><th>hit</th></tr>{{range .Outcome.Faults}}<tr><td>{{printf "%.1f s" .At}}</td><td>{{printf "%.1f s" .For}}</td><td>{{.Kind}}</td><td>{{.Hit}}</td></tr>{{end}}</table>
-<h3>Gaps without a holder</h3><table><tr><th>duty</th><th>ms</th><th>after</th><th>ms since another copy took office</th></tr>{{range .Found.Gaps}}<tr{{if .Over}} class="bad"{{end}}><td>{{.Duty}}</td><td>{{printf "%.0f" .Ms}}</td><td>{{.After}}</td><td>{{if .Office}}{{printf "%.0f" .SinceOffice}}{{end}}</td></tr>{{end}}</table>
+<h3>Gaps without a holder</h3><table><tr><th>duty</th><th>ms</th><th>after</th><th>ms since another leader was elected</th></tr>{{range .Found.Gaps}}<tr{{if .Over}} class="bad"{{end}}><td>{{.Duty}}</td><td>{{printf "%.0f" .Ms}}</td><td>{{.After}}</td><td>{{if .Office}}{{printf "%.0f" .SinceOffice}}{{end}}</td></tr>{{end}}</table>
 {{range .Outcome.Notes}}<p>{{.}}</p>{{end}}
 {{end}}</body></html>`))
 
-// Row is a figure of a page.
+// Row is one line of a page's table of metrics.
 type Row struct{ Name, Value string }
 
-// Rows are the figures.
+// Rows returns the table of metrics.
 func (p Page) Rows() []Row {
 	r := p.Result
 	q := func(v float64) string {
 		return fmt.Sprintf("%.1f ms", float64(p.Outcome.Load.hist.ValueAtQuantile(v))/1000)
 	}
-	return []Row{{"invariants broken", fmt.Sprint(r.Violations)}, {"acts", fmt.Sprint(r.Acts)}, {"acts refused for their epoch", fmt.Sprint(r.Stale)},
-		{"handovers", fmt.Sprint(r.Handovers)}, {"gap, median", fmt.Sprintf("%.0f ms", r.GapP50)}, {"gap, longest", fmt.Sprintf("%.0f ms", r.GapMax)}, {"gaps longer than the terms explain", fmt.Sprint(r.GapsOver)},
+	return []Row{{"invariants violated", fmt.Sprint(r.Violations)}, {"fenced commands", fmt.Sprint(r.Acts)}, {"commands refused for a stale epoch", fmt.Sprint(r.Stale)},
+		{"handovers", fmt.Sprint(r.Handovers)}, {"gap, median", fmt.Sprintf("%.0f ms", r.GapP50)}, {"gap, longest", fmt.Sprintf("%.0f ms", r.GapMax)}, {"gaps longer than the lease settings explain", fmt.Sprint(r.GapsOver)},
 		{"effects run", fmt.Sprint(r.Effects)}, {"effects run twice", fmt.Sprint(r.EffectsTwice)}, {"worth served", fmt.Sprintf("%.3f", r.Worth)},
-		{"answers in time", fmt.Sprintf("%d full, %d poorer, %d refused, %d failed, %d none of %d", r.Served.Full, r.Served.Part, r.Served.Refused, r.Served.Failed, r.Served.None, r.Served.Asked)},
-		{"time to an answer", q(50) + " median, " + q(99) + " 99th in 100"},
-		{"calls below", fmt.Sprintf("%d, at most %d at once of %d slots, %.2f in the mean", r.Calls, r.CallsMost, p.Outcome.Vault.Slots, r.CallsMean)},
-		{"most shares in force", fmt.Sprintf("%.1f of %.1f", float64(p.Found.SharesMost)/1000, float64(p.Outcome.Pool)/1000)}}
+		{"responses in time", fmt.Sprintf("%d full, %d without the downstream call, %d refused, %d failed, %d timed out, of %d", r.Served.Full, r.Served.Part, r.Served.Refused, r.Served.Failed, r.Served.None, r.Served.Asked)},
+		{"latency", q(50) + " median, " + q(99) + " 99th percentile"},
+		{"downstream calls", fmt.Sprintf("%d, at most %d in flight for %d slots, %.2f on average", r.Calls, r.CallsMost, p.Outcome.Vault.Slots, r.CallsMean)},
+		{"maximum of shares in force", fmt.Sprintf("%.1f of %.1f", float64(p.Found.SharesMost)/1000, float64(p.Outcome.Pool)/1000)}}
 }
 
-// Timeline draws who held what when.
+// Timeline returns the chart of the holders of duties.
 func (p Page) Timeline() template.HTML { return p.timeline() }
 
-// Latency draws the load's.
+// Latency returns the chart of the load's latency.
 func (p Page) Latency() template.HTML { return p.latency() }
 
-// Shares draws what is told.
+// Shares returns the chart of the shares in force.
 func (p Page) Shares() template.HTML { return p.shares() }
 
-// Report writes one page for runs, side by side where there are two.
+// Report writes one HTML page for all runs, with a comparison where there is more than one.
 func Report(w io.Writer, pages []Page) error { return page.Execute(w, pages) }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -17,22 +17,23 @@
 	"puffinsaddle/internal/trace"
 )
 
-// Setup tells what a run is made of.
+// Setup describes a run.
 type Setup struct {
 	Binary   string
 	Out      string
 	Seed     uint64
-	Seconds  float64
+	Seconds  float64 // duration of the load
 	Copies   int
-	Servers  int // copies included
+	Servers  int // including those with a store replica
 	Scenario Scenario
 	Plant    string
-	Load     float64 // requests a second
-	Static   bool    // each server has an equal share of what is below, and no allotter divides it
-	Slots    int     // of the vault
+	Load     float64 // requests per second
+	Static   bool    // each server has an equal share of the downstream capacity, and there is no allotter
+	Slots    int     // calls that the vault serves at once
 }
 
-// Terms of the laboratory, in ms.
+// Settings of the processes and timeouts of the lab. Plain numbers are in ms, except for rate, the largest relative deviation of
+// a process's clock.
 const (
 	ttl      = 2000.0
 	renew    = 300.0
@@ -54,9 +55,9 @@
 	begun    float64
 	starter  chan func()
 	rng      *rand.Rand
-	tmp      string // short, since the path of a Unix socket must be
+	tmp      string // short, because the path of a Unix socket is limited
 	cold     bool
-	compares bool // the build knows store.compare_ms
+	compares bool // the build knows the setting store.compare_ms
 	bootAt   time.Time
 
 	mu     sync.Mutex
@@ -78,13 +79,13 @@
 	r.notes = append(r.notes, fmt.Sprintf(format, a...))
 }
 
-// Outcome is all that a run left behind.
+// Outcome is what a run recorded.
 type Outcome struct {
 	Events []trace.Event
 	Crash  []string
 	Notes  []string
-	Begun  float64 // ms of the machine's clock at which the load began
-	Ended  float64 // and at which it ended
+	Begun  float64 // start of the load, in ms of the machine's clock
+	Ended  float64 // end of the load, likewise
 	Faults []Done
 	Served Served
 	Vault  struct {
@@ -96,13 +97,13 @@
 	Alone int64
 }
 
-// Done is a fault that was made, with what it hit.
+// Done is a fault that was injected, with what it hit.
 type Done struct {
 	Fault
 	Hit string `json:"hit"`
 }
 
-// Play makes one run.
+// Play executes one run.
 func Play(ctx context.Context, s Setup) (*Outcome, error) {
 	if err := os.MkdirAll(s.Out, 0o755); err != nil {
 		return nil, err
@@ -111,7 +112,8 @@
 	over := make(chan struct{})
 	defer close(over)
 	go func() {
-		// Children end with the thread that started them, if that ends: this one ends with the run.
+		// The kernel kills the children (Pdeathsig) when the thread that started them ends, so one locked thread starts all
+		// of them and ends with the run.
 		runtime.LockOSThread()
 		for {
 			select {
@@ -142,9 +144,9 @@
 		}
 	}
 	if err := r.settled(ctx, upWithin); err != nil {
-		return nil, fmt.Errorf("lab: at the start: %w", err)
+		return nil, fmt.Errorf("lab: processes not ready for the load: %w", err)
 	}
-	for _, p := range r.procs { // what an older folder is, later on
+	for _, p := range r.procs { // the old data directories for the faults that restore one
 		if p.copies {
 			p.signal(syscall.SIGSTOP)
 			err := copyFolder(filepath.Join(p.dir, "store"), filepath.Join(p.dir, "older"))
@@ -180,7 +182,7 @@
 	ended := r.one.Now()
 	close(stop)
 	loads.Wait()
-	time.Sleep(clock.Duration(waitMs)) // the answers that are still owed, or their lack
+	time.Sleep(clock.Duration(waitMs)) // for outstanding responses or their timeouts
 	r.end()
 	o := &Outcome{Crash: r.crash, Notes: r.notes, Begun: r.begun, Ended: ended, Faults: made, Served: r.routers.served(), Load: r.routers, Pool: r.pool(), Alone: alone}
 	o.Events = r.events
@@ -212,7 +214,7 @@
 	return o, nil
 }
 
-// sleep waits for a second of the run.
+// sleep waits until s seconds after the start of the load. It returns false if ctx was canceled.
 func (r *run) sleep(ctx context.Context, s float64) bool {
 	d := clock.Duration(r.begun + s*1000 - r.one.Now())
 	if d <= 0 {
@@ -228,17 +230,18 @@
 	}
 }
 
-const alone = 500 // thousandths of a call in hand that a server may have below without a share
+const alone = 500 // thousandths of a concurrent downstream call that a server without a share may use
 
-// whole is what may be below at once, in thousandths.
+// whole returns the downstream calls that may be in flight at once, in thousandths.
 func (r *run) whole() int64 { return int64(r.Slots) * 1000 }
 
-// most is how many processes there are at once: all, and one beside itself.
+// most returns how many processes there may be at once, with those that a replacement runs next to its predecessor.
 func (r *run) most() int { return r.Servers + 2 }
 
+// pool returns the capacity that the allotter divides, in thousandths of a call.
 func (r *run) pool() int64 { return r.whole() - alone*int64(r.most()) }
 
-// takes tells whether the build, which may be an earlier one, takes an operator's file with such a key.
+// takes reports whether the build, which may be an earlier one, accepts an operator's file with this text.
 func (r *run) takes(text string) bool {
 	path := filepath.Join(r.tmp, "probe.yaml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace writes down what a process believed and did, for a checker that reads the traces of all. It is off but
-// in the laboratory.
+// Package trace records what a process believed and did, for a checker that reads the traces of all processes. Only
+// processes that the fault-injection lab starts write a trace.
 package trace
 
 import (
@@ -14,7 +14,8 @@
 	"puffinsaddle/internal/clock"
 )
 
-// Event is one line. At and Until are the machine's one clock, in ms, whatever the process's own clock runs at.
+// Event is one line of a trace. At, Until and Began are in ms of the machine's monotonic clock, whatever the rate of the
+// process's own clock.
 type Event struct {
 	At     float64 `json:"at"`
 	Who    string  `json:"who"`
@@ -26,47 +27,47 @@
 	Cause  string  `json:"cause,omitempty"`
 	Index  uint64  `json:"index,omitempty"`
 	Term   uint64  `json:"term,omitempty"`
-	Began  float64 `json:"began,omitempty"` // of an act: when it was sent
+	Began  float64 `json:"began,omitempty"` // of a fenced command: when it was sent
 	N      uint64  `json:"n,omitempty"`
 	Text   string  `json:"text,omitempty"`
 }
 
-// What happens.
+// Kinds of events, the values of Event.What.
 const (
-	Up      = "up"      // the process has started
-	Gained  = "gained"  // it holds a duty until Until
-	Held    = "held"    // renewed until Until
-	Ended   = "ended"   // it holds it no more
-	Sent    = "sent"    // an act is about to be sent; what comes of it has the same Began
-	Act     = "act"     // carried out
-	Refused = "refused" // for its epoch
-	Unknown = "unknown" // sent, and not confirmed
-	Share   = "share"   // Amount is in force until Until
-	Office  = "office"  // a copy begins to grant duties in Term
-	Copy    = "copy"    // a copy is in phase Text, for Cause
-	Applied = "applied" // a copy carried out entry Index
-	Begun   = "begun"   // an effect was recorded
-	Took    = "took"    // a published version was taken whole; Cause: turned down
-	Exec    = "exec"    // a stand-in ran something
+	Up      = "up"      // the process started
+	Gained  = "gained"  // the process holds a duty until Until
+	Held    = "held"    // the lease was renewed until Until
+	Ended   = "ended"   // the process no longer holds the duty
+	Sent    = "sent"    // a fenced command is about to be sent; the event of its outcome has the same Began
+	Act     = "act"     // a fenced command was executed
+	Refused = "refused" // a fenced command was refused because of its epoch
+	Unknown = "unknown" // a fenced command was sent and its outcome is not known
+	Share   = "share"   // a share of Amount is in force until Until
+	Office  = "office"  // a store replica starts to grant duties as leader of Term
+	Copy    = "copy"    // a store replica entered phase Text because of Cause
+	Applied = "applied" // a store replica applied the log entry Index
+	Begun   = "begun"   // an effect was recorded in the effect log
+	Took    = "took"    // a published version was accepted, or rejected for the reason in Cause
+	Exec    = "exec"    // a fake executor ran an effect
 
-	// Of records; N is a revision and Text the digest of all records there.
-	Agreed    = "agreed"    // a copy of the store has commit N
-	InForce   = "in-force"  // commits Index to N came into force
-	Installed = "installed" // all records were taken as of N, from a snapshot or the disk
-	Reported  = "reported"  // N was reported to be in force
+	// Events of the records: N is a revision and Text the digest of all records at that revision.
+	Agreed    = "agreed"    // a store replica has commit N
+	InForce   = "in-force"  // the commits Index to N came into force
+	Installed = "installed" // all records as of N were loaded from a snapshot or from disk
+	Reported  = "reported"  // revision N was reported to be in force
 )
 
-// Log writes events. A nil Log writes none.
+// Log appends events to a file. A nil Log writes nothing.
 type Log struct {
 	who   string
-	own   *clock.Clock // the process's steady clock, which may run apart
-	one   *clock.Clock // the machine's
+	own   *clock.Clock // the process's steady clock, whose rate may differ
+	one   *clock.Clock // the machine's monotonic clock
 	mu    sync.Mutex
 	f     *os.File
 	write *bufio.Writer
 }
 
-// Open appends to a file.
+// Open opens a trace file for appending.
 func Open(path, who string, own *clock.Clock) (*Log, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -75,8 +76,8 @@
 	return &Log{who: who, own: own, one: clock.Monotonic(), f: f, write: bufio.NewWriter(f)}, nil
 }
 
-// Add writes an event, whole and at once: the process may be killed at any time. until is a time of the process's own
-// clock; 0: none.
+// Add writes an event and flushes it at once, since the process may be killed at any time. until is in ms of the process's
+// own clock; 0 means that the event has no end.
 func (l *Log) Add(e Event, until float64) {
 	if l == nil {
 		return
@@ -84,7 +85,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e.Who = l.who
-	// Own clock first: a stall between the two readings can only make the end look later than it is believed.
+	// The process's clock is read first: a stall between the two readings can only make the end later than the process
+	// believes it to be.
 	own := l.own.Now()
 	e.At = l.one.Now()
 	if until > 0 {
@@ -96,7 +98,7 @@
 	}
 }
 
-// Close ends the log.
+// Close closes the trace file.
 func (l *Log) Close() {
 	if l != nil {
 		l.mu.Lock()
@@ -105,7 +107,7 @@
 	}
 }
 
-// Read reads a trace; a last line that was cut by a kill is left out.
+// Read reads a trace. A last line that a kill truncated is left out.
 func Read(path string) ([]Event, error) {
 	f, err := os.Open(path)
 	if err != nil {
