--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -112,11 +112,11 @@
 	}
 	k.BindTo(out, (*io.Writer)(nil))
 	err = k.Run()
-	var use *lab.WrongUse
+	var use *lab.UsageError
 	switch {
 	case err == nil:
 		return good
-	case errors.Is(err, lab.ErrBroken):
+	case errors.Is(err, lab.ErrInvariantViolated):
 		return bad // the report has said what
 	case errors.As(err, &use), errors.Is(err, errWrong):
 		fmt.Fprintln(errs, "puffinsaddle:", err)
--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -97,7 +97,7 @@
 			return nil, err
 		}
 		h.trace = t
-		t.Add(trace.Event{What: trace.Up}, 0)
+		t.Add(trace.Event{What: trace.ProcessStarted}, 0)
 	}
 	plant := cfg.Operator.Lab.Plant
 	h.keeper = &work.Runner{Steady: h.steady, Log: log, Trace: h.trace, CheckVersion: h.check}
@@ -130,11 +130,11 @@
 	g := &duty.Grantor{Rules: d.Rules(), Seed: 1, MaxPresent: d.Allot.Servers, InjectedBug: h.cfg.Operator.Lab.Plant}
 	h.sessions = session.NewServer(copy, g, d.Sessions, h.steady, h.log)
 	h.sessions.CheckChange = func(c records.Change) error { return checkChange(copy, c) }
-	h.sessions.OnTermStart = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
+	h.sessions.OnTermStart = func(term uint64) { h.trace.Add(trace.Event{What: trace.TermStarted, Term: term}, 0) }
 	copy.ServeSessions(h.sessions.Serve)
 	h.origin = relay.NewOrigin(copy, h.steady, h.log, h.cfg.Operator.Lab.Plant)
 	h.origin.Agreed = func(c records.Commit) {
-		h.trace.Add(trace.Event{What: trace.Agreed, N: c.Revision, Text: c.After.String()}, 0)
+		h.trace.Add(trace.Event{What: trace.CommitAgreed, N: c.Revision, Text: c.After.String()}, 0)
 	}
 	h.sessions.ConfigStatus = h.origin.Status
 	copy.ServeWatches(h.origin.Serve)
@@ -249,7 +249,9 @@
 	if h == nil || h.trace == nil {
 		return nil
 	}
-	return func(phase, why string) { h.trace.Add(trace.Event{What: trace.Copy, Text: phase, Cause: why}, 0) }
+	return func(phase, why string) {
+		h.trace.Add(trace.Event{What: trace.ReplicaPhase, Text: phase, Cause: why}, 0)
+	}
 }
 
 // watch writes down what a copy carries out.
@@ -258,7 +260,7 @@
 		return nil
 	}
 	return func(index, term uint64, c state.Command, r state.Result) {
-		e := trace.Event{What: trace.Applied, Index: index, Term: term, Text: c.Op}
+		e := trace.Event{What: trace.EntryApplied, Index: index, Term: term, Text: c.Op}
 		if c.Fence != nil {
 			e.Duty, e.Epoch, e.Cause = c.Fence.Name, c.Fence.Epoch, r.Error
 		}
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -114,10 +114,10 @@
 	plant := cfg.Operator.Lab.Plant
 	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.Path, Check: records.CheckValue, Use: w.use, Log: log, Plant: plant,
 		Committed: func(c records.Commit) {
-			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
+			t.Add(trace.Event{What: trace.CommitsInForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
 		Adopted:  func(p distribution.Position) { traceInstalled(t, p) },
-		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
+		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.RevisionReported, N: revision}, 0) }})
 	traceInstalled(t, w.replica.Position())
 	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Monotonic(), Log: log, InjectedBug: plant, Replica: w.replica,
 		Selector: distribution.NewSelector(d.Relays, distribution.Place{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
@@ -125,7 +125,7 @@
 }
 
 func traceInstalled(t *trace.Log, p distribution.Position) {
-	t.Add(trace.Event{What: trace.Installed, N: p.Revision, Text: p.Digest.String()}, 0)
+	t.Add(trace.Event{What: trace.RecordsInstalled, N: p.Revision, Text: p.Digest.String()}, 0)
 }
 
 // use puts settings into force, all together. Settings that do not fit together leave those before in force.
@@ -205,17 +205,17 @@
 			return err
 		}
 		defer t.Close()
-		t.Add(trace.Event{What: trace.Up}, 0)
+		t.Add(trace.Event{What: trace.ProcessStarted}, 0)
 	}
 	limits := distribution.DefaultLimits
 	limits.Watchers, limits.Snapshots = set.Watchers, set.Snapshots
 	r, err := relay.Open(relay.Options{Name: set.Name, Region: set.Region, Listen: set.Listen, Copies: set.Copies, Elsewhere: set.Elsewhere, Path: set.Path, Limits: limits,
 		Seed: seedOf(set.Name), Steady: steady, Log: log, Plant: file.Lab.Plant,
 		Committed: func(c records.Commit) {
-			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
+			t.Add(trace.Event{What: trace.CommitsInForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
 		Adopted:  func(p distribution.Position) { traceInstalled(t, p) },
-		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
+		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.RevisionReported, N: revision}, 0) }})
 	if err != nil {
 		return err
 	}
--- a/internal/duties/keeper.go
+++ b/internal/duties/keeper.go
@@ -73,7 +73,7 @@
 	presence := duty.PresenceName(k.processID)
 	switch e := e.(type) {
 	case duty.LeaseGained:
-		k.Trace.Add(trace.Event{What: trace.Gained, Duty: e.Name, Epoch: e.Epoch}, e.Until)
+		k.Trace.Add(trace.Event{What: trace.LeaseGained, Duty: e.Name, Epoch: e.Epoch}, e.Until)
 		if e.Name == presence {
 			k.Log.Info().Uint64("epoch", e.Epoch).Msg("present")
 			return
@@ -81,7 +81,7 @@
 		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("gained")
 		k.startWork(e.Ref)
 	case duty.LeaseRenewed:
-		k.Trace.Add(trace.Event{What: trace.Held, Duty: e.Name, Epoch: e.Epoch}, e.Until)
+		k.Trace.Add(trace.Event{What: trace.LeaseRenewed, Duty: e.Name, Epoch: e.Epoch}, e.Until)
 		if e.Late {
 			k.Log.Warn().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("lease renewed late")
 		}
@@ -96,7 +96,7 @@
 			k.client.Quiesced(e.Ref)
 		}
 	case duty.LeaseEnded:
-		k.Trace.Add(trace.Event{What: trace.Ended, Duty: e.Name, Epoch: e.Epoch, Cause: e.Cause}, 0)
+		k.Trace.Add(trace.Event{What: trace.LeaseEnded, Duty: e.Name, Epoch: e.Epoch, Cause: e.Cause}, 0)
 		outcome := "given up"
 		if e.Cause == duty.CauseYield || e.Cause == duty.CauseDrain {
 			outcome = "handed on"
@@ -120,7 +120,7 @@
 		}
 		k.ApplyShare(e.Amount, func() {
 			if _, until, here := k.client.Presence(); here {
-				k.Trace.Add(trace.Event{What: trace.Share, Amount: e.Amount}, until)
+				k.Trace.Add(trace.Event{What: trace.ShareInForce, Amount: e.Amount}, until)
 			}
 			k.client.AcknowledgeShare(e.Version)
 		})
@@ -132,7 +132,7 @@
 // traceShare traces that the share stays in force until the renewed presence lease ends.
 func (k *Runner) traceShare(until float64) {
 	if k.Trace != nil {
-		k.Trace.Add(trace.Event{What: trace.Share, Amount: k.client.Share()}, until)
+		k.Trace.Add(trace.Event{What: trace.ShareInForce, Amount: k.client.Share()}, until)
 	}
 }
 
@@ -178,20 +178,20 @@
 
 // Act sends a fenced command under a grant and traces the outcome.
 func (k *Runner) Act(ctx context.Context, grant duty.Ref, commands ...state.Command) (state.Result, error) {
-	event := trace.Event{Duty: grant.Name, Epoch: grant.Epoch, What: trace.Act, Began: machineNow(k.Trace)}
+	event := trace.Event{Duty: grant.Name, Epoch: grant.Epoch, What: trace.CommandExecuted, Began: machineNow(k.Trace)}
 	event.Text = commands[0].Op
 	sent := event
-	sent.What = trace.Sent // traced before it is sent, since this process may be killed before the reply arrives
+	sent.What = trace.CommandSent // traced before it is sent, since this process may be killed before the reply arrives
 	k.Trace.Add(sent, 0)
 	r, err := k.client.DoFenced(ctx, grant, commands...)
 	event.N = r.Value
 	switch {
 	case errors.Is(err, session.ErrStaleEpoch):
-		event.What = trace.Refused
+		event.What = trace.CommandRefused
 	case errors.Is(err, session.ErrNotExecuted):
 		return r, err
 	case err != nil && r.Error == "":
-		event.What = trace.Unknown
+		event.What = trace.CommandUnconfirmed
 	case err != nil:
 		return r, err // refused for its content, not for its epoch
 	}
@@ -231,7 +231,7 @@
 		k.Log.Error().Uint64("version", ack.No).Str("reason", ack.Reason).Uint64("in_force", k.versions.InForce).
 			Msg("configuration version rejected")
 	}
-	k.Trace.Add(trace.Event{What: trace.Took, N: ack.No, Cause: ack.Reason}, 0)
+	k.Trace.Add(trace.Event{What: trace.VersionTaken, N: ack.No, Cause: ack.Reason}, 0)
 	if _, err := k.client.Do(k.ctx, state.Command{Op: state.OpAcknowledgeVersion, Process: k.processID, Acknowledgement: &ack}); err != nil {
 		k.Log.Warn().Err(err).Msg("acknowledgement of configuration version not confirmed")
 		k.versions.LastChecked = before.LastChecked // the version is checked and acknowledged again
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -137,15 +137,15 @@
 		}
 		k := key{e.Duty, e.Who, e.Epoch}
 		switch e.What {
-		case trace.Gained:
+		case trace.LeaseGained:
 			s := &Span{Duty: e.Duty, Who: e.Who, Epoch: e.Epoch, From: e.At, To: e.Until, first: e, last: e}
 			open[k] = s
 			all = append(all, s)
-		case trace.Held:
+		case trace.LeaseRenewed:
 			if s := open[k]; s != nil {
 				s.To, s.last = max(s.To, e.Until), e
 			}
-		case trace.Ended:
+		case trace.LeaseEnded:
 			if s := open[k]; s != nil {
 				s.To, s.Why = min(s.To, e.At), e.Cause
 				s.last = e
@@ -199,7 +199,7 @@
 // lastOffice returns when a leader last started to grant duties between two times, or 0 if none did.
 func lastOffice(o *Outcome, from, to float64) (at float64) {
 	for _, e := range o.Events {
-		if e.What == trace.Office && e.At > from && e.At < to {
+		if e.What == trace.TermStarted && e.At > from && e.At < to {
 			at = e.At
 		}
 	}
@@ -211,7 +211,7 @@
 func (f *Found) log(o *Outcome) {
 	entries := map[uint64]trace.Event{}
 	for _, e := range o.Events {
-		if e.What != trace.Applied {
+		if e.What != trace.EntryApplied {
 			continue
 		}
 		first, there := entries[e.Index]
@@ -283,7 +283,7 @@
 	var all []*span
 	for _, e := range o.Events {
 		switch e.What {
-		case trace.Share:
+		case trace.ShareInForce:
 			if s := latest[e.Who]; s != nil {
 				if s.amount == e.Amount {
 					s.to = max(s.to, e.Until)
@@ -294,7 +294,7 @@
 			s := &span{e.At, e.Until, e.Amount, e}
 			latest[e.Who] = s
 			all = append(all, s)
-		case trace.Ended:
+		case trace.LeaseEnded:
 			if duty.PresenceProcess(e.Duty) == e.Who {
 				if s := latest[e.Who]; s != nil {
 					s.to = min(s.to, e.At)
@@ -337,10 +337,10 @@
 		switch {
 		case e.What == spoilt:
 			at[who] = e
-		case e.What == "killed", e.What == trace.Up:
+		case e.What == "killed", e.What == trace.ProcessStarted:
 			delete(at, who) // its memory went with the process
 			delete(asked, who)
-		case e.What == trace.Copy && e.Text == store.PhaseAsks:
+		case e.What == trace.ReplicaPhase && e.Text == store.PhaseAsks:
 			f.Anew++
 			asked[who] = e.At
 			if !strings.Contains(e.Cause, "differs from that of a majority") {
@@ -351,7 +351,7 @@
 				f.broken("only corrupt replicas differ", who+" was found to differ, and its memory had not been corrupted", e)
 			}
 			delete(at, who)
-		case e.What == trace.Copy && e.Text == store.PhaseRuns && asked[who] > 0:
+		case e.What == trace.ReplicaPhase && e.Text == store.PhaseRuns && asked[who] > 0:
 			f.CatchUp = append(f.CatchUp, e.At-asked[who])
 			delete(asked, who)
 		}
@@ -421,25 +421,25 @@
 		k := sending{e.Who, e.Duty, e.Began}
 		switch {
 		case e.Text != "mark":
-		case e.What == trace.Sent:
+		case e.What == trace.CommandSent:
 			open[k] = e
-		case e.What == trace.Act:
+		case e.What == trace.CommandExecuted:
 			all = append(all, e)
 			delete(open, k)
-		case e.What == trace.Refused:
+		case e.What == trace.CommandRefused:
 			delete(open, k)
 		}
 	}
 	for _, e := range open { // no response, or the process was killed before it recorded one
-		e.What = trace.Unknown
+		e.What = trace.CommandUnconfirmed
 		all = append(all, e)
 	}
 	for _, e := range all {
 		if _, there := who[e.Who]; !there {
 			who[e.Who] = len(who)
 		}
-		op := porcupine.Operation{ClientId: who[e.Who], Input: mark{e.Epoch, e.What == trace.Act}, Call: int64(e.Began * 1e6), Output: e.N, Return: int64(e.At * 1e6)}
-		if e.What == trace.Unknown {
+		op := porcupine.Operation{ClientId: who[e.Who], Input: mark{e.Epoch, e.What == trace.CommandExecuted}, Call: int64(e.Began * 1e6), Output: e.N, Return: int64(e.At * 1e6)}
+		if e.What == trace.CommandUnconfirmed {
 			op.Return = math.MaxInt64 // it may still be executed
 		}
 		ops[e.Duty] = append(ops[e.Duty], op)
--- a/internal/lab/cmd.go
+++ b/internal/lab/cmd.go
@@ -19,13 +19,13 @@
 	"puffinsaddle/internal/config"
 )
 
-// ErrBroken is returned when an invariant was violated; the output names it.
-var ErrBroken = errors.New("lab: an invariant was violated")
+// ErrInvariantViolated is returned when an invariant was violated; the output names it.
+var ErrInvariantViolated = errors.New("lab: an invariant was violated")
 
-// WrongUse is an error in the flags of a command.
-type WrongUse struct{ Text string }
+// UsageError is an error in the flags of a command.
+type UsageError struct{ Text string }
 
-func (w *WrongUse) Error() string { return "lab: " + w.Text }
+func (w *UsageError) Error() string { return "lab: " + w.Text }
 
 // Cmd holds the lab's commands.
 type Cmd struct {
@@ -142,7 +142,7 @@
 	}
 	fmt.Fprintln(out, string(b))
 	if len(p.Found.Violations) > 0 {
-		return ErrBroken
+		return ErrInvariantViolated
 	}
 	return nil
 }
@@ -161,19 +161,19 @@
 	case err != nil:
 		return Setup{}, err
 	case !known:
-		return Setup{}, &WrongUse{fmt.Sprintf("no scenario %q; --list names them", c.Scenario)}
+		return Setup{}, &UsageError{fmt.Sprintf("no scenario %q; --list names them", c.Scenario)}
 	case c.Plant != "" && !slices.Contains(config.Plants, c.Plant):
-		return Setup{}, &WrongUse{fmt.Sprintf("no bug %q to inject; there are %s", c.Plant, strings.Join(config.Plants, ", "))}
+		return Setup{}, &UsageError{fmt.Sprintf("no bug %q to inject; there are %s", c.Plant, strings.Join(config.Plants, ", "))}
 	case c.Copies != 3 && c.Copies != 5 && c.Copies != 7:
-		return Setup{}, &WrongUse{fmt.Sprintf("--copies must be 3, 5 or 7, not %d", c.Copies)}
+		return Setup{}, &UsageError{fmt.Sprintf("--copies must be 3, 5 or 7, not %d", c.Copies)}
 	case c.Servers < c.Copies || c.Servers > 100:
-		return Setup{}, &WrongUse{fmt.Sprintf("--servers must be from --copies to 100, not %d", c.Servers)}
+		return Setup{}, &UsageError{fmt.Sprintf("--servers must be from --copies to 100, not %d", c.Servers)}
 	case c.For < 5*time.Second || c.For > time.Hour:
-		return Setup{}, &WrongUse{fmt.Sprintf("--for must be from 5s to 1h, not %s", c.For)}
+		return Setup{}, &UsageError{fmt.Sprintf("--for must be from 5s to 1h, not %s", c.For)}
 	case !(c.Load >= 0) || c.Load > 2000:
-		return Setup{}, &WrongUse{fmt.Sprintf("--load must be from 0 to 2000, not %v", c.Load)}
+		return Setup{}, &UsageError{fmt.Sprintf("--load must be from 0 to 2000, not %v", c.Load)}
 	case c.Slots*1000 < alone*(c.Servers+2):
-		return Setup{}, &WrongUse{fmt.Sprintf("--slots must be %d or more for %d servers", int(math.Ceil(alone*float64(c.Servers+2)/1000)), c.Servers)}
+		return Setup{}, &UsageError{fmt.Sprintf("--slots must be %d or more for %d servers", int(math.Ceil(alone*float64(c.Servers+2)/1000)), c.Servers)}
 	}
 	return Setup{Binary: binary, Out: out, Seed: c.Seed, Seconds: c.For.Seconds(), Copies: c.Copies, Servers: c.Servers, Scenario: s, Plant: c.Plant,
 		Load: max(c.Load, 0.1), Static: c.Static, Slots: c.Slots}, nil
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -84,13 +84,13 @@
 		return kill(hit...)
 	case CutHolder, CutThere, CutBack:
 		p, name := r.holder(f.Pick)
-		cut(p.links, map[string]Way{CutHolder: Both, CutThere: There, CutBack: Back}[f.Kind])
+		cut(p.links, map[string]Way{CutHolder: BothDirections, CutThere: There, CutBack: Back}[f.Kind])
 		span()
 		heal()
 		return p.name + " holding " + name
 	case CutLeader, CutLeaderOut:
 		p := r.leader(f.Pick)
-		out, in := Both, Both
+		out, in := BothDirections, BothDirections
 		if f.Kind == CutLeaderOut {
 			out, in = There, Back
 		}
@@ -110,7 +110,7 @@
 	case Late:
 		p, name := r.holder(f.Pick)
 		for _, l := range p.links {
-			l.Delay(clock.Duration(100+350*f.Size), Both)
+			l.Delay(clock.Duration(100+350*f.Size), BothDirections)
 		}
 		span()
 		heal()
@@ -137,7 +137,7 @@
 		then := r.later(ctx, f.At, map[string]*Link{q.name: p.links[q.name]})
 		for id, l := range p.links {
 			if id != q.name {
-				l.Cut(Both)
+				l.Cut(BothDirections)
 			}
 		}
 		q.signal(syscall.SIGSTOP)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	l.To(ln.Addr().String())
+	l.SetTarget(ln.Addr().String())
 	c, err := net.Dial("tcp", l.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -118,31 +118,31 @@
 // Guards against a checker that misses a violation: synthetic traces, each with one violation, and one without any.
 func TestCheckerFindsWhatIsWrong(t *testing.T) {
 	grant := func(at float64, index uint64, name, who string) trace.Event {
-		return trace.Event{At: at, Who: "s01", What: trace.Applied, Index: index, Term: 1, Text: "orders", Cause: "grant " + name + " " + who}
+		return trace.Event{At: at, Who: "s01", What: trace.EntryApplied, Index: index, Term: 1, Text: "orders", Cause: "grant " + name + " " + who}
 	}
 	held := func(at, until float64, who string, epoch uint64) trace.Event {
-		return trace.Event{At: at, Who: who, What: trace.Gained, Duty: "d", Epoch: epoch, Until: until}
+		return trace.Event{At: at, Who: who, What: trace.LeaseGained, Duty: "d", Epoch: epoch, Until: until}
 	}
 	acted := func(at float64, index, epoch uint64) trace.Event {
-		return trace.Event{At: at, Who: "s01", What: trace.Applied, Index: index, Term: 1, Text: "act", Duty: "d", Epoch: epoch}
+		return trace.Event{At: at, Who: "s01", What: trace.EntryApplied, Index: index, Term: 1, Text: "act", Duty: "d", Epoch: epoch}
 	}
 	good := []trace.Event{grant(1, 1, "d", "a#1"), held(2, 100, "a#1", 1), acted(5, 2, 1),
-		{At: 6, Who: "a#1", What: trace.Act, Text: "mark", Duty: "d", Epoch: 1, Began: 4, N: 1},
-		{At: 100, Who: "a#1", What: trace.Ended, Duty: "d", Epoch: 1, Cause: duty.CauseExpired},
-		{At: 110, Who: "s01", What: trace.Applied, Index: 3, Term: 1, Text: "orders", Cause: "lapse d "}, grant(111, 4, "d", "b#1"), held(112, 300, "b#1", 2),
-		acted(113, 5, 2), {At: 114, Who: "b#1", What: trace.Act, Text: "mark", Duty: "d", Epoch: 2, Began: 112, N: 2},
-		{At: 120, Who: "a#1", What: trace.Share, Amount: 60, Until: 200}, {At: 130, Who: "a#1", What: trace.Share, Amount: 30, Until: 200},
-		{At: 131, Who: "b#1", What: trace.Share, Amount: 70, Until: 220}, {At: 140, Who: "s01", What: trace.Exec, Text: "e1"}}
+		{At: 6, Who: "a#1", What: trace.CommandExecuted, Text: "mark", Duty: "d", Epoch: 1, Began: 4, N: 1},
+		{At: 100, Who: "a#1", What: trace.LeaseEnded, Duty: "d", Epoch: 1, Cause: duty.CauseExpired},
+		{At: 110, Who: "s01", What: trace.EntryApplied, Index: 3, Term: 1, Text: "orders", Cause: "lapse d "}, grant(111, 4, "d", "b#1"), held(112, 300, "b#1", 2),
+		acted(113, 5, 2), {At: 114, Who: "b#1", What: trace.CommandExecuted, Text: "mark", Duty: "d", Epoch: 2, Began: 112, N: 2},
+		{At: 120, Who: "a#1", What: trace.ShareInForce, Amount: 60, Until: 200}, {At: 130, Who: "a#1", What: trace.ShareInForce, Amount: 30, Until: 200},
+		{At: 131, Who: "b#1", What: trace.ShareInForce, Amount: 70, Until: 220}, {At: 140, Who: "s01", What: trace.Exec, Text: "e1"}}
 	for want, more := range map[string][]trace.Event{
 		"":                        nil,
 		"one holder at a time":    {held(90, 95, "c#1", 3)},
 		"an epoch has one holder": {held(400, 500, "c#1", 2)},
 		"epochs only increase":    {held(400, 500, "c#1", 1)},
 		"no command of an old epoch takes effect": {acted(115, 6, 1)},
-		"replicas agree":                   {{At: 9, Who: "s02", What: trace.Applied, Index: 2, Term: 1, Text: "act", Duty: "d", Epoch: 9}},
-		"shares stay within the pool":      {{At: 150, Who: "c#1", What: trace.Share, Amount: 1, Until: 160}},
+		"replicas agree":                   {{At: 9, Who: "s02", What: trace.EntryApplied, Index: 2, Term: 1, Text: "act", Duty: "d", Epoch: 9}},
+		"shares stay within the pool":      {{At: 150, Who: "c#1", What: trace.ShareInForce, Amount: 1, Until: 160}},
 		"no effect runs twice":             {{At: 150, Who: "s05", What: trace.Exec, Text: "e1"}},
-		"fenced commands are linearizable": {{At: 116, Who: "b#1", What: trace.Act, Text: "mark", Duty: "d", Epoch: 2, Began: 115, N: 2}},
+		"fenced commands are linearizable": {{At: 116, Who: "b#1", What: trace.CommandExecuted, Text: "mark", Duty: "d", Epoch: 2, Began: 115, N: 2}},
 	} {
 		o := &Outcome{Pool: 100, Events: append(append([]trace.Event(nil), good...), more...)}
 		f := Check(o)
@@ -163,12 +163,12 @@
 // of a new leader if there was one, and only a renewal interval after a yield.
 func TestGapsThatTheTermsDoNotExplainAreCounted(t *testing.T) {
 	o := &Outcome{Begun: 1, Events: []trace.Event{
-		{At: 10, Who: "a#1", What: trace.Gained, Duty: "d", Epoch: 1, Until: 5000},
+		{At: 10, Who: "a#1", What: trace.LeaseGained, Duty: "d", Epoch: 1, Until: 5000},
 		{At: 1000, Who: "a", What: "killed"},
-		{At: 3000, Who: "s02", What: trace.Office, Term: 2},
-		{At: 5400, Who: "b#1", What: trace.Gained, Duty: "d", Epoch: 2, Until: 9000},
-		{At: 6000, Who: "b#1", What: trace.Ended, Duty: "d", Epoch: 2, Cause: duty.CauseYield},
-		{At: 7000, Who: "a#2", What: trace.Gained, Duty: "d", Epoch: 3, Until: 9000},
+		{At: 3000, Who: "s02", What: trace.TermStarted, Term: 2},
+		{At: 5400, Who: "b#1", What: trace.LeaseGained, Duty: "d", Epoch: 2, Until: 9000},
+		{At: 6000, Who: "b#1", What: trace.LeaseEnded, Duty: "d", Epoch: 2, Cause: duty.CauseYield},
+		{At: 7000, Who: "a#2", What: trace.LeaseGained, Duty: "d", Epoch: 3, Until: 9000},
 	}}
 	f := Check(o)
 	if len(f.Gaps) != 2 || len(f.Violations) > 0 {
@@ -193,8 +193,8 @@
 		return trace.Event{At: at, Who: who, What: what, Text: text, Cause: cause}
 	}
 	const differs = "b: the state of s02 differs from that of a majority"
-	spoil, ask := ev(1000, "s02", spoilt, "e", ""), ev(5000, "s02#1", trace.Copy, store.PhaseAsks, differs)
-	runs, died := ev(6000, "s02#1", trace.Copy, store.PhaseRuns, ""), ev(2000, "s02", "killed", "", "")
+	spoil, ask := ev(1000, "s02", spoilt, "e", ""), ev(5000, "s02#1", trace.ReplicaPhase, store.PhaseAsks, differs)
+	runs, died := ev(6000, "s02#1", trace.ReplicaPhase, store.PhaseRuns, ""), ev(2000, "s02", "killed", "", "")
 	for want, events := range map[string][]trace.Event{
 		"":                             {spoil, ask, runs},
 		"corrupt replicas are found":   {spoil},
@@ -220,8 +220,8 @@
 	act := func(what string, began, at float64, n uint64) trace.Event {
 		return trace.Event{At: at, Who: "a#1", What: what, Text: "mark", Duty: "d", Epoch: 1, Began: began, N: n}
 	}
-	first := []trace.Event{act(trace.Sent, 1, 1, 0), act(trace.Act, 1, 2, 1)}
-	lost, last := act(trace.Sent, 3, 3, 0), []trace.Event{act(trace.Sent, 5, 5, 0), act(trace.Act, 5, 6, 3)}
+	first := []trace.Event{act(trace.CommandSent, 1, 1, 0), act(trace.CommandExecuted, 1, 2, 1)}
+	lost, last := act(trace.CommandSent, 3, 3, 0), []trace.Event{act(trace.CommandSent, 5, 5, 0), act(trace.CommandExecuted, 5, 6, 3)}
 	if f := Check(&Outcome{Events: append(append(first, lost), last...)}); len(f.Violations) > 0 {
 		t.Errorf("%+v", f.Violations)
 	}
--- a/internal/lab/link.go
+++ b/internal/lab/link.go
@@ -16,7 +16,7 @@
 const (
 	There Way = iota // from the side that connects
 	Back             // to the side that connects
-	Both
+	BothDirections
 )
 
 // Link is the only path from one process to another: a TCP proxy that can inject network faults. It keeps the guarantees of
@@ -67,8 +67,8 @@
 // Addr returns the address on which the link listens.
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// To sets the address to which the link forwards new connections.
-func (l *Link) To(address string) { l.change(func() { l.to = address }) }
+// SetTarget sets the address to which the link forwards new connections.
+func (l *Link) SetTarget(address string) { l.change(func() { l.to = address }) }
 
 // Cut withholds all bytes of a direction until Heal: open connections and new ones hang.
 func (l *Link) Cut(w Way) {
--- a/internal/lab/platform.go
+++ b/internal/lab/platform.go
@@ -10,17 +10,17 @@
 
 // PlatformFile is the content of the platform's file for an order server that the lab starts.
 type PlatformFile struct {
-	Name     string
-	Listen   string
-	Executor string
-	Vault    string
-	Operator string // address for operators
-	Seed     uint64
-	Servers  int // in the fleet
-	Slots    int // calls that the vault serves at once
-	MemoryMB int
-	Sockets  int
-	Cores    float64 // 0 means 1
+	Name            string
+	Listen          string
+	Executor        string
+	Vault           string
+	OperatorAddress string // address for operators
+	Seed            uint64
+	Servers         int // in the fleet
+	VaultSlots      int // calls that the vault serves at once
+	MemoryMB        int
+	Sockets         int
+	Cores           float64 // 0 means 1
 }
 
 // Write writes the file as JSON.
@@ -29,7 +29,7 @@
 		"classes": []m{{"name": reading, "aim": 1e9, "deadline": 2e9, "worth": 1.0, "lateValue": 0.2, "idempotency": "safe"},
 			{"name": booking, "aim": 1e9, "deadline": 2e9, "worth": 4.0, "lateValue": 0.2, "idempotency": "unsafe"}},
 		"extra": m{"callers": 1, "nCores": 4, "heapKb": 20000.0, "entryKb": 1.0, "runMemFactor": 4.0, "freshFor": 0, "passesDeadline": true,
-			"say": "none", "downstream": "shared", "callsOut": float64(p.Slots) / float64(p.Servers), "callsOver": int64(2e9), "linger": int64(5e6),
+			"say": "none", "downstream": "shared", "callsOut": float64(p.VaultSlots) / float64(p.Servers), "callsOver": int64(2e9), "linger": int64(5e6),
 			"gauges": []string{"cpu_busy", "runnable"}, "callsByClass": []bool{true, true}, "classSkipWorth": []float64{partWorth, 0}},
 		"limits":  m{"maxRetryAfter": 1000000000, "retryAfter": true},
 		"clients": m{"marksRetry": true},
@@ -40,7 +40,7 @@
 	if cores == 0 {
 		cores = 1
 	}
-	file := m{"name": p.Name, "listen": p.Listen, "executor": p.Executor, "vault": p.Vault, "operator": p.Operator,
+	file := m{"name": p.Name, "listen": p.Listen, "executor": p.Executor, "vault": p.Vault, "operator": p.OperatorAddress,
 		"seed": fmt.Sprintf("%016x", p.Seed), "stop_ms": stopMs, "limits": m{"cores": cores, "memory_mb": p.MemoryMB, "sockets": p.Sockets}, "settings": settings}
 	b, err := json.MarshalIndent(file, "", " ")
 	if err != nil {
@@ -49,20 +49,20 @@
 	return os.WriteFile(path, b, 0o644)
 }
 
-// StandIn is a fake executor for processes that get no requests.
-type StandIn struct{ x *executor }
+// FakeExecutor is a fake executor for processes that get no requests.
+type FakeExecutor struct{ x *executor }
 
-// NewStandIn starts a fake executor on a free port.
-func NewStandIn(name string) (*StandIn, error) {
+// NewFakeExecutor starts a fake executor on a free port.
+func NewFakeExecutor(name string) (*FakeExecutor, error) {
 	x, err := newExecutor(name, func(trace.Event) {}, func() (bool, float64) { return false, 0 })
 	if err != nil {
 		return nil, err
 	}
-	return &StandIn{x}, nil
+	return &FakeExecutor{x}, nil
 }
 
 // Addr returns the address on which the fake listens.
-func (s *StandIn) Addr() string { return s.x.ln.Addr().String() }
+func (s *FakeExecutor) Addr() string { return s.x.ln.Addr().String() }
 
 // Close stops the fake from accepting connections.
-func (s *StandIn) Close() { s.x.ln.Close() }
+func (s *FakeExecutor) Close() { s.x.ln.Close() }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -82,13 +82,13 @@
 			if err != nil {
 				return err
 			}
-			link.To(c.store)
+			link.SetTarget(c.store)
 			p.links[c.name] = link
 			if p.copies && p != c {
 				if link, err = NewLink(); err != nil {
 					return err
 				}
-				link.To(c.store)
+				link.SetTarget(c.store)
 				p.peers[c.name] = link
 			}
 		}
@@ -115,8 +115,8 @@
 
 // write writes the platform's file and the operator's file of a server.
 func (r *run) write(p *proc) error {
-	config := PlatformFile{Name: p.name, Listen: p.listen, Executor: p.exec.ln.Addr().String(), Vault: r.vault.ln.Addr().String(), Operator: p.ops,
-		Seed: r.Seed*1000 + uint64(p.gen), Servers: r.Servers, Slots: r.Slots, MemoryMB: 192, Sockets: 1024}
+	config := PlatformFile{Name: p.name, Listen: p.listen, Executor: p.exec.ln.Addr().String(), Vault: r.vault.ln.Addr().String(), OperatorAddress: p.ops,
+		Seed: r.Seed*1000 + uint64(p.gen), Servers: r.Servers, VaultSlots: r.Slots, MemoryMB: 192, Sockets: 1024}
 	copies := m{}
 	for id, l := range p.links {
 		copies[id] = l.Addr()
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -138,9 +138,9 @@
 	var at, v []float64
 	for _, e := range p.Outcome.Events {
 		switch e.What {
-		case trace.Share:
+		case trace.ShareInForce:
 			now[e.Who] = e.Amount
-		case trace.Ended:
+		case trace.LeaseEnded:
 			if e.Duty == "server/"+e.Who {
 				delete(now, e.Who)
 			}
--- a/internal/lab/scale/check.go
+++ b/internal/lab/scale/check.go
@@ -102,9 +102,9 @@
 	applied := map[uint64]float64{}
 	for _, e := range events {
 		switch {
-		case e.What == trace.Applied && e.Text == state.OpChangeRecords && e.Cause == "":
+		case e.What == trace.EntryApplied && e.Text == state.OpChangeRecords && e.Cause == "":
 			applied[e.N] = e.At
-		case e.What == trace.Agreed:
+		case e.What == trace.CommitAgreed:
 			at, ok := applied[e.N]
 			if !ok {
 				at = e.At
@@ -145,7 +145,7 @@
 		switch e.What {
 		case eventDown:
 			down = e.At
-		case trace.Up:
+		case trace.ProcessStarted:
 			if down >= 0 {
 				all = append(all, outage{down, e.At})
 			}
@@ -194,15 +194,15 @@
 	p := follower{who: who}
 	for _, e := range events {
 		switch e.What {
-		case trace.Up:
+		case trace.ProcessStarted:
 			p.up, p.spoilt = e.At, false
 		case eventSpoilt:
 			p.spoilt = true
-		case trace.Installed:
+		case trace.RecordsInstalled:
 			f.installed(o, &p, e)
-		case trace.InForce:
+		case trace.CommitsInForce:
 			f.cameIntoForce(o, &p, e, outages)
-		case trace.Reported:
+		case trace.RevisionReported:
 			if e.N > p.revision {
 				f.broken("%s reported revision %d at %.1f, and %d was in force", who, e.N, e.At, p.revision)
 			}
--- a/internal/lab/scale/cmd.go
+++ b/internal/lab/scale/cmd.go
@@ -137,12 +137,12 @@
 	}
 	fmt.Fprintln(out, string(b))
 	if len(found.violations) > 0 {
-		return lab.ErrBroken
+		return lab.ErrInvariantViolated
 	}
 	return nil
 }
 
-func wrong(format string, a ...any) error { return &lab.WrongUse{Text: fmt.Sprintf(format, a...)} }
+func wrong(format string, a ...any) error { return &lab.UsageError{Text: fmt.Sprintf(format, a...)} }
 
 // setup checks the command before anything is started.
 func (c *Cmd) setup() (Setup, error) {
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -53,7 +53,7 @@
 	stores  map[string]string
 	at      map[string]string // address of each relay
 	links   []boundary
-	stands  []*lab.StandIn
+	stands  []*lab.FakeExecutor
 	largest int
 
 	mu    sync.Mutex
@@ -136,7 +136,7 @@
 	if err != nil {
 		return "", err
 	}
-	l.To(address)
+	l.SetTarget(address)
 	f.links = append(f.links, boundary{l, from, to})
 	return l.Addr(), nil
 }
@@ -183,8 +183,8 @@
 
 // write writes the two files of an order server.
 func (f *fleet) write(p *process, listen, executor string, operator yamlMap) error {
-	platform := lab.PlatformFile{Name: p.name, Listen: listen, Executor: executor, Vault: executor, Operator: p.figures, Seed: f.Seed*1000 + uint64(p.life),
-		Servers: f.largest, Slots: f.largest, MemoryMB: 192, Sockets: 1024}
+	platform := lab.PlatformFile{Name: p.name, Listen: listen, Executor: executor, Vault: executor, OperatorAddress: p.figures, Seed: f.Seed*1000 + uint64(p.life),
+		Servers: f.largest, VaultSlots: f.largest, MemoryMB: 192, Sockets: 1024}
 	if _, ok := operator["store"]; ok {
 		platform.MemoryMB, platform.Cores = 1536, copyCores
 	}
@@ -215,7 +215,7 @@
 	if err != nil {
 		return err
 	}
-	stand, err := lab.NewStandIn(p.name)
+	stand, err := lab.NewFakeExecutor(p.name)
 	if err != nil {
 		return err
 	}
@@ -417,7 +417,7 @@
 	}
 	for _, b := range f.links {
 		if inside[b.from] != inside[b.to] {
-			b.link.Cut(lab.Both)
+			b.link.Cut(lab.BothDirections)
 		}
 	}
 	return f.orderAll(hollowOrder{Kind: orderCut, Zones: zones})
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -212,9 +212,9 @@
 	s.life++
 	ctx, stop := context.WithCancel(s.p.ctx)
 	s.stop = stop
-	s.p.journal.add(trace.Event{Who: s.name, What: trace.Up})
+	s.p.journal.add(trace.Event{Who: s.name, What: trace.ProcessStarted})
 	if !spoilt {
-		s.p.journal.add(trace.Event{Who: s.name, What: trace.Installed, N: s.marker.Revision, Text: s.marker.Digest.String()})
+		s.p.journal.add(trace.Event{Who: s.name, What: trace.RecordsInstalled, N: s.marker.Revision, Text: s.marker.Digest.String()})
 	}
 	c := configwatch.NewClient(configwatch.ClientOptions{Name: s.name, Replica: s, Dial: s.dial, Steady: s.p.steady, Log: zerolog.Nop(), InjectedBug: s.p.c.Plant,
 		Selector: distribution.NewSelector(s.p.c.Relays, distribution.Place{Zone: s.p.c.Zone, Region: s.p.c.Region}, s.seed+uint64(s.life))})
@@ -356,7 +356,7 @@
 		s.flush()
 	}
 	if s.pending.N == 0 {
-		s.pending = trace.Event{Who: s.name, What: trace.InForce, Index: c.Revision, Began: now}
+		s.pending = trace.Event{Who: s.name, What: trace.CommitsInForce, Index: c.Revision, Began: now}
 	}
 	s.pending.N, s.pending.Text, s.pending.At = c.Revision, c.After.String(), now
 	return nil
@@ -376,7 +376,7 @@
 	defer s.mu.Unlock()
 	s.flush()
 	s.marker = records.DigestFollower{Revision: h.Revision, Digest: t.Digest()}
-	s.p.journal.add(trace.Event{Who: s.name, What: trace.Installed, N: h.Revision, Text: h.Digest.String()})
+	s.p.journal.add(trace.Event{Who: s.name, What: trace.RecordsInstalled, N: h.Revision, Text: h.Digest.String()})
 	return nil
 }
 
@@ -405,7 +405,7 @@
 	lowest := max(s.marker.Revision, s.early)
 	if lowest > s.told {
 		s.told = lowest
-		s.p.journal.add(trace.Event{Who: s.name, What: trace.Reported, N: lowest})
+		s.p.journal.add(trace.Event{Who: s.name, What: trace.RevisionReported, N: lowest})
 	}
 	return distribution.Report{Servers: 1, Lowest: lowest, LowestName: s.name}
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 	}
-	write("c1.1.trace", []trace.Event{{At: 10, What: trace.Agreed, N: 1, Text: "d1"}, {At: 20, What: trace.Agreed, N: 2, Text: "d2"}, {At: 30, What: trace.Agreed, N: 3, Text: "d3"}})
+	write("c1.1.trace", []trace.Event{{At: 10, What: trace.CommitAgreed, N: 1, Text: "d1"}, {At: 20, What: trace.CommitAgreed, N: 2, Text: "d2"}, {At: 30, What: trace.CommitAgreed, N: 3, Text: "d3"}})
 	for i := range events {
 		events[i].Who = "z01-h1"
 	}
@@ -91,12 +91,12 @@
 // The checker finds each way in which a server may go wrong, and nothing in one that did not.
 func TestCheckerFindsWhatIsWrong(t *testing.T) {
 	force := func(at float64, from, to uint64, digest string) trace.Event {
-		return trace.Event{At: at, What: trace.InForce, Index: from, N: to, Text: digest}
+		return trace.Event{At: at, What: trace.CommitsInForce, Index: from, N: to, Text: digest}
 	}
 	install := func(at float64, n uint64, digest string) trace.Event {
-		return trace.Event{At: at, What: trace.Installed, N: n, Text: digest}
+		return trace.Event{At: at, What: trace.RecordsInstalled, N: n, Text: digest}
 	}
-	if v := story(t, install(5, 0, ""), force(12, 1, 1, "d1"), force(31, 2, 3, "d3"), trace.Event{At: 32, What: trace.Reported, N: 3}); len(v) > 0 {
+	if v := story(t, install(5, 0, ""), force(12, 1, 1, "d1"), force(31, 2, 3, "d3"), trace.Event{At: 32, What: trace.RevisionReported, N: 3}); len(v) > 0 {
 		t.Errorf("nothing is wrong: %v", v)
 	}
 	for want, events := range map[string][]trace.Event{
@@ -105,7 +105,7 @@
 		"never agreed on":         {force(12, 1, 1, "d1"), force(31, 2, 3, "d3"), force(41, 4, 4, "d4")},
 		"and agreed on was":       {force(12, 1, 1, "d1"), force(31, 2, 3, "dx")},
 		"before it was agreed on": {force(12, 1, 1, "d1"), force(25, 2, 3, "d3")},
-		"reported revision":       {force(12, 1, 1, "d1"), {At: 25, What: trace.Reported, N: 3}, force(31, 2, 3, "d3")},
+		"reported revision":       {force(12, 1, 1, "d1"), {At: 25, What: trace.RevisionReported, N: 3}, force(31, 2, 3, "d3")},
 		"took a snapshot as of":   {install(31, 3, "d2")},
 		"ended at revision":       {force(12, 1, 1, "d1")},
 	} {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -34,27 +34,27 @@
 
 // Kinds of events, the values of Event.What.
 const (
-	Up      = "up"      // the process started
-	Gained  = "gained"  // the process holds a duty until Until
-	Held    = "held"    // the lease was renewed until Until
-	Ended   = "ended"   // the process no longer holds the duty
-	Sent    = "sent"    // a fenced command is about to be sent; the event of its outcome has the same Began
-	Act     = "act"     // a fenced command was executed
-	Refused = "refused" // a fenced command was refused because of its epoch
-	Unknown = "unknown" // a fenced command was sent and its outcome is not known
-	Share   = "share"   // a share of Amount is in force until Until
-	Office  = "office"  // a store replica starts to grant duties as leader of Term
-	Copy    = "copy"    // a store replica entered phase Text because of Cause
-	Applied = "applied" // a store replica applied the log entry Index
-	Begun   = "begun"   // an effect was recorded in the effect log
-	Took    = "took"    // a published version was accepted, or rejected for the reason in Cause
-	Exec    = "exec"    // a fake executor ran an effect
+	ProcessStarted     = "up"      // the process started
+	LeaseGained        = "gained"  // the process holds a duty until Until
+	LeaseRenewed       = "held"    // the lease was renewed until Until
+	LeaseEnded         = "ended"   // the process no longer holds the duty
+	CommandSent        = "sent"    // a fenced command is about to be sent; the event of its outcome has the same Began
+	CommandExecuted    = "act"     // a fenced command was executed
+	CommandRefused     = "refused" // a fenced command was refused because of its epoch
+	CommandUnconfirmed = "unknown" // a fenced command was sent and its outcome is not known
+	ShareInForce       = "share"   // a share of Amount is in force until Until
+	TermStarted        = "office"  // a store replica starts to grant duties as leader of Term
+	ReplicaPhase       = "copy"    // a store replica entered phase Text because of Cause
+	EntryApplied       = "applied" // a store replica applied the log entry Index
+	Begun              = "begun"   // an effect was recorded in the effect log
+	VersionTaken       = "took"    // a published version was accepted, or rejected for the reason in Cause
+	Exec               = "exec"    // a fake executor ran an effect
 
 	// Events of the records: N is a revision and Text the digest of all records at that revision.
-	Agreed    = "agreed"    // a store replica has commit N
-	InForce   = "in-force"  // the commits Index to N came into force
-	Installed = "installed" // all records as of N were loaded from a snapshot or from disk
-	Reported  = "reported"  // revision N was reported to be in force
+	CommitAgreed     = "agreed"    // a store replica has commit N
+	CommitsInForce   = "in-force"  // the commits Index to N came into force
+	RecordsInstalled = "installed" // all records as of N were loaded from a snapshot or from disk
+	RevisionReported = "reported"  // revision N was reported to be in force
 )
 
 // Log appends events to a file. A nil Log writes nothing.
