--- a/internal/lab/cmd.go
+++ b/internal/lab/cmd.go
@@ -49,36 +49,36 @@
 	List       bool          `help:"Name the scenarios and the bugs that can be planted."`
 }
 
-// Result is the last line of the output. Durations are in ms, calls in calls at once.
+// Result is the last line of the output. Fields whose names end in MS are in ms.
 type Result struct {
-	Seed         uint64         `json:"seed"`
-	Violations   int            `json:"violations"`
-	Acts         int            `json:"acts"`
-	Stale        int            `json:"stale_refused"`
-	Handovers    int            `json:"handovers"`
-	GapP50       float64        `json:"gap_ms_p50"`
-	GapMax       float64        `json:"gap_ms_max"`
-	Gaps         map[string]Sum `json:"gaps"` // by why the preceding lease ended, and whether another leader was elected
-	GapsOver     int            `json:"gaps_over_terms"`
-	Faults       int            `json:"faults"`
-	Effects      int            `json:"effects"`
-	EffectsTwice int            `json:"effects_twice"`
-	Worth        float64        `json:"worth"`
-	Served       Served         `json:"served"`
-	Calls        int            `json:"calls"`
-	CallsMost    int            `json:"calls_most"`
-	CallsMean    float64        `json:"calls_mean"`
-	TTL          float64        `json:"ttl_ms"`
-	Differed     int            `json:"divergence_found"`
-	Anew         int            `json:"joined_anew"`
-	CatchUpMax   float64        `json:"catch_up_ms_max"`
+	Seed                uint64              `json:"seed"`
+	Violations          int                 `json:"violations"`
+	Commands            int                 `json:"acts"`
+	StaleRefused        int                 `json:"stale_refused"`
+	Handovers           int                 `json:"handovers"`
+	GapP50MS            float64             `json:"gap_ms_p50"`
+	GapMaxMS            float64             `json:"gap_ms_max"`
+	Gaps                map[string]GapStats `json:"gaps"` // by why the preceding lease ended, and whether another leader was elected
+	ExcessiveGaps       int                 `json:"gaps_over_terms"`
+	Faults              int                 `json:"faults"`
+	Effects             int                 `json:"effects"`
+	EffectsTwice        int                 `json:"effects_twice"`
+	Worth               float64             `json:"worth"`
+	Served              Served              `json:"served"`
+	Calls               int                 `json:"calls"`
+	MaxConcurrentCalls  int                 `json:"calls_most"`
+	MeanConcurrentCalls float64             `json:"calls_mean"`
+	TTLMS               float64             `json:"ttl_ms"`
+	Diverged            int                 `json:"divergence_found"`
+	Rejoined            int                 `json:"joined_anew"`
+	CatchUpMaxMS        float64             `json:"catch_up_ms_max"`
 }
 
-// Sum summarizes the gaps of one kind. P50 and Max are in ms.
-type Sum struct {
-	N   int     `json:"n"`
-	P50 float64 `json:"p50"`
-	Max float64 `json:"max"`
+// GapStats summarizes the gaps of one kind.
+type GapStats struct {
+	Count int     `json:"n"`
+	P50MS float64 `json:"p50"`
+	MaxMS float64 `json:"max"`
 }
 
 // Run runs the scenario, writes the report page and prints the result.
@@ -94,28 +94,28 @@
 		}
 		return nil
 	}
-	set, err := c.setup()
+	setup, err := c.setup()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	var pages []Page
-	for i, binary := range []string{set.Binary, c.OtherBuild} {
+	for i, binary := range []string{setup.Binary, c.OtherBuild} {
 		if binary == "" {
 			continue
 		}
-		s := set
-		s.Binary, s.Out = binary, filepath.Join(set.Out, []string{"run", "other"}[i])
-		fmt.Fprintf(out, "seed %d, faults: %s\n", s.Seed, Kinds(Schedule(s.Seed, s.Scenario, s.Seconds)))
-		o, err := Play(ctx, s)
+		s := setup
+		s.Binary, s.Out = binary, filepath.Join(setup.Out, []string{"run", "other"}[i])
+		fmt.Fprintf(out, "seed %d, faults: %s\n", s.Seed, ListKinds(Schedule(s.Seed, s.Scenario, s.Seconds)))
+		o, err := Execute(ctx, s)
 		if err != nil {
 			return err
 		}
 		f := Check(o)
-		pages = append(pages, Page{Title: []string{"this build", "the other build"}[i], Setup: s, Outcome: o, Found: f, Result: result(s, o, f)})
+		pages = append(pages, Page{Title: []string{"this build", "the other build"}[i], Setup: s, Outcome: o, Findings: f, Result: newResult(s, o, f)})
 	}
-	file, err := os.Create(filepath.Join(set.Out, "report.html"))
+	file, err := os.Create(filepath.Join(setup.Out, "report.html"))
 	if err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 	}
 	fmt.Fprintln(out, "report:", file.Name())
 	p := pages[0]
-	for _, v := range p.Found.Violations {
+	for _, v := range p.Findings.Violations {
 		fmt.Fprintf(out, "broken: %s: %s", v.Rule, v.Text)
 		for _, e := range v.Trace {
 			b, err := json.Marshal(e)
@@ -141,14 +141,15 @@
 		return err
 	}
 	fmt.Fprintln(out, string(b))
-	if len(p.Found.Violations) > 0 {
+	if len(p.Findings.Violations) > 0 {
 		return ErrInvariantViolated
 	}
 	return nil
 }
 
+// setup checks the flags.
 func (c *DutiesCmd) setup() (Setup, error) {
-	s, known := scenario(c.Scenario)
+	s, ok := findScenario(c.Scenario)
 	binary, err := os.Executable()
 	if err != nil {
 		return Setup{}, err
@@ -160,7 +161,7 @@
 	switch {
 	case err != nil:
 		return Setup{}, err
-	case !known:
+	case !ok:
 		return Setup{}, &UsageError{fmt.Sprintf("no scenario %q; --list names them", c.Scenario)}
 	case c.Plant != "" && !slices.Contains(config.Plants, c.Plant):
 		return Setup{}, &UsageError{fmt.Sprintf("no bug %q to inject; there are %s", c.Plant, strings.Join(config.Plants, ", "))}
@@ -172,38 +173,40 @@
 		return Setup{}, &UsageError{fmt.Sprintf("--for must be from 5s to 1h, not %s", c.For)}
 	case !(c.Load >= 0) || c.Load > 2000:
 		return Setup{}, &UsageError{fmt.Sprintf("--load must be from 0 to 2000, not %v", c.Load)}
-	case c.Slots*1000 < alone*(c.Servers+2):
-		return Setup{}, &UsageError{fmt.Sprintf("--slots must be %d or more for %d servers", int(math.Ceil(alone*float64(c.Servers+2)/1000)), c.Servers)}
+	case c.Slots*1000 < aloneMilli*(c.Servers+2):
+		return Setup{}, &UsageError{fmt.Sprintf("--slots must be %d or more for %d servers", int(math.Ceil(aloneMilli*float64(c.Servers+2)/1000)), c.Servers)}
 	}
-	return Setup{Binary: binary, Out: out, Seed: c.Seed, Seconds: c.For.Seconds(), Copies: c.Copies, Servers: c.Servers, Scenario: s, Plant: c.Plant,
-		Load: max(c.Load, 0.1), Static: c.Static, Slots: c.Slots}, nil
+	return Setup{Binary: binary, Out: out, Seed: c.Seed, Seconds: c.For.Seconds(), Replicas: c.Copies, Servers: c.Servers, Scenario: s, InjectedBug: c.Plant,
+		RequestsPerSecond: max(c.Load, 0.1), NoAllotter: c.Static, VaultSlots: c.Slots}, nil
 }
 
-func result(s Setup, o *Outcome, f *Found) Result {
-	r := Result{Seed: s.Seed, Violations: len(f.Violations), Acts: f.Acts, Stale: f.Stale, Handovers: f.Handovers, Faults: len(o.Faults),
-		Effects: f.Effects, EffectsTwice: f.EffectTwice, Worth: o.Served.Worth, Served: o.Served, Calls: o.Vault.Calls, CallsMost: o.Vault.Most,
-		CallsMean: o.Vault.Mean, TTL: ttl, Gaps: map[string]Sum{}, Differed: f.Differed, Anew: f.Anew, CatchUpMax: most(f.CatchUp)}
-	by := map[string][]float64{}
-	var all []float64
+// newResult summarizes a run.
+func newResult(s Setup, o *Outcome, f *Findings) Result {
+	r := Result{Seed: s.Seed, Violations: len(f.Violations), Commands: f.Commands, StaleRefused: f.StaleRefused, Handovers: f.Handovers, Faults: len(o.Faults),
+		Effects: f.Effects, EffectsTwice: f.EffectsTwice, Worth: o.Served.Worth, Served: o.Served, Calls: o.Vault.Calls, MaxConcurrentCalls: o.Vault.MaxInFlight,
+		MeanConcurrentCalls: o.Vault.MeanInFlight, TTLMS: ttlMS, Gaps: map[string]GapStats{}, Diverged: f.Diverged, Rejoined: f.Rejoined, CatchUpMaxMS: maximum(f.CatchUpMS)}
+	gapsByCause := map[string][]float64{}
+	var allMS []float64
 	for _, g := range f.Gaps {
-		all = append(all, g.Ms())
-		why := g.After
-		if g.Office > 0 {
-			why += ", and another copy took office"
+		allMS = append(allMS, g.LengthMS())
+		cause := g.Cause
+		if g.NewLeaderAt > 0 {
+			cause += ", and another copy took office"
 		}
-		by[why] = append(by[why], g.Ms())
-		if g.Over() {
-			r.GapsOver++
+		gapsByCause[cause] = append(gapsByCause[cause], g.LengthMS())
+		if g.Excessive() {
+			r.ExcessiveGaps++
 		}
 	}
-	r.GapP50, r.GapMax = middle(all), most(all)
-	for why, ms := range by {
-		r.Gaps[why] = Sum{len(ms), middle(ms), most(ms)}
+	r.GapP50MS, r.GapMaxMS = median(allMS), maximum(allMS)
+	for cause, ms := range gapsByCause {
+		r.Gaps[cause] = GapStats{len(ms), median(ms), maximum(ms)}
 	}
 	return r
 }
 
-func middle(v []float64) float64 {
+// median returns the median rounded to an integer, or 0 for an empty slice.
+func median(v []float64) float64 {
 	if len(v) == 0 {
 		return 0
 	}
@@ -211,7 +214,8 @@
 	return math.Round(v[len(v)/2])
 }
 
-func most(v []float64) float64 {
+// maximum returns the maximum rounded to an integer, or 0 for an empty slice.
+func maximum(v []float64) float64 {
 	if len(v) == 0 {
 		return 0
 	}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -22,231 +22,231 @@
 
 // inject starts a fault, waits for its duration and undoes it. It returns a description of what the fault hit.
 func (r *run) inject(ctx context.Context, f Fault) string {
-	span := func() { r.sleep(ctx, f.At+f.For) }
-	again := func(p *proc) {
+	waitDuration := func() { r.sleepUntil(ctx, f.At+f.For) }
+	restart := func(p *server) {
 		if err := r.start(p); err != nil {
-			r.note("%s: %v", p.name, err)
+			r.addNote("%s: %v", p.name, err)
 		}
 	}
-	stall := func(p *proc) string {
+	stall := func(p *server) string {
 		p.signal(syscall.SIGSTOP)
-		span()
+		waitDuration()
 		p.signal(syscall.SIGCONT)
 		return p.name
 	}
-	kill := func(all ...*proc) string {
+	kill := func(all ...*server) string {
 		var names []string
 		for _, p := range all {
 			r.kill(p)
 			names = append(names, p.name)
 		}
-		span()
+		waitDuration()
 		for _, p := range all {
-			again(p)
+			restart(p)
 		}
 		return strings.Join(names, " and ")
 	}
-	cut := func(links map[string]*Link, w Way) {
+	cut := func(links map[string]*Link, w Direction) {
 		for _, l := range links {
 			l.Cut(w)
 		}
 	}
 	heal := func() {
-		for _, p := range r.procs {
-			for _, l := range p.links {
+		for _, p := range r.orderServers {
+			for _, l := range p.sessionLinks {
 				l.Heal()
 			}
-			for _, l := range p.peers {
+			for _, l := range p.peerLinks {
 				l.Heal()
 			}
 		}
 	}
-	r.add(trace.Event{What: "fault-begins", Text: f.Kind})
+	r.addEvent(trace.Event{What: "fault-begins", Text: f.Kind})
 	switch f.Kind {
 	case StallHolder:
-		p, name := r.holder(f.Pick)
+		p, name := r.pickHolder(f.Pick)
 		return stall(p) + " holding " + name
 	case StallLeader:
-		return stall(r.leader(f.Pick)) + " leading"
+		return stall(r.currentLeader(f.Pick)) + " leading"
 	case KillHolder:
-		p, name := r.holder(f.Pick)
+		p, name := r.pickHolder(f.Pick)
 		return kill(p) + " holding " + name
 	case KillLeader:
-		return kill(r.leader(f.Pick)) + " leading"
+		return kill(r.currentLeader(f.Pick)) + " leading"
 	case KillBoth:
-		p := r.leader(f.Pick)
-		hit := []*proc{p}
-		if s := r.look()[p]; s.Duties == nil || len(s.Duties.Held) == 0 {
-			if o, _ := r.holder(f.Pick); o != p {
+		p := r.currentLeader(f.Pick)
+		hit := []*server{p}
+		if s := r.fetchMetrics()[p]; s.Duties == nil || len(s.Duties.Held) == 0 {
+			if o, _ := r.pickHolder(f.Pick); o != p {
 				hit = append(hit, o)
 			}
 		}
 		return kill(hit...)
-	case CutHolder, CutThere, CutBack:
-		p, name := r.holder(f.Pick)
-		cut(p.links, map[string]Way{CutHolder: BothDirections, CutThere: There, CutBack: Back}[f.Kind])
-		span()
+	case CutHolder, CutHolderOut, CutHolderIn:
+		p, name := r.pickHolder(f.Pick)
+		cut(p.sessionLinks, map[string]Direction{CutHolder: BothDirections, CutHolderOut: Forward, CutHolderIn: Backward}[f.Kind])
+		waitDuration()
 		heal()
 		return p.name + " holding " + name
-	case CutLeader, CutLeaderOut:
-		p := r.leader(f.Pick)
+	case IsolateLeader, CutLeaderOut:
+		p := r.currentLeader(f.Pick)
 		out, in := BothDirections, BothDirections
 		if f.Kind == CutLeaderOut {
-			out, in = There, Back
+			out, in = Forward, Backward
 		}
-		cut(p.peers, out)
-		for _, o := range r.procs[:r.Copies] {
-			if l := o.peers[p.name]; l != nil {
+		cut(p.peerLinks, out)
+		for _, o := range r.orderServers[:r.Replicas] {
+			if l := o.peerLinks[p.name]; l != nil {
 				l.Cut(in)
 			}
 		}
-		span()
+		waitDuration()
 		heal()
 		return p.name + " leading"
-	case MostCopies:
-		most := slices.Clone(r.procs[:r.Copies])
-		rand.New(rand.NewPCG(f.Pick, 3)).Shuffle(len(most), func(i, j int) { most[i], most[j] = most[j], most[i] })
-		return kill(most[:r.Copies/2+1]...)
-	case Late:
-		p, name := r.holder(f.Pick)
-		for _, l := range p.links {
+	case KillMajority:
+		replicas := slices.Clone(r.orderServers[:r.Replicas])
+		rand.New(rand.NewPCG(f.Pick, 3)).Shuffle(len(replicas), func(i, j int) { replicas[i], replicas[j] = replicas[j], replicas[i] })
+		return kill(replicas[:r.Replicas/2+1]...)
+	case DelayHolder:
+		p, name := r.pickHolder(f.Pick)
+		for _, l := range p.sessionLinks {
 			l.Delay(clock.Duration(100+350*f.Size), BothDirections)
 		}
-		span()
+		waitDuration()
 		heal()
 		return p.name + " holding " + name
-	case LateBack:
+	case DelayThenCutHolder:
 		// Responses are delayed, and then the holder's requests no longer arrive while delayed responses still do. A holder
 		// that counted its lease from the arrival of a response would believe in it for longer than the leader waits.
-		p, name := r.holder(f.Pick)
-		then := r.later(ctx, f.At, p.links)
-		r.sleep(ctx, then+0.6)
-		cut(p.links, There)
-		span()
+		p, name := r.pickHolder(f.Pick)
+		delayedAt := r.delayGradually(ctx, f.At, p.sessionLinks)
+		r.sleepUntil(ctx, delayedAt+0.6)
+		cut(p.sessionLinks, Forward)
+		waitDuration()
 		heal()
 		return p.name + " holding " + name
 	case StaleLeader:
 		// Responses are in transit long enough for the holder to keep its session with a stopped leader. When that leader
 		// resumes, the holder's heartbeats are waiting for it, and another leader has long been elected. A leader that
 		// answered without confirming its leadership would renew leases that the new leader may grant to others.
-		q := r.leader(f.Pick)
-		p, name := r.slowest(q)
+		q := r.currentLeader(f.Pick)
+		p, name := r.slowestHolder(q)
 		if p == nil {
 			return "nothing: " + q.name + " leads and holds all duties"
 		}
-		then := r.later(ctx, f.At, map[string]*Link{q.name: p.links[q.name]})
-		for id, l := range p.links {
+		delayedAt := r.delayGradually(ctx, f.At, map[string]*Link{q.name: p.sessionLinks[q.name]})
+		for id, l := range p.sessionLinks {
 			if id != q.name {
 				l.Cut(BothDirections)
 			}
 		}
 		q.signal(syscall.SIGSTOP)
-		r.sleep(ctx, then+1.5) // before the lease expires by the responses received so far
-		p.links[q.name].Delay(0, Back)
+		r.sleepUntil(ctx, delayedAt+1.5) // before the lease expires by the responses received so far
+		p.sessionLinks[q.name].Delay(0, Backward)
 		q.signal(syscall.SIGCONT)
-		span()
+		waitDuration()
 		heal()
 		return q.name + " leading and " + p.name + " holding " + name
-	case Slow:
-		p := r.leader(f.Pick)
-		for _, o := range r.procs {
-			if l := o.links[p.name]; l != nil {
+	case ThrottleLeader:
+		p := r.currentLeader(f.Pick)
+		for _, o := range r.orderServers {
+			if l := o.sessionLinks[p.name]; l != nil {
 				l.Throttle(3000)
 			}
 		}
-		span()
+		waitDuration()
 		heal()
 		return p.name + " leading"
-	case Resets:
-		for _, p := range r.procs {
-			for _, l := range p.links {
+	case ResetSessions:
+		for _, p := range r.orderServers {
+			for _, l := range p.sessionLinks {
 				l.Reset()
 			}
 		}
 		return "all sessions"
-	case YieldDuty:
-		p, name := r.holder(f.Pick)
-		b, err := exec.CommandContext(ctx, r.Binary, "duty", "yield", name, "--operator", filepath.Join(r.procs[0].dir, "operator.yaml")).CombinedOutput()
+	case RequestYield:
+		p, name := r.pickHolder(f.Pick)
+		b, err := exec.CommandContext(ctx, r.Binary, "duty", "yield", name, "--operator", filepath.Join(r.orderServers[0].dir, "operator.yaml")).CombinedOutput()
 		if err != nil {
-			r.note("yield: %v: %s", err, b)
+			r.addNote("yield: %v: %s", err, b)
 		}
 		return p.name + " holding " + name
 	case DrainHolder:
-		p, name := r.holder(f.Pick)
+		p, name := r.pickHolder(f.Pick)
 		r.drain(p)
-		span()
-		again(p)
+		waitDuration()
+		restart(p)
 		return p.name + " holding " + name
-	case Replace:
-		if r.Servers == r.Copies {
+	case ReplaceProcess:
+		if r.Servers == r.Replicas {
 			return "nothing: a replica's process keeps its address and data directory"
 		}
-		p := r.procs[r.Copies+int(f.Pick%uint64(r.Servers-r.Copies))]
-		return r.replace(ctx, p)
-	case Jump:
-		p := r.procs[f.Pick%uint64(len(r.procs))]
+		p := r.orderServers[r.Replicas+int(f.Pick%uint64(r.Servers-r.Replicas))]
+		return r.replaceProcess(ctx, p)
+	case JumpClock:
+		p := r.orderServers[f.Pick%uint64(len(r.orderServers))]
 		ms := (f.Size - 0.5) * 60_000
 		for _, by := range []float64{ms, -ms} {
-			req, err := http.NewRequestWithContext(ctx, http.MethodPut, fmt.Sprintf("http://%s/-/lab/jump?ms=%.0f", p.ops, by), nil)
+			req, err := http.NewRequestWithContext(ctx, http.MethodPut, fmt.Sprintf("http://%s/-/lab/jump?ms=%.0f", p.operatorAddress, by), nil)
 			if err == nil {
 				var resp *http.Response
-				if resp, err = web.Do(req); err == nil {
+				if resp, err = httpClient.Do(req); err == nil {
 					resp.Body.Close()
 				}
 			}
 			if err != nil {
-				r.note("jump: %v", err)
+				r.addNote("jump: %v", err)
 			}
 			if by == ms {
-				span()
+				waitDuration()
 			}
 		}
 		return fmt.Sprintf("%s by %.0f ms", p.name, ms)
-	case OldFolder, NoFolder, Spoil, OldOfAll:
-		for _, s := range r.look() {
-			if !s.whole() { // a majority might lose log entries that no other replica has
+	case OldDirectory, NoDirectory, CorruptDirectory, RestartAllOneOld:
+		for _, s := range r.fetchMetrics() {
+			if !s.canVote() { // a majority might lose log entries that no other replica has
 				return "nothing: a replica has not regained its vote yet"
 			}
 		}
-		p := r.procs[f.Pick%uint64(r.Copies)]
-		hit := []*proc{p}
-		if f.Kind == OldOfAll {
-			hit = r.procs[:r.Copies]
+		p := r.orderServers[f.Pick%uint64(r.Replicas)]
+		hit := []*server{p}
+		if f.Kind == RestartAllOneOld {
+			hit = r.orderServers[:r.Replicas]
 		}
 		for _, o := range hit {
 			r.kill(o)
 		}
 		var err error
 		switch f.Kind {
-		case Spoil:
-			err = spoil(filepath.Join(p.dir, "store", "raft.db"), f.Pick)
-		case NoFolder:
+		case CorruptDirectory:
+			err = flipBits(filepath.Join(p.dir, "store", "raft.db"), f.Pick)
+		case NoDirectory:
 			err = os.RemoveAll(filepath.Join(p.dir, "store"))
 		default:
-			err = copyFolder(filepath.Join(p.dir, "older"), filepath.Join(p.dir, "store"))
+			err = replaceDirectory(filepath.Join(p.dir, "older"), filepath.Join(p.dir, "store"))
 		}
 		if err != nil {
-			r.note("%s: %v", f.Kind, err)
+			r.addNote("%s: %v", f.Kind, err)
 		}
-		span()
+		waitDuration()
 		for _, o := range hit {
-			again(o)
+			restart(o)
 		}
 		return p.name
-	case SpoilMemory:
-		for _, s := range r.look() {
-			if !s.whole() {
+	case CorruptMemory:
+		for _, s := range r.fetchMetrics() {
+			if !s.canVote() {
 				return "nothing: a replica has not regained its vote yet"
 			}
 		}
-		p := r.procs[f.Pick%uint64(r.Copies)]
-		req, err := http.NewRequestWithContext(ctx, http.MethodPut, fmt.Sprintf("http://%s/-/lab/spoil?pick=%d", p.ops, f.Pick), nil)
+		p := r.orderServers[f.Pick%uint64(r.Replicas)]
+		req, err := http.NewRequestWithContext(ctx, http.MethodPut, fmt.Sprintf("http://%s/-/lab/spoil?pick=%d", p.operatorAddress, f.Pick), nil)
 		if err != nil {
 			return err.Error()
 		}
-		resp, err := web.Do(req)
+		resp, err := httpClient.Do(req)
 		if err != nil {
-			r.note("spoil: %v", err)
+			r.addNote("spoil: %v", err)
 			return "nothing: " + err.Error()
 		}
 		b, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
@@ -254,46 +254,46 @@
 		if resp.StatusCode != http.StatusOK || len(b) == 0 {
 			return "nothing: the replica has no state in memory"
 		}
-		r.add(trace.Event{What: spoilt, Who: p.name, Text: string(b)})
-		span()
+		r.addEvent(trace.Event{What: eventCorrupted, Who: p.name, Text: string(b)})
+		waitDuration()
 		return fmt.Sprintf("%s, effect %s", p.name, b)
-	case ColdAll:
+	case ColdRestart:
 		r.mu.Lock()
-		r.cold, r.bootAt = true, time.Now()
+		r.cold, r.bootedAt = true, time.Now()
 		r.mu.Unlock()
-		kill(r.procs...)
+		kill(r.orderServers...)
 		return "all servers"
 	case SlowVault:
-		r.vault.slower(10)
-		span()
-		r.vault.slower(1)
+		r.vault.setSlowdown(10)
+		waitDuration()
+		r.vault.setSlowdown(1)
 		return "the vault"
 	}
 	return "nothing"
 }
 
-// replace starts a second process of a server next to the running one and then ends the first, as operators do.
-func (r *run) replace(ctx context.Context, p *proc) string {
-	ops, err := free(strings.Split(p.ops, ":")[0])
+// replaceProcess starts a second process of a server next to the running one and then ends the first, as operators do.
+func (r *run) replaceProcess(ctx context.Context, p *server) string {
+	newAddress, err := freeAddress(strings.Split(p.operatorAddress, ":")[0])
 	if err != nil {
 		return err.Error()
 	}
-	x, err := newExecutor(p.name, r.add, r.boots)
+	newExec, err := newFakeExecutor(p.name, r.addEvent, r.bootState)
 	if err != nil {
 		return err.Error()
 	}
 	p.mu.Lock()
-	old, oldDone := p.cmd, p.done
+	oldCmd, oldDone := p.cmd, p.done
 	p.mu.Unlock()
-	oldExec := p.exec
-	p.exec, p.ops = x, ops
+	oldExec := p.executor
+	p.executor, p.operatorAddress = newExec, newAddress
 	if err := r.start(p); err != nil {
-		r.note("replace: %v", err)
+		r.addNote("replace: %v", err)
 		return p.name
 	}
-	late := time.Now().Add(6 * time.Second)
-	for time.Now().Before(late) && ctx.Err() == nil {
-		if resp, err := web.Get("http://" + p.ops + "/-/ready"); err == nil {
+	deadline := time.Now().Add(6 * time.Second)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
+		if resp, err := httpClient.Get("http://" + p.operatorAddress + "/-/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				break
@@ -301,39 +301,39 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	old.Process.Signal(syscall.SIGTERM)
+	oldCmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-oldDone:
 	case <-time.After(10 * time.Second):
-		r.note("the replaced process of %s did not exit within 10 s of SIGTERM", p.name)
-		old.Process.Kill()
+		r.addNote("the replaced process of %s did not exit within 10 s of SIGTERM", p.name)
+		oldCmd.Process.Kill()
 		<-oldDone
 	}
 	oldExec.ln.Close()
 	return p.name + ", replaced by a second process"
 }
 
-// publish writes the files of a version, and last the manifest with their checksums.
-func (r *run) publish(n int) error {
+// writePublishedFiles writes the files of a version, and last the manifest with their checksums.
+func (r *run) writePublishedFiles(version int) error {
 	dir := filepath.Join(r.Out, "published")
-	hosts := fmt.Sprintf("name,address,port,groups\nh%d,127.0.0.1,%d,runners\n", n, 3000+n)
+	hosts := fmt.Sprintf("name,address,port,groups\nh%d,127.0.0.1,%d,runners\n", version, 3000+version)
 	operator := "inventory: {path: inventory.csv, group: runners}\n"
 	sums := ""
 	for _, f := range []struct{ name, text string }{{"inventory.csv", hosts}, {"operator.yaml", operator}} {
 		if err := os.WriteFile(filepath.Join(dir, f.name), []byte(f.text), 0o644); err != nil {
 			return err
 		}
-		sums += sum(f.text) + "  " + f.name + "\n"
+		sums += sha256Hex(f.text) + "  " + f.name + "\n"
 	}
 	return os.WriteFile(filepath.Join(dir, "SUMS"), []byte(sums), 0o644)
 }
 
-const compareAll = 13 // s within which the replicas compare all parts of their state, one election included
+const compareAllSeconds = 13 // replicas compare all parts of their state within this time, one election included
 
-const spoilt = "spoilt" // event: the lab corrupted a replica's memory
+const eventCorrupted = "spoilt" // event: the lab corrupted a replica's memory
 
-// spoil flips 1 to 20 bits of a file at positions that pick determines.
-func spoil(path string, pick uint64) error {
+// flipBits flips 1 to 20 bits of a file at positions that pick determines.
+func flipBits(path string, pick uint64) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -345,8 +345,8 @@
 	return os.WriteFile(path, b, 0o600)
 }
 
-// copyFolder replaces a directory by a copy of another one.
-func copyFolder(from, to string) error {
+// replaceDirectory replaces a directory by a copy of another one.
+func replaceDirectory(from, to string) error {
 	if err := os.RemoveAll(to); err != nil {
 		return err
 	}
--- a/internal/lab/figures.go
+++ b/internal/lab/figures.go
@@ -14,19 +14,19 @@
 	"puffinsaddle/internal/store"
 )
 
-// office is a process's report of its leadership.
-type office struct {
+// leadership is a process's report of its leadership.
+type leadership struct {
 	Term uint64 `json:"term"` // the term in which it leads; 0: it does not lead
 }
 
-// seen is the part of a process's metrics that the lab reads.
-type seen struct {
+// processMetrics is the part of a process's metrics that the lab reads.
+type processMetrics struct {
 	Duties *struct {
-		Me       string            `json:"me"`
-		Present  bool              `json:"present"`
-		Held     map[string]uint64 `json:"held"`
-		Sessions *office           `json:"sessions"`
-		Desk     *office           `json:"desk"` // the key of Sessions in earlier builds, which --other-build may run
+		ProcessID string            `json:"me"`
+		Present   bool              `json:"present"`
+		Held      map[string]uint64 `json:"held"`
+		Sessions  *leadership       `json:"sessions"`
+		Desk      *leadership       `json:"desk"` // the key of Sessions in earlier builds, which --other-build may run
 	} `json:"duties"`
 	Store *struct {
 		Phase string `json:"phase"`
@@ -34,29 +34,29 @@
 	} `json:"store"`
 }
 
-// whole reports whether the process's store replica runs with its vote. It is true for a process without a replica and for a
+// canVote reports whether the process's store replica runs with its vote. It is true for a process without a replica and for a
 // build that doesn't report it.
-func (s seen) whole() bool {
+func (s processMetrics) canVote() bool {
 	return s.Store == nil || s.Store.Phase == store.PhaseRuns && s.Store.Votes
 }
 
-var web = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var httpClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// look requests the metrics of all processes; one that doesn't answer is left out.
-func (r *run) look() map[*proc]seen {
+// fetchMetrics requests the metrics of all processes; one that doesn't answer is left out.
+func (r *run) fetchMetrics() map[*server]processMetrics {
 	var mu sync.Mutex
-	all := map[*proc]seen{}
+	all := map[*server]processMetrics{}
 	var wait sync.WaitGroup
-	for _, p := range r.procs {
+	for _, p := range r.orderServers {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			resp, err := web.Get("http://" + p.ops + "/-/metrics")
+			resp, err := httpClient.Get("http://" + p.operatorAddress + "/-/metrics")
 			if err != nil {
 				return
 			}
 			defer resp.Body.Close()
-			var s seen
+			var s processMetrics
 			if json.NewDecoder(io.LimitReader(resp.Body, 1<<20)).Decode(&s) == nil && s.Duties != nil {
 				mu.Lock()
 				all[p] = s
@@ -68,31 +68,31 @@
 	return all
 }
 
-// settled waits until every duty has a holder, every process is present and every replica has its vote.
-func (r *run) settled(ctx context.Context, within time.Duration) error {
-	late := time.Now().Add(within)
-	names := len(dutyNames)
-	if r.Static {
-		names--
+// waitHealthy waits until every duty has a holder, every process is present and every replica has its vote.
+func (r *run) waitHealthy(ctx context.Context, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
+	dutyCount := len(dutyNames)
+	if r.NoAllotter {
+		dutyCount--
 	}
 	for {
-		held, present, whole := map[string]bool{}, 0, 0
-		for _, s := range r.look() {
+		held, present, voting := map[string]bool{}, 0, 0
+		for _, s := range r.fetchMetrics() {
 			for name := range s.Duties.Held {
 				held[name] = true
 			}
 			if s.Duties.Present {
 				present++
 			}
-			if s.whole() {
-				whole++
+			if s.canVote() {
+				voting++
 			}
 		}
-		if len(held) == names && present == len(r.procs) && whole == len(r.procs) {
+		if len(held) == dutyCount && present == len(r.orderServers) && voting == len(r.orderServers) {
 			return nil
 		}
-		if time.Now().After(late) {
-			return fmt.Errorf("%d of %d duties have a holder, %d of %d processes are present, %d are without a replica that lacks its vote", len(held), names, present, len(r.procs), whole)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%d of %d duties have a holder, %d of %d processes are present, %d have a voting replica or none", len(held), dutyCount, present, len(r.orderServers), voting)
 		}
 		select {
 		case <-ctx.Done():
@@ -102,63 +102,63 @@
 	}
 }
 
-const nothing = "nothing" // the duty of a process that was picked while no duty has a holder
+const noDuty = "nothing" // the duty of a process that was picked while no duty has a holder
 
-// holder returns the holder of a duty that pick determines, or any process if no duty has a holder.
-func (r *run) holder(pick uint64) (*proc, string) {
+// pickHolder returns the holder of a duty that pick determines, or any process if no duty has a holder.
+func (r *run) pickHolder(pick uint64) (*server, string) {
 	var names []string
-	of := map[string]*proc{}
-	for p, s := range r.look() {
+	holderOf := map[string]*server{}
+	for p, s := range r.fetchMetrics() {
 		for name := range s.Duties.Held {
 			names = append(names, name)
-			of[name] = p
+			holderOf[name] = p
 		}
 	}
 	if len(names) == 0 {
-		return r.procs[pick%uint64(len(r.procs))], nothing
+		return r.orderServers[pick%uint64(len(r.orderServers))], noDuty
 	}
 	slices.Sort(names)
 	name := names[pick%uint64(len(names))]
-	return of[name], name
+	return holderOf[name], name
 }
 
-// slowest returns the holder with the slowest clock, other than the process not, and a duty that it holds; nil if there is
-// none. With the slowest clock it believes in its lease for longest.
-func (r *run) slowest(not *proc) (slow *proc, duty string) {
-	for p, s := range r.look() {
+// slowestHolder returns the holder with the slowest clock, other than the process except, and a duty that it holds; nil if
+// there is none. With the slowest clock it believes in its lease for longest.
+func (r *run) slowestHolder(except *server) (slowest *server, duty string) {
+	for p, s := range r.fetchMetrics() {
 		for name := range s.Duties.Held {
-			if p != not && (slow == nil || p.rate < slow.rate || p == slow && name < duty) {
-				slow, duty = p, name
+			if p != except && (slowest == nil || p.clockRate < slowest.clockRate || p == slowest && name < duty) {
+				slowest, duty = p, name
 			}
 		}
 	}
-	return slow, duty
+	return slowest, duty
 }
 
-// later raises the delay of responses to 1.2 s in five steps and returns the time in s at which it had done so. Each step is
-// less than the silence after which a client tries another replica, so the session stays.
-func (r *run) later(ctx context.Context, at float64, links map[string]*Link) float64 {
+// delayGradually raises the delay of responses to 1.2 s in five steps and returns the time in s at which it had done so. Each
+// step is less than the silence after which a client tries another replica, so the session stays.
+func (r *run) delayGradually(ctx context.Context, atSeconds float64, links map[string]*Link) float64 {
 	for i := 1; i <= 5; i++ {
 		for _, l := range links {
-			l.Delay(time.Duration(i)*240*time.Millisecond, Back)
+			l.Delay(time.Duration(i)*240*time.Millisecond, Backward)
 		}
-		at += 0.35
-		r.sleep(ctx, at)
+		atSeconds += 0.35
+		r.sleepUntil(ctx, atSeconds)
 	}
-	return at
+	return atSeconds
 }
 
-// leader returns the process that leads in the highest term, or any process with a replica if none leads.
-func (r *run) leader(pick uint64) *proc {
-	var best *proc
+// currentLeader returns the process that leads in the highest term, or any process with a replica if none leads.
+func (r *run) currentLeader(pick uint64) *server {
+	var leader *server
 	term := uint64(0)
-	for p, s := range r.look() {
+	for p, s := range r.fetchMetrics() {
 		if o := cmp.Or(s.Duties.Sessions, s.Duties.Desk); o != nil && o.Term > term {
-			best, term = p, o.Term
+			leader, term = p, o.Term
 		}
 	}
-	if best == nil {
-		return r.procs[pick%uint64(r.Copies)]
+	if leader == nil {
+		return r.orderServers[pick%uint64(r.Replicas)]
 	}
-	return best
+	return leader
 }
--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -60,12 +60,12 @@
 	Residual float64
 }
 
-// Bends reports whether the points are too far from a straight line.
-func (l Line) Bends() bool { return l.Residual > bendOver }
+// Nonlinear reports whether the points are too far from a straight line.
+func (l Line) Nonlinear() bool { return l.Residual > maxResidual }
 
 const (
-	bendOver   = 0.15 // relative residual
-	leastSizes = 3    // sizes of a benchmark
+	maxResidual = 0.15 // relative residual
+	minSizes    = 3    // sizes of a benchmark
 )
 
 // benchmark matches a name that ends with its size and the number of processors, as in /servers=300-6.
@@ -109,7 +109,7 @@
 	}
 	var lines []Line
 	for _, k := range order {
-		if len(all[k]) >= leastSizes {
+		if len(all[k]) >= minSizes {
 			lines = append(lines, newLine(k.name, k.unit, all[k]))
 		}
 	}
@@ -150,7 +150,7 @@
 		points = append(points, fmt.Sprintf("%.0f: %.4g", p.Size, p.Value))
 	}
 	verdict := "straight"
-	if l.Bends() {
+	if l.Nonlinear() {
 		n := len(l.Points)
 		slope := func(i int) float64 {
 			return (l.Points[i+1].Value - l.Points[i].Value) / (l.Points[i+1].Size - l.Points[i].Size)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -18,13 +18,13 @@
 	"puffinsaddle/internal/trace"
 )
 
-const patience = 60 * time.Second
+const linkTimeout = 60 * time.Second
 
-func TestOneSeedGivesOneSchedule(t *testing.T) {
-	s, _ := scenario("all")
+func TestSeedDeterminesSchedule(t *testing.T) {
+	s, _ := findScenario("all")
 	a, b := Schedule(7, s, 200), Schedule(7, s, 200)
 	if !reflect.DeepEqual(a, b) || len(a) < 20 {
-		t.Errorf("%d and %d faults", len(a), len(b))
+		t.Errorf("two schedules of one seed have %d and %d faults, want the same ones and 20 or more", len(a), len(b))
 	}
 	if reflect.DeepEqual(a, Schedule(8, s, 200)) {
 		t.Error("another seed gives the same schedule")
@@ -32,24 +32,24 @@
 	kinds := map[string]bool{}
 	for _, f := range a {
 		kinds[f.Kind] = true
-		if f.At < firstAt || f.At+f.For > 200-quiet {
-			t.Errorf("%s", f)
+		if f.At < firstFaultSeconds || f.At+f.For > 200-quietEndSeconds {
+			t.Errorf("the fault %s is too early or too late", f)
 		}
 	}
 	if len(kinds) != len(s.Kinds) {
-		t.Errorf("%d of %d kinds", len(kinds), len(s.Kinds))
+		t.Errorf("the schedule has %d of %d kinds", len(kinds), len(s.Kinds))
 	}
 }
 
 // Guards against a link that loses bytes or lets them pass while it is cut: an echo server behind a link that is cut in one
 // direction at a time. After Heal the withheld bytes arrive.
-func TestLinksHoldBackAndPassOn(t *testing.T) {
+func TestCutLinkWithholdsBytesUntilHeal(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	heard := make(chan string, 10)
+	received := make(chan string, 10)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -60,10 +60,10 @@
 				b := make([]byte, 1)
 				for {
 					if _, err := c.Read(b); err != nil {
-						heard <- "end"
+						received <- "end"
 						return
 					}
-					heard <- string(b)
+					received <- string(b)
 					c.Write(b)
 				}
 			}()
@@ -79,72 +79,72 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(patience))
-	say := func(s string) { c.Write([]byte(s)) }
-	back := func() string {
+	c.SetDeadline(time.Now().Add(linkTimeout))
+	send := func(s string) { c.Write([]byte(s)) }
+	receive := func() string {
 		b := make([]byte, 1)
 		if _, err := io.ReadFull(c, b); err != nil {
 			return err.Error()
 		}
 		return string(b)
 	}
-	say("1")
-	if s := back(); s != "1" {
+	send("1")
+	if s := receive(); s != "1" {
 		t.Fatal(s)
 	}
-	<-heard
-	l.Cut(Back)
-	say("2")
-	if s := <-heard; s != "2" {
+	<-received
+	l.Cut(Backward)
+	send("2")
+	if s := <-received; s != "2" {
 		t.Errorf("the server received %q, want 2", s)
 	}
 	l.Heal()
-	if s := back(); s != "2" {
+	if s := receive(); s != "2" {
 		t.Errorf("withheld bytes: got %q", s)
 	}
-	l.Cut(There)
-	say("3")
+	l.Cut(Forward)
+	send("3")
 	l.Heal()
-	if s := back(); s != "3" {
+	if s := receive(); s != "3" {
 		t.Errorf("withheld bytes: got %q", s)
 	}
-	<-heard
+	<-received
 	l.Reset()
-	if s := <-heard; s != "end" {
+	if s := <-received; s != "end" {
 		t.Errorf("after a reset the server received %q, want its end", s)
 	}
 }
 
 // Guards against a checker that misses a violation: synthetic traces, each with one violation, and one without any.
-func TestCheckerFindsWhatIsWrong(t *testing.T) {
+func TestCheckerFindsEachViolation(t *testing.T) {
 	grant := func(at float64, index uint64, name, who string) trace.Event {
 		return trace.Event{At: at, Who: "s01", What: trace.EntryApplied, Index: index, Term: 1, Text: "orders", Cause: "grant " + name + " " + who}
 	}
-	held := func(at, until float64, who string, epoch uint64) trace.Event {
+	gained := func(at, until float64, who string, epoch uint64) trace.Event {
 		return trace.Event{At: at, Who: who, What: trace.LeaseGained, Duty: "d", Epoch: epoch, Until: until}
 	}
-	acted := func(at float64, index, epoch uint64) trace.Event {
+	executed := func(at float64, index, epoch uint64) trace.Event {
 		return trace.Event{At: at, Who: "s01", What: trace.EntryApplied, Index: index, Term: 1, Text: "act", Duty: "d", Epoch: epoch}
 	}
-	good := []trace.Event{grant(1, 1, "d", "a#1"), held(2, 100, "a#1", 1), acted(5, 2, 1),
+	valid := []trace.Event{grant(1, 1, "d", "a#1"), gained(2, 100, "a#1", 1), executed(5, 2, 1),
 		{At: 6, Who: "a#1", What: trace.CommandExecuted, Text: "mark", Duty: "d", Epoch: 1, Began: 4, N: 1},
 		{At: 100, Who: "a#1", What: trace.LeaseEnded, Duty: "d", Epoch: 1, Cause: duty.CauseExpired},
-		{At: 110, Who: "s01", What: trace.EntryApplied, Index: 3, Term: 1, Text: "orders", Cause: "lapse d "}, grant(111, 4, "d", "b#1"), held(112, 300, "b#1", 2),
-		acted(113, 5, 2), {At: 114, Who: "b#1", What: trace.CommandExecuted, Text: "mark", Duty: "d", Epoch: 2, Began: 112, N: 2},
+		{At: 110, Who: "s01", What: trace.EntryApplied, Index: 3, Term: 1, Text: "orders", Cause: "lapse d "}, grant(111, 4, "d", "b#1"), gained(112, 300, "b#1", 2),
+		executed(113, 5, 2), {At: 114, Who: "b#1", What: trace.CommandExecuted, Text: "mark", Duty: "d", Epoch: 2, Began: 112, N: 2},
 		{At: 120, Who: "a#1", What: trace.ShareInForce, Amount: 60, Until: 200}, {At: 130, Who: "a#1", What: trace.ShareInForce, Amount: 30, Until: 200},
-		{At: 131, Who: "b#1", What: trace.ShareInForce, Amount: 70, Until: 220}, {At: 140, Who: "s01", What: trace.Exec, Text: "e1"}}
-	for want, more := range map[string][]trace.Event{
+		{At: 131, Who: "b#1", What: trace.ShareInForce, Amount: 70, Until: 220}, {At: 140, Who: "s01", What: trace.EffectExecuted, Text: "e1"}}
+	for want, extra := range map[string][]trace.Event{
 		"":                        nil,
-		"one holder at a time":    {held(90, 95, "c#1", 3)},
-		"an epoch has one holder": {held(400, 500, "c#1", 2)},
-		"epochs only increase":    {held(400, 500, "c#1", 1)},
-		"no command of an old epoch takes effect": {acted(115, 6, 1)},
+		"one holder at a time":    {gained(90, 95, "c#1", 3)},
+		"an epoch has one holder": {gained(400, 500, "c#1", 2)},
+		"epochs only increase":    {gained(400, 500, "c#1", 1)},
+		"no command of an old epoch takes effect": {executed(115, 6, 1)},
 		"replicas agree":                   {{At: 9, Who: "s02", What: trace.EntryApplied, Index: 2, Term: 1, Text: "act", Duty: "d", Epoch: 9}},
 		"shares stay within the pool":      {{At: 150, Who: "c#1", What: trace.ShareInForce, Amount: 1, Until: 160}},
-		"no effect runs twice":             {{At: 150, Who: "s05", What: trace.Exec, Text: "e1"}},
+		"no effect runs twice":             {{At: 150, Who: "s05", What: trace.EffectExecuted, Text: "e1"}},
 		"fenced commands are linearizable": {{At: 116, Who: "b#1", What: trace.CommandExecuted, Text: "mark", Duty: "d", Epoch: 2, Began: 115, N: 2}},
 	} {
-		o := &Outcome{Pool: 100, Events: append(append([]trace.Event(nil), good...), more...)}
+		o := &Outcome{PoolMilli: 100, Events: append(append([]trace.Event(nil), valid...), extra...)}
 		f := Check(o)
 		var rules []string
 		for _, v := range f.Violations {
@@ -153,7 +153,7 @@
 		if want == "" && len(rules) > 0 || want != "" && !strings.Contains(strings.Join(rules, ";"), want) {
 			t.Errorf("found %q, want %q", rules, want)
 		}
-		if want == "" && (f.Handovers != 1 || len(f.Gaps) != 1 || f.Gaps[0].Ms() != 12 || f.Acts != 2 || f.SharesMost != 100) {
+		if want == "" && (f.Handovers != 1 || len(f.Gaps) != 1 || f.Gaps[0].LengthMS() != 12 || f.Commands != 2 || f.MaxSharesMilli != 100) {
 			t.Errorf("%+v", f)
 		}
 	}
@@ -161,8 +161,8 @@
 
 // Guards against gaps that are judged by the wrong bound: the TTL after a holder that was killed, counted from the election
 // of a new leader if there was one, and only a renewal interval after a yield.
-func TestGapsThatTheTermsDoNotExplainAreCounted(t *testing.T) {
-	o := &Outcome{Begun: 1, Events: []trace.Event{
+func TestExcessiveGapsAreCounted(t *testing.T) {
+	o := &Outcome{LoadStartMS: 1, Events: []trace.Event{
 		{At: 10, Who: "a#1", What: trace.LeaseGained, Duty: "d", Epoch: 1, Until: 5000},
 		{At: 1000, Who: "a", What: "killed"},
 		{At: 3000, Who: "s02", What: trace.TermStarted, Term: 2},
@@ -175,66 +175,66 @@
 		t.Fatalf("%+v", f)
 	}
 	first, second := f.Gaps[0], f.Gaps[1]
-	if first.Ms() != 4400 || first.Office != 3000 || first.SinceOffice() != 2400 || first.Over() {
+	if first.LengthMS() != 4400 || first.NewLeaderAt != 3000 || first.SinceNewLeaderMS() != 2400 || first.Excessive() {
 		t.Errorf("%+v: a leader was elected in the gap, which explains it", first)
 	}
-	if second.Ms() != 1000 || second.Office != 0 || !second.Over() {
+	if second.LengthMS() != 1000 || second.NewLeaderAt != 0 || !second.Excessive() {
 		t.Errorf("%+v: longer than a yield explains", second)
 	}
-	first.Office = 0
-	if !first.Over() {
+	first.NewLeaderAt = 0
+	if !first.Excessive() {
 		t.Errorf("%+v: without an election nothing explains it", first)
 	}
 }
 
-// Guards against a checker that accepts a corrupted replica that was never found, or a sound one that was reported.
-func TestWhatIsSpoiltHasToBeFound(t *testing.T) {
-	ev := func(at float64, who, what, text, cause string) trace.Event {
+// Guards against a checker that accepts a corrupted replica that was never found, or reports an intact one.
+func TestMemoryCorruptionMustBeDetected(t *testing.T) {
+	event := func(at float64, who, what, text, cause string) trace.Event {
 		return trace.Event{At: at, Who: who, What: what, Text: text, Cause: cause}
 	}
 	const differs = "b: the state of s02 differs from that of a majority"
-	spoil, ask := ev(1000, "s02", spoilt, "e", ""), ev(5000, "s02#1", trace.ReplicaPhase, store.PhaseAsks, differs)
-	runs, died := ev(6000, "s02#1", trace.ReplicaPhase, store.PhaseRuns, ""), ev(2000, "s02", "killed", "", "")
+	corrupted, rejoins := event(1000, "s02", eventCorrupted, "e", ""), event(5000, "s02#1", trace.ReplicaPhase, store.PhaseAsks, differs)
+	runs, died := event(6000, "s02#1", trace.ReplicaPhase, store.PhaseRuns, ""), event(2000, "s02", "killed", "", "")
 	for want, events := range map[string][]trace.Event{
-		"":                             {spoil, ask, runs},
-		"corrupt replicas are found":   {spoil},
-		"only corrupt replicas differ": {ask, runs},
+		"":                             {corrupted, rejoins, runs},
+		"corrupt replicas are found":   {corrupted},
+		"only corrupt replicas differ": {rejoins, runs},
 	} {
-		f := Check(&Outcome{Events: events, Ended: 60000})
+		f := Check(&Outcome{Events: events, LoadEndMS: 60000})
 		got := ""
 		for _, v := range f.Violations {
 			got += v.Rule
 		}
-		if got != want || want == "" && (f.Differed != 1 || f.Anew != 1 || len(f.CatchUp) != 1 || f.CatchUp[0] != 1000) {
+		if got != want || want == "" && (f.Diverged != 1 || f.Rejoined != 1 || len(f.CatchUpMS) != 1 || f.CatchUpMS[0] != 1000) {
 			t.Errorf("%q, want %q: %+v", got, want, f)
 		}
 	}
-	if f := Check(&Outcome{Events: []trace.Event{spoil, died}, Ended: 60000}); len(f.Violations) > 0 {
+	if f := Check(&Outcome{Events: []trace.Event{corrupted, died}, LoadEndMS: 60000}); len(f.Violations) > 0 {
 		t.Errorf("the corrupt memory went with its process: %+v", f.Violations)
 	}
 }
 
 // Guards against false violations: a process that is killed with a fenced command in flight records no response, so the
 // command may have been executed or not.
-func TestActsCutOffByAKillMayHaveCounted(t *testing.T) {
-	act := func(what string, began, at float64, n uint64) trace.Event {
+func TestCommandsInterruptedByKillMayHaveExecuted(t *testing.T) {
+	event := func(what string, began, at float64, n uint64) trace.Event {
 		return trace.Event{At: at, Who: "a#1", What: what, Text: "mark", Duty: "d", Epoch: 1, Began: began, N: n}
 	}
-	first := []trace.Event{act(trace.CommandSent, 1, 1, 0), act(trace.CommandExecuted, 1, 2, 1)}
-	lost, last := act(trace.CommandSent, 3, 3, 0), []trace.Event{act(trace.CommandSent, 5, 5, 0), act(trace.CommandExecuted, 5, 6, 3)}
-	if f := Check(&Outcome{Events: append(append(first, lost), last...)}); len(f.Violations) > 0 {
+	first := []trace.Event{event(trace.CommandSent, 1, 1, 0), event(trace.CommandExecuted, 1, 2, 1)}
+	interrupted, last := event(trace.CommandSent, 3, 3, 0), []trace.Event{event(trace.CommandSent, 5, 5, 0), event(trace.CommandExecuted, 5, 6, 3)}
+	if f := Check(&Outcome{Events: append(append(first, interrupted), last...)}); len(f.Violations) > 0 {
 		t.Errorf("%+v", f.Violations)
 	}
 	if f := Check(&Outcome{Events: append(first, last...)}); len(f.Violations) != 1 {
 		t.Errorf("an increment without a command: %+v", f.Violations)
 	}
 	last[1].N = 2
-	if f := Check(&Outcome{Events: append(append(first, lost), last...)}); len(f.Violations) > 0 {
+	if f := Check(&Outcome{Events: append(append(first, interrupted), last...)}); len(f.Violations) > 0 {
 		t.Errorf("the interrupted command was not executed: %+v", f.Violations)
 	}
 }
 
-func TestWrongUseIsNamed(t *testing.T) {
+func TestInvalidFlagsAreNamed(t *testing.T) {
 	for want, c := range map[string]DutiesCmd{
 		"no scenario":   {Scenario: "none-such", Copies: 3, Servers: 12, For: time.Minute},
 		"no bug":        {Scenario: "all", Plant: "x", Copies: 3, Servers: 12, For: time.Minute},
@@ -251,7 +251,7 @@
 
 // Runs processes of the real program under faults and checks the invariants. Only safety is checked, so the verdict doesn't
 // depend on the speed of the machine; the wait for every duty to have a holder at the end has a long timeout.
-func TestProcessesKeepTheInvariants(t *testing.T) {
+func TestInvariantsHoldUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
@@ -260,35 +260,35 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	for name, seed := range map[string]uint64{"holder": 1, "leader": 2, "handing": 3, "folders": 12} {
-		s, _ := scenario(name)
-		set := Setup{Binary: binary, Out: t.TempDir(), Seed: seed, Seconds: 18, Copies: 3, Servers: 5, Scenario: s, Load: 30, Slots: 12}
-		o, err := Play(context.Background(), set)
+		s, _ := findScenario(name)
+		setup := Setup{Binary: binary, Out: t.TempDir(), Seed: seed, Seconds: 18, Replicas: 3, Servers: 5, Scenario: s, RequestsPerSecond: 30, VaultSlots: 12}
+		o, err := Execute(context.Background(), setup)
 		if err != nil {
-			logs(t, set.Out)
+			showLogs(t, setup.Out)
 			t.Fatal(err)
 		}
 		f := Check(o)
 		for _, v := range f.Violations {
 			t.Errorf("%s: %s: %s %+v", name, v.Rule, v.Text, v.Trace)
 		}
-		if f.Acts == 0 || f.Effects == 0 || len(o.Faults) == 0 {
-			t.Errorf("%s: %d fenced commands, %d effects, %d faults: the run proves nothing", name, f.Acts, f.Effects, len(o.Faults))
+		if f.Commands == 0 || f.Effects == 0 || len(o.Faults) == 0 {
+			t.Errorf("%s: %d fenced commands, %d effects, %d faults: the run proves nothing", name, f.Commands, f.Effects, len(o.Faults))
 		}
-		if name == "folders" && f.Anew == 0 { // one of its faults removes a data directory
+		if name == "folders" && f.Rejoined == 0 { // one of its faults removes a data directory
 			t.Errorf("%s: no replica rejoined", name)
 		}
 		var page bytes.Buffer
-		if err := Report(&page, []Page{{Title: name, Setup: set, Outcome: o, Found: f, Result: result(set, o, f)}}); err != nil || page.Len() < 1000 {
+		if err := Report(&page, []Page{{Title: name, Setup: setup, Outcome: o, Findings: f, Result: newResult(setup, o, f)}}); err != nil || page.Len() < 1000 {
 			t.Errorf("the report has %d bytes: %v", page.Len(), err)
 		}
 		if t.Failed() {
-			logs(t, set.Out)
+			showLogs(t, setup.Out)
 		}
 	}
 }
 
-// logs prints the end of each process's log.
-func logs(t *testing.T, dir string) {
+// showLogs prints the end of each process's log.
+func showLogs(t *testing.T, dir string) {
 	files, _ := filepath.Glob(filepath.Join(dir, "*", "log"))
 	for _, path := range files {
 		b, _ := os.ReadFile(path)
--- a/internal/lab/link.go
+++ b/internal/lab/link.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Way selects a direction of a link.
-type Way int
+// Direction selects a direction of a link.
+type Direction int
 
 // Directions of a link.
 const (
-	There Way = iota // from the side that connects
-	Back             // to the side that connects
+	Forward  Direction = iota // from the side that connects
+	Backward                  // to the side that connects
 	BothDirections
 )
 
@@ -24,27 +24,28 @@
 type Link struct {
 	ln net.Listener
 
-	mu    sync.Mutex
-	to    string
-	cut   [2]bool          // by direction: bytes are withheld
-	delay [2]time.Duration // by direction: added delay
-	rate  int              // bytes per second and connection; 0: unlimited
-	pipes map[*pipe]bool   // the open connections
-	wake  chan struct{}    // closed and replaced at each change
-	done  bool
+	mu             sync.Mutex
+	target         string
+	cut            [2]bool              // by direction: bytes are withheld
+	delay          [2]time.Duration     // by direction: added delay
+	bytesPerSecond int                  // of each connection and direction; 0: unlimited
+	connections    map[*connection]bool // the open connections
+	changed        chan struct{}        // closed and replaced at each change
+	closed         bool
 }
 
-// pipe is one connection through a link; gone is closed at its end.
-type pipe struct {
-	a, b net.Conn
-	once sync.Once
-	gone chan struct{}
+// connection is one connection through a link; ended is closed at its end.
+type connection struct {
+	client, server net.Conn
+	once           sync.Once
+	ended          chan struct{}
 }
 
-func (p *pipe) end(reset bool) {
+// close closes both sides once, with a TCP reset if reset is set.
+func (p *connection) close(reset bool) {
 	p.once.Do(func() {
-		close(p.gone)
-		for _, c := range []net.Conn{p.a, p.b} {
+		close(p.ended)
+		for _, c := range []net.Conn{p.client, p.server} {
 			if tcp, ok := c.(*net.TCPConn); ok && reset {
 				tcp.SetLinger(0)
 			}
@@ -59,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{ln: ln, pipes: map[*pipe]bool{}, wake: make(chan struct{})}
+	l := &Link{ln: ln, connections: map[*connection]bool{}, changed: make(chan struct{})}
 	go l.accept()
 	return l, nil
 }
@@ -68,61 +69,63 @@
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
 // SetTarget sets the address to which the link forwards new connections.
-func (l *Link) SetTarget(address string) { l.change(func() { l.to = address }) }
+func (l *Link) SetTarget(address string) { l.update(func() { l.target = address }) }
 
 // Cut withholds all bytes of a direction until Heal: open connections and new ones hang.
-func (l *Link) Cut(w Way) {
-	l.change(func() {
-		if w != Back {
-			l.cut[There] = true
+func (l *Link) Cut(w Direction) {
+	l.update(func() {
+		if w != Backward {
+			l.cut[Forward] = true
 		}
-		if w != There {
-			l.cut[Back] = true
+		if w != Forward {
+			l.cut[Backward] = true
 		}
 	})
 }
 
 // Heal removes all faults from the link; withheld bytes are then forwarded.
-func (l *Link) Heal() { l.change(func() { l.cut, l.delay, l.rate = [2]bool{}, [2]time.Duration{}, 0 }) }
+func (l *Link) Heal() {
+	l.update(func() { l.cut, l.delay, l.bytesPerSecond = [2]bool{}, [2]time.Duration{}, 0 })
+}
 
 // Delay adds a delay to the bytes of a direction.
-func (l *Link) Delay(d time.Duration, w Way) {
-	l.change(func() {
-		if w != Back {
-			l.delay[There] = d
+func (l *Link) Delay(d time.Duration, w Direction) {
+	l.update(func() {
+		if w != Backward {
+			l.delay[Forward] = d
 		}
-		if w != There {
-			l.delay[Back] = d
+		if w != Forward {
+			l.delay[Backward] = d
 		}
 	})
 }
 
-// Throttle limits each direction of each connection to rate bytes per second; 0 means unlimited.
-func (l *Link) Throttle(rate int) { l.change(func() { l.rate = rate }) }
+// Throttle limits each direction of each connection to a rate in bytes per second; 0 means unlimited.
+func (l *Link) Throttle(bytesPerSecond int) { l.update(func() { l.bytesPerSecond = bytesPerSecond }) }
 
 // Reset ends all open connections with a TCP reset.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pipes {
-		p.end(true)
+	for p := range l.connections {
+		p.close(true)
 	}
 }
 
 // Close closes the link and resets its connections.
 func (l *Link) Close() {
-	l.change(func() { l.done = true })
+	l.update(func() { l.closed = true })
 	l.ln.Close()
 	l.Reset()
 }
 
-// change applies a change of the faults and wakes all connections that wait for one.
-func (l *Link) change(do func()) {
+// update applies a change of the faults and wakes all connections that wait for one.
+func (l *Link) update(do func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	do()
-	close(l.wake)
-	l.wake = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 func (l *Link) accept() {
@@ -134,63 +137,64 @@
 		if err != nil {
 			continue
 		}
-		go l.open(a)
+		go l.proxy(a)
 	}
 }
 
-func (l *Link) open(a net.Conn) {
+// proxy connects an accepted connection to the target and forwards bytes until both directions have ended.
+func (l *Link) proxy(a net.Conn) {
 	// A connection attempt through a cut link gets no response, not even a refusal.
-	if !l.pass(There, nil) {
+	if !l.waitUncut(Forward, nil) {
 		a.Close()
 		return
 	}
 	l.mu.Lock()
-	to := l.to
+	target := l.target
 	l.mu.Unlock()
-	b, err := net.DialTimeout("tcp", to, time.Second)
+	b, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
 		a.Close()
 		return
 	}
-	p := &pipe{a: a, b: b, gone: make(chan struct{})}
+	p := &connection{client: a, server: b, ended: make(chan struct{})}
 	l.mu.Lock()
-	if l.done {
+	if l.closed {
 		l.mu.Unlock()
-		p.end(true)
+		p.close(true)
 		return
 	}
-	l.pipes[p] = true
+	l.connections[p] = true
 	l.mu.Unlock()
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); l.carry(p, p.a, p.b, There) }()
-	go func() { defer both.Done(); l.carry(p, p.b, p.a, Back) }()
-	both.Wait()
-	p.end(false)
+	var directions sync.WaitGroup
+	directions.Add(2)
+	go func() { defer directions.Done(); l.forward(p, p.client, p.server, Forward) }()
+	go func() { defer directions.Done(); l.forward(p, p.server, p.client, Backward) }()
+	directions.Wait()
+	p.close(false)
 	l.mu.Lock()
-	delete(l.pipes, p)
+	delete(l.connections, p)
 	l.mu.Unlock()
 }
 
-// pass waits until a direction isn't cut. It returns false if the link or the connection was closed.
-func (l *Link) pass(w Way, p *pipe) bool {
-	var gone chan struct{}
+// waitUncut waits until a direction isn't cut. It returns false if the link or the connection was closed.
+func (l *Link) waitUncut(w Direction, p *connection) bool {
+	var ended chan struct{}
 	if p != nil {
-		gone = p.gone
+		ended = p.ended
 	}
 	for {
 		l.mu.Lock()
-		wake, open, done := l.wake, !l.cut[w], l.done
+		changed, open, closed := l.changed, !l.cut[w], l.closed
 		l.mu.Unlock()
-		if done {
+		if closed {
 			return false
 		}
 		if open {
 			return true
 		}
 		select {
-		case <-wake:
-		case <-gone:
+		case <-changed:
+		case <-ended:
 			return false
 		}
 	}
@@ -198,13 +202,13 @@
 
 // chunk is what one read returned.
 type chunk struct {
-	b  []byte
-	at time.Time // when it may be forwarded
+	b   []byte
+	due time.Time // when it may be forwarded
 }
 
-// carry forwards the bytes of one direction. It keeps reading while bytes are delayed, so that a delay doesn't limit the
+// forward forwards the bytes of one direction. It keeps reading while bytes are delayed, so that a delay doesn't limit the
 // throughput. When the sending side closes, bytes in transit are still delivered.
-func (l *Link) carry(p *pipe, from, to net.Conn, w Way) {
+func (l *Link) forward(p *connection, from, to net.Conn, w Direction) {
 	queue := make(chan chunk, 1024)
 	go func() {
 		defer close(queue)
@@ -213,39 +217,39 @@
 			n, err := from.Read(b)
 			if n > 0 {
 				l.mu.Lock()
-				at := time.Now().Add(l.delay[w])
+				due := time.Now().Add(l.delay[w])
 				l.mu.Unlock()
 				select {
-				case queue <- chunk{b[:n], at}:
-				case <-p.gone:
+				case queue <- chunk{b[:n], due}:
+				case <-p.ended:
 					return
 				}
 			}
 			if err != nil {
 				if !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
-					p.end(true)
+					p.close(true)
 				}
 				return
 			}
 		}
 	}()
 	for c := range queue {
-		wait(time.Until(c.at), p.gone)
+		sleepUnlessEnded(time.Until(c.due), p.ended)
 		l.mu.Lock()
-		rate := l.rate
+		bytesPerSecond := l.bytesPerSecond
 		l.mu.Unlock()
-		if rate > 0 {
-			wait(time.Duration(len(c.b))*time.Second/time.Duration(rate), p.gone)
+		if bytesPerSecond > 0 {
+			sleepUnlessEnded(time.Duration(len(c.b))*time.Second/time.Duration(bytesPerSecond), p.ended)
 		}
-		if !l.pass(w, p) {
+		if !l.waitUncut(w, p) {
 			return
 		}
 		if _, err := to.Write(c.b); err != nil {
-			p.end(true)
+			p.close(true)
 			return
 		}
 	}
-	if !l.pass(w, p) {
+	if !l.waitUncut(w, p) {
 		return
 	}
 	if tcp, ok := to.(*net.TCPConn); ok {
@@ -253,8 +257,8 @@
 	}
 }
 
-// wait waits for d or until gone is closed.
-func wait(d time.Duration, gone <-chan struct{}) {
+// sleepUnlessEnded waits for d or until ended is closed.
+func sleepUnlessEnded(d time.Duration, ended <-chan struct{}) {
 	if d <= 0 {
 		return
 	}
@@ -262,6 +266,6 @@
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-gone:
+	case <-ended:
 	}
 }
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -22,34 +22,34 @@
 
 // Classes of the load. Bookings are effects; a read whose downstream call is skipped has half of its worth.
 const (
-	booking = "book-delivery"
-	reading = "tank-level"
+	bookingClass = "book-delivery"
+	readingClass = "tank-level"
 )
 
-const workFor = 15 * time.Millisecond // duration of an attempt without its downstream call
-
-// executor is a fake of the executor of one order server: it runs requests and records every run of an effect. A new process
-// of the server starts with no notices; runs that its predecessor started continue.
-type executor struct {
-	ln    net.Listener
-	name  string
-	steps func(trace.Event)
-	boot  func() (cold bool, ageMs float64)
-
-	mu      sync.Mutex
-	conn    net.Conn
-	n       int // notices sent to the present process
-	notices []string
-	waits   map[string]chan bool // runs that wait for their downstream call, by id
-	life    int
+const attemptTime = 15 * time.Millisecond // duration of an attempt without its downstream call
+
+// fakeExecutor is a fake of the executor of one order server: it runs requests and records every run of an effect. A new
+// process of the server starts with no notices; runs that its predecessor started continue.
+type fakeExecutor struct {
+	ln        net.Listener
+	name      string
+	onEvent   func(trace.Event)
+	bootState func() (cold bool, ageMs float64)
+
+	mu           sync.Mutex
+	conn         net.Conn
+	noticeCount  int // notices sent to the present process
+	notices      []string
+	pendingCalls map[string]chan bool // runs that wait for their downstream call, by id
+	life         int
 }
 
-func newExecutor(name string, steps func(trace.Event), boot func() (bool, float64)) (*executor, error) {
+func newFakeExecutor(name string, onEvent func(trace.Event), bootState func() (bool, float64)) (*fakeExecutor, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	x := &executor{ln: ln, name: name, steps: steps, boot: boot, waits: map[string]chan bool{}}
+	x := &fakeExecutor{ln: ln, name: name, onEvent: onEvent, bootState: bootState, pendingCalls: map[string]chan bool{}}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -62,63 +62,64 @@
 	return x, nil
 }
 
-func (x *executor) say(conn net.Conn, format string, a ...any) {
+func (x *fakeExecutor) reply(conn net.Conn, format string, a ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	fmt.Fprintf(conn, format+"\r\n", a...)
 }
 
 // notice sends a notice to the process of the given life, unless a newer process has linked since.
-func (x *executor) notice(life int, format string, a ...any) {
+func (x *fakeExecutor) notice(life int, format string, a ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if life != x.life {
 		return
 	}
-	x.n++
-	text := fmt.Sprintf(strings.Replace(format, "#", strconv.Itoa(x.n), 1), a...) + "\r\n"
+	x.noticeCount++
+	text := fmt.Sprintf(strings.Replace(format, "#", strconv.Itoa(x.noticeCount), 1), a...) + "\r\n"
 	x.notices = append(x.notices, text)
 	if x.conn != nil {
 		io.WriteString(x.conn, text)
 	}
 }
 
-func (x *executor) serve(conn net.Conn) {
+// serve handles the lines of one connection from an order server.
+func (x *fakeExecutor) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	life := 0
 	for {
-		lineText, err := r.ReadString('\n')
+		line, err := r.ReadString('\n')
 		if err != nil {
 			return
 		}
-		w := strings.Fields(lineText)
-		if len(w) < 2 {
+		words := strings.Fields(line)
+		if len(words) < 2 {
 			return
 		}
 		var body []byte
-		if w[0] == "EXEC" || w[0] == "RETURN" {
-			n, _ := strconv.Atoi(w[len(w)-1])
+		if words[0] == "EXEC" || words[0] == "RETURN" {
+			n, _ := strconv.Atoi(words[len(words)-1])
 			body = make([]byte, n+2)
 			if _, err := io.ReadFull(r, body); err != nil {
 				return
 			}
 			body = body[:n]
 		}
-		switch w[0] {
+		switch words[0] {
 		case "JOIN":
-			from, _ := strconv.Atoi(w[1])
+			from, _ := strconv.Atoi(words[1])
 			x.mu.Lock()
 			if from == 0 {
 				x.life++
-				x.n, x.notices = 0, nil
-				for id, wait := range x.waits {
+				x.noticeCount, x.notices = 0, nil
+				for id, wait := range x.pendingCalls {
 					close(wait)
-					delete(x.waits, id)
+					delete(x.pendingCalls, id)
 				}
 			}
 			life, x.conn = x.life, conn
-			cold, age := x.boot()
+			cold, age := x.bootState()
 			state := "steady"
 			if cold {
 				state = "booting"
@@ -129,19 +130,19 @@
 			}
 			x.mu.Unlock()
 		case "METER":
-			x.say(conn, "METERS %s 0.2 0 0.1 1", w[1])
+			x.reply(conn, "METERS %s 0.2 0 0.1 1", words[1])
 		case "DIAG":
-			x.say(conn, "DIAGNOSED %s success", w[1])
+			x.reply(conn, "DIAGNOSED %s success", words[1])
 		case "EXEC":
-			if w[2] == booking {
-				x.steps(trace.Event{What: trace.Exec, Who: x.name, Text: w[1]})
+			if words[2] == bookingClass {
+				x.onEvent(trace.Event{What: trace.EffectExecuted, Who: x.name, Text: words[1]})
 			}
-			go x.run(life, w[1], w[2], body)
+			go x.execute(life, words[1], words[2], body)
 		case "RETURN", "BYPASS":
 			x.mu.Lock()
-			if wait := x.waits[w[1]]; wait != nil {
-				delete(x.waits, w[1])
-				wait <- w[0] == "RETURN"
+			if wait := x.pendingCalls[words[1]]; wait != nil {
+				delete(x.pendingCalls, words[1])
+				wait <- words[0] == "RETURN"
 				close(wait)
 			}
 			x.mu.Unlock()
@@ -149,81 +150,84 @@
 	}
 }
 
-// run does half of the work, waits for its one downstream call, and does the other half.
-func (x *executor) run(life int, id, class string, body []byte) {
-	begun := time.Now()
-	time.Sleep(workFor / 2)
-	whole := "whole"
-	wait := make(chan bool, 1)
+// execute does half of the work, waits for its one downstream call, and does the other half.
+func (x *fakeExecutor) execute(life int, id, class string, body []byte) {
+	started := time.Now()
+	time.Sleep(attemptTime / 2)
+	prefix := "whole"
+	callDone := make(chan bool, 1)
 	x.mu.Lock()
-	x.waits[id] = wait
+	x.pendingCalls[id] = callDone
 	x.mu.Unlock()
 	x.notice(life, "CALLOUT # %s %d\r\n%s", id, len(class), class)
-	if called, ok := <-wait; !ok {
+	if called, ok := <-callDone; !ok {
 		return // the process was replaced
 	} else if !called {
-		whole = "part"
+		prefix = "part"
 	}
-	time.Sleep(workFor / 2)
-	result := whole + " " + string(body)
-	x.notice(life, "EXIT # %s success %d %d\r\n%s", id, time.Since(begun).Milliseconds(), len(result), result)
+	time.Sleep(attemptTime / 2)
+	result := prefix + " " + string(body)
+	x.notice(life, "EXIT # %s success %d %d\r\n%s", id, time.Since(started).Milliseconds(), len(result), result)
 }
 
-// vault is a fake of the vault that all servers share: it slows down when more calls than slots are in flight, and counts them.
-type vault struct {
+// fakeVault is a fake of the vault that all servers share: it slows down when more calls than slots are in
+// flight, and counts them.
+type fakeVault struct {
 	ln    net.Listener
 	slots int
 
-	mu     sync.Mutex
-	inHand int
-	most   int
-	calls  int
-	over   int // calls that found more calls in flight than slots
-	slow   float64
-	area   float64 // integral of the calls in flight over time, in call ms
-	since  time.Time
-	begun  time.Time
+	mu             sync.Mutex
+	inFlight       int
+	maxInFlight    int
+	calls          int
+	callsOverSlots int // calls that found more calls in flight than slots
+	slowdown       float64
+	inFlightMS     float64 // integral of the calls in flight over time, in call ms
+	changedAt      time.Time
+	startedAt      time.Time
 }
 
-func newVault(slots int) (*vault, error) {
+func newFakeVault(slots int) (*fakeVault, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	v := &vault{ln: ln, slots: slots, slow: 1, since: now, begun: now}
+	v := &fakeVault{ln: ln, slots: slots, slowdown: 1, changedAt: now, startedAt: now}
 	go http.Serve(ln, v)
 	return v, nil
 }
 
-func (v *vault) count(n int) (wait time.Duration) {
+// addInFlight changes the number of calls in flight by n and returns the duration of a call under that load.
+func (v *fakeVault) addInFlight(n int) (wait time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
-	v.area += float64(v.inHand) * float64(now.Sub(v.since)) / float64(time.Millisecond)
-	v.since = now
-	v.inHand += n
+	v.inFlightMS += float64(v.inFlight) * float64(now.Sub(v.changedAt)) / float64(time.Millisecond)
+	v.changedAt = now
+	v.inFlight += n
 	if n > 0 {
 		v.calls++
-		if v.inHand > v.slots {
-			v.over++
+		if v.inFlight > v.slots {
+			v.callsOverSlots++
 		}
 	}
-	v.most = max(v.most, v.inHand)
-	crowd := max(float64(v.inHand)/float64(v.slots), 1)
-	return time.Duration(4 * v.slow * crowd * float64(time.Millisecond))
+	v.maxInFlight = max(v.maxInFlight, v.inFlight)
+	load := max(float64(v.inFlight)/float64(v.slots), 1)
+	return time.Duration(4 * v.slowdown * load * float64(time.Millisecond))
 }
 
-func (v *vault) slower(by float64) {
+// setSlowdown multiplies the duration of calls by a factor.
+func (v *fakeVault) setSlowdown(factor float64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.slow = by
+	v.slowdown = factor
 }
 
 // ServeHTTP responds to a call after a delay that grows with the calls in flight.
-func (v *vault) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d := v.count(1)
-	defer v.count(-1)
+func (v *fakeVault) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	d := v.addInFlight(1)
+	defer v.addInFlight(-1)
 	io.Copy(io.Discard, r.Body)
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -238,52 +242,52 @@
 
 // Served counts the outcomes of the load's requests.
 type Served struct {
-	Asked   int     `json:"asked"`
-	Full    int     `json:"full"` // served with the downstream call
-	Part    int     `json:"part"` // served without it
-	Refused int     `json:"refused"`
-	Failed  int     `json:"failed"`
-	None    int     `json:"none"`  // no response before the timeout
-	Worth   float64 `json:"worth"` // worth served, as a fraction of the worth requested
+	Sent     int     `json:"asked"`
+	Full     int     `json:"full"` // served with the downstream call
+	Part     int     `json:"part"` // served without it
+	Refused  int     `json:"refused"`
+	Failed   int     `json:"failed"`
+	TimedOut int     `json:"none"`  // no response before the timeout
+	Worth    float64 `json:"worth"` // worth served, as a fraction of the worth requested
 }
 
-var worths = map[string]float64{booking: 4, reading: 1}
+var classWorth = map[string]float64{bookingClass: 4, readingClass: 1}
 
 const (
-	partWorth = 0.5
-	waitMs    = 2000.0
+	partialWorth     = 0.5
+	requestTimeoutMS = 2000.0
 )
 
-// routers is an open-loop load generator: the send times are drawn independently of the responses, and latency counts from
-// the intended send time.
-type routers struct {
-	clk  *clock.Clock
-	hist *hdrhistogram.Histogram
-
-	mu     sync.Mutex
-	of     Served
-	asked  float64 // worth of all requests
-	got    float64 // worth served
-	conns  map[string]*router
-	series map[int]*hdrhistogram.Histogram // latency by second of the run
-	begun  float64
+// loadGenerator is an open-loop load generator: the send times are drawn independently of the responses, and latency counts
+// from the intended send time.
+type loadGenerator struct {
+	clk     *clock.Clock
+	latency *hdrhistogram.Histogram
+
+	mu              sync.Mutex
+	served          Served
+	worthSent       float64 // worth of all requests
+	worthServed     float64
+	clients         map[string]*loadClient
+	latencyBySecond map[int]*hdrhistogram.Histogram // by second since startMS
+	startMS         float64
 }
 
-func newRouters() *routers {
+func newLoadGenerator() *loadGenerator {
 	clk := clock.System()
-	return &routers{clk: clk, hist: hdrhistogram.New(1, 60_000_000, 3), conns: map[string]*router{},
-		series: map[int]*hdrhistogram.Histogram{}, begun: clk.Now()}
+	return &loadGenerator{clk: clk, latency: hdrhistogram.New(1, 60_000_000, 3), clients: map[string]*loadClient{},
+		latencyBySecond: map[int]*hdrhistogram.Histogram{}, startMS: clk.Now()}
 }
 
 // run sends perSecond requests per second on average to the addresses until stop is closed. The seed determines the requests.
-func (q *routers) run(seed uint64, perSecond float64, addresses func() []string, stop <-chan struct{}) {
+func (q *loadGenerator) run(seed uint64, perSecond float64, addresses func() []string, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	next := q.clk.Now()
+	nextMS := q.clk.Now()
 	for n := uint64(1); ; n++ {
-		next += rng.ExpFloat64() * 1000 / perSecond
-		class := reading
+		nextMS += rng.ExpFloat64() * 1000 / perSecond
+		class := readingClass
 		if rng.Float64() < 0.2 {
-			class = booking
+			class = bookingClass
 		}
 		id, skew := rng.Uint64(), rng.Float64()
 		select {
@@ -291,7 +295,7 @@
 			return
 		default:
 		}
-		if d := next - q.clk.Now(); d > 0 {
+		if d := nextMS - q.clk.Now(); d > 0 {
 			t := time.NewTimer(clock.Duration(d))
 			select {
 			case <-stop:
@@ -300,113 +304,115 @@
 			case <-t.C:
 			}
 		}
-		to := addresses()
-		if len(to) == 0 {
+		targets := addresses()
+		if len(targets) == 0 {
 			continue
 		}
-		at := to[int(skew*skew*float64(len(to)))] // uneven: some servers get far more requests than others
-		q.send(at, class, id, next)
+		address := targets[int(skew*skew*float64(len(targets)))] // uneven: some servers get far more requests than others
+		q.send(address, class, id, nextMS)
 	}
 }
 
-func (q *routers) send(at, class string, id uint64, intended float64) {
+func (q *loadGenerator) send(address, class string, id uint64, intendedMS float64) {
 	q.mu.Lock()
-	q.of.Asked++
-	q.asked += worths[class]
-	r := q.conns[at]
+	q.served.Sent++
+	q.worthSent += classWorth[class]
+	r := q.clients[address]
 	if r == nil {
-		r = &router{to: at}
-		q.conns[at] = r
+		r = &loadClient{address: address}
+		q.clients[address] = r
 	}
 	q.mu.Unlock()
 	var once sync.Once
-	end := func(verdict, body string) {
-		once.Do(func() { q.book(class, verdict, body, intended) })
+	onDone := func(verdict, body string) {
+		once.Do(func() { q.record(class, verdict, body, intendedMS) })
 	}
-	time.AfterFunc(clock.Duration(intended+waitMs-q.clk.Now()), func() { end("none", "") })
+	time.AfterFunc(clock.Duration(intendedMS+requestTimeoutMS-q.clk.Now()), func() { onDone("none", "") })
 	go func() {
-		if !r.ask(class, fmt.Sprintf("%016x", id), intended, end) {
-			end("failed", "")
+		if !r.send(class, fmt.Sprintf("%016x", id), intendedMS, onDone) {
+			onDone("failed", "")
 		}
 	}()
 }
 
-func (q *routers) book(class, verdict, body string, intended float64) {
-	took := q.clk.Now() - intended
+// record counts the outcome of a request.
+func (q *loadGenerator) record(class, verdict, body string, intendedMS float64) {
+	tookMS := q.clk.Now() - intendedMS
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	switch verdict {
 	case "done":
-		w := worths[class]
+		w := classWorth[class]
 		if strings.HasPrefix(body, "part") {
-			q.of.Part++
-			w *= partWorth
+			q.served.Part++
+			w *= partialWorth
 		} else {
-			q.of.Full++
+			q.served.Full++
 		}
-		q.got += w
+		q.worthServed += w
 	case "later":
-		q.of.Refused++
+		q.served.Refused++
 	case "none":
-		q.of.None++
+		q.served.TimedOut++
 	default:
-		q.of.Failed++
+		q.served.Failed++
 	}
-	us := int64(max(took, 0.001) * 1000)
-	q.hist.RecordValue(us)
-	s := int((intended - q.begun) / 1000)
-	h := q.series[s]
+	micros := int64(max(tookMS, 0.001) * 1000)
+	q.latency.RecordValue(micros)
+	second := int((intendedMS - q.startMS) / 1000)
+	h := q.latencyBySecond[second]
 	if h == nil {
 		h = hdrhistogram.New(1, 60_000_000, 2)
-		q.series[s] = h
+		q.latencyBySecond[second] = h
 	}
-	h.RecordValue(us)
+	h.RecordValue(micros)
 }
 
-func (q *routers) served() Served {
+// summary returns the outcomes with the fraction of the worth served.
+func (q *loadGenerator) summary() Served {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	s := q.of
-	if q.asked > 0 {
-		s.Worth = q.got / q.asked
+	s := q.served
+	if q.worthSent > 0 {
+		s.Worth = q.worthServed / q.worthSent
 	}
 	return s
 }
 
-// router keeps one connection to one order server, and opens a new one when it has ended or the server asked to close it.
-type router struct {
-	to  string
-	mu  sync.Mutex
-	now *wire
+// loadClient keeps one connection to one order server, and opens a new one when it has ended or the server asked to close it.
+type loadClient struct {
+	address string
+	mu      sync.Mutex
+	conn    *clientConn
 }
 
-// wire is one connection. It is read until the server closes it.
-type wire struct {
-	conn  net.Conn
-	mu    sync.Mutex
-	tag   int
-	waits map[int]func(verdict, body string)
+// clientConn is one connection. It is read until the server closes it.
+type clientConn struct {
+	conn    net.Conn
+	mu      sync.Mutex
+	tag     int
+	pending map[int]func(verdict, body string)
 }
 
-// ask sends a request and reports whether it was written; end is called with the response.
-func (r *router) ask(class, id string, at float64, end func(string, string)) bool {
+// send sends a request and reports whether it was written; onDone is called with the response.
+func (r *loadClient) send(class, id string, atMS float64, onDone func(string, string)) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.now == nil {
-		conn, err := net.DialTimeout("tcp", r.to, time.Second)
+	if r.conn == nil {
+		conn, err := net.DialTimeout("tcp", r.address, time.Second)
 		if err != nil {
 			return false
 		}
-		r.now = &wire{conn: conn, waits: map[int]func(string, string){}}
-		go r.read(r.now)
+		r.conn = &clientConn{conn: conn, pending: map[int]func(string, string){}}
+		go r.read(r.conn)
 	}
-	w := r.now
+	w := r.conn
 	w.mu.Lock()
 	w.tag++
 	tag := w.tag
-	w.waits[tag] = end
+	w.pending[tag] = onDone
 	w.mu.Unlock()
-	fields := fmt.Sprintf("id=%s,at=%.0f,from=1,wait=%.0f,kb=10,rank=0.5", id, at, waitMs)
+	fields := fmt.Sprintf("id=%s,at=%.0f,from=1,wait=%.0f,kb=10,rank=0.5", id, atMS, requestTimeoutMS)
 	b := redcon.AppendArray(nil, 5)
 	for _, word := range []string{"REQ", strconv.Itoa(tag), class, fields, id} {
 		b = redcon.AppendBulkString(b, word)
@@ -414,27 +420,27 @@
 	w.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	if _, err := w.conn.Write(b); err != nil {
 		w.conn.Close()
-		r.now = nil
+		r.conn = nil
 		return false
 	}
 	return true
 }
 
 // drop makes the next request open a new connection.
-func (r *router) drop(w *wire) {
+func (r *loadClient) drop(w *clientConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.now == w {
-		r.now = nil
+	if r.conn == w {
+		r.conn = nil
 	}
 }
 
-func (r *router) read(w *wire) {
+func (r *loadClient) read(w *clientConn) {
 	defer w.conn.Close()
 	defer r.drop(w)
-	in := bufio.NewReader(w.conn)
+	reader := bufio.NewReader(w.conn)
 	for {
-		words, err := array(in)
+		words, err := readArray(reader)
 		if err != nil || len(words) < 2 {
 			return
 		}
@@ -448,17 +454,17 @@
 			body = words[3]
 		}
 		w.mu.Lock()
-		end := w.waits[tag]
-		delete(w.waits, tag)
+		onDone := w.pending[tag]
+		delete(w.pending, tag)
 		w.mu.Unlock()
-		if end != nil {
-			end(words[1], body)
+		if onDone != nil {
+			onDone(words[1], body)
 		}
 	}
 }
 
-// array reads one RESP array of bulk strings.
-func array(r *bufio.Reader) ([]string, error) {
+// readArray reads one RESP array of bulk strings.
+func readArray(r *bufio.Reader) ([]string, error) {
 	head, err := r.ReadString('\n')
 	if err != nil || head[0] != '*' {
 		return nil, fmt.Errorf("lab: want a RESP array, got %q, %v", head, err)
--- a/internal/lab/platform.go
+++ b/internal/lab/platform.go
@@ -25,23 +25,23 @@
 
 // Write writes the file as JSON.
 func (p PlatformFile) Write(path string) error {
-	settings := m{
-		"classes": []m{{"name": reading, "aim": 1e9, "deadline": 2e9, "worth": 1.0, "lateValue": 0.2, "idempotency": "safe"},
-			{"name": booking, "aim": 1e9, "deadline": 2e9, "worth": 4.0, "lateValue": 0.2, "idempotency": "unsafe"}},
-		"extra": m{"callers": 1, "nCores": 4, "heapKb": 20000.0, "entryKb": 1.0, "runMemFactor": 4.0, "freshFor": 0, "passesDeadline": true,
+	settings := object{
+		"classes": []object{{"name": readingClass, "aim": 1e9, "deadline": 2e9, "worth": 1.0, "lateValue": 0.2, "idempotency": "safe"},
+			{"name": bookingClass, "aim": 1e9, "deadline": 2e9, "worth": 4.0, "lateValue": 0.2, "idempotency": "unsafe"}},
+		"extra": object{"callers": 1, "nCores": 4, "heapKb": 20000.0, "entryKb": 1.0, "runMemFactor": 4.0, "freshFor": 0, "passesDeadline": true,
 			"say": "none", "downstream": "shared", "callsOut": float64(p.VaultSlots) / float64(p.Servers), "callsOver": int64(2e9), "linger": int64(5e6),
-			"gauges": []string{"cpu_busy", "runnable"}, "callsByClass": []bool{true, true}, "classSkipWorth": []float64{partWorth, 0}},
-		"limits":  m{"maxRetryAfter": 1000000000, "retryAfter": true},
-		"clients": m{"marksRetry": true},
-		"rules":   m{"answerSlack": 60000000, "cold": 2000000000, "coldShare": 0.5, "drainGrace": 1000000000, "fall": 3000000000, "fallMultiple": 8.0},
+			"gauges": []string{"cpu_busy", "runnable"}, "callsByClass": []bool{true, true}, "classSkipWorth": []float64{partialWorth, 0}},
+		"limits":  object{"maxRetryAfter": 1000000000, "retryAfter": true},
+		"clients": object{"marksRetry": true},
+		"rules":   object{"answerSlack": 60000000, "cold": 2000000000, "coldShare": 0.5, "drainGrace": 1000000000, "fall": 3000000000, "fallMultiple": 8.0},
 		"servers": p.Servers, "tick": 4000000,
 	}
 	cores := p.Cores
 	if cores == 0 {
 		cores = 1
 	}
-	file := m{"name": p.Name, "listen": p.Listen, "executor": p.Executor, "vault": p.Vault, "operator": p.OperatorAddress,
-		"seed": fmt.Sprintf("%016x", p.Seed), "stop_ms": stopMs, "limits": m{"cores": cores, "memory_mb": p.MemoryMB, "sockets": p.Sockets}, "settings": settings}
+	file := object{"name": p.Name, "listen": p.Listen, "executor": p.Executor, "vault": p.Vault, "operator": p.OperatorAddress,
+		"seed": fmt.Sprintf("%016x", p.Seed), "stop_ms": stopTimeoutMS, "limits": object{"cores": cores, "memory_mb": p.MemoryMB, "sockets": p.Sockets}, "settings": settings}
 	b, err := json.MarshalIndent(file, "", " ")
 	if err != nil {
 		return err
@@ -50,11 +50,11 @@
 }
 
 // FakeExecutor is a fake executor for processes that get no requests.
-type FakeExecutor struct{ x *executor }
+type FakeExecutor struct{ fake *fakeExecutor }
 
 // NewFakeExecutor starts a fake executor on a free port.
 func NewFakeExecutor(name string) (*FakeExecutor, error) {
-	x, err := newExecutor(name, func(trace.Event) {}, func() (bool, float64) { return false, 0 })
+	x, err := newFakeExecutor(name, func(trace.Event) {}, func() (bool, float64) { return false, 0 })
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 }
 
 // Addr returns the address on which the fake listens.
-func (s *FakeExecutor) Addr() string { return s.x.ln.Addr().String() }
+func (s *FakeExecutor) Addr() string { return s.fake.ln.Addr().String() }
 
 // Close stops the fake from accepting connections.
-func (s *FakeExecutor) Close() { s.x.ln.Close() }
+func (s *FakeExecutor) Close() { s.fake.ln.Close() }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -16,28 +16,28 @@
 	"puffinsaddle/internal/trace"
 )
 
-// proc is one order server of the run; its process may be replaced by further ones.
-type proc struct {
-	name   string
-	copies bool // it runs a store replica
-	dir    string
-	listen string
-	ops    string
-	store  string
-	rate   float64
-	exec   *executor
-	links  map[string]*Link // to the sessions of each replica, by its id
-	peers  map[string]*Link // to the raft of each other replica, by its id
-	gen    int
+// server is one order server of the run; its process may be replaced by further ones.
+type server struct {
+	name            string
+	hasReplica      bool // it runs a store replica
+	dir             string
+	listenAddress   string
+	operatorAddress string
+	storeAddress    string
+	clockRate       float64
+	executor        *fakeExecutor
+	sessionLinks    map[string]*Link // to the sessions of each replica, by its id
+	peerLinks       map[string]*Link // to the raft of each other replica, by its id
+	generation      int
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	done chan struct{}
-	want bool // the process should be running; its end is a failure
+	mu        sync.Mutex
+	cmd       *exec.Cmd
+	done      chan struct{}
+	shouldRun bool // the process should be running; its end is a failure
 }
 
-// free returns an address with a port that is free now.
-func free(ip string) (string, error) {
+// freeAddress returns an address with a port that is free now.
+func freeAddress(ip string) (string, error) {
 	ln, err := net.Listen("tcp", ip+":0")
 	if err != nil {
 		return "", err
@@ -46,54 +46,54 @@
 	return ln.Addr().String(), nil
 }
 
-// lay prepares directories, addresses, links and fake executors for all servers, and the first published version.
-func (r *run) lay() error {
+// prepare prepares directories, addresses, links and fake executors for all servers, and the first published version.
+func (r *run) prepare() error {
 	ip := fmt.Sprintf("127.%d.%d.", 64+r.rng.IntN(128), os.Getpid()%250+1)
 	for i := range r.Servers {
-		p := &proc{name: fmt.Sprintf("s%02d", i+1), copies: i < r.Copies, links: map[string]*Link{}, peers: map[string]*Link{}, want: true}
+		p := &server{name: fmt.Sprintf("s%02d", i+1), hasReplica: i < r.Replicas, sessionLinks: map[string]*Link{}, peerLinks: map[string]*Link{}, shouldRun: true}
 		p.dir = filepath.Join(r.Out, p.name)
 		if err := os.RemoveAll(p.dir); err != nil {
 			return err
 		}
-		for _, dir := range []string{p.dir, filepath.Join(r.tmp, p.name)} {
+		for _, dir := range []string{p.dir, filepath.Join(r.tmpDir, p.name)} {
 			if err := os.MkdirAll(dir, 0o755); err != nil {
 				return err
 			}
 		}
 		host := ip + fmt.Sprint(i+1)
-		for _, at := range []*string{&p.listen, &p.ops, &p.store} {
+		for _, at := range []*string{&p.listenAddress, &p.operatorAddress, &p.storeAddress} {
 			var err error
-			if *at, err = free(host); err != nil {
+			if *at, err = freeAddress(host); err != nil {
 				return err
 			}
 		}
-		p.rate = 1 + rate*(2*r.rng.Float64()-1)
+		p.clockRate = 1 + maxClockDrift*(2*r.rng.Float64()-1)
 		switch i { // the extremes of the allowed clock rates are always present
 		case 0:
-			p.rate = 1 + rate
+			p.clockRate = 1 + maxClockDrift
 		case r.Servers - 1:
-			p.rate = 1 - rate
+			p.clockRate = 1 - maxClockDrift
 		}
-		r.procs = append(r.procs, p)
+		r.orderServers = append(r.orderServers, p)
 	}
-	for _, p := range r.procs {
-		for _, c := range r.procs[:r.Copies] {
+	for _, p := range r.orderServers {
+		for _, c := range r.orderServers[:r.Replicas] {
 			link, err := NewLink()
 			if err != nil {
 				return err
 			}
-			link.SetTarget(c.store)
-			p.links[c.name] = link
-			if p.copies && p != c {
+			link.SetTarget(c.storeAddress)
+			p.sessionLinks[c.name] = link
+			if p.hasReplica && p != c {
 				if link, err = NewLink(); err != nil {
 					return err
 				}
-				link.SetTarget(c.store)
-				p.peers[c.name] = link
+				link.SetTarget(c.storeAddress)
+				p.peerLinks[c.name] = link
 			}
 		}
 		var err error
-		if p.exec, err = newExecutor(p.name, r.add, r.boots); err != nil {
+		if p.executor, err = newFakeExecutor(p.name, r.addEvent, r.bootState); err != nil {
 			return err
 		}
 	}
@@ -101,51 +101,52 @@
 	if err := os.MkdirAll(manifest, 0o755); err != nil {
 		return err
 	}
-	return r.publish(1)
+	return r.writePublishedFiles(1)
 }
 
-// boots returns whether executors report that they are cold, and the ms since they started.
-func (r *run) boots() (bool, float64) {
+// bootState returns whether executors report that they are cold, and the ms since they started.
+func (r *run) bootState() (bool, float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cold, float64(time.Since(r.bootAt).Milliseconds())
+	return r.cold, float64(time.Since(r.bootedAt).Milliseconds())
 }
 
-type m = map[string]any
+// object is a JSON or YAML object.
+type object = map[string]any
 
-// write writes the platform's file and the operator's file of a server.
-func (r *run) write(p *proc) error {
-	config := PlatformFile{Name: p.name, Listen: p.listen, Executor: p.exec.ln.Addr().String(), Vault: r.vault.ln.Addr().String(), OperatorAddress: p.ops,
-		Seed: r.Seed*1000 + uint64(p.gen), Servers: r.Servers, VaultSlots: r.Slots, MemoryMB: 192, Sockets: 1024}
-	copies := m{}
-	for id, l := range p.links {
-		copies[id] = l.Addr()
+// writeFiles writes the platform's file and the operator's file of a server.
+func (r *run) writeFiles(p *server) error {
+	config := PlatformFile{Name: p.name, Listen: p.listenAddress, Executor: p.executor.ln.Addr().String(), Vault: r.vault.ln.Addr().String(), OperatorAddress: p.operatorAddress,
+		Seed: r.Seed*1000 + uint64(p.generation), Servers: r.Servers, VaultSlots: r.VaultSlots, MemoryMB: 192, Sockets: 1024}
+	replicaAddresses := object{}
+	for id, l := range p.sessionLinks {
+		replicaAddresses[id] = l.Addr()
 	}
-	var list []m
+	var dutyList []object
 	for _, name := range dutyNames {
-		if name == "allotter" && r.Static {
+		if name == "allotter" && r.NoAllotter {
 			continue
 		}
-		list = append(list, m{"name": name, "ttl_ms": ttl})
+		dutyList = append(dutyList, object{"name": name, "ttl_ms": ttlMS})
 	}
-	duties := m{"copies": copies, "renew_ms": renew, "clock_rate": rate, "margin_ms": margin, "cool_ms": 1500, "cold_wait_ms": 2000,
-		"presence_ms": ttl, "list": list, "mark_ms": markMs, "settle": m{"keep_ms": 60000, "every_ms": 300},
-		"publish": m{"manifest": filepath.Join(r.Out, "published", "SUMS"), "every_ms": 400}}
-	if !r.Static {
-		duties["allot"] = m{"whole": float64(r.whole()) / 1000, "alone": float64(alone) / 1000, "servers": r.most(), "every_ms": 200}
+	duties := object{"copies": replicaAddresses, "renew_ms": renewMS, "clock_rate": maxClockDrift, "margin_ms": marginMS, "cool_ms": 1500, "cold_wait_ms": 2000,
+		"presence_ms": ttlMS, "list": dutyList, "mark_ms": markIntervalMS, "settle": object{"keep_ms": 60000, "every_ms": 300},
+		"publish": object{"manifest": filepath.Join(r.Out, "published", "SUMS"), "every_ms": 400}}
+	if !r.NoAllotter {
+		duties["allot"] = object{"whole": float64(r.capacityMilli()) / 1000, "alone": float64(aloneMilli) / 1000, "servers": r.maxProcesses(), "every_ms": 200}
 	}
-	operator := m{"duties": duties, "lab": m{"trace": filepath.Join(p.dir, fmt.Sprintf("%d.trace", p.gen)), "clock_rate": p.rate, "plant": r.Plant, "calls": true}}
-	if p.copies {
-		peers, via := m{}, m{}
-		for _, c := range r.procs[:r.Copies] {
-			peers[c.name] = c.store
+	operator := object{"duties": duties, "lab": object{"trace": filepath.Join(p.dir, fmt.Sprintf("%d.trace", p.generation)), "clock_rate": p.clockRate, "plant": r.InjectedBug, "calls": true}}
+	if p.hasReplica {
+		peers, viaLinks := object{}, object{}
+		for _, c := range r.orderServers[:r.Replicas] {
+			peers[c.name] = c.storeAddress
 		}
-		for id, l := range p.peers {
-			via[id] = l.Addr()
+		for id, l := range p.peerLinks {
+			viaLinks[id] = l.Addr()
 		}
-		operator["store"] = m{"id": p.name, "listen": p.store, "dir": filepath.Join(p.dir, "store"), "peers": peers, "via": via}
-		if r.compares {
-			operator["store"].(m)["compare_ms"] = 100
+		operator["store"] = object{"id": p.name, "listen": p.storeAddress, "dir": filepath.Join(p.dir, "store"), "peers": peers, "via": viaLinks}
+		if r.comparesReplicas {
+			operator["store"].(object)["compare_ms"] = 100
 		}
 	}
 	if err := config.Write(filepath.Join(p.dir, "config.json")); err != nil {
@@ -159,9 +160,9 @@
 }
 
 // start starts the next process of a server. A watcher records its end as a failure unless the end was asked for.
-func (r *run) start(p *proc) error {
-	p.gen++
-	if err := r.write(p); err != nil {
+func (r *run) start(p *server) error {
+	p.generation++
+	if err := r.writeFiles(p); err != nil {
 		return err
 	}
 	log, err := os.OpenFile(filepath.Join(p.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -171,24 +172,24 @@
 	defer log.Close()
 	cmd := exec.Command(r.Binary)
 	cmd.Env = []string{"RELAY_CONFIG=" + filepath.Join(p.dir, "config.json"), "PUFFINSADDLE_OPERATOR=" + filepath.Join(p.dir, "operator.yaml"),
-		"PUFFINSADDLE_LAB=1", "TMPDIR=" + filepath.Join(r.tmp, p.name)}
+		"PUFFINSADDLE_LAB=1", "TMPDIR=" + filepath.Join(r.tmpDir, p.name)}
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	errs := make(chan error)
-	r.starter <- func() { errs <- cmd.Start() }
+	r.startRequests <- func() { errs <- cmd.Start() }
 	if err := <-errs; err != nil {
 		return err
 	}
 	done := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.done, p.want = cmd, done, true
+	p.cmd, p.done, p.shouldRun = cmd, done, true
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
-		if p.cmd == cmd && p.want {
+		if p.cmd == cmd && p.shouldRun {
 			r.mu.Lock()
-			r.crash = append(r.crash, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
+			r.failures = append(r.failures, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
 			r.mu.Unlock()
 		}
 		p.mu.Unlock()
@@ -197,7 +198,7 @@
 	return nil
 }
 
-func (p *proc) signal(s syscall.Signal) {
+func (p *server) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
@@ -206,28 +207,28 @@
 }
 
 // kill ends a process with SIGKILL and waits for its end.
-func (r *run) kill(p *proc) {
+func (r *run) kill(p *server) {
 	p.mu.Lock()
-	p.want = false
+	p.shouldRun = false
 	done := p.done
 	p.mu.Unlock()
 	p.signal(syscall.SIGKILL)
 	<-done
-	r.add(trace.Event{What: "killed", Who: p.name})
+	r.addEvent(trace.Event{What: "killed", Who: p.name})
 }
 
 // drain ends a process with SIGTERM. A process that takes too long is a failure; its goroutines are dumped to its log.
-func (r *run) drain(p *proc) {
+func (r *run) drain(p *server) {
 	p.mu.Lock()
-	p.want = false
+	p.shouldRun = false
 	done := p.done
 	p.mu.Unlock()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-done:
-	case <-time.After(clock.Duration(2*stopMs) + 3*time.Second):
+	case <-time.After(clock.Duration(2*stopTimeoutMS) + 3*time.Second):
 		r.mu.Lock()
-		r.crash = append(r.crash, p.name+" did not exit on SIGTERM; its log ends with a dump of its goroutines")
+		r.failures = append(r.failures, p.name+" did not exit on SIGTERM; its log ends with a dump of its goroutines")
 		r.mu.Unlock()
 		p.signal(syscall.SIGQUIT) // dumps the goroutines
 		select {
@@ -238,10 +239,10 @@
 	}
 }
 
-// end drains all processes at once.
-func (r *run) end() {
+// drainAll drains all processes at once.
+func (r *run) drainAll() {
 	var all sync.WaitGroup
-	for _, p := range r.procs {
+	for _, p := range r.orderServers {
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -253,9 +254,9 @@
 
 // closeAll kills all remaining processes and closes links and fakes, however the run ended.
 func (r *run) closeAll() {
-	for _, p := range r.procs {
+	for _, p := range r.orderServers {
 		p.mu.Lock()
-		p.want = false
+		p.shouldRun = false
 		cmd, done := p.cmd, p.done
 		p.mu.Unlock()
 		if cmd != nil {
@@ -263,27 +264,27 @@
 			cmd.Process.Kill()
 			<-done
 		}
-		for _, l := range p.links {
+		for _, l := range p.sessionLinks {
 			l.Close()
 		}
-		for _, l := range p.peers {
+		for _, l := range p.peerLinks {
 			l.Close()
 		}
-		if p.exec != nil {
-			p.exec.ln.Close()
+		if p.executor != nil {
+			p.executor.ln.Close()
 		}
 	}
 }
 
-// serving returns the addresses of the servers that should be running, for the load.
-func (r *run) serving() []string {
-	var up []string
-	for _, p := range r.procs {
+// runningAddresses returns the addresses of the servers that should be running, for the load.
+func (r *run) runningAddresses() []string {
+	var addresses []string
+	for _, p := range r.orderServers {
 		p.mu.Lock()
-		if p.want {
-			up = append(up, p.listen)
+		if p.shouldRun {
+			addresses = append(addresses, p.listenAddress)
 		}
 		p.mu.Unlock()
 	}
-	return up
+	return addresses
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -19,61 +19,64 @@
 
 // Setup describes a run.
 type Setup struct {
-	Binary   string
-	Out      string
-	Seed     uint64
-	Seconds  float64 // duration of the load
-	Copies   int
-	Servers  int // including those with a store replica
-	Scenario Scenario
-	Plant    string
-	Load     float64 // requests per second
-	Static   bool    // each server has an equal share of the downstream capacity, and there is no allotter
-	Slots    int     // calls that the vault serves at once
+	Binary            string
+	Out               string
+	Seed              uint64
+	Seconds           float64 // duration of the load
+	Replicas          int
+	Servers           int // including those with a store replica
+	Scenario          Scenario
+	InjectedBug       string
+	RequestsPerSecond float64
+	NoAllotter        bool // each server has an equal share of the downstream capacity, and there is no allotter
+	VaultSlots        int  // calls that the vault serves at once
 }
 
-// Settings of the processes and timeouts of the lab. Plain numbers are in ms, except for rate, the largest relative deviation of
-// a process's clock.
+// Settings of the processes and timeouts of the lab. Plain numbers are in ms, except for maxClockDrift, the largest
+// relative deviation of a process's clock rate.
 const (
-	ttl      = 2000.0
-	renew    = 300.0
-	rate     = 0.1
-	margin   = 50.0
-	markMs   = 100.0
-	stopMs   = 3000.0
-	upWithin = 40 * time.Second
+	ttlMS          = 2000.0
+	renewMS        = 300.0
+	maxClockDrift  = 0.1
+	marginMS       = 50.0
+	markIntervalMS = 100.0
+	stopTimeoutMS  = 3000.0
+	healthyTimeout = 40 * time.Second
 )
 
 var dutyNames = []string{"allotter", "publisher", "settler", "probe-1", "probe-2"}
 
+// run is the state of a run in progress.
 type run struct {
 	Setup
-	procs    []*proc
-	vault    *vault
-	routers  *routers
-	one      *clock.Clock
-	begun    float64
-	starter  chan func()
-	rng      *rand.Rand
-	tmp      string // short, because the path of a Unix socket is limited
-	cold     bool
-	compares bool // the build knows the setting store.compare_ms
-	bootAt   time.Time
-
-	mu     sync.Mutex
-	events []trace.Event
-	crash  []string
-	notes  []string
+	orderServers     []*server
+	vault            *fakeVault
+	load             *loadGenerator
+	machineClock     *clock.Clock
+	loadStartMS      float64
+	startRequests    chan func()
+	rng              *rand.Rand
+	tmpDir           string // short, because the path of a Unix socket is limited
+	cold             bool
+	comparesReplicas bool // the build knows the setting store.compare_ms
+	bootedAt         time.Time
+
+	mu       sync.Mutex
+	events   []trace.Event
+	failures []string
+	notes    []string
 }
 
-func (r *run) add(e trace.Event) {
-	e.At = r.one.Now()
+// addEvent records an event with the present time.
+func (r *run) addEvent(e trace.Event) {
+	e.At = r.machineClock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, e)
 }
 
-func (r *run) note(format string, a ...any) {
+// addNote records a note for the report.
+func (r *run) addNote(format string, a ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.notes = append(r.notes, fmt.Sprintf(format, a...))
@@ -81,115 +84,115 @@
 
 // Outcome is what a run recorded.
 type Outcome struct {
-	Events []trace.Event
-	Crash  []string
-	Notes  []string
-	Begun  float64 // start of the load, in ms of the machine's clock
-	Ended  float64 // end of the load, likewise
-	Faults []Done
-	Served Served
-	Vault  struct {
-		Calls, Most, Over, Slots int
-		Mean                     float64
+	Events      []trace.Event
+	Failures    []string
+	Notes       []string
+	LoadStartMS float64 // start of the load, in ms of the machine's clock
+	LoadEndMS   float64 // end of the load, likewise
+	Faults      []InjectedFault
+	Served      Served
+	Vault       struct {
+		Calls, MaxInFlight, CallsOverSlots, Slots int
+		MeanInFlight                              float64
 	}
-	Load  *routers
-	Pool  int64
-	Alone int64
+	Load       *loadGenerator
+	PoolMilli  int64 // capacity that the allotter divides, in thousandths of a call
+	AloneMilli int64 // capacity of a server without a share, likewise
 }
 
-// Done is a fault that was injected, with what it hit.
-type Done struct {
+// InjectedFault is a fault that was injected, with what it hit.
+type InjectedFault struct {
 	Fault
 	Hit string `json:"hit"`
 }
 
-// Play executes one run.
-func Play(ctx context.Context, s Setup) (*Outcome, error) {
+// Execute executes one run.
+func Execute(ctx context.Context, s Setup) (*Outcome, error) {
 	if err := os.MkdirAll(s.Out, 0o755); err != nil {
 		return nil, err
 	}
-	r := &run{Setup: s, one: clock.Monotonic(), starter: make(chan func()), rng: rand.New(rand.NewPCG(s.Seed, 9)), bootAt: time.Now()}
-	over := make(chan struct{})
-	defer close(over)
+	r := &run{Setup: s, machineClock: clock.Monotonic(), startRequests: make(chan func()), rng: rand.New(rand.NewPCG(s.Seed, 9)), bootedAt: time.Now()}
+	finished := make(chan struct{})
+	defer close(finished)
 	go func() {
 		// The kernel kills the children (Pdeathsig) when the thread that started them ends, so one locked thread starts all
 		// of them and ends with the run.
 		runtime.LockOSThread()
 		for {
 			select {
-			case do := <-r.starter:
+			case do := <-r.startRequests:
 				do()
-			case <-over:
+			case <-finished:
 				return
 			}
 		}
 	}()
 	var err error
-	if r.tmp, err = os.MkdirTemp("", "lab"); err != nil {
+	if r.tmpDir, err = os.MkdirTemp("", "lab"); err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(r.tmp)
-	if r.vault, err = newVault(s.Slots); err != nil {
+	defer os.RemoveAll(r.tmpDir)
+	if r.vault, err = newFakeVault(s.VaultSlots); err != nil {
 		return nil, err
 	}
 	defer r.vault.ln.Close()
-	r.compares = r.takes("store: {compare_ms: 100}\n")
-	if err := r.lay(); err != nil {
+	r.comparesReplicas = r.acceptsOperatorFile("store: {compare_ms: 100}\n")
+	if err := r.prepare(); err != nil {
 		return nil, err
 	}
 	defer r.closeAll()
-	for _, p := range r.procs {
+	for _, p := range r.orderServers {
 		if err := r.start(p); err != nil {
 			return nil, err
 		}
 	}
-	if err := r.settled(ctx, upWithin); err != nil {
+	if err := r.waitHealthy(ctx, healthyTimeout); err != nil {
 		return nil, fmt.Errorf("lab: processes not ready for the load: %w", err)
 	}
-	for _, p := range r.procs { // the old data directories for the faults that restore one
-		if p.copies {
+	for _, p := range r.orderServers { // the old data directories for the faults that restore one
+		if p.hasReplica {
 			p.signal(syscall.SIGSTOP)
-			err := copyFolder(filepath.Join(p.dir, "store"), filepath.Join(p.dir, "older"))
+			err := replaceDirectory(filepath.Join(p.dir, "store"), filepath.Join(p.dir, "older"))
 			p.signal(syscall.SIGCONT)
 			if err != nil {
 				return nil, err
 			}
 		}
 	}
-	r.begun = r.one.Now()
-	r.routers = newRouters()
+	r.loadStartMS = r.machineClock.Now()
+	r.load = newLoadGenerator()
 	stop := make(chan struct{})
-	var loads sync.WaitGroup
-	loads.Add(1)
+	var loadDone sync.WaitGroup
+	loadDone.Add(1)
 	go func() {
-		defer loads.Done()
-		r.routers.run(s.Seed, s.Load, r.serving, stop)
+		defer loadDone.Done()
+		r.load.run(s.Seed, s.RequestsPerSecond, r.runningAddresses, stop)
 	}()
-	var made []Done
+	var injected []InjectedFault
 	for _, f := range Schedule(s.Seed, s.Scenario, s.Seconds) {
-		if !r.sleep(ctx, f.At) {
+		if !r.sleepUntil(ctx, f.At) {
 			break
 		}
-		d := Done{Fault: f}
+		d := InjectedFault{Fault: f}
 		d.Hit = r.inject(ctx, f)
-		made = append(made, d)
-		r.add(trace.Event{What: "fault", Who: d.Hit, Text: f.Kind, Until: r.one.Now()})
+		injected = append(injected, d)
+		r.addEvent(trace.Event{What: "fault", Who: d.Hit, Text: f.Kind, Until: r.machineClock.Now()})
 	}
-	r.sleep(ctx, s.Seconds)
-	if err := r.settled(ctx, upWithin); err != nil && ctx.Err() == nil {
-		r.crash = append(r.crash, "after the last fault: "+err.Error())
+	r.sleepUntil(ctx, s.Seconds)
+	if err := r.waitHealthy(ctx, healthyTimeout); err != nil && ctx.Err() == nil {
+		r.failures = append(r.failures, "after the last fault: "+err.Error())
 	}
-	ended := r.one.Now()
+	loadEndMS := r.machineClock.Now()
 	close(stop)
-	loads.Wait()
-	time.Sleep(clock.Duration(waitMs)) // for outstanding responses or their timeouts
-	r.end()
-	o := &Outcome{Crash: r.crash, Notes: r.notes, Begun: r.begun, Ended: ended, Faults: made, Served: r.routers.served(), Load: r.routers, Pool: r.pool(), Alone: alone}
+	loadDone.Wait()
+	time.Sleep(clock.Duration(requestTimeoutMS)) // for outstanding responses or their timeouts
+	r.drainAll()
+	o := &Outcome{Failures: r.failures, Notes: r.notes, LoadStartMS: r.loadStartMS, LoadEndMS: loadEndMS, Faults: injected, Served: r.load.summary(), Load: r.load, PoolMilli: r.poolMilli(), AloneMilli: aloneMilli}
 	o.Events = r.events
-	r.vault.count(0)
-	o.Vault.Calls, o.Vault.Most, o.Vault.Over, o.Vault.Slots = r.vault.calls, r.vault.most, r.vault.over, r.vault.slots
-	o.Vault.Mean = r.vault.area / float64(time.Since(r.vault.begun).Milliseconds())
-	for _, p := range r.procs {
+	r.vault.addInFlight(0)
+	o.Vault.Calls, o.Vault.MaxInFlight, o.Vault.CallsOverSlots, o.Vault.Slots = r.vault.calls, r.vault.maxInFlight, r.vault.callsOverSlots, r.vault.slots
+	o.Vault.MeanInFlight = r.vault.inFlightMS / float64(time.Since(r.vault.startedAt).Milliseconds())
+	for _, p := range r.orderServers {
 		files, err := filepath.Glob(filepath.Join(p.dir, "*.trace"))
 		if err != nil {
 			return nil, err
@@ -214,9 +217,9 @@
 	return o, nil
 }
 
-// sleep waits until s seconds after the start of the load. It returns false if ctx was canceled.
-func (r *run) sleep(ctx context.Context, s float64) bool {
-	d := clock.Duration(r.begun + s*1000 - r.one.Now())
+// sleepUntil waits until the given number of seconds after the start of the load. It returns false if ctx was canceled.
+func (r *run) sleepUntil(ctx context.Context, seconds float64) bool {
+	d := clock.Duration(r.loadStartMS + seconds*1000 - r.machineClock.Now())
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -230,20 +233,20 @@
 	}
 }
 
-const alone = 500 // thousandths of a concurrent downstream call that a server without a share may use
+const aloneMilli = 500 // thousandths of a concurrent downstream call that a server without a share may use
 
-// whole returns the downstream calls that may be in flight at once, in thousandths.
-func (r *run) whole() int64 { return int64(r.Slots) * 1000 }
+// capacityMilli returns the downstream calls that may be in flight at once, in thousandths.
+func (r *run) capacityMilli() int64 { return int64(r.VaultSlots) * 1000 }
 
-// most returns how many processes there may be at once, with those that a replacement runs next to its predecessor.
-func (r *run) most() int { return r.Servers + 2 }
+// maxProcesses returns how many processes there may be at once, with those that a replacement runs next to its predecessor.
+func (r *run) maxProcesses() int { return r.Servers + 2 }
 
-// pool returns the capacity that the allotter divides, in thousandths of a call.
-func (r *run) pool() int64 { return r.whole() - alone*int64(r.most()) }
+// poolMilli returns the capacity that the allotter divides, in thousandths of a call.
+func (r *run) poolMilli() int64 { return r.capacityMilli() - aloneMilli*int64(r.maxProcesses()) }
 
-// takes reports whether the build, which may be an earlier one, accepts an operator's file with this text.
-func (r *run) takes(text string) bool {
-	path := filepath.Join(r.tmp, "probe.yaml")
+// acceptsOperatorFile reports whether the build, which may be an earlier one, accepts an operator's file with this text.
+func (r *run) acceptsOperatorFile(text string) bool {
+	path := filepath.Join(r.tmpDir, "probe.yaml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return false
 	}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -18,12 +18,12 @@
 // process's own clock.
 type Event struct {
 	At     float64 `json:"at"`
-	Who    string  `json:"who"`
-	What   string  `json:"what"`
+	Who    string  `json:"who"`  // the process
+	What   string  `json:"what"` // the kind of event
 	Duty   string  `json:"duty,omitempty"`
 	Epoch  uint64  `json:"epoch,omitempty"`
 	Until  float64 `json:"until,omitempty"`
-	Amount int64   `json:"amount,omitempty"`
+	Amount int64   `json:"amount,omitempty"` // of a share, in thousandths of a concurrent call
 	Cause  string  `json:"cause,omitempty"`
 	Index  uint64  `json:"index,omitempty"`
 	Term   uint64  `json:"term,omitempty"`
@@ -46,9 +46,9 @@
 	TermStarted        = "office"  // a store replica starts to grant duties as leader of Term
 	ReplicaPhase       = "copy"    // a store replica entered phase Text because of Cause
 	EntryApplied       = "applied" // a store replica applied the log entry Index
-	Begun              = "begun"   // an effect was recorded in the effect log
+	EffectBegun        = "begun"   // an effect was recorded in the effect log
 	VersionTaken       = "took"    // a published version was accepted, or rejected for the reason in Cause
-	Exec               = "exec"    // a fake executor ran an effect
+	EffectExecuted     = "exec"    // a fake executor ran an effect
 
 	// Events of the records: N is a revision and Text the digest of all records at that revision.
 	CommitAgreed     = "agreed"    // a store replica has commit N
@@ -59,21 +59,21 @@
 
 // Log appends events to a file. A nil Log writes nothing.
 type Log struct {
-	who   string
-	own   *clock.Clock // the process's steady clock, whose rate may differ
-	one   *clock.Clock // the machine's monotonic clock
-	mu    sync.Mutex
-	f     *os.File
-	write *bufio.Writer
+	process      string
+	processClock *clock.Clock // the process's steady clock, whose rate may differ
+	machineClock *clock.Clock // the machine's monotonic clock
+	mu           sync.Mutex
+	file         *os.File
+	out          *bufio.Writer
 }
 
 // Open opens a trace file for appending.
-func Open(path, who string, own *clock.Clock) (*Log, error) {
+func Open(path, process string, processClock *clock.Clock) (*Log, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	return &Log{who: who, own: own, one: clock.Monotonic(), f: f, write: bufio.NewWriter(f)}, nil
+	return &Log{process: process, processClock: processClock, machineClock: clock.Monotonic(), file: f, out: bufio.NewWriter(f)}, nil
 }
 
 // Add writes an event and flushes it at once, since the process may be killed at any time. until is in ms of the process's
@@ -84,17 +84,17 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.Who = l.who
+	e.Who = l.process
 	// The process's clock is read first: a stall between the two readings can only make the end later than the process
 	// believes it to be.
-	own := l.own.Now()
-	e.At = l.one.Now()
+	processNow := l.processClock.Now()
+	e.At = l.machineClock.Now()
 	if until > 0 {
-		e.Until = e.At + (until-own)/l.own.Rate()
+		e.Until = e.At + (until-processNow)/l.processClock.Rate()
 	}
 	if b, err := json.Marshal(e); err == nil {
-		l.write.Write(append(b, '\n'))
-		l.write.Flush()
+		l.out.Write(append(b, '\n'))
+		l.out.Flush()
 	}
 }
 
@@ -103,7 +103,7 @@
 	if l != nil {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.f.Close()
+		l.file.Close()
 	}
 }
 
