--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -41,7 +41,7 @@
 	noticeCount  int // notices sent to the present process
 	notices      []string
 	pendingCalls map[string]chan bool // runs that wait for their downstream call, by id
-	life         int
+	generation   int                  // counts the processes that have joined
 }
 
 func newFakeExecutor(name string, onEvent func(trace.Event), bootState func() (bool, float64)) (*fakeExecutor, error) {
@@ -68,11 +68,11 @@
 	fmt.Fprintf(conn, format+"\r\n", a...)
 }
 
-// notice sends a notice to the process of the given life, unless a newer process has linked since.
-func (x *fakeExecutor) notice(life int, format string, a ...any) {
+// notice sends a notice to the process of the given generation, unless a newer process has linked since.
+func (x *fakeExecutor) notice(generation int, format string, a ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if life != x.life {
+	if generation != x.generation {
 		return
 	}
 	x.noticeCount++
@@ -87,7 +87,7 @@
 func (x *fakeExecutor) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
-	life := 0
+	generation := 0
 	for {
 		line, err := r.ReadString('\n')
 		if err != nil {
@@ -111,14 +111,14 @@
 			from, _ := strconv.Atoi(words[1])
 			x.mu.Lock()
 			if from == 0 {
-				x.life++
+				x.generation++
 				x.noticeCount, x.notices = 0, nil
 				for id, wait := range x.pendingCalls {
 					close(wait)
 					delete(x.pendingCalls, id)
 				}
 			}
-			life, x.conn = x.life, conn
+			generation, x.conn = x.generation, conn
 			cold, age := x.bootState()
 			state := "steady"
 			if cold {
@@ -137,7 +137,7 @@
 			if words[2] == bookingClass {
 				x.onEvent(trace.Event{What: trace.EffectExecuted, Who: x.name, Text: words[1]})
 			}
-			go x.execute(life, words[1], words[2], body)
+			go x.execute(generation, words[1], words[2], body)
 		case "RETURN", "BYPASS":
 			x.mu.Lock()
 			if wait := x.pendingCalls[words[1]]; wait != nil {
@@ -151,7 +151,7 @@
 }
 
 // execute does half of the work, waits for its one downstream call, and does the other half.
-func (x *fakeExecutor) execute(life int, id, class string, body []byte) {
+func (x *fakeExecutor) execute(generation int, id, class string, body []byte) {
 	started := time.Now()
 	time.Sleep(attemptTime / 2)
 	prefix := "whole"
@@ -159,7 +159,7 @@
 	x.mu.Lock()
 	x.pendingCalls[id] = callDone
 	x.mu.Unlock()
-	x.notice(life, "CALLOUT # %s %d\r\n%s", id, len(class), class)
+	x.notice(generation, "CALLOUT # %s %d\r\n%s", id, len(class), class)
 	if called, ok := <-callDone; !ok {
 		return // the process was replaced
 	} else if !called {
@@ -167,7 +167,7 @@
 	}
 	time.Sleep(attemptTime / 2)
 	result := prefix + " " + string(body)
-	x.notice(life, "EXIT # %s success %d %d\r\n%s", id, time.Since(started).Milliseconds(), len(result), result)
+	x.notice(generation, "EXIT # %s success %d %d\r\n%s", id, time.Since(started).Milliseconds(), len(result), result)
 }
 
 // fakeVault is a fake of the vault that all servers share: it slows down when more calls than slots are in
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -184,7 +184,7 @@
 	latencyAt := func(v float64) string {
 		return fmt.Sprintf("%.1f ms", float64(p.Outcome.Load.latency.ValueAtQuantile(v))/1000)
 	}
-	return []Row{{"invariants violated", fmt.Sprint(r.Violations)}, {"fenced commands", fmt.Sprint(r.Commands)}, {"commands refused for a stale epoch", fmt.Sprint(r.StaleRefused)},
+	return []Row{{"invariants violated", fmt.Sprint(r.Violations)}, {"acts", fmt.Sprint(r.Commands)}, {"commands refused for a stale epoch", fmt.Sprint(r.StaleRefused)},
 		{"handovers", fmt.Sprint(r.Handovers)}, {"gap, median", fmt.Sprintf("%.0f ms", r.GapP50MS)}, {"gap, longest", fmt.Sprintf("%.0f ms", r.GapMaxMS)}, {"gaps longer than the lease settings explain", fmt.Sprint(r.ExcessiveGaps)},
 		{"effects run", fmt.Sprint(r.Effects)}, {"effects run twice", fmt.Sprint(r.EffectsTwice)}, {"worth served", fmt.Sprintf("%.3f", r.Worth)},
 		{"responses in time", fmt.Sprintf("%d full, %d without the downstream call, %d refused, %d failed, %d timed out, of %d", r.Served.Full, r.Served.Part, r.Served.Refused, r.Served.Failed, r.Served.TimedOut, r.Served.Sent)},
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -106,7 +106,8 @@
 	Hit string `json:"hit"`
 }
 
-// Execute executes one run.
+// Execute starts the processes, generates load, injects the scheduled faults and collects the traces of one run. It returns an
+// error if the run could not be made; what the processes did wrong is in the Outcome.
 func Execute(ctx context.Context, s Setup) (*Outcome, error) {
 	if err := os.MkdirAll(s.Out, 0o755); err != nil {
 		return nil, err
