--- a/cmd/adapter/decode.go
+++ b/cmd/adapter/decode.go
@@ -12,22 +12,22 @@
 	"puffinsaddle/policy"
 )
 
-// link maps the wire to instances of the module and back.
-type link struct {
-	parser    fastjson.Parser
-	instances map[string]*policy.Instance
-	events    []policy.Event
-	buf       []byte
-	log       io.Writer
-	unknown   map[string]bool // unknown events already reported
+// adapter maps the wire to instances of the module and back.
+type adapter struct {
+	parser       fastjson.Parser
+	instances    map[string]*policy.Instance
+	events       []policy.Event
+	buf          []byte
+	log          io.Writer
+	unknownKinds map[string]bool // unknown events already reported
 }
 
-func newLink(log io.Writer) *link {
-	return &link{instances: map[string]*policy.Instance{}, log: log, unknown: map[string]bool{}}
+func newAdapter(log io.Writer) *adapter {
+	return &adapter{instances: map[string]*policy.Instance{}, log: log, unknownKinds: map[string]bool{}}
 }
 
-// batch decides on one line of events and returns the line of the reply.
-func (l *link) batch(line []byte) ([]byte, error) {
+// handleBatch decides on one line of events and returns the line of the reply.
+func (l *adapter) handleBatch(line []byte) ([]byte, error) {
 	if err := fastjson.ValidateBytes(line); err != nil {
 		return nil, fmt.Errorf("malformed JSON: %w", err)
 	}
@@ -38,10 +38,10 @@
 	if v.Type() != fastjson.TypeObject {
 		return nil, errors.New("a batch must be an object")
 	}
-	f := &config.Fields{V: v, What: "batch"}
-	f.Need("simTime")
-	f.Need("parts")
-	now := f.Span("simTime")
+	f := &config.Fields{Value: v, Name: "batch"}
+	f.Require("simTime")
+	f.Require("parts")
+	now := f.Duration("simTime")
 	parts := f.List("parts")
 	if f.Err != nil {
 		return nil, f.Err
@@ -52,7 +52,7 @@
 		if p.Type() != fastjson.TypeObject {
 			return nil, errors.New("batch: a part is not an object")
 		}
-		if first, err = l.part(now, &config.Fields{V: p, What: "part"}, first); err != nil {
+		if first, err = l.handlePart(now, &config.Fields{Value: p, Name: "part"}, first); err != nil {
 			return nil, err
 		}
 	}
@@ -60,9 +60,9 @@
 	return l.buf, nil
 }
 
-func (l *link) part(now time.Duration, f *config.Fields, first bool) (bool, error) {
-	f.Need("i")
-	f.Need("events")
+func (l *adapter) handlePart(now time.Duration, f *config.Fields, first bool) (bool, error) {
+	f.Require("i")
+	f.Require("events")
 	name := f.Text("i")
 	events := f.List("events")
 	if f.Err != nil {
@@ -81,16 +81,16 @@
 		if body.Type() != fastjson.TypeObject {
 			return first, fmt.Errorf("%s: %s is not an object", name, kind)
 		}
-		e := &config.Fields{V: body, What: kind}
+		e := &config.Fields{Value: body, Name: kind}
 		switch kind {
 		case "enlist":
-			e.Need("prng")
+			e.Require("prng")
 			seed := e.Seed("prng")
-			set := config.Settings(e.Object("settings"), e)
+			settings := config.ParseSettings(e.Object("settings"), e)
 			if e.Err != nil {
 				return first, e.Err
 			}
-			n, err := policy.New(set, seed)
+			n, err := policy.New(settings, seed)
 			if err != nil {
 				return first, fmt.Errorf("enlist: %w", err)
 			}
@@ -108,7 +108,7 @@
 			return first, fmt.Errorf("%s: %s for an instance that was not enlisted", name, kind)
 		}
 		known = true
-		ev := l.event(kind, e)
+		ev := l.decodeEvent(kind, e)
 		if e.Err != nil {
 			return first, e.Err
 		}
@@ -140,48 +140,48 @@
 	return false, nil
 }
 
-// outcome reads how a run or a call ended.
-func outcome(f *config.Fields, key string) policy.Outcome {
-	f.Need(key)
+// decodeOutcome reads how a run or a call ended.
+func decodeOutcome(f *config.Fields, key string) policy.Outcome {
+	f.Require(key)
 	n := f.Integer(key)
-	if n < 0 || n >= int64(len(outcomes)) {
+	if n < 0 || n >= int64(len(outcomeCodes)) {
 		f.Fail(key, "is not an outcome")
 		return policy.Failed
 	}
-	return outcomes[n]
+	return outcomeCodes[n]
 }
 
-var outcomes = [...]policy.Outcome{policy.OK, policy.Failed, policy.Full, policy.TimedOut,
+var outcomeCodes = [...]policy.Outcome{policy.OK, policy.Failed, policy.Full, policy.TimedOut,
 	policy.Unreachable, policy.InvalidReply, policy.Cancelled, policy.NotRun}
 
-// event maps one event; nil stands for one that this wire's text does not know.
-func (l *link) event(kind string, f *config.Fields) policy.Event {
+// decodeEvent maps one event; nil stands for one that this wire's text does not know.
+func (l *adapter) decodeEvent(kind string, f *config.Fields) policy.Event {
 	switch kind {
 	case "req":
-		f.Need("rid")
-		f.Need("priority")
+		f.Require("rid")
+		f.Require("priority")
 		original := f.ID("original")
 		return policy.Arrived{ID: f.ID("rid"), Class: f.Text("priority"), Tenant: f.Text("project"),
-			Caller: f.Integer("originPeer"), Size: f.Span("effort"), Waited: f.Span("backlogTime"), TimeLeft: f.Span("left"),
-			KB: f.Number("kb"), Rank: f.Number("place"), Key: f.Text("resource"), Write: f.Flag("isWrite"),
-			IsRetry: f.Flag("resent"), Original: original, HasOriginal: original != 0}
+			Caller: f.Integer("originPeer"), Size: f.Duration("effort"), Waited: f.Duration("backlogTime"), TimeLeft: f.Duration("left"),
+			KB: f.Number("kb"), Rank: f.Number("place"), Key: f.Text("resource"), Write: f.Bool("isWrite"),
+			IsRetry: f.Bool("resent"), Original: original, HasOriginal: original != 0}
 	case "done":
-		f.Need("rid")
-		return policy.Finished{ID: f.ID("rid"), Outcome: outcome(f, "code"), Duration: f.Span("spent")}
+		f.Require("rid")
+		return policy.Finished{ID: f.ID("rid"), Outcome: decodeOutcome(f, "code"), Duration: f.Duration("spent")}
 	case "returned":
-		f.Need("rid")
-		return policy.CallReturned{ID: f.ID("rid"), Outcome: outcome(f, "code"), Duration: f.Span("spent")}
+		f.Require("rid")
+		return policy.CallReturned{ID: f.ID("rid"), Outcome: decodeOutcome(f, "code"), Duration: f.Duration("spent")}
 	case "lapsed":
-		f.Need("rid")
+		f.Require("rid")
 		return policy.CallerGone{ID: f.ID("rid")}
 	case "stalledOnCall":
-		f.Need("rid")
+		f.Require("rid")
 		return policy.CallNeeded{ID: f.ID("rid")}
 	case "retireSoon":
-		f.Need("left")
-		return policy.DrainNotice{TimeLeft: f.Span("left")}
+		f.Require("left")
+		return policy.DrainNotice{TimeLeft: f.Duration("left")}
 	case "tickDue":
-		f.Need("ref")
+		f.Require("ref")
 		var gauges []float64
 		for _, v := range f.List("metrics") {
 			x, err := v.Float64()
@@ -192,8 +192,8 @@
 		}
 		return policy.TimerFired{Token: f.Seed("ref"), Gauges: gauges}
 	}
-	if !l.unknown[kind] && len(l.unknown) < 100 {
-		l.unknown[kind] = true
+	if !l.unknownKinds[kind] && len(l.unknownKinds) < 100 {
+		l.unknownKinds[kind] = true
 		fmt.Fprintf(l.log, "adapter: unknown event %q is skipped\n", kind)
 	}
 	return nil
--- a/cmd/adapter/encode.go
+++ b/cmd/adapter/encode.go
@@ -14,15 +14,15 @@
 	return append(b, q...)
 }
 
-// open starts an action that names a request.
-func open(b []byte, name string, id policy.ID) []byte {
+// appendRequestAction starts an action that names a request.
+func appendRequestAction(b []byte, name string, id policy.ID) []byte {
 	b = append(b, `{"`...)
 	b = append(b, name...)
 	b = append(b, `":{"rid":`...)
 	return strconv.AppendUint(b, uint64(id), 10)
 }
 
-func span(b []byte, key string, d time.Duration) []byte {
+func appendDuration(b []byte, key string, d time.Duration) []byte {
 	b = append(b, key...)
 	return strconv.AppendInt(b, int64(d), 10)
 }
@@ -31,27 +31,27 @@
 func appendAction(b []byte, a policy.Action) []byte {
 	switch a := a.(type) {
 	case policy.Start:
-		b = open(b, "begin", a.ID)
+		b = appendRequestAction(b, "begin", a.ID)
 	case policy.ShareResult:
-		b = open(b, "replay", a.ID)
+		b = appendRequestAction(b, "replay", a.ID)
 	case policy.Refuse:
-		b = open(b, "sayNo", a.ID)
+		b = appendRequestAction(b, "sayNo", a.ID)
 		if a.RetryAfter > 0 {
-			b = span(b, `,"pause":`, a.RetryAfter)
+			b = appendDuration(b, `,"pause":`, a.RetryAfter)
 		}
 		if a.NoRetry {
 			b = append(b, `,"noRetry":true`...)
 		}
 	case policy.Fail:
-		b = open(b, "error", a.ID)
+		b = appendRequestAction(b, "error", a.ID)
 	case policy.StoreKey:
-		b = span(open(b, "storeKey", a.ID), `,"span":`, a.TTL)
+		b = appendDuration(appendRequestAction(b, "storeKey", a.ID), `,"span":`, a.TTL)
 	case policy.DeleteKey:
-		b = open(b, "erase", a.ID)
+		b = appendRequestAction(b, "erase", a.ID)
 	case policy.MakeCall:
-		b = span(open(b, "askBelow", a.ID), `,"maxWait":`, a.MaxWait)
+		b = appendDuration(appendRequestAction(b, "askBelow", a.ID), `,"maxWait":`, a.MaxWait)
 	case policy.SkipCall:
-		b = open(b, "doWithout", a.ID)
+		b = appendRequestAction(b, "doWithout", a.ID)
 	case policy.Health:
 		b = append(b, `{"fitness":{"shallow":`...)
 		b = strconv.AppendBool(b, a.Shallow)
@@ -61,9 +61,9 @@
 		b = append(b, `{"hintOut":{"x":`...)
 		b = strconv.AppendFloat(b, a.Value, 'f', -1, 64)
 	case policy.CloseIdle:
-		b = span(append(b, `{"idle":{`...), `"span":`, a.After)
+		b = appendDuration(append(b, `{"idle":{`...), `"span":`, a.After)
 	case policy.SetTimer:
-		b = span(append(b, `{"timer":{`...), `"at":`, a.At)
+		b = appendDuration(append(b, `{"timer":{`...), `"at":`, a.At)
 		b = append(b, `,"ref":`...)
 		b = strconv.AppendUint(b, a.Token, 10)
 	case policy.LogLine:
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -9,7 +9,7 @@
 	"puffinsaddle/policy"
 )
 
-const enlist = `{"simTime":1000,"parts":[{"i":"a-1","events":[{"enlist":{"prng":7,"settings":{"new key":[1],` +
+const enlistLine = `{"simTime":1000,"parts":[{"i":"a-1","events":[{"enlist":{"prng":7,"settings":{"new key":[1],` +
 	`"classes":[{"aim":1800000000,"deadline":4500000000,"idempotency":"safe","keyTtl":5000000000,"lateValue":0.0,"name":"read","worth":1.0},` +
 	`{"aim":1800000000,"deadline":4500000000,"idempotency":"keyed","keyTtl":13413000000,"lateValue":0.0,"name":"post","worth":10.0}],` +
 	`"clients":{"marksRetry":true},"extra":{"callers":3,"callsByClass":[true,false],"callsOut":0.0,"classSkipWorth":[0.3,0.0],` +
@@ -19,19 +19,19 @@
 	`"rules":{"answerSlack":100000000,"cold":17000000000,"coldShare":0.21,"drainGrace":2000000000,"fall":1500000000,"fallMultiple":8.0},` +
 	`"servers":12,"tenants":[{"name":"t","quotaPerS":50.0,"share":0.4}],"tick":4000000,"tier":0,"valueBy":"request"}}}]}]}` + "\n"
 
-const request = `{"simTime":2000,"parts":[{"i":"a-1","events":[{"req":{"rid":5,"priority":"post","effort":null,"backlogTime":1,` +
+const requestLine = `{"simTime":2000,"parts":[{"i":"a-1","events":[{"req":{"rid":5,"priority":"post","effort":null,"backlogTime":1,` +
 	`"place":0.6,"original":null,"isWrite":true,"resource":null,"project":"t","left":2400000000,"originPeer":17,"kb":24.5,` +
 	`"resent":false,"some new key":{"x":1}}}]}]}` + "\n"
 
-func feed(t *testing.T, in string) (string, string, error) {
+func runAdapter(t *testing.T, in string) (string, string, error) {
 	t.Helper()
 	var out, log bytes.Buffer
 	err := run(strings.NewReader(in), &out, &log)
 	return out.String(), log.String(), err
 }
 
-func TestBatchesAreAnsweredLineByLine(t *testing.T) {
-	out, _, err := feed(t, `{"simTime":1,"parts":[]}`+"\n"+enlist+request)
+func TestEachBatchGetsOneReplyLine(t *testing.T) {
+	out, _, err := runAdapter(t, `{"simTime":1,"parts":[]}`+"\n"+enlistLine+requestLine)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,9 +46,9 @@
 	}
 }
 
-func TestExitAndEnlistInOneBatch(t *testing.T) {
-	both := strings.Replace(enlist, `"events":[`, `"events":[{"exit":{}},`, 1)
-	out, _, err := feed(t, enlist+request+both+request)
+func TestExitThenEnlistInOneBatchResetsInstance(t *testing.T) {
+	both := strings.Replace(enlistLine, `"events":[`, `"events":[{"exit":{}},`, 1)
+	out, _, err := runAdapter(t, enlistLine+requestLine+both+requestLine)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,44 +57,44 @@
 	}
 }
 
-// manyCallers opens a small machine in a large fleet.
-func manyCallers() string {
+// largeFleetEnlistLine opens a small machine in a large fleet.
+func largeFleetEnlistLine() string {
 	return strings.NewReplacer(`"callers":3`, `"callers":950,"idle":25000000000,"heardFor":1000000000`, `"nCores":6`, `"nCores":2`,
-		`"runMemFactor":4.0`, `"runMemFactor":15.0`, `"say":"none"`, `"say":"level"`, `"servers":12`, `"servers":280`).Replace(enlist)
+		`"runMemFactor":4.0`, `"runMemFactor":15.0`, `"say":"none"`, `"say":"level"`, `"servers":12`, `"servers":280`).Replace(enlistLine)
 }
 
-func TestIdleSpanIsHandedOn(t *testing.T) {
+func TestIdleTimeoutIsPassedOn(t *testing.T) {
 	tick := `{"simTime":600002000,"parts":[{"i":"a-1","events":[{"tickDue":{"ref":1,"metrics":[0.5,1,0.1,40]}}]}]}` + "\n"
-	out, _, err := feed(t, manyCallers()+request+tick)
+	out, _, err := runAdapter(t, largeFleetEnlistLine()+requestLine+tick)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(out, `{"idle":{"span":`) {
 		t.Errorf("no idle span in %q", out)
 	}
-	if out, _, _ = feed(t, enlist+request+tick); strings.Contains(out, `{"idle":{"span":`) {
+	if out, _, _ = runAdapter(t, enlistLine+requestLine+tick); strings.Contains(out, `{"idle":{"span":`) {
 		t.Errorf("an idle span where the callers' own was not told: %q", out)
 	}
 }
 
 func TestUnknownEventIsSkipped(t *testing.T) {
-	odd := `{"simTime":2000,"parts":[{"i":"a-1","events":[{"novelty":{"x":1}}]}]}` + "\n"
-	_, log, err := feed(t, enlist+odd)
+	unknownEvent := `{"simTime":2000,"parts":[{"i":"a-1","events":[{"novelty":{"x":1}}]}]}` + "\n"
+	_, log, err := runAdapter(t, enlistLine+unknownEvent)
 	if err != nil || !strings.Contains(log, `"novelty"`) {
 		t.Errorf("error %v, log %q", err, log)
 	}
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
+func TestErrorsNameTheMalformedInput(t *testing.T) {
 	part := func(event string) string {
-		return enlist + `{"simTime":2000,"parts":[{"i":"a-1","events":[` + event + `]}]}` + "\n"
+		return enlistLine + `{"simTime":2000,"parts":[{"i":"a-1","events":[` + event + `]}]}` + "\n"
 	}
 	for want, in := range map[string]string{
 		"malformed JSON":                  `{"simTime":1,"parts":[`,
 		`"simTime" is missing`:            `{"parts":[]}`,
 		`"parts" is not an array`:         `{"simTime":1,"parts":3}`,
 		`"simTime" is not a whole number`: `{"simTime":"x","parts":[]}`,
-		"not enlisted":                    request,
+		"not enlisted":                    requestLine,
 		`"rid" is missing`:                part(`{"req":{"priority":"post"}}`),
 		`"rid" is not a request id`:       part(`{"lapsed":{"rid":-4}}`),
 		`"code" is missing`:               part(`{"done":{"rid":4}}`),
@@ -102,11 +102,11 @@
 		`"left" is missing`:               part(`{"retireSoon":{}}`),
 		`"kb" is not a number`:            part(`{"req":{"rid":4,"priority":"post","kb":"x"}}`),
 		"one key":                         part(`{"done":{},"req":{}}`),
-		`"classes" is missing`:            strings.Replace(enlist, `"classes"`, `"glasses"`, 1),
-		`"idempotency" is not known`:      strings.Replace(enlist, `"keyed"`, `"maybe"`, 1),
-		"Cores must be":                   strings.Replace(enlist, `"nCores":6`, `"nCores":0`, 1),
+		`"classes" is missing`:            strings.Replace(enlistLine, `"classes"`, `"glasses"`, 1),
+		`"idempotency" is not known`:      strings.Replace(enlistLine, `"keyed"`, `"maybe"`, 1),
+		"Cores must be":                   strings.Replace(enlistLine, `"nCores":6`, `"nCores":0`, 1),
 	} {
-		_, _, err := feed(t, in)
+		_, _, err := runAdapter(t, in)
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q, got %v", want, err)
 		} else if strings.Contains(err.Error(), "\n") {
@@ -115,9 +115,9 @@
 	}
 }
 
-func TestLongLine(t *testing.T) {
-	long := strings.Replace(request, `"x":1`, `"x":"`+strings.Repeat("y", 200000)+`"`, 1)
-	out, _, err := feed(t, enlist+long+`{"simTime":3000,"parts":[]}`)
+func TestLineLongerThanReadBuffer(t *testing.T) {
+	long := strings.Replace(requestLine, `"x":1`, `"x":"`+strings.Repeat("y", 200000)+`"`, 1)
+	out, _, err := runAdapter(t, enlistLine+long+`{"simTime":3000,"parts":[]}`)
 	if err != nil || strings.Count(out, "\n") != 3 {
 		t.Errorf("error %v, %q", err, out)
 	}
@@ -146,27 +146,27 @@
 	}
 }
 
-// sharedBelow is a server whose calls go to what all servers share, with credit and work that can be paused.
-func sharedBelow() string {
+// sharedDownstreamEnlistLine is a server whose calls go to what all servers share, with credit and work that can be paused.
+func sharedDownstreamEnlistLine() string {
 	return strings.NewReplacer(`"downstream":"tier"`, `"downstream":"shared","callsOver":5000000000,"linger":200000000`,
 		`"callsOut":0.0`, `"callsOut":0.05`, `[0.3,0.0]`, `[0.0,0.0]`, `"halt":"none"`, `"halt":"pause"`,
-		`"say":"none"`, `"say":"credit"`, `[true,false]`, `[true,true]`).Replace(enlist)
+		`"say":"none"`, `"say":"credit"`, `[true,false]`, `[true,true]`).Replace(enlistLine)
 }
 
-func TestShareOfCallsBelowReachesTheModule(t *testing.T) {
+func TestDownstreamShareLimitsCalls(t *testing.T) {
 	call := func(id string) string {
-		return strings.Replace(request, `"rid":5`, `"rid":`+id, 1) +
+		return strings.Replace(requestLine, `"rid":5`, `"rid":`+id, 1) +
 			`{"simTime":3000,"parts":[{"i":"a-1","events":[{"stalledOnCall":{"rid":` + id + `}}]}]}` + "\n"
 	}
-	var in string
+	var input string
 	for _, id := range []string{"5", "6", "7", "8", "9", "10", "11", "12"} {
-		in += call(id)
+		input += call(id)
 	}
 	for _, c := range []struct {
-		first string
-		all   bool
-	}{{sharedBelow(), false}, {enlist, true}} {
-		out, _, err := feed(t, c.first+in)
+		enlistedBy string
+		all        bool
+	}{{sharedDownstreamEnlistLine(), false}, {enlistLine, true}} {
+		out, _, err := runAdapter(t, c.enlistedBy+input)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,24 +175,24 @@
 			t.Errorf("want all of 8 runs to start: %v; %d calls for %d runs", c.all, calls, runs)
 		}
 	}
-	if _, _, err := feed(t, strings.Replace(enlist, `"halt":"none"`, `"halt":"maybe"`, 1)); err == nil {
+	if _, _, err := runAdapter(t, strings.Replace(enlistLine, `"halt":"none"`, `"halt":"maybe"`, 1)); err == nil {
 		t.Error("an unknown halt is no fault")
 	}
 }
 
 func FuzzBatch(f *testing.F) {
-	f.Add([]byte(enlist), []byte(request))
-	f.Add([]byte(manyCallers()), []byte(request))
-	f.Add([]byte(sharedBelow()), []byte(request))
-	f.Add([]byte(enlist), []byte(`{"simTime":3,"parts":[{"i":"a-1","events":[{"tickDue":{"ref":1,"metrics":[0.5,3,0.1,9]}},{"done":{"rid":5,"code":0,"spent":1}}]}]}`))
-	f.Add([]byte(enlist), []byte(`{"simTime":3,"parts":[{"i":"a-1","events":[{"retireSoon":{"left":0}},{"lapsed":{"rid":5}},{"exit":{}}]}]}`))
+	f.Add([]byte(enlistLine), []byte(requestLine))
+	f.Add([]byte(largeFleetEnlistLine()), []byte(requestLine))
+	f.Add([]byte(sharedDownstreamEnlistLine()), []byte(requestLine))
+	f.Add([]byte(enlistLine), []byte(`{"simTime":3,"parts":[{"i":"a-1","events":[{"tickDue":{"ref":1,"metrics":[0.5,3,0.1,9]}},{"done":{"rid":5,"code":0,"spent":1}}]}]}`))
+	f.Add([]byte(enlistLine), []byte(`{"simTime":3,"parts":[{"i":"a-1","events":[{"retireSoon":{"left":0}},{"lapsed":{"rid":5}},{"exit":{}}]}]}`))
 	f.Add([]byte(`{"simTime":1,"parts":[]}`), []byte(`{`))
 	f.Fuzz(func(t *testing.T, a, b []byte) {
-		l := newLink(io.Discard)
-		if _, err := l.batch(a); err != nil {
+		l := newAdapter(io.Discard)
+		if _, err := l.handleBatch(a); err != nil {
 			return
 		}
-		reply, err := l.batch(b)
+		reply, err := l.handleBatch(b)
 		if err == nil && (len(reply) == 0 || reply[len(reply)-1] != '\n') {
 			t.Errorf("no reply line to %q", b)
 		}
--- a/cmd/puffinsaddle/added_test.go
+++ b/cmd/puffinsaddle/added_test.go
@@ -13,27 +13,27 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// loader sends requests at times drawn ahead over one connection, and counts each answer's time from then.
-type loader struct {
-	conn   net.Conn
-	first  time.Time // intended time of the first request
-	every  time.Duration
-	hist   *hdrhistogram.Histogram
-	mu     *sync.Mutex
-	failed *atomic.Int64
+// openLoopClient sends requests at times drawn ahead over one connection, and counts each answer's time from then.
+type openLoopClient struct {
+	conn      net.Conn
+	firstAt   time.Time // intended time of the first request
+	interval  time.Duration
+	histogram *hdrhistogram.Histogram
+	mu        *sync.Mutex
+	failed    *atomic.Int64
 }
 
-func (l *loader) send(n, connection int) {
+func (l *openLoopClient) send(n, connection int) {
 	for i := range n {
-		time.Sleep(time.Until(l.first.Add(time.Duration(i) * l.every)))
+		time.Sleep(time.Until(l.firstAt.Add(time.Duration(i) * l.interval)))
 		tag := fmt.Sprint(i + 1)
-		fields := fmt.Sprintf("id=%016x,at=%d,from=%d,kb=10,rank=0.5", l.first.UnixNano()+int64(connection)<<20+int64(i), time.Now().UnixMilli(), connection)
+		fields := fmt.Sprintf("id=%016x,at=%d,from=%d,kb=10,rank=0.5", l.firstAt.UnixNano()+int64(connection)<<20+int64(i), time.Now().UnixMilli(), connection)
 		fmt.Fprintf(l.conn, "*5\r\n$3\r\nREQ\r\n$%d\r\n%s\r\n$4\r\nbook\r\n$%d\r\n%s\r\n$1\r\nx\r\n", len(tag), tag, len(fields), fields)
 	}
 }
 
 // read takes n answers: arrays of words, each behind its length.
-func (l *loader) read(n int) {
+func (l *openLoopClient) read(n int) {
 	r := bufio.NewReader(l.conn)
 	for range n {
 		var words, size int
@@ -60,9 +60,9 @@
 			l.failed.Add(1)
 			continue
 		}
-		took := time.Since(l.first.Add(time.Duration(tag-1) * l.every))
+		took := time.Since(l.firstAt.Add(time.Duration(tag-1) * l.interval))
 		l.mu.Lock()
-		l.hist.RecordValue(took.Microseconds())
+		l.histogram.RecordValue(took.Microseconds())
 		l.mu.Unlock()
 	}
 }
@@ -78,10 +78,10 @@
 				b.Fatal(err)
 			}
 			b.Cleanup(func() { members.Close() })
-			c := newChild(b)
-			c.write(running(b, 0), members.LocalAddr().String(), 1024)
+			c := newServerProcess(b)
+			c.writeConfig(startRunningExecutor(b, 0), members.LocalAddr().String(), 1024)
 			c.start(1024)
-			c.until("it is ready", c.ready)
+			c.waitUntil("it is ready", c.ready)
 			hist := hdrhistogram.New(1, 60e6, 3)
 			var mu sync.Mutex
 			var failed atomic.Int64
@@ -94,7 +94,7 @@
 						b.Fatal(err)
 					}
 					every := time.Second * connections / time.Duration(rate)
-					l := &loader{conn: conn, first: begin.Add(every * time.Duration(i) / connections), every: every, hist: hist, mu: &mu, failed: &failed}
+					l := &openLoopClient{conn: conn, firstAt: begin.Add(every * time.Duration(i) / connections), interval: every, histogram: hist, mu: &mu, failed: &failed}
 					n := int(span / every)
 					wait.Go(func() { l.send(n, i) })
 					wait.Go(func() {
--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -27,14 +27,14 @@
 
 // Exit statuses of commands.
 const (
-	good  = 0
-	bad   = 1 // what was asked for did not come about, or an invariant is broken
-	wrong = 2 // wrong use, or a faulty file
+	exitOK      = 0
+	exitFailure = 1 // what was asked for did not come about, or an invariant is broken
+	exitUsage   = 2 // wrong use, or a faulty file
 )
 
-const operatorsWait = 10 * time.Second // for a copy that leads to be found, and to answer
+const commandTimeout = 10 * time.Second // for a copy that leads to be found, and to answer
 
-type cli struct {
+type commandLine struct {
 	Serve  struct{}  `cmd:"" help:"Serve as one order server, set up by RELAY_CONFIG; what the bare program does."`
 	Duty   dutyCmd   `cmd:"" help:"See and steer duties that one order server holds at a time."`
 	Store  storeCmd  `cmd:"" help:"See the copies of the replicated store, and look into a copy's folder."`
@@ -57,24 +57,24 @@
 	Freeze freezeCmd `cmd:"" help:"Ask the holder to give a duty up, and let nobody have it."`
 }
 
-// with is what the commands on duties share.
-type with struct {
+// connectFlags is what the commands on duties share.
+type connectFlags struct {
 	Operator string `required:"" env:"PUFFINSADDLE_OPERATOR" type:"existingfile" help:"An operator's file that names the copies."`
 	JSON     bool   `name:"json" help:"Print JSON."`
 }
 
 type (
-	listCmd struct{ with }
+	listCmd struct{ connectFlags }
 	showCmd struct {
-		with
+		connectFlags
 		Name string `arg:"" help:"The duty."`
 	}
 	yieldCmd struct {
-		with
+		connectFlags
 		Name string `arg:"" help:"The duty."`
 	}
 	freezeCmd struct {
-		with
+		connectFlags
 		Name string `arg:"" help:"The duty."`
 		Off  bool   `help:"Let it be held again."`
 	}
@@ -89,55 +89,55 @@
 	}
 )
 
-// command carries a command line out.
-func command(args []string, out, errs io.Writer) int {
-	var c cli
+// runCommand carries a command line out.
+func runCommand(args []string, out, errOut io.Writer) int {
+	var c commandLine
 	status := -1
-	p, err := kong.New(&c, kong.Name("puffinsaddle"), kong.Description("An order server in Go."), kong.Writers(out, errs),
+	p, err := kong.New(&c, kong.Name("puffinsaddle"), kong.Description("An order server in Go."), kong.Writers(out, errOut),
 		kong.Exit(func(code int) { status = code }))
 	if err != nil {
-		fmt.Fprintln(errs, "puffinsaddle:", err)
-		return wrong
+		fmt.Fprintln(errOut, "puffinsaddle:", err)
+		return exitUsage
 	}
 	k, err := p.Parse(args)
 	if status >= 0 {
 		return status // help was asked for
 	}
 	if err != nil {
-		fmt.Fprintln(errs, "puffinsaddle:", err)
-		return wrong
+		fmt.Fprintln(errOut, "puffinsaddle:", err)
+		return exitUsage
 	}
 	if k.Command() == "serve" {
 		return serve()
 	}
 	k.BindTo(out, (*io.Writer)(nil))
 	err = k.Run()
-	var use *lab.UsageError
+	var usage *lab.UsageError
 	switch {
 	case err == nil:
-		return good
+		return exitOK
 	case errors.Is(err, lab.ErrInvariantViolated):
-		return bad // the report has said what
-	case errors.As(err, &use), errors.Is(err, errWrong):
-		fmt.Fprintln(errs, "puffinsaddle:", err)
-		return wrong
+		return exitFailure // the report has said what
+	case errors.As(err, &usage), errors.Is(err, errUsage):
+		fmt.Fprintln(errOut, "puffinsaddle:", err)
+		return exitUsage
 	}
-	fmt.Fprintln(errs, "puffinsaddle:", err)
-	return bad
+	fmt.Fprintln(errOut, "puffinsaddle:", err)
+	return exitFailure
 }
 
-var errWrong = errors.New("wrong use")
+var errUsage = errors.New("wrong use")
 
-// talk opens a session for one command.
-func (w with) talk(do func(context.Context, *session.Client, config.Duties) error) error {
+// withSession opens a session for one command.
+func (w connectFlags) withSession(fn func(context.Context, *session.Client, config.Duties) error) error {
 	o, err := config.LoadOperator(w.Operator)
 	if err != nil {
-		return fmt.Errorf("%w: %v", errWrong, err)
+		return fmt.Errorf("%w: %v", errUsage, err)
 	}
-	if !o.Duties.On() {
-		return fmt.Errorf("%w: %s: duties.copies is missing", errWrong, w.Operator)
+	if !o.Duties.Enabled() {
+		return fmt.Errorf("%w: %s: duties.copies is missing", errUsage, w.Operator)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), operatorsWait)
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	var b [8]byte
 	if _, err := crand.Read(b[:]); err != nil {
@@ -145,12 +145,12 @@
 	}
 	rules := o.Duties.Rules()
 	rules.Duties, rules.PresenceTTLMS = nil, 0 // an operator stands for nothing
-	linked := make(chan struct{}, 1)
-	c := session.NewClient(session.Options{ProcessID: "operator#" + hex.EncodeToString(b[:]), ReplicaAddresses: o.Duties.Copies, Rules: rules,
+	connected := make(chan struct{}, 1)
+	c := session.NewClient(session.Options{ProcessID: "operator#" + hex.EncodeToString(b[:]), ReplicaAddresses: o.Duties.Replicas, Rules: rules,
 		Seed: uint64(b[0]), Steady: clock.Monotonic(), Log: zerolog.Nop(), OnEvent: func(e any) {
 			if _, ok := e.(session.SessionEstablished); ok {
 				select {
-				case linked <- struct{}{}:
+				case connected <- struct{}{}:
 				default:
 				}
 			}
@@ -158,17 +158,17 @@
 	go c.Run(ctx)
 	for {
 		select {
-		case <-linked: // a copy that leads has answered
+		case <-connected: // a copy that leads has answered
 		case <-ctx.Done():
 			return errors.New("no copy that leads was found")
 		}
-		if err := do(ctx, c, o.Duties); !errors.Is(err, session.ErrNotExecuted) {
+		if err := fn(ctx, c, o.Duties); !errors.Is(err, session.ErrNotExecuted) {
 			return err
 		}
 	}
 }
 
-func (w with) read(ctx context.Context, c *session.Client) (d session.DutyStatus, err error) {
+func (w connectFlags) readDuties(ctx context.Context, c *session.Client) (d session.DutyStatus, err error) {
 	err = c.Read(ctx, session.ReadDuties, &d)
 	if errors.Is(err, session.ErrUnconfirmed) {
 		err = session.ErrNotExecuted // to ask again changes nothing
@@ -176,8 +176,8 @@
 	return d, err
 }
 
-// row is a duty as operators see it.
-type row struct {
+// dutyRow is a duty as operators see it.
+type dutyRow struct {
 	Duty   string  `json:"duty"`
 	Holder string  `json:"holder"`
 	Epoch  uint64  `json:"epoch"`
@@ -188,9 +188,9 @@
 	Fenced uint64  `json:"fenced"`
 }
 
-func rows(d session.DutyStatus, set config.Duties) (all []row) {
-	for _, t := range set.List {
-		r := row{Duty: t.Name, TTL: t.TTL, Frozen: d.Table.Frozen[t.Name], Marks: d.Marks[t.Name], Fenced: d.StaleCommands[t.Name]}
+func dutyRows(d session.DutyStatus, settings config.Duties) (all []dutyRow) {
+	for _, t := range settings.List {
+		r := dutyRow{Duty: t.Name, TTL: t.TTLMS, Frozen: d.Table.Frozen[t.Name], Marks: d.Marks[t.Name], Fenced: d.StaleCommands[t.Name]}
 		if l := d.Table.Leases[t.Name]; l != nil {
 			r.Holder, r.Epoch, r.Yield = l.Holder, l.Epoch, l.Yield
 		}
@@ -199,9 +199,9 @@
 	return all
 }
 
-func show(out io.Writer, asJSON bool, all []row, words map[string]string) error {
+func printDuties(out io.Writer, asJSON bool, all []dutyRow, acknowledged map[string]string) error {
 	if asJSON {
-		return json.NewEncoder(out).Encode(map[string]any{"duties": all, "versions": words})
+		return json.NewEncoder(out).Encode(map[string]any{"duties": all, "versions": acknowledged})
 	}
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "DUTY\tHOLDER\tEPOCH\tTTL_MS\tSTATE\tFENCED")
@@ -220,8 +220,8 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, who := range slices.Sorted(maps.Keys(words)) {
-		fmt.Fprintf(out, "version at %s: %s\n", who, words[who])
+	for _, who := range slices.Sorted(maps.Keys(acknowledged)) {
+		fmt.Fprintf(out, "version at %s: %s\n", who, acknowledged[who])
 	}
 	return nil
 }
@@ -235,86 +235,86 @@
 
 // Run lists.
 func (l *listCmd) Run(out io.Writer) error {
-	return l.talk(func(ctx context.Context, c *session.Client, set config.Duties) error {
-		d, err := l.read(ctx, c)
+	return l.withSession(func(ctx context.Context, c *session.Client, settings config.Duties) error {
+		d, err := l.readDuties(ctx, c)
 		if err != nil {
 			return err
 		}
-		return show(out, l.JSON, rows(d, set), d.Acknowledgements)
+		return printDuties(out, l.JSON, dutyRows(d, settings), d.Acknowledgements)
 	})
 }
 
-func unknown(set config.Duties, name string) error {
-	if !set.Rules().HasDuty(name) {
-		return fmt.Errorf("%w: no duty %q on duties.list", errWrong, name)
+func checkDutyName(settings config.Duties, name string) error {
+	if !settings.Rules().HasDuty(name) {
+		return fmt.Errorf("%w: no duty %q on duties.list", errUsage, name)
 	}
 	return nil
 }
 
 // Run shows one.
 func (s *showCmd) Run(out io.Writer) error {
-	return s.talk(func(ctx context.Context, c *session.Client, set config.Duties) error {
-		if err := unknown(set, s.Name); err != nil {
+	return s.withSession(func(ctx context.Context, c *session.Client, settings config.Duties) error {
+		if err := checkDutyName(settings, s.Name); err != nil {
 			return err
 		}
-		d, err := s.read(ctx, c)
+		d, err := s.readDuties(ctx, c)
 		if err != nil {
 			return err
 		}
-		all := slices.DeleteFunc(rows(d, set), func(r row) bool { return r.Duty != s.Name })
-		return show(out, s.JSON, all, nil)
+		all := slices.DeleteFunc(dutyRows(d, settings), func(r dutyRow) bool { return r.Duty != s.Name })
+		return printDuties(out, s.JSON, all, nil)
 	})
 }
 
-func (w with) order(out io.Writer, op, name, done string) error {
-	return w.talk(func(ctx context.Context, c *session.Client, set config.Duties) error {
-		if err := unknown(set, name); err != nil {
+func (w connectFlags) requestChange(out io.Writer, op, name, outcome string) error {
+	return w.withSession(func(ctx context.Context, c *session.Client, settings config.Duties) error {
+		if err := checkDutyName(settings, name); err != nil {
 			return err
 		}
 		if _, err := c.Do(ctx, state.Command{Op: op, Key: name}); err != nil {
 			return err
 		}
 		if w.JSON {
-			return json.NewEncoder(out).Encode(map[string]string{"duty": name, "done": done})
+			return json.NewEncoder(out).Encode(map[string]string{"duty": name, "done": outcome})
 		}
-		_, err := fmt.Fprintf(out, "%s: %s\n", name, done)
+		_, err := fmt.Fprintf(out, "%s: %s\n", name, outcome)
 		return err
 	})
 }
 
 // Run asks the holder.
 func (y *yieldCmd) Run(out io.Writer) error {
-	return y.order(out, state.OpRequestYield, y.Name, "its holder is asked to hand it on")
+	return y.requestChange(out, state.OpRequestYield, y.Name, "its holder is asked to hand it on")
 }
 
 // Run freezes, or thaws.
 func (f *freezeCmd) Run(out io.Writer) error {
 	if f.Off {
-		return f.order(out, state.OpUnfreezeDuty, f.Name, "may be held again")
+		return f.requestChange(out, state.OpUnfreezeDuty, f.Name, "may be held again")
 	}
-	return f.order(out, state.OpFreezeDuty, f.Name, "its holder is asked to give it up, and nobody will get it")
+	return f.requestChange(out, state.OpFreezeDuty, f.Name, "its holder is asked to give it up, and nobody will get it")
 }
 
 // Run checks the files that are named.
 func (c *checkCmd) Run(out io.Writer) error {
 	if c.Config == "" && c.Operator == "" {
-		return fmt.Errorf("%w: neither --config nor --operator is given", errWrong)
+		return fmt.Errorf("%w: neither --config nor --operator is given", errUsage)
 	}
 	if c.Config != "" {
 		if _, err := config.Load(func(key string) string {
 			return map[string]string{"RELAY_CONFIG": c.Config, "PUFFINSADDLE_OPERATOR": c.Operator}[key]
 		}); err != nil {
-			return fmt.Errorf("%w: %v", errWrong, err)
+			return fmt.Errorf("%w: %v", errUsage, err)
 		}
 		fmt.Fprintf(out, "%s: good\n", c.Config)
 	}
 	if c.Operator != "" {
 		o, err := config.LoadOperator(c.Operator)
 		if err != nil {
-			return fmt.Errorf("%w: %v", errWrong, err)
+			return fmt.Errorf("%w: %v", errUsage, err)
 		}
-		if _, _, err := inventoried(o); err != nil {
-			return fmt.Errorf("%w: %v", errWrong, err)
+		if _, _, err := uwsgiServers(o); err != nil {
+			return fmt.Errorf("%w: %v", errUsage, err)
 		}
 		fmt.Fprintf(out, "%s: good\n", c.Operator)
 	}
--- a/cmd/puffinsaddle/crowd_test.go
+++ b/cmd/puffinsaddle/crowd_test.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	asProcess = "PUFFINSADDLE_TEST_SERVE" // set: the test binary is an order server
-	enough    = 60 * time.Second          // a test that hangs fails by then
+	serverProcessEnv = "PUFFINSADDLE_TEST_SERVE" // set: the test binary is an order server
+	testTimeout      = 60 * time.Second          // a test that hangs fails by then
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProcess) != "" {
+	if os.Getenv(serverProcessEnv) != "" {
 		if len(os.Args) > 1 {
-			os.Exit(command(os.Args[1:], os.Stdout, os.Stderr))
+			os.Exit(runCommand(os.Args[1:], os.Stdout, os.Stderr))
 		}
 		os.Exit(serve())
 	}
 	os.Exit(m.Run())
 }
 
-// child is an order server in a process of its own.
-type child struct {
+// serverProcess is an order server in a process of its own.
+type serverProcess struct {
 	t        testing.TB
 	path     string
 	listen   string
@@ -62,8 +62,8 @@
 	return l.b.String()
 }
 
-// handedOut are the addresses that were picked: the system may give one that is free again a second time.
-var handedOut sync.Map
+// usedAddresses are the addresses that were picked: the system may give one that is free again a second time.
+var usedAddresses sync.Map
 
 func freePort(t testing.TB) string {
 	t.Helper()
@@ -75,19 +75,19 @@
 		}
 		address := ln.Addr().String()
 		ln.Close()
-		if _, again := handedOut.LoadOrStore(address, true); !again {
+		if _, again := usedAddresses.LoadOrStore(address, true); !again {
 			return address
 		}
 	}
 }
 
-func newChild(t testing.TB) *child {
-	return &child{t: t, path: filepath.Join(t.TempDir(), "config.json"), listen: freePort(t), operator: freePort(t), log: &lockedBuffer{}}
+func newServerProcess(t testing.TB) *serverProcess {
+	return &serverProcess{t: t, path: filepath.Join(t.TempDir(), "config.json"), listen: freePort(t), operator: freePort(t), log: &lockedBuffer{}}
 }
 
-func (c *child) write(executor, members string, sockets int) {
+func (c *serverProcess) writeConfig(executor, members string, sockets int) {
 	c.t.Helper()
-	file := strings.Replace(fmt.Sprintf(text, executor, members), `"listen":"127.0.0.1:0"`,
+	file := strings.Replace(fmt.Sprintf(configTemplate, executor, members), `"listen":"127.0.0.1:0"`,
 		fmt.Sprintf(`"listen":%q,"operator":%q,"limits":{"cores":1,"memory_mb":96,"sockets":%d}`, c.listen, c.operator, sockets), 1)
 	if err := os.WriteFile(c.path, []byte(file), 0o600); err != nil {
 		c.t.Fatal(err)
@@ -95,14 +95,14 @@
 }
 
 // start starts the process with so many descriptors.
-func (c *child) start(descriptors int) {
+func (c *serverProcess) start(descriptors int) {
 	c.t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	c.cmd = exec.Command("sh", append([]string{"-c", fmt.Sprintf(`ulimit -n %d && exec "$0" "$@"`, descriptors), self}, c.args...)...)
-	c.cmd.Env = append([]string{asProcess + "=1", "RELAY_CONFIG=" + c.path}, c.env...)
+	c.cmd.Env = append([]string{serverProcessEnv + "=1", "RELAY_CONFIG=" + c.path}, c.env...)
 	c.cmd.Stdout, c.cmd.Stderr = c.log, c.log
 	if err := c.cmd.Start(); err != nil {
 		c.t.Fatal(err)
@@ -113,10 +113,10 @@
 	})
 }
 
-var asking = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var httpClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func (c *child) ready() bool {
-	r, err := asking.Get("http://" + c.operator + "/-/ready")
+func (c *serverProcess) ready() bool {
+	r, err := httpClient.Get("http://" + c.operator + "/-/ready")
 	if err != nil {
 		return false
 	}
@@ -124,17 +124,17 @@
 	return r.StatusCode/100 == 2
 }
 
-func (c *child) until(what string, holds func() bool) {
+func (c *serverProcess) waitUntil(what string, holds func() bool) {
 	c.t.Helper()
-	for late := time.Now().Add(enough); !holds(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(late) {
-			c.t.Fatalf("not within %s: %s; the log:\n%s", enough, what, c.log)
+	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			c.t.Fatalf("not within %s: %s; the log:\n%s", testTimeout, what, c.log)
 		}
 	}
 }
 
-// running plays an executor that runs whatever comes.
-func running(t testing.TB, late time.Duration) string {
+// startRunningExecutor plays an executor that runs whatever comes.
+func startRunningExecutor(t testing.TB, welcomeDelay time.Duration) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -147,13 +147,13 @@
 			if err != nil {
 				return
 			}
-			go runAll(conn, late)
+			go serveRunningExecutor(conn, welcomeDelay)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-func runAll(conn net.Conn, late time.Duration) {
+func serveRunningExecutor(conn net.Conn, welcomeDelay time.Duration) {
 	defer conn.Close()
 	r, n := bufio.NewReader(conn), 0
 	for {
@@ -164,7 +164,7 @@
 		switch words := strings.Fields(line); words[0] {
 		case "JOIN":
 			fmt.Sscan(words[1], &n) // notices go on behind those that were read
-			time.Sleep(late)
+			time.Sleep(welcomeDelay)
 			io.WriteString(conn, "WELCOME steady 100000\r\n")
 		case "METER":
 			fmt.Fprintf(conn, "METERS %s 0.1 0 0.1 1\r\n", words[1])
@@ -193,8 +193,8 @@
 	return strings.Contains(string(b[:n]), "done")
 }
 
-// crowd keeps so many idle clients at the door: each comes again as soon as it is sent away.
-func (c *child) crowd(clients int) (stop func()) {
+// connectIdleClients keeps so many idle clients at the door: each comes again as soon as it is sent away.
+func (c *serverProcess) connectIdleClients(clients int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for range clients {
@@ -217,42 +217,42 @@
 		all.Wait()
 	}
 	c.t.Cleanup(stop)
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	return stop
 }
 
-const settle = 500 * time.Millisecond // in which a crowd takes what it can get
+const settleTime = 500 * time.Millisecond // in which a crowd takes what it can get
 
 // While discovery is down, idle clients take every descriptor that they can get. The server still answers, tells its figures,
 // reads its configuration, reaches another executor, and goes on reporting once discovery is back.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+func TestIdleClientsWhileMembersIsDown(t *testing.T) {
 	const descriptors = 160
-	gone := membersPeer(t)
+	gone := fakeMembers(t)
 	down := gone.LocalAddr().String()
 	gone.Close()
-	c := newChild(t)
-	c.write(running(t, 0), down, descriptors)
+	c := newServerProcess(t)
+	c.writeConfig(startRunningExecutor(t, 0), down, descriptors)
 	c.start(descriptors)
-	c.until("it is ready", c.ready)
-	stop := c.crowd(3 * descriptors)
-	c.until("a request is served among idle clients", func() bool { return isServed(c.listen, 1) })
-	c.until("it tells that it is ready", c.ready)
-	another := membersPeer(t)
-	c.write(running(t, 0), another.LocalAddr().String(), descriptors)
+	c.waitUntil("it is ready", c.ready)
+	stop := c.connectIdleClients(3 * descriptors)
+	c.waitUntil("a request is served among idle clients", func() bool { return isServed(c.listen, 1) })
+	c.waitUntil("it tells that it is ready", c.ready)
+	another := fakeMembers(t)
+	c.writeConfig(startRunningExecutor(t, 0), another.LocalAddr().String(), descriptors)
 	c.cmd.Process.Signal(syscall.SIGHUP)
-	if got := report(t, another); got != "HB n1 UP" {
+	if got := readReport(t, another); got != "HB n1 UP" {
 		t.Errorf("reported %q", got)
 	}
-	c.until("a request is served by the other executor", func() bool { return isServed(c.listen, 2) })
+	c.waitUntil("a request is served by the other executor", func() bool { return isServed(c.listen, 2) })
 	stop()
-	c.until("a request is served once what the crowd left in the queue is accepted", func() bool { return isServed(c.listen, 3) })
+	c.waitUntil("a request is served once what the crowd left in the queue is accepted", func() bool { return isServed(c.listen, 3) })
 	for n := 4; n < 24; n++ {
 		if !isServed(c.listen, n) {
 			t.Errorf("request %d is not served after discovery returned", n)
 		}
 	}
 	for range 3 {
-		if got := report(t, another); got != "HB n1 UP" {
+		if got := readReport(t, another); got != "HB n1 UP" {
 			t.Errorf("reported %q", got)
 		}
 	}
@@ -262,11 +262,11 @@
 // process before for a while: nine in ten are ready within 10 s.
 func TestThirtyProcessesStartAtOnce(t *testing.T) {
 	const processes, within = 30, 10 * time.Second
-	slow := membersPeer(t) // it reads nothing
-	var all []*child
+	slow := fakeMembers(t) // it reads nothing
+	var all []*serverProcess
 	for i := range processes {
-		c := newChild(t)
-		c.write(running(t, time.Duration(i%5)*200*time.Millisecond), slow.LocalAddr().String(), 1024)
+		c := newServerProcess(t)
+		c.writeConfig(startRunningExecutor(t, time.Duration(i%5)*200*time.Millisecond), slow.LocalAddr().String(), 1024)
 		if i%3 == 0 {
 			before, err := net.Listen("tcp", c.listen)
 			if err != nil {
@@ -283,7 +283,7 @@
 	took := make(chan time.Duration, processes)
 	for _, c := range all {
 		go func() {
-			for !c.ready() && time.Since(began) < enough {
+			for !c.ready() && time.Since(began) < testTimeout {
 				time.Sleep(20 * time.Millisecond)
 			}
 			took <- time.Since(began)
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -38,9 +38,9 @@
 var settingNames = []string{publishedOperator, publishedInventory + ".csv", publishedInventory + ".yml", publishedInventory + ".yaml"}
 
 // checkChange refuses a change whose values make no sense, or after which the settings would not fit together.
-func checkChange(copy *store.Store, c records.Change) error {
+func checkChange(storeReplica *store.Store, c records.Change) error {
 	settings := map[string][]byte{}
-	copy.View(func(st *state.State, _ uint64) {
+	storeReplica.View(func(st *state.State, _ uint64) {
 		for _, name := range settingNames {
 			if value, _, ok := st.Records.Table().Get(records.Key{Kind: records.Setting, Name: name}); ok {
 				settings[name] = value
@@ -70,7 +70,7 @@
 	if first == (records.Key{}) {
 		return nil
 	}
-	if _, err := servers(settingFiles(settings)); err != nil {
+	if _, err := publishedServers(settingFiles(settings)); err != nil {
 		return &records.Refusal{Key: first, Reason: fmt.Errorf("%w: %w", records.ErrRejected, err)}
 	}
 	return nil
@@ -86,17 +86,17 @@
 	return files
 }
 
-// watch is an order server's copy of the records. A nil one is off, and its methods then do nothing.
-type watch struct {
-	replica  *replica.Replica
-	client   *configwatch.Client
-	farm     *uwsgi.Runner
-	log      zerolog.Logger
-	settings map[string][]byte
+// recordsWatch is an order server's copy of the records. A nil one is off, and its methods then do nothing.
+type recordsWatch struct {
+	replica     *replica.Replica
+	client      *configwatch.Client
+	uwsgiRunner *uwsgi.Runner
+	log         zerolog.Logger
+	settings    map[string][]byte
 }
 
-// watchFigures is what operators see of it.
-type watchFigures struct {
+// recordsMetrics is what operators see of it.
+type recordsMetrics struct {
 	configwatch.ClientMetrics
 	Revision uint64              `json:"revision"`
 	Digest   string              `json:"digest"`
@@ -104,32 +104,32 @@
 	Report   distribution.Report `json:"report"`
 }
 
-// newWatch makes the parts; nothing is sent yet. nil: the operator's file names no relays.
-func newWatch(cfg *config.Config, t *trace.Log, farm *uwsgi.Runner, log zerolog.Logger) (*watch, error) {
+// newRecordsWatch makes the parts; nothing is sent yet. nil: the operator's file names no relays.
+func newRecordsWatch(cfg *config.Config, t *trace.Log, uwsgiRunner *uwsgi.Runner, log zerolog.Logger) (*recordsWatch, error) {
 	d := cfg.Operator.Distribution
 	if len(d.Relays) == 0 {
 		return nil, nil
 	}
-	w := &watch{farm: farm, log: log, settings: map[string][]byte{}}
-	plant := cfg.Operator.Lab.Plant
-	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.Path, Check: records.CheckValue, Use: w.use, Log: log, Plant: plant,
-		Committed: func(c records.Commit) {
+	w := &recordsWatch{uwsgiRunner: uwsgiRunner, log: log, settings: map[string][]byte{}}
+	injectedBug := cfg.Operator.Lab.InjectedBug
+	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.ReplicaPath, CheckRecord: records.CheckValue, ApplySettings: w.applySettings, Log: log, InjectedBug: injectedBug,
+		OnCommit: func(c records.Commit) {
 			t.Add(trace.Event{What: trace.CommitsInForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
-		Adopted:  func(p distribution.Position) { traceInstalled(t, p) },
-		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.RevisionReported, N: revision}, 0) }})
-	traceInstalled(t, w.replica.Position())
-	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Monotonic(), Log: log, InjectedBug: plant, Replica: w.replica,
-		Selector: distribution.NewSelector(d.Relays, distribution.Place{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
+		OnSnapshot: func(p distribution.Position) { traceSnapshot(t, p) },
+		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.RevisionReported, N: revision}, 0) }})
+	traceSnapshot(t, w.replica.Position())
+	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Monotonic(), Log: log, InjectedBug: injectedBug, Replica: w.replica,
+		Selector: distribution.NewSelector(d.Relays, distribution.Locality{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
 	return w, nil
 }
 
-func traceInstalled(t *trace.Log, p distribution.Position) {
+func traceSnapshot(t *trace.Log, p distribution.Position) {
 	t.Add(trace.Event{What: trace.RecordsInstalled, N: p.Revision, Text: p.Digest.String()}, 0)
 }
 
-// use puts settings into force, all together. Settings that do not fit together leave those before in force.
-func (w *watch) use(changed map[string][]byte) error {
+// applySettings puts settings into force, all together. Settings that do not fit together leave those before in force.
+func (w *recordsWatch) applySettings(changed map[string][]byte) error {
 	for name, value := range changed {
 		if value == nil {
 			delete(w.settings, name)
@@ -137,38 +137,38 @@
 			w.settings[name] = value
 		}
 	}
-	list, err := servers(settingFiles(w.settings))
+	addresses, err := publishedServers(settingFiles(w.settings))
 	if err != nil {
 		return err
 	}
-	if w.farm != nil && len(list) > 0 {
-		w.farm.SetServers(list)
+	if w.uwsgiRunner != nil && len(addresses) > 0 {
+		w.uwsgiRunner.SetServers(addresses)
 	}
 	return nil
 }
 
-func (w *watch) run(ctx context.Context) {
+func (w *recordsWatch) run(ctx context.Context) {
 	if w != nil {
 		go w.client.Run(ctx)
 	}
 }
 
-func (w *watch) close() {
+func (w *recordsWatch) close() {
 	if w != nil {
 		w.replica.Close()
 	}
 }
 
-func (w *watch) figures() *watchFigures {
+func (w *recordsWatch) metrics() *recordsMetrics {
 	if w == nil {
 		return nil
 	}
 	p := w.replica.Position()
-	return &watchFigures{w.client.Metrics(), p.Revision, p.Digest.String(), w.replica.Records(), w.replica.Report()}
+	return &recordsMetrics{w.client.Metrics(), p.Revision, p.Digest.String(), w.replica.RecordCount(), w.replica.Report()}
 }
 
-// tracer is the trace of the process; nil: it is off.
-func (h *duties) tracer() *trace.Log {
+// traceLog is the trace of the process; nil: it is off.
+func (h *dutyManager) traceLog() *trace.Log {
 	if h == nil {
 		return nil
 	}
@@ -182,47 +182,47 @@
 
 // Run serves until SIGTERM or Ctrl-C.
 func (c *relayCmd) Run(out io.Writer) error {
-	file, err := config.LoadOperator(c.Operator)
+	operatorFile, err := config.LoadOperator(c.Operator)
 	if err != nil {
-		return fmt.Errorf("%w: %v", errWrong, err)
+		return fmt.Errorf("%w: %v", errUsage, err)
 	}
-	set := file.Relay
-	if !set.On() {
-		return fmt.Errorf("%w: %s: relay.listen is missing", errWrong, c.Operator)
+	settings := operatorFile.Relay
+	if !settings.Enabled() {
+		return fmt.Errorf("%w: %s: relay.listen is missing", errUsage, c.Operator)
 	}
-	if file.Lab != (config.Lab{}) && os.Getenv("PUFFINSADDLE_LAB") == "" {
-		return fmt.Errorf("%w: %s: \"lab\" is set, and this process is not the laboratory's (PUFFINSADDLE_LAB)", errWrong, c.Operator)
+	if operatorFile.Lab != (config.Lab{}) && os.Getenv("PUFFINSADDLE_LAB") == "" {
+		return fmt.Errorf("%w: %s: \"lab\" is set, and this process is not the laboratory's (PUFFINSADDLE_LAB)", errUsage, c.Operator)
 	}
-	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(set.MemoryMB * memoryPart * (1 << 20)))
+	if settings.MemoryLimitMB > 0 {
+		debug.SetMemoryLimit(int64(settings.MemoryLimitMB * memoryLimitFraction * (1 << 20)))
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-	log := zerolog.New(out).With().Timestamp().Str("name", set.Name).Logger().Level(zerolog.InfoLevel)
+	log := zerolog.New(out).With().Timestamp().Str("name", settings.Name).Logger().Level(zerolog.InfoLevel)
 	steady := clock.Monotonic()
 	var t *trace.Log
-	if file.Lab.Trace != "" {
-		if t, err = trace.Open(file.Lab.Trace, set.Name, steady); err != nil {
+	if operatorFile.Lab.TracePath != "" {
+		if t, err = trace.Open(operatorFile.Lab.TracePath, settings.Name, steady); err != nil {
 			return err
 		}
 		defer t.Close()
 		t.Add(trace.Event{What: trace.ProcessStarted}, 0)
 	}
 	limits := distribution.DefaultLimits
-	limits.Watchers, limits.Snapshots = set.Watchers, set.Snapshots
-	r, err := relay.Open(relay.Options{Name: set.Name, Region: set.Region, Listen: set.Listen, Copies: set.Copies, Elsewhere: set.Elsewhere, Path: set.Path, Limits: limits,
-		Seed: seedOf(set.Name), Steady: steady, Log: log, Plant: file.Lab.Plant,
-		Committed: func(c records.Commit) {
+	limits.Watchers, limits.Snapshots = settings.MaxWatchers, settings.MaxSnapshots
+	r, err := relay.Open(relay.Options{Name: settings.Name, Region: settings.Region, Listen: settings.Listen, StoreAddresses: settings.Replicas, Elsewhere: settings.Alternatives, Path: settings.ReplicaPath, Limits: limits,
+		Seed: seedOf(settings.Name), Steady: steady, Log: log, InjectedBug: operatorFile.Lab.InjectedBug,
+		OnCommit: func(c records.Commit) {
 			t.Add(trace.Event{What: trace.CommitsInForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
-		Adopted:  func(p distribution.Position) { traceInstalled(t, p) },
-		Reported: func(revision uint64) { t.Add(trace.Event{What: trace.RevisionReported, N: revision}, 0) }})
+		OnSnapshot: func(p distribution.Position) { traceSnapshot(t, p) },
+		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.RevisionReported, N: revision}, 0) }})
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if set.Figures != "" {
-		if err := serveFigures(ctx, set.Figures, r); err != nil {
+	if settings.MetricsListen != "" {
+		if err := serveMetrics(ctx, settings.MetricsListen, r); err != nil {
 			return err
 		}
 	}
@@ -230,17 +230,17 @@
 	return r.Run(ctx)
 }
 
-const figuresTimeout = 2 * time.Second // of a call for a relay's figures
+const metricsTimeout = 2 * time.Second // of a call for a relay's figures
 
-// serveFigures answers GET /-/metrics until the context ends.
-func serveFigures(ctx context.Context, at string, r *relay.Relay) error {
-	ln, err := net.Listen("tcp", at)
+// serveMetrics answers GET /-/metrics until the context ends.
+func serveMetrics(ctx context.Context, address string, r *relay.Relay) error {
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(r.Figures()) })
-	s := &http.Server{Handler: mux, ReadTimeout: figuresTimeout, WriteTimeout: figuresTimeout}
+	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(r.Metrics()) })
+	s := &http.Server{Handler: mux, ReadTimeout: metricsTimeout, WriteTimeout: metricsTimeout}
 	context.AfterFunc(ctx, func() { s.Close() })
 	go s.Serve(ln)
 	return nil
@@ -251,7 +251,7 @@
 
 // changeCmd changes records.
 type changeCmd struct {
-	with
+	connectFlags
 	File string `required:"" type:"existingfile" help:"The change as JSON: base, puts (kind, name, text or value) and deletes (kind, name)."`
 }
 
@@ -324,9 +324,9 @@
 func (c *changeCmd) Run(out io.Writer) error {
 	change, err := readChange(c.File)
 	if err != nil {
-		return fmt.Errorf("%w: %v", errWrong, err)
+		return fmt.Errorf("%w: %v", errUsage, err)
 	}
-	return c.talk(func(ctx context.Context, client *session.Client, _ config.Duties) error {
+	return c.withSession(func(ctx context.Context, client *session.Client, _ config.Duties) error {
 		r, err := client.Do(ctx, state.Command{Op: state.OpChangeRecords, Change: &change})
 		if err != nil {
 			if errors.Is(err, session.ErrUnconfirmed) {
@@ -334,16 +334,16 @@
 			}
 			return err
 		}
-		return c.told(out, map[string]uint64{"revision": r.Value}, fmt.Sprintf("revision %d", r.Value))
+		return c.printResult(out, map[string]uint64{"revision": r.Value}, fmt.Sprintf("revision %d", r.Value))
 	})
 }
 
 // configStatusCmd tells how far each region is.
-type configStatusCmd struct{ with }
+type configStatusCmd struct{ connectFlags }
 
 // Run asks the copy that leads.
 func (c *configStatusCmd) Run(out io.Writer) error {
-	return c.talk(func(ctx context.Context, client *session.Client, _ config.Duties) error {
+	return c.withSession(func(ctx context.Context, client *session.Client, _ config.Duties) error {
 		var s distribution.Status
 		if err := client.Read(ctx, session.ReadConfig, &s); err != nil {
 			return session.ErrNotExecuted // to ask again changes nothing
@@ -351,17 +351,17 @@
 		if c.JSON {
 			return json.NewEncoder(out).Encode(s)
 		}
-		return showConfigStatus(out, s)
+		return printConfigStatus(out, s)
 	})
 }
 
-func showConfigStatus(out io.Writer, s distribution.Status) error {
+func printConfigStatus(out io.Writer, s distribution.Status) error {
 	fmt.Fprintf(out, "the latest revision is %d\n", s.Revision)
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "REGION\tRELAYS\tLOST\tSERVERS\tLOWEST\tAT\tBEHIND\tAGE\tREFUSING\tSILENT")
 	for _, r := range s.Regions {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\t%d\t%s\t%d\t%s\n", orDash(r.Region), r.Relays, r.Lost, r.Servers, r.Lowest, orDash(r.LowestName), r.Behind,
-			seconds(r.AgeMs), r.Rejecting, seconds(r.SilentMs))
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\t%d\t%s\t%d\t%s\n", orDash(r.Region), r.ConnectedRelays, r.DisconnectedRelays, r.Servers, r.LowestRevision, orDash(r.LowestServer), r.ServersBehind,
+			formatSeconds(r.StalenessMS), r.ServersRejecting, formatSeconds(r.SinceReportMS))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -374,5 +374,7 @@
 	return nil
 }
 
-// seconds writes a span of milliseconds for people.
-func seconds(ms float64) string { return clock.Duration(ms).Round(100 * time.Millisecond).String() }
+// formatSeconds writes a span of milliseconds for people.
+func formatSeconds(ms float64) string {
+	return clock.Duration(ms).Round(100 * time.Millisecond).String()
+}
--- a/cmd/puffinsaddle/records_test.go
+++ b/cmd/puffinsaddle/records_test.go
@@ -15,14 +15,14 @@
 	"puffinsaddle/internal/distribution"
 )
 
-// recordsFleet is three copies of the store, a relay and an order server that follows the records, as processes.
-type recordsFleet struct {
+// recordsCluster is three copies of the store, a relay and an order server that follows the records, as processes.
+type recordsCluster struct {
 	t        *testing.T
 	operator string // a file by which commands reach the copies
-	server   *child
+	server   *serverProcess
 }
 
-func yamlFile(t *testing.T, text string) string {
+func writeOperatorFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.yaml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -31,15 +31,15 @@
 	return path
 }
 
-// startRecordsFleet starts all, and waits until the order server watches.
-func startRecordsFleet(t *testing.T) *recordsFleet {
+// startRecordsCluster starts all, and waits until the order server watches.
+func startRecordsCluster(t *testing.T) *recordsCluster {
 	t.Helper()
 	const descriptors = 1024
-	members := membersPeer(t).LocalAddr().String()
-	start := func(name, operator string) *child {
-		c := newChild(t)
-		c.env = []string{"RELAY_NAME=" + name, "PUFFINSADDLE_OPERATOR=" + yamlFile(t, operator)}
-		c.write(running(t, 0), members, descriptors)
+	members := fakeMembers(t).LocalAddr().String()
+	start := func(name, operator string) *serverProcess {
+		c := newServerProcess(t)
+		c.env = []string{"RELAY_NAME=" + name, "PUFFINSADDLE_OPERATOR=" + writeOperatorFile(t, operator)}
+		c.writeConfig(startRunningExecutor(t, 0), members, descriptors)
 		c.start(descriptors)
 		return c
 	}
@@ -49,31 +49,31 @@
 	for id, address := range at {
 		start(id, fmt.Sprintf("%sstore: {id: %s, listen: %q, dir: %q, peers: %s}\n", duties, id, address, t.TempDir(), copies))
 	}
-	relay := newChild(t)
+	relay := newServerProcess(t)
 	relayAt := freePort(t)
-	relay.args = []string{"relay", "--operator", yamlFile(t, fmt.Sprintf("relay: {name: r1, region: east, listen: %q, copies: %s, figures: %q}\n", relayAt, copies, relay.operator))}
+	relay.args = []string{"relay", "--operator", writeOperatorFile(t, fmt.Sprintf("relay: {name: r1, region: east, listen: %q, copies: %s, figures: %q}\n", relayAt, copies, relay.operator))}
 	relay.start(descriptors)
-	f := &recordsFleet{t: t, operator: yamlFile(t, duties)}
+	f := &recordsCluster{t: t, operator: writeOperatorFile(t, duties)}
 	f.server = start("s1", fmt.Sprintf("distribution: {zone: z, relays: [{name: r1, address: %q, zone: z}]}\n", relayAt))
-	f.server.until("it watches", func() bool { return f.records().Watching == relayAt })
+	f.server.waitUntil("it watches", func() bool { return f.metrics().Watching == relayAt })
 	return f
 }
 
-// recordFigures is what an order server tells of the records.
-type recordFigures struct {
+// reportedRecords is what an order server tells of the records.
+type reportedRecords struct {
 	Revision uint64 `json:"revision"`
 	Records  int    `json:"records"`
 	Watching string `json:"watching"`
 }
 
-func (f *recordsFleet) records() (r recordFigures) {
-	answer, err := asking.Get("http://" + f.server.operator + "/-/metrics")
+func (f *recordsCluster) metrics() (r reportedRecords) {
+	answer, err := httpClient.Get("http://" + f.server.operator + "/-/metrics")
 	if err != nil {
 		return r
 	}
 	defer answer.Body.Close()
 	var all struct {
-		Records recordFigures `json:"records"`
+		Records reportedRecords `json:"records"`
 	}
 	if answer.StatusCode != http.StatusOK || json.NewDecoder(io.LimitReader(answer.Body, 1<<20)).Decode(&all) != nil {
 		return r
@@ -81,56 +81,56 @@
 	return all.Records
 }
 
-// change runs the command config change with a file of this text.
-func (f *recordsFleet) change(text string) (status int, out, errs string) {
+// submitChange runs the command config change with a file of this text.
+func (f *recordsCluster) submitChange(text string) (status int, out, errs string) {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "change.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
 	var o, e bytes.Buffer
-	status = command([]string{"config", "change", "--operator", f.operator, "--file", path}, &o, &e)
+	status = runCommand([]string{"config", "change", "--operator", f.operator, "--file", path}, &o, &e)
 	return status, strings.TrimSpace(o.String()), e.String()
 }
 
 // The status of the configuration lists the region with what its servers use, and nothing that is old.
-func (f *recordsFleet) wantStatus(revision uint64) {
+func (f *recordsCluster) wantStatus(revision uint64) {
 	f.t.Helper()
-	f.server.until("the status tells so", func() bool {
+	f.server.waitUntil("the status tells so", func() bool {
 		var out, errs bytes.Buffer
-		if status := command([]string{"config", "status", "--operator", f.operator, "--json"}, &out, &errs); status != good {
+		if status := runCommand([]string{"config", "status", "--operator", f.operator, "--json"}, &out, &errs); status != exitOK {
 			f.t.Fatalf("status %d: %s", status, errs.String())
 		}
 		var s distribution.Status
 		if err := json.Unmarshal(out.Bytes(), &s); err != nil {
 			f.t.Fatal(err)
 		}
-		if s.Revision != revision || len(s.Regions) != 1 || s.Regions[0].Region != "east" || s.Regions[0].Relays != 1 {
+		if s.Revision != revision || len(s.Regions) != 1 || s.Regions[0].Region != "east" || s.Regions[0].ConnectedRelays != 1 {
 			return false
 		}
 		r := s.Regions[0]
-		return r.Servers == 1 && r.Lowest == revision && r.LowestName == "s1" && r.Behind == 0 && r.AgeMs == 0
+		return r.Servers == 1 && r.LowestRevision == revision && r.LowestServer == "s1" && r.ServersBehind == 0 && r.StalenessMS == 0
 	})
 	var out, errs bytes.Buffer
-	if status := command([]string{"config", "status", "--operator", f.operator}, &out, &errs); status != good || !strings.Contains(out.String(), "east") {
+	if status := runCommand([]string{"config", "status", "--operator", f.operator}, &out, &errs); status != exitOK || !strings.Contains(out.String(), "east") {
 		f.t.Errorf("status %d: %s %s", status, out.String(), errs.String())
 	}
 }
 
 // An operator's change reaches an order server through a relay, whole or not at all: what makes no sense is refused with its key
 // and the reason, and the revision stays.
-func TestChangesOfAnOperator(t *testing.T) {
-	f := startRecordsFleet(t)
+func TestOperatorChangesAreAtomic(t *testing.T) {
+	f := startRecordsCluster(t)
 	const first = `{"puts":[{"kind":"tenant","name":"t-1","value":{"share":0.5,"limit":10}},
 		{"kind":"route","name":"svc-1/a","value":{"service":"svc-1","class":"book","group":"g","weight":1}},
 		{"kind":"setting","name":"operator.yaml","text":"uwsgi: {servers: ['127.0.0.1:3031']}\n"}]}`
 	const second = `{"base":1,"puts":[{"kind":"tenant","name":"t-1","value":{"share":0.4,"limit":10}}]}`
 	for i, text := range []string{first, second} {
-		if status, out, errs := f.change(text); status != good || out != fmt.Sprintf("revision %d", i+1) {
+		if status, out, errs := f.submitChange(text); status != exitOK || out != fmt.Sprintf("revision %d", i+1) {
 			t.Fatalf("change %d: status %d, %q %q", i+1, status, out, errs)
 		}
 	}
-	f.server.until("it has both changes", func() bool { r := f.records(); return r.Revision == 2 && r.Records == 3 })
+	f.server.waitUntil("it has both changes", func() bool { r := f.metrics(); return r.Revision == 2 && r.Records == 3 })
 	f.wantStatus(2)
 	tenant := `{"kind":"tenant","name":"t-2","value":{"share":0.1,"limit":1}}`
 	for _, c := range []struct {
@@ -138,21 +138,21 @@
 		status int
 		want   []string
 	}{
-		{`{"puts":[` + tenant + `,{"kind":"tenant","name":"t-3","value":{"share":2,"limit":1}}]}`, bad, []string{"tenant/t-3", "share must be from 0 to 1"}},
-		{`{"puts":[` + tenant + `,{"kind":"route","name":"svc-2/a","value":{"service":"svc-2","class":"book","group":"g"}}]}`, bad, []string{"route/svc-2/a", "weight must be above 0"}},
-		{`{"puts":[` + tenant + `,{"kind":"setting","name":"operator.yaml","text":"store: {listen: ':1'}\n"}]}`, bad, []string{"setting/operator.yaml", "rejected by the check"}},
-		{`{"puts":[` + tenant + `,{"kind":"setting","name":"motd","text":"x"}]}`, bad, []string{"setting/motd", "there are the settings"}},
-		{`{"base":1,"puts":[` + tenant + `,{"kind":"tenant","name":"t-1","value":{"share":0.3,"limit":10}}]}`, bad, []string{"tenant/t-1", "changed since the revision", "rests on 1"}},
-		{`{"base":7,"puts":[` + tenant + `]}`, bad, []string{"ahead of what is agreed on"}},
-		{`{"puts":[` + tenant + `,{"kind":"host","name":"h","value":1}]}`, wrong, []string{"puts[1]", `unknown kind of record "host"`}},
-		{`{"deletes":[{"kind":"","name":"h"}]}`, wrong, []string{"deletes[0]", `unknown kind of record ""`}},
-		{`{"puts":[` + tenant + `,` + tenant + `]}`, wrong, []string{"tenant/t-2", "twice"}},
-		{`{"puts":[{"kind":"tenant","name":"t-2","value":"` + strings.Repeat("x", 1100) + `"}]}`, wrong, []string{"tenant/t-2", "too large"}},
-		{`{"puts":[{"kind":"tenant","name":"t-2"}]}`, wrong, []string{"puts[0]", "needs either value or text"}},
-		{`{"puts":[],"extra":1}`, wrong, []string{"extra"}},
-		{`{}`, wrong, []string{"a change without keys"}},
+		{`{"puts":[` + tenant + `,{"kind":"tenant","name":"t-3","value":{"share":2,"limit":1}}]}`, exitFailure, []string{"tenant/t-3", "share must be from 0 to 1"}},
+		{`{"puts":[` + tenant + `,{"kind":"route","name":"svc-2/a","value":{"service":"svc-2","class":"book","group":"g"}}]}`, exitFailure, []string{"route/svc-2/a", "weight must be above 0"}},
+		{`{"puts":[` + tenant + `,{"kind":"setting","name":"operator.yaml","text":"store: {listen: ':1'}\n"}]}`, exitFailure, []string{"setting/operator.yaml", "rejected by the check"}},
+		{`{"puts":[` + tenant + `,{"kind":"setting","name":"motd","text":"x"}]}`, exitFailure, []string{"setting/motd", "there are the settings"}},
+		{`{"base":1,"puts":[` + tenant + `,{"kind":"tenant","name":"t-1","value":{"share":0.3,"limit":10}}]}`, exitFailure, []string{"tenant/t-1", "changed since the revision", "rests on 1"}},
+		{`{"base":7,"puts":[` + tenant + `]}`, exitFailure, []string{"ahead of what is agreed on"}},
+		{`{"puts":[` + tenant + `,{"kind":"host","name":"h","value":1}]}`, exitUsage, []string{"puts[1]", `unknown kind of record "host"`}},
+		{`{"deletes":[{"kind":"","name":"h"}]}`, exitUsage, []string{"deletes[0]", `unknown kind of record ""`}},
+		{`{"puts":[` + tenant + `,` + tenant + `]}`, exitUsage, []string{"tenant/t-2", "twice"}},
+		{`{"puts":[{"kind":"tenant","name":"t-2","value":"` + strings.Repeat("x", 1100) + `"}]}`, exitUsage, []string{"tenant/t-2", "too large"}},
+		{`{"puts":[{"kind":"tenant","name":"t-2"}]}`, exitUsage, []string{"puts[0]", "needs either value or text"}},
+		{`{"puts":[],"extra":1}`, exitUsage, []string{"extra"}},
+		{`{}`, exitUsage, []string{"a change without keys"}},
 	} {
-		status, out, errs := f.change(c.text)
+		status, out, errs := f.submitChange(c.text)
 		if status != c.status || out != "" {
 			t.Errorf("%.200s: status %d, %q", c.text, status, out)
 		}
@@ -162,12 +162,12 @@
 			}
 		}
 	}
-	if status, out, errs := f.change(`{"deletes":[{"kind":"route","name":"svc-1/a"}]}`); status != good || out != "revision 3" {
+	if status, out, errs := f.submitChange(`{"deletes":[{"kind":"route","name":"svc-1/a"}]}`); status != exitOK || out != "revision 3" {
 		t.Errorf("status %d, %q %q", status, out, errs)
 	}
-	f.server.until("it has the third change", func() bool { r := f.records(); return r.Revision == 3 && r.Records == 2 })
-	time.Sleep(settle)
-	if r := f.records(); r.Revision != 3 || r.Records != 2 {
+	f.server.waitUntil("it has the third change", func() bool { r := f.metrics(); return r.Revision == 3 && r.Records == 2 })
+	time.Sleep(settleTime)
+	if r := f.metrics(); r.Revision != 3 || r.Records != 2 {
 		t.Errorf("the server goes on to %+v though nothing was changed", r)
 	}
 }
--- a/cmd/puffinsaddle/store.go
+++ b/cmd/puffinsaddle/store.go
@@ -30,22 +30,22 @@
 }
 
 type (
-	statusCmd struct{ with }
+	statusCmd struct{ connectFlags }
 	backupCmd struct {
-		with
+		connectFlags
 		Out string `required:"" help:"The file to write; it must not be there."`
 	}
-	// own names a copy of this machine.
-	own struct {
-		with
+	// replicaFlags names a copy of this machine.
+	replicaFlags struct {
+		connectFlags
 		Config string `env:"RELAY_CONFIG" help:"The platform's file, for the name where store.id is not set."`
 	}
 	restoreCmd struct {
-		own
+		replicaFlags
 		In string `required:"" type:"existingfile" help:"The backup."`
 	}
 	resolveCmd struct {
-		own
+		replicaFlags
 		AcceptLoss bool `name:"accept-loss" help:"What the others hold beyond this folder is given up, whether it was agreed on or not."`
 	}
 	verifyCmd struct {
@@ -60,8 +60,8 @@
 	}
 )
 
-// asked is a copy's answer, or why there is none.
-type asked struct {
+// replicaStatus is a copy's answer, or why there is none.
+type replicaStatus struct {
 	ID string `json:"id"`
 	At string `json:"at"`
 	*store.Status
@@ -70,120 +70,120 @@
 
 // Run asks all copies that the operator's file names.
 func (c *statusCmd) Run(out io.Writer) error {
-	peers, err := c.copies()
+	peers, err := c.replicaAddresses()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), operatorsWait)
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	ids := slices.Sorted(maps.Keys(peers))
-	all := make([]asked, len(ids))
+	replicas := make([]replicaStatus, len(ids))
 	var wait sync.WaitGroup
 	for i, id := range ids {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			all[i] = asked{ID: id, At: peers[id]}
-			st, err := store.Ask(ctx, peers[id])
+			replicas[i] = replicaStatus{ID: id, At: peers[id]}
+			st, err := store.QueryStatus(ctx, peers[id])
 			if err != nil {
-				all[i].Error = err.Error()
+				replicas[i].Error = err.Error()
 				return
 			}
-			all[i].Status = &st
+			replicas[i].Status = &st
 		}()
 	}
 	wait.Wait()
-	return showCopies(out, c.JSON, all)
+	return printReplicas(out, c.JSON, replicas)
 }
 
-// showCopies prints them; the error tells of copies that do not take part.
-func showCopies(out io.Writer, asJSON bool, all []asked) error {
-	whole := 0
-	for _, a := range all {
-		if a.Status != nil && a.Phase == store.PhaseRuns && a.Votes {
-			whole++
+// printReplicas prints them; the error tells of copies that do not take part.
+func printReplicas(out io.Writer, asJSON bool, replicas []replicaStatus) error {
+	voters := 0
+	for _, a := range replicas {
+		if a.Status != nil && a.Phase == store.PhaseRunning && a.Voter {
+			voters++
 		}
 	}
 	if asJSON {
-		if err := json.NewEncoder(out).Encode(map[string]any{"copies": all, "voting": whole}); err != nil {
+		if err := json.NewEncoder(out).Encode(map[string]any{"copies": replicas, "voting": voters}); err != nil {
 			return err
 		}
 	} else {
 		t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 		fmt.Fprintln(t, "COPY\tAT\tPHASE\tVOTES\tLEADS\tLAST\tAPPLIED\tBEHIND\tWHY")
-		for _, a := range all {
+		for _, a := range replicas {
 			if a.Status == nil {
 				fmt.Fprintf(t, "%s\t%s\tnot reached\t-\t-\t-\t-\t-\t%s\n", a.ID, a.At, a.Error)
 				continue
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%s\t%s\n", a.ID, a.At, a.Phase, a.Votes, a.Leads, a.Mark.LastIndex, a.Applied, behind(a.ID, all), orDash(a.Why))
+			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%s\t%s\n", a.ID, a.At, a.Phase, a.Voter, a.IsLeader, a.Directory.LastIndex, a.Applied, lagOf(a.ID, replicas), orDash(a.Reason))
 		}
 		if err := t.Flush(); err != nil {
 			return err
 		}
 	}
-	if whole < len(all) {
-		return fmt.Errorf("%d of %d copies take part with a vote", whole, len(all))
+	if voters < len(replicas) {
+		return fmt.Errorf("%d of %d copies take part with a vote", voters, len(replicas))
 	}
 	return nil
 }
 
-// behind is how many entries a copy lacks, as the one that leads knows.
-func behind(id string, all []asked) string {
-	for _, a := range all {
-		if a.Status == nil || !a.Leads {
+// lagOf is how many entries a copy lacks, as the one that leads knows.
+func lagOf(id string, replicas []replicaStatus) string {
+	for _, a := range replicas {
+		if a.Status == nil || !a.IsLeader {
 			continue
 		}
 		for _, m := range a.Members {
 			if m.ID == id {
-				return fmt.Sprint(m.Behind)
+				return fmt.Sprint(m.Lag)
 			}
 		}
 	}
 	return "-"
 }
 
-// copies are the nodes that the operator's file names.
-func (w with) copies() (map[string]string, error) {
+// replicaAddresses are the nodes that the operator's file names.
+func (w connectFlags) replicaAddresses() (map[string]string, error) {
 	o, err := config.LoadOperator(w.Operator)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", errWrong, err)
+		return nil, fmt.Errorf("%w: %v", errUsage, err)
 	}
 	if len(o.Store.Peers) > 0 {
 		return o.Store.Peers, nil
 	}
-	if len(o.Duties.Copies) > 0 {
-		return o.Duties.Copies, nil
+	if len(o.Duties.Replicas) > 0 {
+		return o.Duties.Replicas, nil
 	}
-	return nil, fmt.Errorf("%w: %s: neither store.peers nor duties.copies is set", errWrong, w.Operator)
+	return nil, fmt.Errorf("%w: %s: neither store.peers nor duties.copies is set", errUsage, w.Operator)
 }
 
-// options are those of the copy that the operator's file sets up.
-func (c own) options() (o store.Options, err error) {
-	file, err := config.LoadOperator(c.Operator)
+// storeOptions are those of the copy that the operator's file sets up.
+func (c replicaFlags) storeOptions() (o store.Options, err error) {
+	operatorFile, err := config.LoadOperator(c.Operator)
 	if err != nil {
-		return o, fmt.Errorf("%w: %v", errWrong, err)
+		return o, fmt.Errorf("%w: %v", errUsage, err)
 	}
-	set := file.Store
-	if set.ID == "" && c.Config != "" {
+	settings := operatorFile.Store
+	if settings.ID == "" && c.Config != "" {
 		cfg, err := config.Load(func(key string) string { return map[string]string{"RELAY_CONFIG": c.Config}[key] })
 		if err != nil {
-			return o, fmt.Errorf("%w: %v", errWrong, err)
+			return o, fmt.Errorf("%w: %v", errUsage, err)
 		}
-		set.ID = cfg.Name
+		settings.ID = cfg.Name
 	}
 	switch {
-	case set.Listen == "":
-		return o, fmt.Errorf("%w: %s: store.listen is missing", errWrong, c.Operator)
-	case set.ID == "":
-		return o, fmt.Errorf("%w: %s: store.id is missing, and no --config tells the name", errWrong, c.Operator)
+	case settings.Listen == "":
+		return o, fmt.Errorf("%w: %s: store.listen is missing", errUsage, c.Operator)
+	case settings.ID == "":
+		return o, fmt.Errorf("%w: %s: store.id is missing, and no --config tells the name", errUsage, c.Operator)
 	}
-	return store.Options{ID: set.ID, Dir: set.Dir, Peers: set.Peers}, nil
+	return store.Options{ID: settings.ID, Dir: settings.Dir, Peers: settings.Peers}, nil
 }
 
-func (w with) told(out io.Writer, v any, text string) error {
+func (w connectFlags) printResult(out io.Writer, value any, text string) error {
 	if w.JSON {
-		return json.NewEncoder(out).Encode(v)
+		return json.NewEncoder(out).Encode(value)
 	}
 	_, err := fmt.Fprintln(out, text)
 	return err
@@ -191,20 +191,20 @@
 
 // Run asks the copy that leads.
 func (c *backupCmd) Run(out io.Writer) error {
-	peers, err := c.copies()
+	peers, err := c.replicaAddresses()
 	if err != nil {
 		return err
 	}
-	h, err := store.Save(context.Background(), peers, c.Out)
+	h, err := store.SaveBackup(context.Background(), peers, c.Out)
 	if err != nil {
 		return err
 	}
-	return c.told(out, h, fmt.Sprintf("%s: set %s as of entry %d, %d bytes of state", c.Out, h.Name, h.Index, h.Bytes))
+	return c.printResult(out, h, fmt.Sprintf("%s: set %s as of entry %d, %d bytes of state", c.Out, h.ClusterName, h.Index, h.Bytes))
 }
 
 // Run makes the folder.
 func (c *restoreCmd) Run(out io.Writer) error {
-	o, err := c.options()
+	o, err := c.storeOptions()
 	if err != nil {
 		return err
 	}
@@ -213,55 +213,55 @@
 		return err
 	}
 	defer f.Close()
-	h, err := store.Restore(o, f)
-	if errors.Is(err, store.ErrBackup) {
-		return fmt.Errorf("%w: %s: %v", errWrong, c.In, err)
+	h, err := store.RestoreBackup(o, f)
+	if errors.Is(err, store.ErrInvalidBackup) {
+		return fmt.Errorf("%w: %s: %v", errUsage, c.In, err)
 	}
 	if err != nil {
 		return err
 	}
-	return c.told(out, h, fmt.Sprintf("%s begins a new set with entry %d of set %s; start it first, then the others with empty folders", o.ID, h.Index, h.Name))
+	return c.printResult(out, h, fmt.Sprintf("%s begins a new set with entry %d of set %s; start it first, then the others with empty folders", o.ID, h.Index, h.ClusterName))
 }
 
 // Run begins the set anew with the folder that the operator's file names.
 func (c *resolveCmd) Run(out io.Writer) error {
-	o, err := c.options()
+	o, err := c.storeOptions()
 	if err != nil {
 		return err
 	}
 	if !c.AcceptLoss {
-		return fmt.Errorf("%w: stop all other copies, choose the one whose folder goes furthest (store verify), and say --accept-loss", errWrong)
+		return fmt.Errorf("%w: stop all other copies, choose the one whose folder goes furthest (store verify), and say --accept-loss", errUsage)
 	}
-	r, err := store.Resolve(o)
+	r, err := store.RecoverCluster(o)
 	if err != nil {
 		return err
 	}
-	return c.told(out, r, fmt.Sprintf("%s begins the set anew, for the %d. time, with entry %d of term %d as the last; start it first, then the others",
-		o.ID, r.Mark.ClusterGeneration, r.Mark.LastIndex, r.Mark.Term))
+	return c.printResult(out, r, fmt.Sprintf("%s begins the set anew, for the %d. time, with entry %d of term %d as the last; start it first, then the others",
+		o.ID, r.Directory.ClusterGeneration, r.Directory.LastIndex, r.Directory.Term))
 }
 
 // Run checks a folder.
 func (c *verifyCmd) Run(out io.Writer) error {
 	r, err := disk.Verify(c.Dir)
 	if err != nil {
-		return fmt.Errorf("%w: %v", errWrong, err)
+		return fmt.Errorf("%w: %v", errUsage, err)
 	}
 	if c.JSON {
 		if err := json.NewEncoder(out).Encode(r); err != nil {
 			return err
 		}
 	} else {
-		fmt.Fprintf(out, "%s: format %d, folder %s, opened %d times\n", r.Dir, r.Format, r.Mark.DirectoryID, r.Mark.OpenCount)
-		fmt.Fprintf(out, "entries %d to %d, %d bytes, term %d, %d snapshots\n", r.First, r.Last, r.Bytes, r.Term, len(r.Snapshots))
-		if !r.Votes {
-			fmt.Fprintf(out, "joined as of entry %d, and has no vote yet\n", r.Mark.JoinIndex)
+		fmt.Fprintf(out, "%s: format %d, folder %s, opened %d times\n", r.Dir, r.Format, r.Directory.DirectoryID, r.Directory.OpenCount)
+		fmt.Fprintf(out, "entries %d to %d, %d bytes, term %d, %d snapshots\n", r.FirstIndex, r.LastIndex, r.Bytes, r.Term, len(r.Snapshots))
+		if !r.Voter {
+			fmt.Fprintf(out, "joined as of entry %d, and has no vote yet\n", r.Directory.JoinIndex)
 		}
-		for _, a := range r.Aside {
+		for _, a := range r.Quarantined {
 			fmt.Fprintln(out, "set aside:", a)
 		}
 	}
-	if r.Damage != "" {
-		return errors.New(r.Damage)
+	if r.Corruption != "" {
+		return errors.New(r.Corruption)
 	}
 	return nil
 }
@@ -272,22 +272,22 @@
 		c.To = math.MaxUint64
 	}
 	if c.From > c.To {
-		return fmt.Errorf("%w: --from %d is after --to %d", errWrong, c.From, c.To)
+		return fmt.Errorf("%w: --from %d is after --to %d", errUsage, c.From, c.To)
 	}
-	var wrote error
-	err := disk.Entries(c.Dir, c.From, c.To, func(e *raft.Log) {
-		if wrote != nil {
+	var writeErr error
+	err := disk.ReadEntries(c.Dir, c.From, c.To, func(e *raft.Log) {
+		if writeErr != nil {
 			return
 		}
 		if c.JSON {
-			wrote = json.NewEncoder(out).Encode(map[string]any{"index": e.Index, "term": e.Term, "type": e.Type.String(), "data": string(e.Data)})
+			writeErr = json.NewEncoder(out).Encode(map[string]any{"index": e.Index, "term": e.Term, "type": e.Type.String(), "data": string(e.Data)})
 			return
 		}
 		text := e.Type.String()
 		if e.Type == raft.LogCommand {
 			text = string(e.Data)
 		}
-		_, wrote = fmt.Fprintf(out, "%d\t%d\t%s\n", e.Index, e.Term, text)
+		_, writeErr = fmt.Fprintf(out, "%d\t%d\t%s\n", e.Index, e.Term, text)
 	})
-	return errors.Join(err, wrote)
+	return errors.Join(err, writeErr)
 }
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -17,16 +17,16 @@
 
 func main() {
 	listen := flag.String("listen", "127.0.0.1:3031", "where the server listens")
-	work := flag.Duration("work", 200*time.Millisecond, "how long a request takes")
-	ask := flag.String("ask", "", "be a client, and send one request of this class")
-	to := flag.String("to", "127.0.0.1:3030", "where the client sends it")
+	delay := flag.Duration("work", 200*time.Millisecond, "how long a request takes")
+	class := flag.String("ask", "", "be a client, and send one request of this class")
+	address := flag.String("to", "127.0.0.1:3030", "where the client sends it")
 	body := flag.String("body", "", "its body")
 	flag.Parse()
 	var err error
-	if *ask != "" {
-		err = send(*to, *ask, *body)
+	if *class != "" {
+		err = send(*address, *class, *body)
 	} else {
-		err = serve(*listen, *work)
+		err = serve(*listen, *delay)
 	}
 	if err != nil {
 		log.Fatal(err)
@@ -34,8 +34,8 @@
 }
 
 // send makes one request and prints the whole response.
-func send(to, class, body string) error {
-	conn, err := net.Dial("tcp", to)
+func send(address, class, body string) error {
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
@@ -48,12 +48,12 @@
 	if _, err := conn.Write(append(packet, body...)); err != nil {
 		return err
 	}
-	answer, err := io.ReadAll(conn)
-	fmt.Printf("%s\n", answer)
+	response, err := io.ReadAll(conn)
+	fmt.Printf("%s\n", response)
 	return err
 }
 
-func serve(listen string, work time.Duration) error {
+func serve(listen string, delay time.Duration) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 				return
 			}
 			log.Printf("%s %s: %d bytes", vars["ORDER_ID"], vars["PATH_INFO"], len(body))
-			time.Sleep(work)
+			time.Sleep(delay)
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}()
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,37 +16,37 @@
 
 // Defaults, for what the platform's file leaves out.
 const (
-	defaultCores    = 1.0
-	defaultMemoryMB = 192.0
-	defaultSockets  = 1024
-	defaultStopMs   = 3000.0
+	defaultCores         = 1.0
+	defaultMemoryMB      = 192.0
+	defaultSockets       = 1024
+	defaultStopTimeoutMS = 3000.0
 
-	spareSockets = 64 // descriptors for the executor, the vault, logs and the rest
+	reservedSockets = 64 // descriptors for the executor, the vault, logs and the rest
 
-	OperatorConns = 16 // calls of operators open at once
+	MaxOperatorConnections = 16 // calls of operators open at once
 
-	operatorFile = "PUFFINSADDLE_OPERATOR" // names the operator's file
-	laboratory   = "PUFFINSADDLE_LAB"      // set by the laboratory for what it starts
+	operatorFileEnv = "PUFFINSADDLE_OPERATOR" // names the operator's file
+	labEnv          = "PUFFINSADDLE_LAB"      // set by the laboratory for what it starts
 )
 
 // Config is all that the program is told.
 type Config struct {
-	Name     string
-	Listen   string // where routers connect
-	Executor string // empty only where the operator's file names another runner
-	Members  string // empty: no reports
-	Vault    string // empty: nothing below to call
-	Seed     uint64
-	StopMs   float64 // from the notice to drain to the kill
-	Cores    float64
-	MemoryMB float64
-	Sockets  int
-	Settings policy.Settings
-	Operator Operator
+	Name          string
+	Listen        string // where routers connect
+	Executor      string // empty only where the operator's file names another runner
+	Members       string // empty: no reports
+	Vault         string // empty: nothing below to call
+	Seed          uint64
+	StopTimeoutMS float64 // from the notice to drain to the kill
+	Cores         float64
+	MemoryMB      float64
+	Sockets       int
+	Settings      policy.Settings
+	Operator      Operator
 
 	OperatorListen string          // where operators call; empty: nowhere
 	keys           map[string]bool // of the file
-	Private        string          // a folder of this server's own; empty: none
+	PrivateDir     string          // a folder of this server's own; empty: none
 }
 
 // Load reads the configuration that the environment names.
@@ -73,15 +73,15 @@
 	if v := getenv("RELAY_OPERATOR"); v != "" {
 		c.OperatorListen = v
 	}
-	c.Private = getenv("TMPDIR")
+	c.PrivateDir = getenv("TMPDIR")
 	// Not under the platform's prefix: it may name a variable of its own so, with something else in it, and a
 	// program that takes that for its file's path never starts.
-	if v := getenv(operatorFile); v != "" {
+	if v := getenv(operatorFileEnv); v != "" {
 		if c.Operator, err = LoadOperator(v); err != nil {
 			return nil, err
 		}
-		if c.Operator.Lab != (Lab{}) && getenv(laboratory) == "" { // a file of the laboratory's that was left lying about
-			return nil, fmt.Errorf(`%s: "lab" is set, and this process is not the laboratory's (%s)`, v, laboratory)
+		if c.Operator.Lab != (Lab{}) && getenv(labEnv) == "" { // a file of the laboratory's that was left lying about
+			return nil, fmt.Errorf(`%s: "lab" is set, and this process is not the laboratory's (%s)`, v, labEnv)
 		}
 	}
 	return c, c.check()
@@ -96,15 +96,15 @@
 	if v.Type() != fastjson.TypeObject {
 		return nil, errors.New("must be a JSON object")
 	}
-	f := &Fields{V: v, What: "config"}
-	f.Need("settings")
+	f := &Fields{Value: v, Name: "config"}
+	f.Require("settings")
 	c := &Config{
 		Name: f.Text("name"), Listen: f.Text("listen"), Executor: f.Text("executor"), Members: f.Text("members"), OperatorListen: f.Text("operator"), keys: map[string]bool{},
-		Vault: f.Text("vault"), StopMs: f.Number("stop_ms"), Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
+		Vault: f.Text("vault"), StopTimeoutMS: f.Number("stop_ms"), Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
 	}
-	keysOf(v, "", c.keys)
+	collectKeys(v, "", c.keys)
 	if f.Get("stop_ms") == nil {
-		c.StopMs = defaultStopMs
+		c.StopTimeoutMS = defaultStopTimeoutMS
 	}
 	if seed := f.Text("seed"); seed != "" {
 		if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
@@ -129,38 +129,38 @@
 	if f.Err != nil {
 		return nil, f.Err
 	}
-	c.Settings = Settings(f.Object("settings"), f)
+	c.Settings = ParseSettings(f.Object("settings"), f)
 	if f.Err != nil {
 		return nil, f.Err
 	}
 	return c, nil
 }
 
-// RouterSockets is how many descriptors connections of routers may use.
-func (c *Config) RouterSockets() int {
-	most := c.Sockets - min(spareSockets, c.Sockets/4)
+// MaxRouterConnections is how many descriptors connections of routers may use.
+func (c *Config) MaxRouterConnections() int {
+	available := c.Sockets - min(reservedSockets, c.Sockets/4)
 	if c.OperatorListen != "" {
-		most -= OperatorConns + 1
+		available -= MaxOperatorConnections + 1
 	}
 	if c.Operator.UWSGI.Listen != "" {
-		most -= 2 * c.Operator.UWSGI.Conns
+		available -= 2 * c.Operator.UWSGI.MaxConnections
 	}
-	return most
+	return available
 }
 
 func (c *Config) check() error {
 	if c.Name == "" {
 		return errors.New(`config: "name" is missing`)
 	}
-	addresses := []struct{ key, at string }{{"listen", c.Listen}, {"members", c.Members}, {"vault", c.Vault}, {"executor", c.Executor}, {"operator", c.OperatorListen}}
+	addresses := []struct{ key, address string }{{"listen", c.Listen}, {"members", c.Members}, {"vault", c.Vault}, {"executor", c.Executor}, {"operator", c.OperatorListen}}
 	for _, a := range addresses {
-		if a.at == "" {
+		if a.address == "" {
 			if a.key == "listen" && c.Operator.UWSGI.Listen == "" || a.key == "executor" && len(c.Operator.UWSGI.Servers) == 0 && c.Operator.Inventory.Group == "" {
 				return fmt.Errorf("config: %q is missing", a.key)
 			}
 			continue
 		}
-		if _, _, err := net.SplitHostPort(a.at); err != nil {
+		if _, _, err := net.SplitHostPort(a.address); err != nil {
 			return fmt.Errorf("config: %q is not an address with a port: %w", a.key, err)
 		}
 	}
@@ -171,10 +171,10 @@
 		return errors.New(`config: "limits.memory_mb" must be 16 or more`)
 	case c.Sockets < 32:
 		return errors.New(`config: "limits.sockets" must be 32 or more`)
-	case !(c.StopMs >= 0):
+	case !(c.StopTimeoutMS >= 0):
 		return errors.New(`config: "stop_ms" must be 0 or more`)
 	}
-	if c.Listen != "" && c.RouterSockets() < c.Sockets/2 {
+	if c.Listen != "" && c.MaxRouterConnections() < c.Sockets/2 {
 		return errors.New("uwsgi.connections: takes descriptors that routers may need, who use half of limits.sockets")
 	}
 	// A probe of the module's own check, so that a faulty setting is named before anything listens.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:5050","executor":"127.0.0.2:7300","members":"127.0.0.3:8761",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:5050","executor":"127.0.0.2:7300","members":"127.0.0.3:8761",
 "vault":"127.0.0.4:7700","seed":"8c1f30d27a5be964","stop_ms":3200,"some new key":[1],"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "settings":{"new too":1,"classes":[{"name":"book","aim":1700000000,"deadline":5000000000,"worth":4.0,"idempotency":"unsafe"}],
 "extra":{"nCores":6,"heapKb":10998.0,"runMemFactor":4.0,"say":"credit","freshFor":200000000},"limits":{},"rules":{"fallMultiple":8.0},"tick":4000000}}`
 
-func load(t *testing.T, text, operator string, env map[string]string) (*Config, error) {
+func loadConfig(t *testing.T, text, operator string, env map[string]string) (*Config, error) {
 	t.Helper()
 	vars := map[string]string{"RELAY_CONFIG": filepath.Join(t.TempDir(), "config.json")}
 	os.WriteFile(vars["RELAY_CONFIG"], []byte(text), 0o600)
@@ -26,32 +26,32 @@
 	return Load(func(k string) string { return vars[k] })
 }
 
-func TestLoad(t *testing.T) {
-	c, err := load(t, good, "", map[string]string{"RELAY_NAME": "n9"})
+func TestLoadReadsFilesAndEnvironment(t *testing.T) {
+	c, err := loadConfig(t, validConfig, "", map[string]string{"RELAY_NAME": "n9"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n9" || c.Seed != 0x8c1f30d27a5be964 || c.StopMs != 3200 || c.Sockets != 1024 || c.Settings.Cores != 6 {
+	if c.Name != "n9" || c.Seed != 0x8c1f30d27a5be964 || c.StopTimeoutMS != 3200 || c.Sockets != 1024 || c.Settings.Cores != 6 {
 		t.Errorf("read %+v", c)
 	}
 	if c.Operator.UWSGI.Listen != "" || c.Operator.Store.Listen != "" || c.Operator.Inventory.Path != "" {
 		t.Errorf("something of the operator's is on by default: %+v", c.Operator)
 	}
-	c, err = load(t, good, "uwsgi:\n  listen: 127.0.0.1:3030\n  read_ms: 500\nstore: {listen: '127.0.0.1:0', dir: /tmp/x, peers: {n3: '127.0.0.1:1'}}\n", nil)
-	if err != nil || c.Operator.UWSGI.ReadMs != 500 || c.Operator.UWSGI.MaxBody != 64<<10 || c.Operator.Store.Dir != "/tmp/x" {
+	c, err = loadConfig(t, validConfig, "uwsgi:\n  listen: 127.0.0.1:3030\n  read_ms: 500\nstore: {listen: '127.0.0.1:0', dir: /tmp/x, peers: {n3: '127.0.0.1:1'}}\n", nil)
+	if err != nil || c.Operator.UWSGI.ReadTimeoutMS != 500 || c.Operator.UWSGI.MaxBodyBytes != 64<<10 || c.Operator.Store.Dir != "/tmp/x" {
 		t.Errorf("read %+v, %v", c, err)
 	}
 }
 
 // The platform has a variable of that name, with an address in it; it is not our file.
-func TestPlatformVariablesAreNotTakenForOurs(t *testing.T) {
-	c, err := load(t, good, "", map[string]string{"RELAY_OPERATOR": "127.0.0.1:19000"})
+func TestOperatorAddressVariableIsNotReadAsFilePath(t *testing.T) {
+	c, err := loadConfig(t, validConfig, "", map[string]string{"RELAY_OPERATOR": "127.0.0.1:19000"})
 	if err != nil || c.OperatorListen != "127.0.0.1:19000" {
 		t.Errorf("read %+v, %v", c, err)
 	}
 }
 
-func TestFaultyKeysAreNamed(t *testing.T) {
+func TestErrorsNameTheFaultyKey(t *testing.T) {
 	for _, c := range []struct{ old, new, operator, want string }{
 		{`"name":"n3",`, "", "", `"name" is missing`},
 		{`"listen":"127.0.0.1:5050",`, "", "", `"listen" is missing`},
@@ -70,7 +70,7 @@
 		{`"idempotency":"unsafe"`, `"idempotency":"keyed"`, "", `classes[0]: "keyTtl" is missing`},
 		{`"idempotency":"unsafe"`, `"idempotency":"keyed","keyTtl":0`, "", `classes[0]: "keyTtl" must be above 0`},
 		{`"nCores":6`, `"nCores":0`, "", `Cores must be`},
-		{good, "{", "", "malformed JSON"},
+		{validConfig, "{", "", "malformed JSON"},
 		{"", "", "uwsgi: {lisen: x}", "lisen"},
 		{"", "", "uwsgi: {listen: x}", "uwsgi.listen"},
 		{"", "", "uwsgi: {servers: [x]}", "uwsgi.servers[0]"},
@@ -86,7 +86,7 @@
 		{"", "", "store: {listen: ':1', dir: x, id: b, peers: {a: 'a:1'}}", "store.peers: b, this node's own id"},
 		{"", "", "inventory: {group: g}", "inventory.path"},
 	} {
-		if _, err := load(t, strings.Replace(good, c.old, c.new, 1), c.operator, nil); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := loadConfig(t, strings.Replace(validConfig, c.old, c.new, 1), c.operator, nil); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s%s -> %s: %v, want %s", c.operator, c.old, c.new, err, c.want)
 		}
 	}
@@ -96,8 +96,8 @@
 }
 
 // A file that comes after another has all of its keys, in every class; it may have more, and other classes.
-func TestReplacingFileLacksNothing(t *testing.T) {
-	old, err := Parse([]byte(good))
+func TestReplacementMustHaveAllKeys(t *testing.T) {
+	old, err := Parse([]byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,11 +110,11 @@
 		{`"memory_mb":192,`, "", `"limits.memory_mb"`},
 		{`"freshFor":200000000`, `"fresh":1`, `"settings.extra.freshFor"`},
 	} {
-		now, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
+		replacement, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := now.Replaces(old); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
+		if err := replacement.CheckReplaces(old); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s -> %s: %v, want %s", c.old, c.new, err, c.want)
 		}
 	}
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -10,33 +10,33 @@
 
 // Distribution sets up an order server's watch of the configuration. Without relays it is off.
 type Distribution struct {
-	Zone   string               `yaml:"zone"`
-	Region string               `yaml:"region"`
-	Relays []distribution.Relay `yaml:"relays"`
-	Path   string               `yaml:"path"` // of the copy on the server's own disk; empty: none is kept
+	Zone        string               `yaml:"zone"`
+	Region      string               `yaml:"region"`
+	Relays      []distribution.Relay `yaml:"relays"`
+	ReplicaPath string               `yaml:"path"` // of the copy on the server's own disk; empty: none is kept
 }
 
 // Relay sets up the command relay.
 type Relay struct {
-	Name      string            `yaml:"name"`
-	Region    string            `yaml:"region"` // where it stands, as operators see it
-	Listen    string            `yaml:"listen"`
-	Figures   string            `yaml:"figures"`   // an address that tells the relay's figures over HTTP; empty: none
-	Copies    map[string]string `yaml:"copies"`    // id and address of each copy of the store, as this relay reaches it
-	Elsewhere []string          `yaml:"elsewhere"` // relays, by name or address, that watchers may try where this one is full
-	Path      string            `yaml:"path"`      // of the copy on the relay's own disk; empty: none is kept
-	Watchers  int               `yaml:"watchers"`  // served at once
-	Snapshots int               `yaml:"snapshots"` // sent at once
-	MemoryMB  float64           `yaml:"memory_mb"` // from which the collector works harder; 0: no bound
+	Name          string            `yaml:"name"`
+	Region        string            `yaml:"region"` // where it stands, as operators see it
+	Listen        string            `yaml:"listen"`
+	MetricsListen string            `yaml:"figures"`   // an address that tells the relay's figures over HTTP; empty: none
+	Replicas      map[string]string `yaml:"copies"`    // id and address of each copy of the store, as this relay reaches it
+	Alternatives  []string          `yaml:"elsewhere"` // relays, by name or address, that watchers may try where this one is full
+	ReplicaPath   string            `yaml:"path"`      // of the copy on the relay's own disk; empty: none is kept
+	MaxWatchers   int               `yaml:"watchers"`  // served at once
+	MaxSnapshots  int               `yaml:"snapshots"` // sent at once
+	MemoryLimitMB float64           `yaml:"memory_mb"` // from which the collector works harder; 0: no bound
 }
 
-var defaultRelay = Relay{Watchers: distribution.DefaultLimits.Watchers, Snapshots: distribution.DefaultLimits.Snapshots}
+var defaultRelay = Relay{MaxWatchers: distribution.DefaultLimits.Watchers, MaxSnapshots: distribution.DefaultLimits.Snapshots}
 
-const maxWatchers = 1 << 16
+const watcherLimit = 1 << 16
 
 func (d Distribution) check(o Operator) error {
 	if len(d.Relays) == 0 {
-		if d.Path != "" || d.Zone != "" {
+		if d.ReplicaPath != "" || d.Zone != "" {
 			return errors.New("distribution.relays is missing, and other keys of distribution are set")
 		}
 		return nil
@@ -53,12 +53,12 @@
 	return nil
 }
 
-// On tells whether the file sets a relay up.
-func (r Relay) On() bool { return r.Listen != "" }
+// Enabled tells whether the file sets a relay up.
+func (r Relay) Enabled() bool { return r.Listen != "" }
 
 func (r Relay) check() error {
-	if !r.On() {
-		if len(r.Copies) > 0 {
+	if !r.Enabled() {
+		if len(r.Replicas) > 0 {
 			return errors.New("relay.listen is missing, and relay.copies is set")
 		}
 		return nil
@@ -66,25 +66,25 @@
 	if _, _, err := net.SplitHostPort(r.Listen); err != nil {
 		return fmt.Errorf("relay.listen: %w", err)
 	}
-	if r.Figures != "" {
-		if _, _, err := net.SplitHostPort(r.Figures); err != nil {
+	if r.MetricsListen != "" {
+		if _, _, err := net.SplitHostPort(r.MetricsListen); err != nil {
 			return fmt.Errorf("relay.figures: %w", err)
 		}
 	}
-	if err := addresses("relay.copies", r.Copies); err != nil {
+	if err := checkAddresses("relay.copies", r.Replicas); err != nil {
 		return err
 	}
 	switch {
 	case r.Name == "":
 		return errors.New("relay.name is missing")
-	case len(r.Copies) == 0:
+	case len(r.Replicas) == 0:
 		return errors.New("relay.copies is missing")
-	case r.Watchers < 1 || r.Watchers > maxWatchers:
-		return fmt.Errorf("relay.watchers must be from 1 to %d, not %d", maxWatchers, r.Watchers)
-	case r.Snapshots < 1 || r.Snapshots > r.Watchers:
-		return fmt.Errorf("relay.snapshots must be from 1 to relay.watchers, not %d", r.Snapshots)
-	case !(r.MemoryMB >= 0):
-		return fmt.Errorf("relay.memory_mb must be 0 or more, not %v", r.MemoryMB)
+	case r.MaxWatchers < 1 || r.MaxWatchers > watcherLimit:
+		return fmt.Errorf("relay.watchers must be from 1 to %d, not %d", watcherLimit, r.MaxWatchers)
+	case r.MaxSnapshots < 1 || r.MaxSnapshots > r.MaxWatchers:
+		return fmt.Errorf("relay.snapshots must be from 1 to relay.watchers, not %d", r.MaxSnapshots)
+	case !(r.MemoryLimitMB >= 0):
+		return fmt.Errorf("relay.memory_mb must be 0 or more, not %v", r.MemoryLimitMB)
 	}
 	return nil
 }
--- a/internal/config/duties_test.go
+++ b/internal/config/duties_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const dutiesText = `
+const dutiesYAML = `
 store: {listen: "127.0.0.1:7400", dir: x, peers: {n1: "127.0.0.1:7400", n2: "127.0.0.1:7401", n3: "127.0.0.1:7402"}}
 duties:
   copies: {n1: "127.0.0.1:7400", n2: "127.0.0.1:7401", n3: "127.0.0.1:7402"}
@@ -14,17 +14,17 @@
   publish: {manifest: SUMS}
 `
 
-func TestDutiesAreOffUnlessSet(t *testing.T) {
+func TestDutiesAreDisabledByDefault(t *testing.T) {
 	o, err := ParseOperator(nil)
-	if err != nil || o.Duties.On() {
-		t.Fatalf("%v %v", o.Duties.On(), err)
+	if err != nil || o.Duties.Enabled() {
+		t.Fatalf("%v %v", o.Duties.Enabled(), err)
 	}
-	if o, err = ParseOperator([]byte(dutiesText)); err != nil || !o.Duties.On() || o.Duties.Allot.Room().Pool() != 20000 {
+	if o, err = ParseOperator([]byte(dutiesYAML)); err != nil || !o.Duties.Enabled() || o.Duties.Allocation.Capacity().Pool() != 20000 {
 		t.Fatalf("%+v %v", o.Duties, err)
 	}
 }
 
-func TestFaultyDutiesAreRefusedWithTheirKey(t *testing.T) {
+func TestDutyErrorsNameTheFaultyKey(t *testing.T) {
 	for _, c := range []struct{ old, now, want string }{
 		{`{name: allotter, ttl_ms: 3000}`, `{name: allotter}`, "duties.list[0].ttl_ms must be above 0, not 0"},
 		{`{name: allotter, ttl_ms: 3000}`, `{name: allotter, ttl_ms: -5}`, "duties.list[0].ttl_ms must be above 0, not -5"},
@@ -49,8 +49,8 @@
 		{"  publish:", "  mark_ms: .nan\n  publish:", "duties.mark_ms must be above 0"},
 		{"  publish:", "  clock_rate: 0.9\n  publish:", "duties.clock_rate must be from 0 to 0.5"},
 	} {
-		text := strings.Replace(dutiesText, c.old, c.now, 1)
-		if text == dutiesText {
+		text := strings.Replace(dutiesYAML, c.old, c.now, 1)
+		if text == dutiesYAML {
 			t.Fatalf("%q changes nothing", c.old)
 		}
 		if _, err := ParseOperator([]byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -60,12 +60,12 @@
 }
 
 // A file that the laboratory wrote, with a planted bug in it, is no operator's.
-func TestLaboratoryFilesAreRefusedElsewhere(t *testing.T) {
+func TestLabSettingsAreRefusedOutsideLab(t *testing.T) {
 	file := "lab: {plant: unfenced}\n"
-	if _, err := load(t, good, file, nil); err == nil || !strings.Contains(err.Error(), `"lab" is set`) {
+	if _, err := loadConfig(t, validConfig, file, nil); err == nil || !strings.Contains(err.Error(), `"lab" is set`) {
 		t.Errorf("%v", err)
 	}
-	if _, err := load(t, good, file, map[string]string{"PUFFINSADDLE_LAB": "1"}); err != nil {
+	if _, err := loadConfig(t, validConfig, file, map[string]string{"PUFFINSADDLE_LAB": "1"}); err != nil {
 		t.Error(err)
 	}
 	if _, err := ParseOperator([]byte("lab: {plant: nonsense}\n")); err == nil || !strings.Contains(err.Error(), "lab.plant") {
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -12,27 +12,27 @@
 
 // Fields reads the members of one object and keeps the first fault.
 type Fields struct {
-	V    *fastjson.Value
-	What string // names the object in messages
-	Err  error  // the first fault
+	Value *fastjson.Value
+	Name  string // names the object in messages
+	Err   error  // the first fault
 }
 
-func (f *Fields) Fail(key, why string) {
+func (f *Fields) Fail(key, problem string) {
 	if f.Err == nil {
-		f.Err = fmt.Errorf("%s: %q %s", f.What, key, why)
+		f.Err = fmt.Errorf("%s: %q %s", f.Name, key, problem)
 	}
 }
 
 // Get returns a member, or nil where it is absent or null.
 func (f *Fields) Get(key string) *fastjson.Value {
-	v := f.V.Get(key)
+	v := f.Value.Get(key)
 	if v == nil || v.Type() == fastjson.TypeNull {
 		return nil
 	}
 	return v
 }
 
-func (f *Fields) Need(key string) {
+func (f *Fields) Require(key string) {
 	if f.Get(key) == nil {
 		f.Fail(key, "is missing")
 	}
@@ -62,7 +62,7 @@
 	return n
 }
 
-func (f *Fields) Span(key string) time.Duration { return time.Duration(f.Integer(key)) }
+func (f *Fields) Duration(key string) time.Duration { return time.Duration(f.Integer(key)) }
 
 // Text takes a string; the number 0 stands for none.
 func (f *Fields) Text(key string) string {
@@ -80,7 +80,7 @@
 	return string(b)
 }
 
-func (f *Fields) Flag(key string) bool {
+func (f *Fields) Bool(key string) bool {
 	v := f.Get(key)
 	if v == nil {
 		return false
@@ -120,7 +120,7 @@
 	} else if v.Type() != fastjson.TypeObject {
 		f.Fail(key, "is not an object")
 	}
-	return &Fields{V: v, What: f.What + "." + key}
+	return &Fields{Value: v, Name: f.Name + "." + key}
 }
 
 // Seed takes any whole number, of either sign.
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -7,45 +7,45 @@
 	"github.com/valyala/fastjson"
 )
 
-// Replaces tells whether the file may come after the one in force: it must have every key of that. Guards against a
+// CheckReplaces tells whether the file may come after the one in force: it must have every key of that. Guards against a
 // file that lost a part and would put defaults into force while requests are open.
-func (c *Config) Replaces(old *Config) error {
-	var gone []string
+func (c *Config) CheckReplaces(old *Config) error {
+	var missing []string
 	for k := range old.keys {
 		if !c.keys[k] {
-			gone = append(gone, k)
+			missing = append(missing, k)
 		}
 	}
-	if len(gone) == 0 {
+	if len(missing) == 0 {
 		return nil
 	}
-	slices.Sort(gone)
-	return fmt.Errorf("config: %q is missing, and the file in force has it", gone[0])
+	slices.Sort(missing)
+	return fmt.Errorf("config: %q is missing, and the file in force has it", missing[0])
 }
 
-// keysOf lists the paths of all members. Of an array's objects it lists what all of them have.
-func keysOf(v *fastjson.Value, path string, into map[string]bool) {
+// collectKeys lists the paths of all members. Of an array's objects it lists what all of them have.
+func collectKeys(v *fastjson.Value, path string, keys map[string]bool) {
 	switch v.Type() {
 	case fastjson.TypeObject:
 		v.GetObject().Visit(func(key []byte, member *fastjson.Value) {
 			if member.Type() != fastjson.TypeNull {
-				p := path + string(key)
-				into[p] = true
-				keysOf(member, p+".", into)
+				memberPath := path + string(key)
+				keys[memberPath] = true
+				collectKeys(member, memberPath+".", keys)
 			}
 		})
 	case fastjson.TypeArray:
 		count, items := map[string]int{}, v.GetArray()
 		for _, item := range items {
-			of := map[string]bool{}
-			keysOf(item, path, of)
-			for k := range of {
+			itemKeys := map[string]bool{}
+			collectKeys(item, path, itemKeys)
+			for k := range itemKeys {
 				count[k]++
 			}
 		}
 		for k, n := range count {
 			if n == len(items) {
-				into[k] = true
+				keys[k] = true
 			}
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,34 +10,34 @@
 	"puffinsaddle/policy"
 )
 
-// Settings maps the settings of one start, as the simulator and the platform hand them out.
-func Settings(f, top *Fields) policy.Settings {
-	x, rules, limits := f.Object("extra"), f.Object("rules"), f.Object("limits")
-	f.Need("classes")
+// ParseSettings maps the settings of one start, as the simulator and the platform hand them out.
+func ParseSettings(f, parent *Fields) policy.Settings {
+	extra, rules, limits := f.Object("extra"), f.Object("rules"), f.Object("limits")
+	f.Require("classes")
 	s := policy.Settings{
-		Servers: int(f.Integer("servers")), Callers: int(x.Integer("callers")), Cores: int(x.Integer("nCores")),
-		MemoryKB: x.Number("heapKb"), EntryKB: x.Number("entryKb"), RunMemoryFactor: x.Number("runMemFactor"),
-		SharedResultTTL: x.Span("freshFor"), JustStarted: x.Flag("justStarted"), WarmupPeriod: rules.Span("cold"),
-		ColdSpeedShare: rules.Number("coldShare"), MaxRunningPerCore: rules.Number("fallMultiple"), MaxRunningPeriod: rules.Span("fall"),
-		AnswerSlack: rules.Span("answerSlack"), DrainGrace: rules.Span("drainGrace"), Tick: f.Span("tick"),
-		PassesDeadline: x.Flag("passesDeadline"), DownstreamShare: x.Number("callsOut"), CallPeriod: x.Span("callsOver"), AbandonedCallTime: x.Span("linger"), HintTTL: x.Span("heardFor"), IdleTimeout: x.Span("idle"),
+		Servers: int(f.Integer("servers")), Callers: int(extra.Integer("callers")), Cores: int(extra.Integer("nCores")),
+		MemoryKB: extra.Number("heapKb"), EntryKB: extra.Number("entryKb"), RunMemoryFactor: extra.Number("runMemFactor"),
+		SharedResultTTL: extra.Duration("freshFor"), JustStarted: extra.Bool("justStarted"), WarmupPeriod: rules.Duration("cold"),
+		ColdSpeedShare: rules.Number("coldShare"), MaxRunningPerCore: rules.Number("fallMultiple"), MaxRunningPeriod: rules.Duration("fall"),
+		AnswerSlack: rules.Duration("answerSlack"), DrainGrace: rules.Duration("drainGrace"), Tick: f.Duration("tick"),
+		PassesDeadline: extra.Bool("passesDeadline"), DownstreamShare: extra.Number("callsOut"), CallPeriod: extra.Duration("callsOver"), AbandonedCallTime: extra.Duration("linger"), HintTTL: extra.Duration("heardFor"), IdleTimeout: extra.Duration("idle"),
 		OverShareWorth: f.Number("overShareWorth"), WorthByWork: f.Text("valueBy") == "work",
 		BusyGauge: -1, RunnableGauge: -1, MemoryGauge: -1, ConnectionGauge: -1,
 	}
-	below := x.Text("downstream")
-	s.HasDownstream = below != "" && below != "none"
-	if limits.Flag("retryAfter") {
-		s.MaxRetryAfter = limits.Span("maxRetryAfter")
+	downstream := extra.Text("downstream")
+	s.HasDownstream = downstream != "" && downstream != "none"
+	if limits.Bool("retryAfter") {
+		s.MaxRetryAfter = limits.Duration("maxRetryAfter")
 	}
 	if c := f.Get("clients"); c != nil {
-		s.MarksRetry = f.Object("clients").Flag("marksRetry")
+		s.MarksRetry = f.Object("clients").Bool("marksRetry")
 	}
-	switch x.Text("halt") { // work is never stopped, but a word that nobody knows is a fault
+	switch extra.Text("halt") { // work is never stopped, but a word that nobody knows is a fault
 	case "", "none", "drop", "pause":
 	default:
-		x.Fail("halt", "is not known")
+		extra.Fail("halt", "is not known")
 	}
-	switch say := x.Text("say"); say {
+	switch hint := extra.Text("say"); hint {
 	case "", "none":
 	case "level":
 		s.Hint = policy.HintLevel
@@ -46,9 +46,9 @@
 	case "weight":
 		s.Hint = policy.HintWeight
 	default:
-		x.Fail("say", "is not known")
+		extra.Fail("say", "is not known")
 	}
-	for i, v := range x.List("gauges") {
+	for i, v := range extra.List("gauges") {
 		b, _ := v.StringBytes()
 		switch string(b) {
 		case "cpu_busy":
@@ -61,36 +61,36 @@
 			s.ConnectionGauge = i
 		}
 	}
-	calls, skips := x.List("callsByClass"), x.List("classSkipWorth")
+	makesCalls, skipWorths := extra.List("callsByClass"), extra.List("classSkipWorth")
 	for i, v := range f.List("classes") {
-		c := &Fields{V: v, What: fmt.Sprintf("%s.classes[%d]", f.What, i)}
-		s.Classes = append(s.Classes, class(c, i, calls, skips))
+		c := &Fields{Value: v, Name: fmt.Sprintf("%s.classes[%d]", f.Name, i)}
+		s.Classes = append(s.Classes, parseClass(c, i, makesCalls, skipWorths))
 		if f.Err == nil {
 			f.Err = c.Err
 		}
 	}
 	for i, v := range f.List("tenants") {
-		t := &Fields{V: v, What: fmt.Sprintf("%s.tenants[%d]", f.What, i)}
-		t.Need("name")
+		t := &Fields{Value: v, Name: fmt.Sprintf("%s.tenants[%d]", f.Name, i)}
+		t.Require("name")
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Text("name"), Quota: t.Number("quotaPerS"), Share: t.Number("share")})
 		if f.Err == nil {
 			f.Err = t.Err
 		}
 	}
-	for _, g := range []*Fields{f, x, rules, limits} {
-		if top.Err == nil {
-			top.Err = g.Err
+	for _, g := range []*Fields{f, extra, rules, limits} {
+		if parent.Err == nil {
+			parent.Err = g.Err
 		}
 	}
 	return s
 }
 
-func class(c *Fields, i int, calls, skips []*fastjson.Value) policy.Class {
+func parseClass(c *Fields, i int, makesCalls, skipWorths []*fastjson.Value) policy.Class {
 	for _, key := range []string{"name", "aim", "deadline", "worth", "idempotency"} {
-		c.Need(key)
+		c.Require(key)
 	}
-	k := policy.Class{Name: c.Text("name"), Aim: c.Span("aim"), AimStretch: c.Number("aimStretch"), Deadline: c.Span("deadline"),
-		Worth: c.Number("worth"), LateValue: c.Number("lateValue"), KeyTTL: c.Span("keyTtl")}
+	k := policy.Class{Name: c.Text("name"), Aim: c.Duration("aim"), AimStretch: c.Number("aimStretch"), Deadline: c.Duration("deadline"),
+		Worth: c.Number("worth"), LateValue: c.Number("lateValue"), KeyTTL: c.Duration("keyTtl")}
 	// The executor's lines are of words: a name with a space or an end of line would be other words there.
 	if k.Name == "" || strings.ContainsFunc(k.Name, func(r rune) bool { return unicode.IsSpace(r) || unicode.IsControl(r) }) {
 		c.Fail("name", "is not one word")
@@ -99,7 +99,7 @@
 	case "safe":
 	case "keyed":
 		k.Safety = policy.Keyed
-		if c.Need("keyTtl"); k.KeyTTL <= 0 {
+		if c.Require("keyTtl"); k.KeyTTL <= 0 {
 			c.Fail("keyTtl", "must be above 0 where tries are tied by a key")
 		}
 	case "unsafe":
@@ -107,11 +107,11 @@
 	default:
 		c.Fail("idempotency", "is not known")
 	}
-	if i < len(calls) {
-		k.Calls = calls[i].Type() == fastjson.TypeTrue
+	if i < len(makesCalls) {
+		k.Calls = makesCalls[i].Type() == fastjson.TypeTrue
 	}
-	if i < len(skips) {
-		k.SkipWorth, _ = skips[i].Float64()
+	if i < len(skipWorths) {
+		k.SkipWorth, _ = skipWorths[i].Float64()
 	}
 	return k
 }
--- a/internal/distribution/feed.go
+++ b/internal/distribution/feed.go
@@ -16,8 +16,8 @@
 
 // Errors of a feed.
 var (
-	ErrFellBehind = errors.New("distribution: the watcher fell behind what is held")
-	ErrOrder      = errors.New("distribution: a commit out of order")
+	ErrNotRetained = errors.New("distribution: the watcher fell behind what is held")
+	ErrOutOfOrder  = errors.New("distribution: a commit out of order")
 )
 
 // Limits bound what a feed holds and whom it serves.
@@ -36,9 +36,9 @@
 
 // Verdicts.
 const (
-	Stream   Verdict = iota // the commits behind its revision
-	Snapshot                // a snapshot first
-	Refuse                  // nothing for now
+	VerdictStream   Verdict = iota // the commits behind its revision
+	VerdictSnapshot                // a snapshot first
+	VerdictRefuse                  // nothing for now
 )
 
 // Position is how far a watcher is.
@@ -49,21 +49,21 @@
 
 // Admission is the answer to a watch.
 type Admission struct {
-	Verdict Verdict
-	RetryMs float64 // with Refuse: when to come back
-	Reason  string  // with Refuse
+	Verdict      Verdict
+	RetryDelayMS float64 // with Refuse: when to come back
+	Reason       string  // with Refuse
 }
 
 const (
-	fullRetryMs     = 2000.0 // a full feed is not asked again before
-	behindRetryMs   = 500.0  // nor one that is behind its watcher
-	snapshotRetryMs = 1000.0 // nor one that sends as many snapshots as it may
+	fullRetryMS          = 2000.0 // a full feed is not asked again before
+	feedBehindRetryMS    = 500.0  // nor one that is behind its watcher
+	snapshotLimitRetryMS = 1000.0 // nor one that sends as many snapshots as it may
 )
 
-// held is one commit as it is sent.
-type held struct {
-	frame []byte
-	after records.Digest
+// retainedCommit is one commit as it is sent.
+type retainedCommit struct {
+	frame       []byte
+	digestAfter records.Digest
 }
 
 // Feed serves watchers from a window of the latest commits. Its memory is bounded by its limits, whatever its watchers do: a
@@ -72,12 +72,12 @@
 	limits Limits
 	rng    *rand.Rand
 
-	at      Position // the latest
-	floor   Position // before the first of the window
-	window  []held
-	bytes   int
-	serving int // watchers
-	sending int // snapshots
+	newest        Position // the latest
+	windowStart   Position // before the first of the window
+	window        []retainedCommit
+	windowBytes   int
+	watcherCount  int // watchers
+	snapshotCount int // snapshots
 }
 
 // NewFeed is a feed that holds nothing.
@@ -85,42 +85,42 @@
 	return &Feed{limits: l, rng: rand.New(rand.NewPCG(seed, 3))}
 }
 
-// At is the latest position.
-func (f *Feed) At() Position { return f.at }
+// Position is the latest position.
+func (f *Feed) Position() Position { return f.newest }
 
-// Floor is the earliest revision from which a watcher can be served without a snapshot.
-func (f *Feed) Floor() uint64 { return f.floor.Revision }
+// OldestRevision is the earliest revision from which a watcher can be served without a snapshot.
+func (f *Feed) OldestRevision() uint64 { return f.windowStart.Revision }
 
-// Held is the bytes of the window, and Watchers and Snapshots who is served.
-func (f *Feed) Held() int { return f.bytes }
+// RetainedBytes is the bytes of the window, and Watchers and Snapshots who is served.
+func (f *Feed) RetainedBytes() int { return f.windowBytes }
 
 // Watchers counts the watchers that were admitted and have not left.
-func (f *Feed) Watchers() int { return f.serving }
+func (f *Feed) Watchers() int { return f.watcherCount }
 
 // Snapshots counts those that are being sent.
-func (f *Feed) Snapshots() int { return f.sending }
+func (f *Feed) Snapshots() int { return f.snapshotCount }
 
 // Reset begins anew at a position, as after a snapshot.
 func (f *Feed) Reset(p Position) {
-	f.at, f.floor, f.window, f.bytes = p, p, nil, 0
+	f.newest, f.windowStart, f.window, f.windowBytes = p, p, nil, 0
 }
 
 // Advance adds the next commit in the form in which it is sent.
 func (f *Feed) Advance(c records.Commit, frame []byte) error {
-	if c.Revision != f.at.Revision+1 || c.Before != f.at.Digest {
-		return fmt.Errorf("%w: %d behind %d", ErrOrder, c.Revision, f.at.Revision)
+	if c.Revision != f.newest.Revision+1 || c.Before != f.newest.Digest {
+		return fmt.Errorf("%w: %d behind %d", ErrOutOfOrder, c.Revision, f.newest.Revision)
 	}
-	f.at = Position{c.Revision, c.After}
-	f.window = append(f.window, held{frame, c.After})
-	f.bytes += len(frame)
-	drop := 0
-	for len(f.window)-drop > f.limits.Commits || f.bytes > f.limits.Bytes && len(f.window)-drop > 1 {
-		f.bytes -= len(f.window[drop].frame)
-		f.floor = Position{f.floor.Revision + 1, f.window[drop].after}
-		f.window[drop] = held{}
-		drop++
+	f.newest = Position{c.Revision, c.After}
+	f.window = append(f.window, retainedCommit{frame, c.After})
+	f.windowBytes += len(frame)
+	evicted := 0
+	for len(f.window)-evicted > f.limits.Commits || f.windowBytes > f.limits.Bytes && len(f.window)-evicted > 1 {
+		f.windowBytes -= len(f.window[evicted].frame)
+		f.windowStart = Position{f.windowStart.Revision + 1, f.window[evicted].digestAfter}
+		f.window[evicted] = retainedCommit{}
+		evicted++
 	}
-	f.window = f.window[drop:]
+	f.window = f.window[evicted:]
 	return nil
 }
 
@@ -128,53 +128,53 @@
 // SnapshotDone.
 func (f *Feed) Admit(from Position) Admission {
 	switch {
-	case f.serving >= f.limits.Watchers:
-		return f.refuse(fullRetryMs, "full")
-	case from.Revision > f.at.Revision:
-		return f.refuse(behindRetryMs, "behind the watcher")
-	case !f.knows(from) && f.sending >= f.limits.Snapshots:
-		return f.refuse(snapshotRetryMs, "sends as many snapshots as it may")
+	case f.watcherCount >= f.limits.Watchers:
+		return f.refuse(fullRetryMS, "full")
+	case from.Revision > f.newest.Revision:
+		return f.refuse(feedBehindRetryMS, "behind the watcher")
+	case !f.inWindow(from) && f.snapshotCount >= f.limits.Snapshots:
+		return f.refuse(snapshotLimitRetryMS, "sends as many snapshots as it may")
 	}
-	f.serving++
-	if f.knows(from) {
-		return Admission{Verdict: Stream}
+	f.watcherCount++
+	if f.inWindow(from) {
+		return Admission{Verdict: VerdictStream}
 	}
-	f.sending++
-	return Admission{Verdict: Snapshot}
+	f.snapshotCount++
+	return Admission{Verdict: VerdictSnapshot}
 }
 
 // refuse spreads those who come back over a span.
-func (f *Feed) refuse(ms float64, reason string) Admission {
-	return Admission{Verdict: Refuse, RetryMs: ms * (0.5 + f.rng.Float64()), Reason: reason}
+func (f *Feed) refuse(meanDelayMS float64, reason string) Admission {
+	return Admission{Verdict: VerdictRefuse, RetryDelayMS: meanDelayMS * (0.5 + f.rng.Float64()), Reason: reason}
 }
 
-// knows tells whether a position is on the way of this feed's records, and within the window. A watcher with other records at
+// inWindow tells whether a position is on the way of this feed's records, and within the window. A watcher with other records at
 // the same revision holds what was never agreed on, and begins with a snapshot.
-func (f *Feed) knows(p Position) bool {
+func (f *Feed) inWindow(p Position) bool {
 	switch {
-	case p.Revision == f.floor.Revision:
-		return p.Digest == f.floor.Digest
-	case p.Revision < f.floor.Revision || p.Revision > f.at.Revision:
+	case p.Revision == f.windowStart.Revision:
+		return p.Digest == f.windowStart.Digest
+	case p.Revision < f.windowStart.Revision || p.Revision > f.newest.Revision:
 		return false
 	}
-	return f.window[p.Revision-f.floor.Revision-1].after == p.Digest
+	return f.window[p.Revision-f.windowStart.Revision-1].digestAfter == p.Digest
 }
 
 // Leave takes a watcher out.
-func (f *Feed) Leave() { f.serving-- }
+func (f *Feed) Leave() { f.watcherCount-- }
 
 // SnapshotDone makes room for another snapshot.
-func (f *Feed) SnapshotDone() { f.sending-- }
+func (f *Feed) SnapshotDone() { f.snapshotCount-- }
 
-// Next lists the frames behind a revision, of so many bytes at most but one at least, and the revision of the last.
-func (f *Feed) Next(revision uint64, maxBytes int) (frames [][]byte, through uint64, err error) {
-	if revision < f.floor.Revision {
-		return nil, revision, fmt.Errorf("%w: %d, and %d is the earliest", ErrFellBehind, revision, f.floor.Revision)
+// FramesAfter lists the frames behind a revision, of so many bytes at most but one at least, and the revision of the last.
+func (f *Feed) FramesAfter(revision uint64, maxBytes int) (frames [][]byte, through uint64, err error) {
+	if revision < f.windowStart.Revision {
+		return nil, revision, fmt.Errorf("%w: %d, and %d is the earliest", ErrNotRetained, revision, f.windowStart.Revision)
 	}
-	bytes := 0
-	for through = revision; through < f.at.Revision; through++ {
-		frame := f.window[through-f.floor.Revision].frame
-		if bytes += len(frame); bytes > maxBytes && len(frames) > 0 {
+	total := 0
+	for through = revision; through < f.newest.Revision; through++ {
+		frame := f.window[through-f.windowStart.Revision].frame
+		if total += len(frame); total > maxBytes && len(frames) > 0 {
 			break
 		}
 		frames = append(frames, frame)
--- a/internal/distribution/progress.go
+++ b/internal/distribution/progress.go
@@ -8,7 +8,7 @@
 // Bounds of reports.
 const (
 	MaxRejections = 16  // by name, in one report
-	maxReason     = 256 // bytes
+	maxTextBytes  = 256 // bytes
 )
 
 // Rejection is a record that a server could not put into force.
@@ -21,26 +21,26 @@
 
 // Report is what a watcher tells: for itself, or a relay for all that watch it. Its size does not depend on how many they are.
 type Report struct {
-	Servers    int         `json:"servers"`              // for which it speaks
-	Lowest     uint64      `json:"lowest"`               // revision in force at all of them
-	LowestName string      `json:"lowest_name"`          // one that is at the lowest
-	Behind     int         `json:"behind"`               // servers that are not at the latest that the reporter knows
-	Rejecting  int         `json:"rejecting,omitempty"`  // servers that could not take some record
-	Rejections []Rejection `json:"rejections,omitempty"` // some of them
+	Servers          int         `json:"servers"`              // for which it speaks
+	LowestRevision   uint64      `json:"lowest"`               // revision in force at all of them
+	LowestServer     string      `json:"lowest_name"`          // one that is at the lowest
+	ServersBehind    int         `json:"behind"`               // servers that are not at the latest that the reporter knows
+	ServersRejecting int         `json:"rejecting,omitempty"`  // servers that could not take some record
+	Rejections       []Rejection `json:"rejections,omitempty"` // some of them
 }
 
-// Check bounds a report that came from elsewhere.
-func (r *Report) Check() {
+// Clamp bounds a report that came from elsewhere.
+func (r *Report) Clamp() {
 	r.Rejections = r.Rejections[:min(len(r.Rejections), MaxRejections)]
 	for i := range r.Rejections {
-		j := &r.Rejections[i]
-		j.Server, j.Key, j.Reason = bound(j.Server), bound(j.Key), bound(j.Reason)
+		rejection := &r.Rejections[i]
+		rejection.Server, rejection.Key, rejection.Reason = truncate(rejection.Server), truncate(rejection.Key), truncate(rejection.Reason)
 	}
-	r.LowestName = bound(r.LowestName)
-	r.Servers, r.Behind, r.Rejecting = max(r.Servers, 0), max(r.Behind, 0), max(r.Rejecting, 0)
+	r.LowestServer = truncate(r.LowestServer)
+	r.Servers, r.ServersBehind, r.ServersRejecting = max(r.Servers, 0), max(r.ServersBehind, 0), max(r.ServersRejecting, 0)
 }
 
-func bound(s string) string { return s[:min(len(s), maxReason)] }
+func truncate(s string) string { return s[:min(len(s), maxTextBytes)] }
 
 // Progress gathers the reports of the watchers of one feed.
 type Progress struct{ reports map[string]Report }
@@ -50,7 +50,7 @@
 
 // Put takes the latest report of a watcher.
 func (p *Progress) Put(watcher string, r Report) {
-	r.Check()
+	r.Clamp()
 	p.reports[watcher] = r
 }
 
@@ -64,16 +64,16 @@
 		if r.Servers == 0 {
 			continue
 		}
-		if sum.Servers == 0 || r.Lowest < sum.Lowest || r.Lowest == sum.Lowest && r.LowestName < sum.LowestName {
-			sum.Lowest, sum.LowestName = r.Lowest, r.LowestName
+		if sum.Servers == 0 || r.LowestRevision < sum.LowestRevision || r.LowestRevision == sum.LowestRevision && r.LowestServer < sum.LowestServer {
+			sum.LowestRevision, sum.LowestServer = r.LowestRevision, r.LowestServer
 		}
 		sum.Servers += r.Servers
-		if r.Behind == 0 && r.Lowest < latest {
-			sum.Behind += r.Servers // they were level with what their relay knew
+		if r.ServersBehind == 0 && r.LowestRevision < latest {
+			sum.ServersBehind += r.Servers // they were level with what their relay knew
 		} else {
-			sum.Behind += r.Behind
+			sum.ServersBehind += r.ServersBehind
 		}
-		sum.Rejecting += r.Rejecting
+		sum.ServersRejecting += r.ServersRejecting
 		sum.Rejections = append(sum.Rejections, r.Rejections...)
 	}
 	slices.SortFunc(sum.Rejections, func(a, b Rejection) int {
--- a/internal/distribution/regions_test.go
+++ b/internal/distribution/regions_test.go
@@ -6,63 +6,63 @@
 )
 
 // A region's age counts from the first change that one of its servers does not use, and goes on while its relays are not heard.
-func TestAgesOfRegions(t *testing.T) {
-	g, ages := NewRegions(), &Ages{}
+func TestRegionStalenessCountsFromFirstUnappliedChange(t *testing.T) {
+	g, commitTimes := NewRegions(), &CommitTimes{}
 	for revision := uint64(1); revision <= 5; revision++ {
-		ages.Add(revision, float64(revision)*1000)
+		commitTimes.Add(revision, float64(revision)*1000)
 	}
-	g.Put(5000, "a1", "a", Report{Servers: 3, Lowest: 5, LowestName: "s1"})
-	g.Put(5000, "b1", "b", Report{Servers: 2, Lowest: 5, LowestName: "s4"})
-	g.Put(5000, "b2", "b", Report{Servers: 2, Lowest: 3, LowestName: "s6", Behind: 1})
+	g.Put(5000, "a1", "a", Report{Servers: 3, LowestRevision: 5, LowestServer: "s1"})
+	g.Put(5000, "b1", "b", Report{Servers: 2, LowestRevision: 5, LowestServer: "s4"})
+	g.Put(5000, "b2", "b", Report{Servers: 2, LowestRevision: 3, LowestServer: "s6", ServersBehind: 1})
 	g.Put(5000, "c1", "c", Report{})
-	g.Left("b2")
-	all := g.Status(9000, 5, ages)
+	g.MarkDisconnected("b2")
+	all := g.Status(9000, 5, commitTimes)
 	if len(all) != 3 || all[0].Region != "b" {
 		t.Fatalf("%+v", all)
 	}
 	b := all[0]
-	if b.Relays != 1 || b.Lost != 1 || b.Servers != 4 || b.Lowest != 3 || b.LowestName != "s6" || b.Behind != 1 || b.AgeMs != 5000 || b.SilentMs != 4000 {
+	if b.ConnectedRelays != 1 || b.DisconnectedRelays != 1 || b.Servers != 4 || b.LowestRevision != 3 || b.LowestServer != "s6" || b.ServersBehind != 1 || b.StalenessMS != 5000 || b.SinceReportMS != 4000 {
 		t.Errorf("%+v", b)
 	}
-	if a := all[1]; a.Region != "a" || a.AgeMs != 0 || a.Behind != 0 || a.Servers != 3 {
+	if a := all[1]; a.Region != "a" || a.StalenessMS != 0 || a.ServersBehind != 0 || a.Servers != 3 {
 		t.Errorf("%+v", a)
 	}
-	if c := all[2]; c.Region != "c" || c.AgeMs != 0 || c.Servers != 0 || c.Relays != 1 {
+	if c := all[2]; c.Region != "c" || c.StalenessMS != 0 || c.Servers != 0 || c.ConnectedRelays != 1 {
 		t.Errorf("%+v", c)
 	}
-	g.Put(9000, "b2", "b", Report{Servers: 2, Lowest: 5})
-	if b := g.Status(9000, 5, ages)[1]; b.Region != "b" || b.AgeMs != 0 || b.Lost != 0 {
+	g.Put(9000, "b2", "b", Report{Servers: 2, LowestRevision: 5})
+	if b := g.Status(9000, 5, commitTimes)[1]; b.Region != "b" || b.StalenessMS != 0 || b.DisconnectedRelays != 0 {
 		t.Errorf("%+v", b)
 	}
 }
 
 // What is remembered of relays and revisions is bounded, and what is older counts as the oldest that is known.
-func TestWhatIsRememberedOfRegionsIsBounded(t *testing.T) {
+func TestRetainedRelaysAndCommitTimesAreBounded(t *testing.T) {
 	g := NewRegions()
-	for i := range maxRelaysKnown + 10 {
+	for i := range maxRetainedRelays + 10 {
 		g.Put(float64(i), fmt.Sprint("r", i), "a", Report{Servers: 1})
 	}
-	if n := len(g.relays); n != maxRelaysKnown || g.relays["r9"] != nil || g.relays["r10"] == nil {
+	if n := len(g.relays); n != maxRetainedRelays || g.relays["r9"] != nil || g.relays["r10"] == nil {
 		t.Errorf("%d relays are known", n)
 	}
-	ages := &Ages{}
-	for revision := uint64(1); revision <= maxAges+100; revision++ {
-		ages.Add(revision, float64(revision))
+	commitTimes := &CommitTimes{}
+	for revision := uint64(1); revision <= maxCommitTimes+100; revision++ {
+		commitTimes.Add(revision, float64(revision))
 	}
 	const now = 1e6
-	if age := ages.Behind(now, 5); len(ages.at) != maxAges || age != now-101 {
-		t.Errorf("%d times; an age of %v", len(ages.at), age)
+	if staleness := commitTimes.StalenessMS(now, 5); len(commitTimes.timesMS) != maxCommitTimes || staleness != now-101 {
+		t.Errorf("%d times; an age of %v", len(commitTimes.timesMS), staleness)
 	}
-	if age := ages.Behind(now, 200); age != now-201 {
-		t.Errorf("an age of %v", age)
+	if staleness := commitTimes.StalenessMS(now, 200); staleness != now-201 {
+		t.Errorf("an age of %v", staleness)
 	}
-	begun := &Ages{}
-	begun.Add(100, now) // with a snapshot: nothing is known of what came before
-	if begun.Behind(now+7, 60) != 7 || begun.Behind(now+7, 100) != 0 {
+	afterSnapshot := &CommitTimes{}
+	afterSnapshot.Add(100, now) // with a snapshot: nothing is known of what came before
+	if afterSnapshot.StalenessMS(now+7, 60) != 7 || afterSnapshot.StalenessMS(now+7, 100) != 0 {
 		t.Error("who is behind a snapshot is taken for level, or who is level for behind")
 	}
-	ages.Add(1, now)
-	if ages.Behind(now, 1) != 0 || ages.Behind(now+7, 0) != 7 {
+	commitTimes.Add(1, now)
+	if commitTimes.StalenessMS(now, 1) != 0 || commitTimes.StalenessMS(now+7, 0) != 7 {
 		t.Error("a revision that does not follow does not begin anew")
 	}
 }
--- a/internal/inventory/csv.go
+++ b/internal/inventory/csv.go
@@ -36,28 +36,28 @@
 	if !columns["name"] {
 		return nil, fmt.Errorf("%s:%d: no column \"name\"", path, line)
 	}
-	hosts, at := map[string]*Host{}, map[string]int{}
+	hosts, firstLine := map[string]*Host{}, map[string]int{}
 	for {
 		row, err := r.Read()
 		if errors.Is(err, io.EOF) {
-			return finish(hosts), nil
+			return newInventory(hosts), nil
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err) // names the line
 		}
 		line, _ := r.FieldPos(0)
-		h, err := rowHost(header, row)
+		h, err := parseRow(header, row)
 		if err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", path, line, err)
 		}
-		if first, twice := at[h.Name]; twice {
+		if first, duplicate := firstLine[h.Name]; duplicate {
 			return nil, fmt.Errorf("%s:%d: duplicate host %q, first in line %d", path, line, h.Name, first)
 		}
-		hosts[h.Name], at[h.Name] = h, line
+		hosts[h.Name], firstLine[h.Name] = h, line
 	}
 }
 
-func rowHost(header, row []string) (*Host, error) {
+func parseRow(header, row []string) (*Host, error) {
 	h := &Host{Vars: map[string]string{}}
 	for i, column := range header {
 		v := strings.TrimSpace(row[i])
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -72,8 +72,8 @@
 	return net.JoinHostPort(h.Address, strconv.Itoa(port))
 }
 
-// finish sorts what was read, so that the same hosts give the same inventory.
-func finish(hosts map[string]*Host) *Inventory {
+// newInventory sorts what was read, so that the same hosts give the same inventory.
+func newInventory(hosts map[string]*Host) *Inventory {
 	v := &Inventory{}
 	for _, h := range hosts {
 		if h.Address == "" {
@@ -86,23 +86,23 @@
 	return v
 }
 
-var label = regexp.MustCompile(`^[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?$`)
+var hostLabel = regexp.MustCompile(`^[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?$`)
 
 // checkAddress takes IP addresses and host names. What looks like an IPv4 address has to be one.
 func checkAddress(s string) error {
 	if net.ParseIP(s) != nil {
 		return nil
 	}
-	numbers := true
+	allNumeric := true
 	for part := range strings.SplitSeq(s, ".") {
-		if !label.MatchString(part) {
+		if !hostLabel.MatchString(part) {
 			return fmt.Errorf("bad address %q", s)
 		}
 		if _, err := strconv.Atoi(part); err != nil {
-			numbers = false
+			allNumeric = false
 		}
 	}
-	if numbers || len(s) > 253 {
+	if allNumeric || len(s) > 253 {
 		return fmt.Errorf("bad address %q", s)
 	}
 	return nil
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const asYAML = `all:
+const sampleYAML = `all:
   vars: {zone: tema, depot: main}
   hosts:
     edge: {}
@@ -22,7 +22,7 @@
             r3.depot.example:
 `
 
-const asCSV = `name,address,port,groups,var_zone,var_depot
+const sampleCSV = `name,address,port,groups,var_zone,var_depot
 r2,::1,3032,runners,accra-west,main
 edge,,,,tema,main
 # a remark
@@ -30,12 +30,12 @@
 r3.depot.example,,3031,spare; runners,accra-east,main
 `
 
-func TestBothFormatsGiveOneModel(t *testing.T) {
-	a, err := ParseYAML("i.yml", []byte(asYAML))
+func TestYAMLAndCSVGiveEqualInventories(t *testing.T) {
+	a, err := ParseYAML("i.yml", []byte(sampleYAML))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := ParseCSV("i.csv", []byte(asCSV))
+	b, err := ParseCSV("i.csv", []byte(sampleCSV))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestFaultsNameTheirPlace(t *testing.T) {
+func TestErrorsNameFileAndLine(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"name,colour\nx,red\n", `i:1: unknown column "colour"`},
 		{"name,name\n", `i:1: column "name" stands twice`},
--- a/internal/inventory/yaml.go
+++ b/internal/inventory/yaml.go
@@ -10,8 +10,8 @@
 
 // The variables that tell where a host is.
 const (
-	varHost = "ansible_host"
-	varPort = "ansible_port"
+	addressVar = "ansible_host"
+	portVar    = "ansible_port"
 )
 
 // ParseYAML reads groups of hosts: at the top all, and in each group hosts, vars and children. A host may be in
@@ -22,33 +22,33 @@
 	if err := yaml.Unmarshal(text, &doc); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	p := &parser{path: path, hosts: map[string]*Host{}, own: map[string]map[string]string{}, lines: map[string]int{}}
+	p := &parser{path: path, hosts: map[string]*Host{}, hostVars: map[string]map[string]string{}, hostLines: map[string]int{}}
 	if len(doc.Content) == 0 {
-		return finish(p.hosts), nil
+		return newInventory(p.hosts), nil
 	}
-	top, err := p.pairs(doc.Content[0], "the file")
+	groups, err := p.pairs(doc.Content[0], "the file")
 	if err != nil {
 		return nil, err
 	}
-	for _, g := range top {
+	for _, g := range groups {
 		if err := p.group(g.key, g.value, nil, nil); err != nil {
 			return nil, err
 		}
 	}
 	for name, h := range p.hosts {
-		maps.Copy(h.Vars, p.own[name])
-		if err := p.place(h); err != nil {
-			return nil, fmt.Errorf("%s:%d: host %q: %w", path, p.lines[name], name, err)
+		maps.Copy(h.Vars, p.hostVars[name])
+		if err := p.setAddressAndPort(h); err != nil {
+			return nil, fmt.Errorf("%s:%d: host %q: %w", path, p.hostLines[name], name, err)
 		}
 	}
-	return finish(p.hosts), nil
+	return newInventory(p.hosts), nil
 }
 
 type parser struct {
-	path  string
-	hosts map[string]*Host
-	own   map[string]map[string]string // variables given at the host itself
-	lines map[string]int
+	path      string
+	hosts     map[string]*Host
+	hostVars  map[string]map[string]string // variables given at the host itself
+	hostLines map[string]int
 }
 
 type pair struct {
@@ -67,69 +67,69 @@
 	if n.Kind != yaml.MappingNode {
 		return nil, fmt.Errorf("%s:%d: %s must be a mapping", p.path, n.Line, what)
 	}
-	var out []pair
+	var members []pair
 	seen := map[string]int{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k := n.Content[i]
-		if first, twice := seen[k.Value]; twice {
+		if first, duplicate := seen[k.Value]; duplicate {
 			return nil, fmt.Errorf("%s:%d: duplicate %q in %s, first in line %d", p.path, k.Line, k.Value, what, first)
 		}
 		seen[k.Value] = k.Line
-		out = append(out, pair{k, n.Content[i+1]})
+		members = append(members, pair{k, n.Content[i+1]})
 	}
-	return out, nil
+	return members, nil
 }
 
 // group reads one group; vars are those of the groups round it, whose names are in the way.
-func (p *parser) group(name, n *yaml.Node, way []string, vars map[string]string) error {
-	if slices.Contains(way, name.Value) {
+func (p *parser) group(name, n *yaml.Node, ancestors []string, vars map[string]string) error {
+	if slices.Contains(ancestors, name.Value) {
 		return fmt.Errorf("%s:%d: group %q lies within itself", p.path, name.Line, name.Value)
 	}
-	way = append(slices.Clone(way), name.Value)
+	ancestors = append(slices.Clone(ancestors), name.Value)
 	members, err := p.pairs(n, fmt.Sprintf("group %q", name.Value))
 	if err != nil {
 		return err
 	}
-	parts := map[string]*yaml.Node{}
+	sections := map[string]*yaml.Node{}
 	for _, m := range members {
 		switch m.key.Value {
 		case "hosts", "vars", "children":
-			parts[m.key.Value] = m.value
+			sections[m.key.Value] = m.value
 		default:
 			return fmt.Errorf("%s:%d: unknown key %q in group %q", p.path, m.key.Line, m.key.Value, name.Value)
 		}
 	}
-	if v := parts["vars"]; v != nil {
+	if v := sections["vars"]; v != nil {
 		own, err := p.vars(v, fmt.Sprintf("the vars of group %q", name.Value))
 		if err != nil {
 			return err
 		}
-		inner := maps.Clone(own)
+		merged := maps.Clone(own)
 		for k, x := range vars {
-			if _, there := own[k]; !there {
-				inner[k] = x
+			if _, overridden := own[k]; !overridden {
+				merged[k] = x
 			}
 		}
-		vars = inner
+		vars = merged
 	}
-	if h := parts["hosts"]; h != nil {
+	if h := sections["hosts"]; h != nil {
 		hosts, err := p.pairs(h, fmt.Sprintf("the hosts of group %q", name.Value))
 		if err != nil {
 			return err
 		}
 		for _, m := range hosts {
-			if err := p.host(m, way, vars); err != nil {
+			if err := p.host(m, ancestors, vars); err != nil {
 				return err
 			}
 		}
 	}
-	if c := parts["children"]; c != nil {
+	if c := sections["children"]; c != nil {
 		children, err := p.pairs(c, fmt.Sprintf("the children of group %q", name.Value))
 		if err != nil {
 			return err
 		}
 		for _, m := range children {
-			if err := p.group(m.key, m.value, way, vars); err != nil {
+			if err := p.group(m.key, m.value, ancestors, vars); err != nil {
 				return err
 			}
 		}
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func (p *parser) host(m pair, way []string, vars map[string]string) error {
+func (p *parser) host(m pair, groups []string, vars map[string]string) error {
 	name := m.key.Value
 	own, err := p.vars(m.value, fmt.Sprintf("host %q", name))
 	if err != nil {
@@ -146,17 +146,17 @@
 	h := p.hosts[name]
 	if h == nil {
 		h = &Host{Name: name, Vars: map[string]string{}}
-		p.hosts[name], p.own[name], p.lines[name] = h, map[string]string{}, m.key.Line
+		p.hosts[name], p.hostVars[name], p.hostLines[name] = h, map[string]string{}, m.key.Line
 	}
 	// A host may be listed in many groups, but two addresses are two hosts of one name.
-	for _, k := range []string{varHost, varPort} {
-		if a, b := p.own[name][k], own[k]; a != "" && b != "" && a != b {
-			return fmt.Errorf("%s:%d: duplicate host %q: %s is %q here and %q before, in line %d", p.path, m.key.Line, name, k, b, a, p.lines[name])
+	for _, k := range []string{addressVar, portVar} {
+		if a, b := p.hostVars[name][k], own[k]; a != "" && b != "" && a != b {
+			return fmt.Errorf("%s:%d: duplicate host %q: %s is %q here and %q before, in line %d", p.path, m.key.Line, name, k, b, a, p.hostLines[name])
 		}
 	}
-	maps.Copy(p.own[name], own)
+	maps.Copy(p.hostVars[name], own)
 	maps.Copy(h.Vars, vars)
-	for _, g := range way {
+	for _, g := range groups {
 		if g != "all" && !slices.Contains(h.Groups, g) {
 			h.Groups = append(h.Groups, g)
 		}
@@ -189,22 +189,22 @@
 	return vars, nil
 }
 
-// place moves the variables that tell where a host is.
-func (p *parser) place(h *Host) error {
+// setAddressAndPort moves the variables that tell where a host is.
+func (p *parser) setAddressAndPort(h *Host) error {
 	h.Address = h.Name
-	if v := h.Vars[varHost]; v != "" {
+	if v := h.Vars[addressVar]; v != "" {
 		h.Address = v
 	}
 	if err := checkAddress(h.Address); err != nil {
 		return err
 	}
-	if v := h.Vars[varPort]; v != "" {
+	if v := h.Vars[portVar]; v != "" {
 		var err error
 		if h.Port, err = parsePort(v); err != nil {
 			return err
 		}
 	}
-	delete(h.Vars, varHost)
-	delete(h.Vars, varPort)
+	delete(h.Vars, addressVar)
+	delete(h.Vars, portVar)
 	return nil
 }
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -342,7 +342,7 @@
 		case e.What == "killed", e.What == trace.ProcessStarted:
 			delete(corruptedBy, who) // its memory went with the process
 			delete(rejoinAt, who)
-		case e.What == trace.ReplicaPhase && e.Text == store.PhaseAsks:
+		case e.What == trace.ReplicaPhase && e.Text == store.PhaseRejoining:
 			f.Rejoined++
 			rejoinAt[who] = e.At
 			if !strings.Contains(e.Cause, "differs from that of a majority") {
@@ -353,7 +353,7 @@
 				f.addViolation("only corrupt replicas differ", who+" was found to differ, and its memory had not been corrupted", e)
 			}
 			delete(corruptedBy, who)
-		case e.What == trace.ReplicaPhase && e.Text == store.PhaseRuns && rejoinAt[who] > 0:
+		case e.What == trace.ReplicaPhase && e.Text == store.PhaseRunning && rejoinAt[who] > 0:
 			f.CatchUpMS = append(f.CatchUpMS, e.At-rejoinAt[who])
 			delete(rejoinAt, who)
 		}
--- a/internal/lab/cmd.go
+++ b/internal/lab/cmd.go
@@ -89,7 +89,7 @@
 			fmt.Fprintf(out, "  %-8s %s\n", s.Name, s.Text)
 		}
 		fmt.Fprintln(out, "plants:")
-		for _, p := range config.Plants {
+		for _, p := range config.InjectedBugs {
 			fmt.Fprintln(out, "  "+p)
 		}
 		return nil
@@ -163,8 +163,8 @@
 		return Setup{}, err
 	case !ok:
 		return Setup{}, &UsageError{fmt.Sprintf("no scenario %q; --list names them", c.Scenario)}
-	case c.Plant != "" && !slices.Contains(config.Plants, c.Plant):
-		return Setup{}, &UsageError{fmt.Sprintf("no bug %q to inject; there are %s", c.Plant, strings.Join(config.Plants, ", "))}
+	case c.Plant != "" && !slices.Contains(config.InjectedBugs, c.Plant):
+		return Setup{}, &UsageError{fmt.Sprintf("no bug %q to inject; there are %s", c.Plant, strings.Join(config.InjectedBugs, ", "))}
 	case c.Copies != 3 && c.Copies != 5 && c.Copies != 7:
 		return Setup{}, &UsageError{fmt.Sprintf("--copies must be 3, 5 or 7, not %d", c.Copies)}
 	case c.Servers < c.Copies || c.Servers > 100:
--- a/internal/lab/figures.go
+++ b/internal/lab/figures.go
@@ -37,7 +37,7 @@
 // canVote reports whether the process's store replica runs with its vote. It is true for a process without a replica and for a
 // build that doesn't report it.
 func (s processMetrics) canVote() bool {
-	return s.Store == nil || s.Store.Phase == store.PhaseRuns && s.Store.Votes
+	return s.Store == nil || s.Store.Phase == store.PhaseRunning && s.Store.Votes
 }
 
 var httpClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -193,8 +193,8 @@
 		return trace.Event{At: at, Who: who, What: what, Text: text, Cause: cause}
 	}
 	const differs = "b: the state of s02 differs from that of a majority"
-	corrupted, rejoins := event(1000, "s02", eventCorrupted, "e", ""), event(5000, "s02#1", trace.ReplicaPhase, store.PhaseAsks, differs)
-	runs, died := event(6000, "s02#1", trace.ReplicaPhase, store.PhaseRuns, ""), event(2000, "s02", "killed", "", "")
+	corrupted, rejoins := event(1000, "s02", eventCorrupted, "e", ""), event(5000, "s02#1", trace.ReplicaPhase, store.PhaseRejoining, differs)
+	runs, died := event(6000, "s02#1", trace.ReplicaPhase, store.PhaseRunning, ""), event(2000, "s02", "killed", "", "")
 	for want, events := range map[string][]trace.Event{
 		"":                             {corrupted, rejoins, runs},
 		"corrupt replicas are found":   {corrupted},
--- a/internal/lab/scale/check.go
+++ b/internal/lab/scale/check.go
@@ -16,140 +16,140 @@
 // What hollow servers write down besides the events of package trace.
 const (
 	eventDown    = "down"    // the server has ended
-	eventSpoilt  = "spoilt"  // its copy is spoilt, or was found to be
+	eventCorrupt = "spoilt"  // its copy is spoilt, or was found to be
 	eventStalled = "stalled" // it reads nothing until Until
 )
 
-// agreed is one commit of the copies of the store.
-type agreed struct {
-	at     float64 // when the first copy had it
-	digest string
+// commit is one commit of the copies of the store.
+type commit struct {
+	committedAt float64 // when the first copy had it
+	digest      string
 }
 
 // findings is what the checker found.
 type findings struct {
-	violations []string
-	commits    map[uint64]agreed
-	last       uint64
-	inForce    []*hdrhistogram.Histogram // by size, in microseconds
-	burst      []float64                 // by size: the most
-	catchUp    []float64                 // by size: the most, in ms
-	faults     []int                     // by size
+	violations     []string
+	commits        map[uint64]commit
+	lastRevision   uint64
+	inForceDelays  []*hdrhistogram.Histogram // by size, in microseconds
+	maxBurstDelays []float64                 // by size: the most
+	maxCatchUps    []float64                 // by size: the most, in ms
+	faultCounts    []int                     // by size
 }
 
-func (f *findings) broken(format string, a ...any) {
+func (f *findings) addViolation(format string, a ...any) {
 	f.violations = append(f.violations, fmt.Sprintf(format, a...))
 }
 
-// fill writes what was found into a point.
-func (f *findings) fill(p *Point, i int) {
-	at := func(q float64) float64 { return float64(f.inForce[i].ValueAtQuantile(q)) / 1000 }
-	p.InForceP50, p.InForceP99, p.InForceMax = at(50), at(99), float64(f.inForce[i].Max())/1000
-	p.Faults, p.CatchUpMax, p.BurstMax = f.faults[i], f.catchUp[i], f.burst[i]
+// fillPoint writes what was found into a point.
+func (f *findings) fillPoint(p *Point, i int) {
+	quantile := func(q float64) float64 { return float64(f.inForceDelays[i].ValueAtQuantile(q)) / 1000 }
+	p.InForceP50, p.InForceP99, p.InForceMax = quantile(50), quantile(99), float64(f.inForceDelays[i].Max())/1000
+	p.Faults, p.CatchUpMax, p.BurstMax = f.faultCounts[i], f.maxCatchUps[i], f.maxBurstDelays[i]
 }
 
-const longest = int64(10 * 60 * 1e6) // microseconds that a histogram holds
+const maxDelayMicros = int64(10 * 60 * 1e6) // microseconds that a histogram holds
 
-// check reads what each process wrote down and holds it against what was agreed on.
-func check(o *outcome) *findings {
-	f := &findings{commits: map[uint64]agreed{}}
+// checkTraces reads what each process wrote down and holds it against what was agreed on.
+func checkTraces(o *outcome) *findings {
+	f := &findings{commits: map[uint64]commit{}}
 	n := len(o.points)
 	for range n {
-		f.inForce = append(f.inForce, hdrhistogram.New(1, longest, 3))
+		f.inForceDelays = append(f.inForceDelays, hdrhistogram.New(1, maxDelayMicros, 3))
 	}
-	f.burst, f.catchUp, f.faults = make([]float64, n), make([]float64, n), make([]int, n)
-	for _, m := range o.made {
-		f.faults[m.Point]++
+	f.maxBurstDelays, f.maxCatchUps, f.faultCounts = make([]float64, n), make([]float64, n), make([]int, n)
+	for _, m := range o.injectedFaults {
+		f.faultCounts[m.Point]++
 	}
-	for _, c := range o.crash {
-		f.broken("crash: %s", c)
+	for _, c := range o.unexpectedExits {
+		f.addViolation("crash: %s", c)
 	}
-	for _, p := range o.problem {
-		f.broken("not converged: %s", p)
+	for _, p := range o.unconverged {
+		f.addViolation("not converged: %s", p)
 	}
 	files, err := filepath.Glob(filepath.Join(o.setup.Out, "traces", "*.trace"))
 	if err != nil {
-		f.broken("%v", err)
+		f.addViolation("%v", err)
 		return f
 	}
-	followers := map[string][]trace.Event{} // by process, all its lives
+	eventsByProcess := map[string][]trace.Event{} // by process, all its lives
 	for _, path := range files {
 		events, err := trace.Read(path)
 		if err != nil {
-			f.broken("%v", err)
+			f.addViolation("%v", err)
 			continue
 		}
 		if name := filepath.Base(path); strings.HasPrefix(name, "c") {
-			f.agree(events)
+			f.collectCommits(events)
 			continue
 		}
 		for _, e := range events {
-			who, _, _ := strings.Cut(e.Who, "#")
-			followers[who] = append(followers[who], e)
+			processName, _, _ := strings.Cut(e.Who, "#")
+			eventsByProcess[processName] = append(eventsByProcess[processName], e)
 		}
 	}
-	f.checkChain()
-	for who, events := range followers {
+	f.checkRevisionsComplete()
+	for processName, events := range eventsByProcess {
 		slices.SortStableFunc(events, func(a, b trace.Event) int { return cmp.Compare(a.At, b.At) })
-		f.follow(o, who, events)
+		f.checkProcess(o, processName, events)
 	}
 	slices.Sort(f.violations)
 	return f
 }
 
-// agree takes what one copy of the store had.
-func (f *findings) agree(events []trace.Event) {
-	applied := map[uint64]float64{}
+// collectCommits takes what one copy of the store had.
+func (f *findings) collectCommits(events []trace.Event) {
+	appliedAt := map[uint64]float64{}
 	for _, e := range events {
 		switch {
 		case e.What == trace.EntryApplied && e.Text == state.OpChangeRecords && e.Cause == "":
-			applied[e.N] = e.At
+			appliedAt[e.N] = e.At
 		case e.What == trace.CommitAgreed:
-			at, ok := applied[e.N]
+			at, ok := appliedAt[e.N]
 			if !ok {
 				at = e.At
 			}
 			c, known := f.commits[e.N]
 			if known && c.digest != e.Text {
-				f.broken("copies differ: revision %d has digest %s and %s", e.N, c.digest, e.Text)
+				f.addViolation("copies differ: revision %d has digest %s and %s", e.N, c.digest, e.Text)
 			}
-			if !known || at < c.at {
-				f.commits[e.N] = agreed{at, e.Text}
+			if !known || at < c.committedAt {
+				f.commits[e.N] = commit{at, e.Text}
 			}
-			f.last = max(f.last, e.N)
+			f.lastRevision = max(f.lastRevision, e.N)
 		}
 	}
 }
 
-func (f *findings) checkChain() {
-	for n := uint64(1); n <= f.last; n++ {
+func (f *findings) checkRevisionsComplete() {
+	for n := uint64(1); n <= f.lastRevision; n++ {
 		if _, ok := f.commits[n]; !ok {
-			f.broken("revision %d of %d was agreed on by no copy", n, f.last)
+			f.addViolation("revision %d of %d was agreed on by no copy", n, f.lastRevision)
 			return
 		}
 	}
 }
 
 // outage is a time in which a server could not follow: cut off, down, or not reading.
-type outage struct{ from, to float64 }
+type outage struct{ fromMS, toMS float64 }
 
-// outages are those of one process.
-func (o *outcome) outages(who, zone string, events []trace.Event) (all []outage) {
-	for _, m := range o.made {
-		if m.cutOff(zone) || slices.Contains(m.Down, who) {
-			all = append(all, outage{m.From, m.To})
+// outagesOf are those of one process.
+func (o *outcome) outagesOf(processName, zone string, events []trace.Event) (all []outage) {
+	for _, m := range o.injectedFaults {
+		if m.cutsZone(zone) || slices.Contains(m.DownProcesses, processName) {
+			all = append(all, outage{m.FromMS, m.ToMS})
 		}
 	}
-	down := -1.0
+	stoppedAt := -1.0
 	for _, e := range events {
 		switch e.What {
 		case eventDown:
-			down = e.At
+			stoppedAt = e.At
 		case trace.ProcessStarted:
-			if down >= 0 {
-				all = append(all, outage{down, e.At})
+			if stoppedAt >= 0 {
+				all = append(all, outage{stoppedAt, e.At})
 			}
-			down = -1
+			stoppedAt = -1
 		case eventStalled:
 			all = append(all, outage{e.At, e.Until})
 		}
@@ -157,142 +157,142 @@
 	return all
 }
 
-// zone is where a follower stands: hollow servers have it in their names.
-func (o *outcome) zone(who string) string {
-	if z, ok := o.zoneOf[who]; ok {
+// zoneOfProcess is where a follower stands: hollow servers have it in their names.
+func (o *outcome) zoneOfProcess(processName string) string {
+	if z, ok := o.zoneOf[processName]; ok {
 		return z
 	}
-	zone, _, _ := strings.Cut(who, "-")
+	zone, _, _ := strings.Cut(processName, "-")
 	return zone
 }
 
-func (o *outcome) pointOf(at float64) int {
-	for i, s := range o.spans {
-		if at >= s.from && at <= s.to {
+func (o *outcome) pointAt(timeMS float64) int {
+	for i, s := range o.sizeSpans {
+		if timeMS >= s.fromMS && timeMS <= s.toMS {
 			return i
 		}
 	}
 	return -1
 }
 
-func (o *outcome) inBurst(at float64) bool {
-	return slices.ContainsFunc(o.bursts, func(b span) bool { return at >= b.from && at <= b.to })
+func (o *outcome) inBurst(timeMS float64) bool {
+	return slices.ContainsFunc(o.bursts, func(b span) bool { return timeMS >= b.fromMS && timeMS <= b.toMS })
 }
 
-// follower is how far one process is, as the checker reads its events.
-type follower struct {
-	who      string
-	revision uint64
-	digest   string
-	up       float64 // when its life began
-	spoilt   bool    // it began this life without a copy, or with a spoilt one
+// processProgress is how far one process is, as the checker reads its events.
+type processProgress struct {
+	name         string
+	revision     uint64
+	digest       string
+	startedAt    float64 // when its life began
+	lacksRecords bool    // it began this life without a copy, or with a spoilt one
 }
 
-// follow checks one process over all its lives.
-func (f *findings) follow(o *outcome, who string, events []trace.Event) {
-	outages := o.outages(who, o.zone(who), events)
-	p := follower{who: who}
+// checkProcess checks one process over all its lives.
+func (f *findings) checkProcess(o *outcome, processName string, events []trace.Event) {
+	outages := o.outagesOf(processName, o.zoneOfProcess(processName), events)
+	p := processProgress{name: processName}
 	for _, e := range events {
 		switch e.What {
 		case trace.ProcessStarted:
-			p.up, p.spoilt = e.At, false
-		case eventSpoilt:
-			p.spoilt = true
+			p.startedAt, p.lacksRecords = e.At, false
+		case eventCorrupt:
+			p.lacksRecords = true
 		case trace.RecordsInstalled:
-			f.installed(o, &p, e)
+			f.checkInstalled(o, &p, e)
 		case trace.CommitsInForce:
-			f.cameIntoForce(o, &p, e, outages)
+			f.checkInForce(o, &p, e, outages)
 		case trace.RevisionReported:
 			if e.N > p.revision {
-				f.broken("%s reported revision %d at %.1f, and %d was in force", who, e.N, e.At, p.revision)
+				f.addViolation("%s reported revision %d at %.1f, and %d was in force", processName, e.N, e.At, p.revision)
 			}
 		}
 	}
 	// Processes of a size that is over ended where that size did.
-	if last := f.expected(o, events); p.revision != last {
-		f.broken("%s ended at revision %d, and %d was the latest", who, p.revision, last)
+	if last := f.expectedRevision(o, events); p.revision != last {
+		f.addViolation("%s ended at revision %d, and %d was the latest", processName, p.revision, last)
 	}
 }
 
-// expected is the revision at which a process should have ended: hollow ones of earlier sizes ended with these.
-func (f *findings) expected(o *outcome, events []trace.Event) uint64 {
+// expectedRevision is the revision at which a process should have ended: hollow ones of earlier sizes ended with these.
+func (f *findings) expectedRevision(o *outcome, events []trace.Event) uint64 {
 	if len(events) == 0 {
 		return 0
 	}
-	ended := events[len(events)-1]
-	if ended.What != eventDown {
-		return f.last
+	lastEvent := events[len(events)-1]
+	if lastEvent.What != eventDown {
+		return f.lastRevision
 	}
-	last := uint64(0)
+	latest := uint64(0)
 	for n, c := range f.commits {
-		if c.at <= ended.At {
-			last = max(last, n)
+		if c.committedAt <= lastEvent.At {
+			latest = max(latest, n)
 		}
 	}
-	return last
+	return latest
 }
 
-func (f *findings) installed(o *outcome, p *follower, e trace.Event) {
+func (f *findings) checkInstalled(o *outcome, p *processProgress, e trace.Event) {
 	if c, ok := f.commits[e.N]; e.N > 0 && !ok {
-		f.broken("%s took a snapshot of revision %d, which was never agreed on", p.who, e.N)
+		f.addViolation("%s took a snapshot of revision %d, which was never agreed on", p.name, e.N)
 	} else if ok && c.digest != e.Text {
-		f.broken("%s took a snapshot as of revision %d with digest %s, and agreed on was %s", p.who, e.N, e.Text, c.digest)
-	} else if ok && c.at > e.At {
-		f.broken("%s had revision %d before it was agreed on", p.who, e.N)
+		f.addViolation("%s took a snapshot as of revision %d with digest %s, and agreed on was %s", p.name, e.N, e.Text, c.digest)
+	} else if ok && c.committedAt > e.At {
+		f.addViolation("%s had revision %d before it was agreed on", p.name, e.N)
 	}
-	if point := o.pointOf(e.At); point >= 0 && e.N > 0 && p.spoilt && p.up > 0 {
-		f.catchUp[point] = max(f.catchUp[point], e.At-p.up)
+	if point := o.pointAt(e.At); point >= 0 && e.N > 0 && p.lacksRecords && p.startedAt > 0 {
+		f.maxCatchUps[point] = max(f.maxCatchUps[point], e.At-p.startedAt)
 	}
-	p.spoilt = e.N == 0 || p.spoilt && e.At <= p.up
+	p.lacksRecords = e.N == 0 || p.lacksRecords && e.At <= p.startedAt
 	p.revision, p.digest = e.N, e.Text
 }
 
-func (f *findings) cameIntoForce(o *outcome, p *follower, e trace.Event, outages []outage) {
+func (f *findings) checkInForce(o *outcome, p *processProgress, e trace.Event, outages []outage) {
 	if e.Index != p.revision+1 {
 		kind := "skipped"
 		if e.Index <= p.revision {
 			kind = "doubled or out of order"
 		}
-		f.broken("%s: %s: revision %d came into force after %d", p.who, kind, e.Index, p.revision)
+		f.addViolation("%s: %s: revision %d came into force after %d", p.name, kind, e.Index, p.revision)
 	}
 	p.revision, p.digest = e.N, e.Text
 	c, ok := f.commits[e.N]
 	switch {
 	case !ok:
-		f.broken("%s put revision %d into force, which was never agreed on", p.who, e.N)
+		f.addViolation("%s put revision %d into force, which was never agreed on", p.name, e.N)
 		return
 	case c.digest != e.Text:
-		f.broken("%s has digest %s at revision %d, and agreed on was %s", p.who, e.Text, e.N, c.digest)
+		f.addViolation("%s has digest %s at revision %d, and agreed on was %s", p.name, e.Text, e.N, c.digest)
 	}
 	for n := e.Index; n <= e.N; n++ {
 		if c, ok := f.commits[n]; ok {
-			f.late(o, c.at, e.At, outages)
+			f.recordDelay(o, c.committedAt, e.At, outages)
 		}
 	}
 }
 
-// late books how long a commit took. One that a server could not follow at once counts from the end of what kept it.
-func (f *findings) late(o *outcome, from, to float64, outages []outage) {
-	if to < from {
-		f.broken("a revision came into force %.1f ms before it was agreed on", from-to)
+// recordDelay books how long a commit took. One that a server could not follow at once counts from the end of what kept it.
+func (f *findings) recordDelay(o *outcome, committedAt, inForceAt float64, outages []outage) {
+	if inForceAt < committedAt {
+		f.addViolation("a revision came into force %.1f ms before it was agreed on", committedAt-inForceAt)
 		return
 	}
-	point := o.pointOf(from)
+	point := o.pointAt(committedAt)
 	if point < 0 {
 		return
 	}
-	healed := -1.0
-	for _, out := range outages {
-		if out.from <= to && out.to >= from {
-			healed = max(healed, out.to)
+	lastOutageEnd := -1.0
+	for _, interval := range outages {
+		if interval.fromMS <= inForceAt && interval.toMS >= committedAt {
+			lastOutageEnd = max(lastOutageEnd, interval.toMS)
 		}
 	}
-	if healed < 0 {
-		f.inForce[point].RecordValue(int64((to - from) * 1000))
-		if o.inBurst(from) {
-			f.burst[point] = max(f.burst[point], to-from)
+	if lastOutageEnd < 0 {
+		f.inForceDelays[point].RecordValue(int64((inForceAt - committedAt) * 1000))
+		if o.inBurst(committedAt) {
+			f.maxBurstDelays[point] = max(f.maxBurstDelays[point], inForceAt-committedAt)
 		}
 		return
 	}
-	f.catchUp[point] = max(f.catchUp[point], to-max(from, min(healed, to)))
+	f.maxCatchUps[point] = max(f.maxCatchUps[point], inForceAt-max(committedAt, min(lastOutageEnd, inForceAt)))
 }
--- a/internal/lab/scale/cmd.go
+++ b/internal/lab/scale/cmd.go
@@ -86,12 +86,12 @@
 }
 
 const (
-	maxProcesses  = 300
-	maxServers    = 16384
-	minFor        = time.Second
-	maxFor        = 10 * time.Minute
-	maxRecords    = 1 << 21
-	memoryDivisor = 2 // the run takes this part of the machine's memory at most
+	maxProcesses     = 300
+	maxServers       = 16384
+	minPhaseDuration = time.Second
+	maxPhaseDuration = 10 * time.Minute
+	maxRecordCount   = 1 << 21
+	memoryDivisor    = 2 // the run takes this part of the machine's memory at most
 )
 
 // Run plays.
@@ -102,28 +102,28 @@
 			fmt.Fprintf(out, "  %-13s %s\n", f.kind, f.text)
 		}
 		fmt.Fprintln(out, "plants:")
-		for _, p := range distribution.Plants {
+		for _, p := range distribution.InjectedBugs {
 			fmt.Fprintln(out, "  "+p)
 		}
 		return nil
 	}
-	set, err := c.setup()
+	setup, err := c.validate()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	o, err := play(ctx, set, out)
+	runOutcome, err := execute(ctx, setup, out)
 	if err != nil {
 		return err
 	}
-	found := check(o)
-	for i := range o.points {
-		found.fill(&o.points[i], i)
+	found := checkTraces(runOutcome)
+	for i := range runOutcome.points {
+		found.fillPoint(&runOutcome.points[i], i)
 	}
-	r := Result{Seed: set.Seed, Violations: len(found.violations), Points: o.points}
-	path := filepath.Join(set.Out, "report.html")
-	if err := writeReport(path, set, r, o, found); err != nil {
+	r := Result{Seed: setup.Seed, Violations: len(found.violations), Points: runOutcome.points}
+	path := filepath.Join(setup.Out, "report.html")
+	if err := writeReport(path, setup, r, runOutcome, found); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "report:", path)
@@ -142,10 +142,12 @@
 	return nil
 }
 
-func wrong(format string, a ...any) error { return &lab.UsageError{Text: fmt.Sprintf(format, a...)} }
+func usageError(format string, a ...any) error {
+	return &lab.UsageError{Text: fmt.Sprintf(format, a...)}
+}
 
-// setup checks the command before anything is started.
-func (c *Cmd) setup() (Setup, error) {
+// validate checks the command before anything is started.
+func (c *Cmd) validate() (Setup, error) {
 	s := Setup{Cmd: *c}
 	var err error
 	if s.Binary, err = os.Executable(); err != nil {
@@ -156,75 +158,75 @@
 	}
 	switch {
 	case len(c.Servers) == 0:
-		return s, wrong("--servers names no size")
-	case c.Plant != "" && !slices.Contains(distribution.Plants, c.Plant):
-		return s, wrong("no plant %q; there are %s", c.Plant, strings.Join(distribution.Plants, ", "))
-	case c.For < minFor || c.For > maxFor:
-		return s, wrong("--for must be from %s to %s, not %s", minFor, maxFor, c.For)
+		return s, usageError("--servers names no size")
+	case c.Plant != "" && !slices.Contains(distribution.InjectedBugs, c.Plant):
+		return s, usageError("no plant %q; there are %s", c.Plant, strings.Join(distribution.InjectedBugs, ", "))
+	case c.For < minPhaseDuration || c.For > maxPhaseDuration:
+		return s, usageError("--for must be from %s to %s, not %s", minPhaseDuration, maxPhaseDuration, c.For)
 	case c.Regions < 2 || c.Regions > c.Zones:
-		return s, wrong("--regions must be from 2 to --zones, not %d", c.Regions)
+		return s, usageError("--regions must be from 2 to --zones, not %d", c.Regions)
 	case c.Real < 1:
-		return s, wrong("--real must be 1 or more, not %d", c.Real)
-	case c.Routes < 1 || c.Tenants < 1 || c.Routes+c.Tenants > maxRecords:
-		return s, wrong("--routes and --tenants must be 1 or more, and %d at most together, not %d and %d", maxRecords, c.Routes, c.Tenants)
+		return s, usageError("--real must be 1 or more, not %d", c.Real)
+	case c.Routes < 1 || c.Tenants < 1 || c.Routes+c.Tenants > maxRecordCount:
+		return s, usageError("--routes and --tenants must be 1 or more, and %d at most together, not %d and %d", maxRecordCount, c.Routes, c.Tenants)
 	}
 	for i, n := range c.Servers {
 		switch {
 		case n < c.Real+c.Zones:
-			return s, wrong("--servers: %d are fewer than %d real ones and a hollow one in each of %d zones", n, c.Real, c.Zones)
+			return s, usageError("--servers: %d are fewer than %d real ones and a hollow one in each of %d zones", n, c.Real, c.Zones)
 		case n > maxServers:
-			return s, wrong("--servers: %d, %d at most", n, maxServers)
+			return s, usageError("--servers: %d, %d at most", n, maxServers)
 		case i > 0 && n <= c.Servers[i-1]:
-			return s, wrong("--servers: %d does not rise above %d", n, c.Servers[i-1])
+			return s, usageError("--servers: %d does not rise above %d", n, c.Servers[i-1])
 		}
 	}
-	if err := s.fits(); err != nil {
+	if err := s.checkResources(); err != nil {
 		return s, err
 	}
-	return s, writable(s.Out)
+	return s, checkWritable(s.Out)
 }
 
-// processes of the run at its largest.
-func (s Setup) processes() int { return copies + 2*s.Zones + s.Real + 1 }
+// processCount of the run at its largest.
+func (s Setup) processCount() int { return replicaCount + 2*s.Zones + s.Real + 1 }
 
-// memoryNeed estimates what the run takes at its largest, in bytes, from what was measured (docs/CAPACITY.md).
-func (s Setup) memoryNeed() int64 {
+// estimatedMemory estimates what the run takes at its largest, in bytes, from what was measured (docs/CAPACITY.md).
+func (s Setup) estimatedMemory() int64 {
 	const (
-		program     = 40 << 20 // of a process without records
-		hollow      = 160 << 10
-		routeBytes  = 190
-		tenantBytes = 110
-		ofCopy      = 8 // times the records: the log, its form in JSON, what was not collected yet
-		ofRelay     = 3
-		ofServer    = 3
+		processBytes         = 40 << 20 // of a process without records
+		simulatedServerBytes = 160 << 10
+		routeBytes           = 190
+		tenantBytes          = 110
+		storeReplicaFactor   = 8 // times the records: the log, its form in JSON, what was not collected yet
+		relayFactor          = 3
+		serverFactor         = 3
 	)
-	of := int64(s.Routes)*routeBytes + int64(s.Tenants)*tenantBytes
-	largest := int64(s.Servers[len(s.Servers)-1])
-	return int64(s.processes())*program + largest*hollow + of*int64(copies*ofCopy+s.Zones*ofRelay+s.Real*ofServer)
+	recordBytes := int64(s.Routes)*routeBytes + int64(s.Tenants)*tenantBytes
+	largestSize := int64(s.Servers[len(s.Servers)-1])
+	return int64(s.processCount())*processBytes + largestSize*simulatedServerBytes + recordBytes*int64(replicaCount*storeReplicaFactor+s.Zones*relayFactor+s.Real*serverFactor)
 }
 
-// fits refuses a run that would take more of the machine than it may.
-func (s Setup) fits() error {
-	if n := s.processes(); n > maxProcesses {
-		return wrong("%d processes would be started, %d at most", n, maxProcesses)
+// checkResources refuses a run that would take more of the machine than it may.
+func (s Setup) checkResources() error {
+	if n := s.processCount(); n > maxProcesses {
+		return usageError("%d processes would be started, %d at most", n, maxProcesses)
 	}
 	total, err := machineMemory()
 	if err != nil {
 		return err
 	}
-	if need := s.memoryNeed(); need > total/memoryDivisor {
-		return wrong("the run would take about %d MB, and half of the machine's memory is %d MB", need>>20, total/memoryDivisor>>20)
+	if estimate := s.estimatedMemory(); estimate > total/memoryDivisor {
+		return usageError("the run would take about %d MB, and half of the machine's memory is %d MB", estimate>>20, total/memoryDivisor>>20)
 	}
 	return nil
 }
 
-func writable(dir string) error {
+func checkWritable(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return wrong("--out: %v", err)
+		return usageError("--out: %v", err)
 	}
 	f, err := os.CreateTemp(dir, ".probe")
 	if err != nil {
-		return wrong("--out: %v", err)
+		return usageError("--out: %v", err)
 	}
 	return errors.Join(f.Close(), os.Remove(f.Name()))
 }
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -16,23 +16,23 @@
 
 // Kinds of faults.
 const (
-	relayKill  = "relay-kill"
-	leaderKill = "leader-kill"
-	zoneCut    = "zone-cut"
-	regionCut  = "region-cut"
-	restarts   = "restarts"
-	slowReader = "slow-reader"
-	spoiltCopy = "spoilt-copy"
+	faultRelayKill      = "relay-kill"
+	faultLeaderKill     = "leader-kill"
+	faultZoneCut        = "zone-cut"
+	faultRegionCut      = "region-cut"
+	faultRestarts       = "restarts"
+	faultSlowReader     = "slow-reader"
+	faultCorruptReplica = "spoilt-copy"
 )
 
 var faultKinds = []struct{ kind, text string }{
-	{relayKill, "the relay of a zone is killed, and started again later"},
-	{leaderKill, "the copy of the store that leads is killed, and started again later"},
-	{zoneCut, "a zone is cut off from all others"},
-	{regionCut, "a region is cut off from all others for a scaled hour"},
-	{restarts, "a third of the servers restart at once"},
-	{slowReader, "some servers read nothing for a while, as large changes come"},
-	{spoiltCopy, "a byte of a real server's copy is changed while it restarts, and some hollow ones hold what was never agreed on"},
+	{faultRelayKill, "the relay of a zone is killed, and started again later"},
+	{faultLeaderKill, "the copy of the store that leads is killed, and started again later"},
+	{faultZoneCut, "a zone is cut off from all others"},
+	{faultRegionCut, "a region is cut off from all others for a scaled hour"},
+	{faultRestarts, "a third of the servers restart at once"},
+	{faultSlowReader, "some servers read nothing for a while, as large changes come"},
+	{faultCorruptReplica, "a byte of a real server's copy is changed while it restarts, and some hollow ones hold what was never agreed on"},
 }
 
 // fault is one of the schedule. Times are parts of the phase.
@@ -44,52 +44,52 @@
 }
 
 const (
-	shareOfRegionCut = 0.3  // of the phase
-	shareOfRest      = 0.09 // of the phase, for each other fault
-	shareOfSlot      = 0.75 // of a fault's slot, for which it lasts
+	regionCutFraction  = 0.3  // of the phase
+	otherFaultFraction = 0.09 // of the phase, for each other fault
+	slotFaultFraction  = 0.75 // of a fault's slot, for which it lasts
 )
 
-// schedule is the faults of one phase: one of each kind, in an order that the seed draws, one after the other.
-func schedule(seed uint64) (all []fault) {
+// faultSchedule is the faults of one phase: one of each kind, in an order that the seed draws, one after the other.
+func faultSchedule(seed uint64) (all []fault) {
 	rng := rand.New(rand.NewPCG(seed, 31))
 	at := 0.02
 	for _, i := range rng.Perm(len(faultKinds)) {
-		slot := shareOfRest
-		if faultKinds[i].kind == regionCut {
-			slot = shareOfRegionCut
+		slot := otherFaultFraction
+		if faultKinds[i].kind == faultRegionCut {
+			slot = regionCutFraction
 		}
-		all = append(all, fault{Kind: faultKinds[i].kind, At: at, For: slot * shareOfSlot, Pick: rng.Uint64()})
+		all = append(all, fault{Kind: faultKinds[i].kind, At: at, For: slot * slotFaultFraction, Pick: rng.Uint64()})
 		at += slot
 	}
 	return all
 }
 
-// made is a fault that was made.
-type made struct {
-	Point int
-	Kind  string
-	Hit   string
-	From  float64 // ms of the machine's clock
-	To    float64
-	Cut   []string // zones that were cut off; none: no zone was
-	Down  []string // real processes that were down
+// injectedFault is a fault that was made.
+type injectedFault struct {
+	Point         int
+	Kind          string
+	Target        string
+	FromMS        float64 // ms of the machine's clock
+	ToMS          float64
+	CutZones      []string // zones that were cut off; none: no zone was
+	DownProcesses []string // real processes that were down
 }
 
-// inject makes the faults of one phase, one after the other, and returns once all are over.
-func (r *run) inject(ctx context.Context, point int, w *writer) {
+// injectAll makes the faults of one phase, one after the other, and returns once all are over.
+func (r *run) injectAll(ctx context.Context, point int, w *recordWriter) {
 	seed := r.Seed + uint64(point)*1009
 	begin := time.Now()
-	for _, f := range schedule(seed) {
+	for _, f := range faultSchedule(seed) {
 		if !sleepUntil(ctx, begin.Add(time.Duration(f.At*float64(r.For)))) {
 			return
 		}
-		m := made{Point: point, Kind: f.Kind, From: r.steady.Now()}
-		lasts := time.Duration(f.For * float64(r.For))
-		if err := r.make(ctx, &m, f, lasts, w); err != nil {
-			r.note("%s: %v", f.Kind, err)
+		m := injectedFault{Point: point, Kind: f.Kind, FromMS: r.steady.Now()}
+		duration := time.Duration(f.For * float64(r.For))
+		if err := r.injectFault(ctx, &m, f, duration, w); err != nil {
+			r.addNote("%s: %v", f.Kind, err)
 		}
-		m.To = r.steady.Now()
-		r.made = append(r.made, m)
+		m.ToMS = r.steady.Now()
+		r.injectedFaults = append(r.injectedFaults, m)
 	}
 }
 
@@ -102,87 +102,87 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) { sleepUntil(ctx, time.Now().Add(d)) }
+func sleep(ctx context.Context, d time.Duration) { sleepUntil(ctx, time.Now().Add(d)) }
 
-// make makes one fault and ends it.
-func (r *run) make(ctx context.Context, m *made, f fault, lasts time.Duration, w *writer) error {
+// injectFault makes one fault and ends it.
+func (r *run) injectFault(ctx context.Context, m *injectedFault, f fault, duration time.Duration, w *recordWriter) error {
 	switch f.Kind {
-	case relayKill:
+	case faultRelayKill:
 		p := r.relays[f.Pick%uint64(len(r.relays))]
-		m.Hit, m.Down = p.name, []string{p.name}
-		return r.killFor(ctx, p, lasts)
-	case leaderKill:
+		m.Target, m.DownProcesses = p.name, []string{p.name}
+		return r.killFor(ctx, p, duration)
+	case faultLeaderKill:
 		p := r.leader()
 		if p == nil {
-			m.Hit = "no copy led"
+			m.Target = "no copy led"
 			return nil
 		}
-		m.Hit, m.Down = p.name, []string{p.name}
-		return r.killFor(ctx, p, lasts)
-	case zoneCut:
-		m.Cut = []string{r.zones[f.Pick%uint64(len(r.zones))]}
-		m.Hit = m.Cut[0]
-		return r.cutFor(ctx, m.Cut, lasts, nil)
-	case regionCut:
+		m.Target, m.DownProcesses = p.name, []string{p.name}
+		return r.killFor(ctx, p, duration)
+	case faultZoneCut:
+		m.CutZones = []string{r.zones[f.Pick%uint64(len(r.zones))]}
+		m.Target = m.CutZones[0]
+		return r.cutFor(ctx, m.CutZones, duration, nil)
+	case faultRegionCut:
 		region := fmt.Sprintf("r%d", f.Pick%uint64(r.Regions)+1)
 		for _, z := range r.zones {
 			if r.regions[z] == region {
-				m.Cut = append(m.Cut, z)
+				m.CutZones = append(m.CutZones, z)
 			}
 		}
-		perSecond := regionCutRate(r.hollowCount)
-		m.Hit = fmt.Sprintf("%s, %.1f s for an hour (1:%.0f), %.0f changes a second meanwhile", region, lasts.Seconds(), time.Hour.Seconds()/lasts.Seconds(), perSecond)
-		return r.cutFor(ctx, m.Cut, lasts, func(ctx context.Context) { w.steady(ctx, perSecond, keysAChange) })
-	case restarts:
-		m.Hit = "a third of the servers"
-		if err := r.orderAll(hollowOrder{Kind: orderRestart, Percent: 33, Ms: clock.Millis(lasts), Seed: f.Pick}); err != nil {
+		perSecond := regionCutChangeRate(r.simulatedCount)
+		m.Target = fmt.Sprintf("%s, %.1f s for an hour (1:%.0f), %.0f changes a second meanwhile", region, duration.Seconds(), time.Hour.Seconds()/duration.Seconds(), perSecond)
+		return r.cutFor(ctx, m.CutZones, duration, func(ctx context.Context) { w.changeSteadily(ctx, perSecond, keysPerChange) })
+	case faultRestarts:
+		m.Target = "a third of the servers"
+		if err := r.sendCommandToAll(simulatorCommand{Kind: commandRestart, Percent: 33, DurationMS: clock.Millis(duration), Seed: f.Pick}); err != nil {
 			return err
 		}
 		for i, p := range r.servers {
 			if i%3 == 1 {
-				m.Down = append(m.Down, p.name)
+				m.DownProcesses = append(m.DownProcesses, p.name)
 				if err := r.restart(p, syscall.SIGTERM, nil); err != nil {
 					return err
 				}
 			}
 		}
-	case slowReader:
-		m.Hit = "one hollow server a process"
-		if err := r.orderAll(hollowOrder{Kind: orderStall, Count: 1, Ms: stallMs, Seed: f.Pick}); err != nil {
+	case faultSlowReader:
+		m.Target = "one hollow server a process"
+		if err := r.sendCommandToAll(simulatorCommand{Kind: commandStall, Count: 1, DurationMS: stallMS, Seed: f.Pick}); err != nil {
 			return err
 		}
-		during, stop := context.WithTimeout(ctx, lasts)
+		during, stop := context.WithTimeout(ctx, duration)
 		defer stop()
-		w.steady(during, fatPerSecond, fatKeys)
-	case spoiltCopy:
+		w.changeSteadily(during, largeChangesPerSecond, keysPerLargeChange)
+	case faultCorruptReplica:
 		p := r.servers[f.Pick%uint64(len(r.servers))]
-		m.Hit, m.Down = p.name+" and one hollow server a process", []string{p.name}
-		if err := r.orderAll(hollowOrder{Kind: orderSpoil, Count: 1, Ms: clock.Millis(lasts), Seed: f.Pick}); err != nil {
+		m.Target, m.DownProcesses = p.name+" and one hollow server a process", []string{p.name}
+		if err := r.sendCommandToAll(simulatorCommand{Kind: commandCorrupt, Count: 1, DurationMS: clock.Millis(duration), Seed: f.Pick}); err != nil {
 			return err
 		}
-		return r.restart(p, syscall.SIGKILL, func() error { return spoilFile(filepath.Join(p.dir, "records"), f.Pick) })
+		return r.restart(p, syscall.SIGKILL, func() error { return corruptFile(filepath.Join(p.dir, "records"), f.Pick) })
 	}
 	return nil
 }
 
 const (
-	stallMs      = 5000.0
-	fatPerSecond = 8.0
+	stallMS               = 5000.0
+	largeChangesPerSecond = 8.0
 )
 
-// regionCutRate is as many changes a second as an hour's, scaled, as far as one machine carries what they cost all servers.
-func regionCutRate(servers int) float64 { return min(125, 60000/float64(max(servers, 1))) }
+// regionCutChangeRate is as many changes a second as an hour's, scaled, as far as one machine carries what they cost all servers.
+func regionCutChangeRate(servers int) float64 { return min(125, 60000/float64(max(servers, 1))) }
 
 func (r *run) killFor(ctx context.Context, p *process, d time.Duration) error {
 	p.end(syscall.SIGKILL)
-	pause(ctx, d)
+	sleep(ctx, d)
 	return p.start(r.spawner, r.Binary)
 }
 
-func (r *run) restart(p *process, sig syscall.Signal, between func() error) error {
+func (r *run) restart(p *process, sig syscall.Signal, whileDown func() error) error {
 	p.end(sig)
-	if between != nil {
-		if err := between(); err != nil {
+	if whileDown != nil {
+		if err := whileDown(); err != nil {
 			return err
 		}
 	}
@@ -196,26 +196,26 @@
 	}
 	during, stop := context.WithTimeout(ctx, d)
 	defer stop()
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	if meanwhile != nil {
-		wait.Go(func() { meanwhile(during) })
+		running.Go(func() { meanwhile(during) })
 	}
 	<-during.Done()
 	err := r.heal()
-	wait.Wait()
+	running.Wait()
 	return err
 }
 
-// spoilFile changes one byte in the middle of a file.
-func spoilFile(path string, pick uint64) error {
+// corruptFile changes one byte in the middle of a file.
+func corruptFile(path string, pick uint64) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	at := len(b)/4 + int(pick%uint64(len(b)/4))
-	b[at] ^= 0x20
+	offset := len(b)/4 + int(pick%uint64(len(b)/4))
+	b[offset] ^= 0x20
 	return os.WriteFile(path, b, 0o644)
 }
 
-// cutOff tells whether a zone was cut off by a fault.
-func (m made) cutOff(zone string) bool { return slices.Contains(m.Cut, zone) }
+// cutsZone tells whether a zone was cut off by a fault.
+func (m injectedFault) cutsZone(zone string) bool { return slices.Contains(m.CutZones, zone) }
