--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	copies     = 3
-	copyCores  = 3.0    // of one copy: with one, 4,300 sessions that open at once keep every copy from holding office
-	electionMs = 1000.0 // with half of that, every process of the run beside them keeps copies from being heard in time
-	renewMs    = 500.0
-	presenceMs = 3000.0
-	clockRate  = 0.1
-	marginMs   = 50.0
-	dutyTTL    = 3000.0
-	aloneUnits = 0.001 // calls in hand that a server may have below without a share
+	replicaCount      = 3
+	replicaCores      = 3.0    // of one copy: with one, 4,300 sessions that open at once keep every copy from holding office
+	electionTimeoutMS = 1000.0 // with half of that, every process of the run beside them keeps copies from being heard in time
+	renewIntervalMS   = 500.0
+	presenceTTLMS     = 3000.0
+	maxClockDrift     = 0.1
+	marginMS          = 50.0
+	dutyTTLMS         = 3000.0
+	unallocatedCalls  = 0.001 // calls in hand that a server may have below without a share
 )
 
-// terms are the terms of sessions of servers that stand for no duty.
-func terms(renew, presence float64) duty.Rules {
-	return duty.Rules{ClockBounds: duty.ClockBounds{MaxDrift: clockRate, MarginMS: marginMs}, RenewIntervalMS: renew, PresenceTTLMS: presence}
+// sessionRules are the terms of sessions of servers that stand for no duty.
+func sessionRules(renewMS, presenceMS float64) duty.Rules {
+	return duty.Rules{ClockBounds: duty.ClockBounds{MaxDrift: maxClockDrift, MarginMS: marginMS}, RenewIntervalMS: renewMS, PresenceTTLMS: presenceMS}
 }
 
-// boundary is a link between two places.
-type boundary struct {
+// zoneLink is a link between two places.
+type zoneLink struct {
 	link     *lab.Link
 	from, to string // zones
 }
@@ -43,28 +43,28 @@
 // fleet is all processes of a run.
 type fleet struct {
 	Setup
-	spawner *spawner
-	zones   []string
-	regions map[string]string // of each zone
-	copies  []*process
-	relays  []*process
-	servers []*process // real ones that follow the configuration
-	hollows []*process // one a zone
-	stores  map[string]string
-	at      map[string]string // address of each relay
-	links   []boundary
-	stands  []*lab.FakeExecutor
-	largest int
-
-	mu    sync.Mutex
-	crash []string
+	spawner        *spawner
+	zones          []string
+	regions        map[string]string // of each zone
+	storeReplicas  []*process
+	relays         []*process
+	servers        []*process // real ones that follow the configuration
+	simulators     []*process // one a zone
+	storeAddresses map[string]string
+	relayAddresses map[string]string // address of each relay
+	links          []zoneLink
+	fakeExecutors  []*lab.FakeExecutor
+	largestSize    int
+
+	mu              sync.Mutex
+	unexpectedExits []string
 }
 
 // loopback is an address of this run's own: connections that are made come from 127.0.0.1, and so take none of its ports.
 var loopback = fmt.Sprintf("127.%d.%d.1", 64+os.Getpid()/250%128, os.Getpid()%250+1)
 
-// handedOut are the addresses that were picked: the system may give one that is free again a second time.
-var handedOut sync.Map
+// usedAddresses are the addresses that were picked: the system may give one that is free again a second time.
+var usedAddresses sync.Map
 
 // freeAddress picks an address that is free now.
 func freeAddress() (string, error) {
@@ -75,7 +75,7 @@
 		}
 		address := ln.Addr().String()
 		ln.Close()
-		if _, again := handedOut.LoadOrStore(address, true); !again {
+		if _, used := usedAddresses.LoadOrStore(address, true); !used {
 			return address, nil
 		}
 	}
@@ -83,7 +83,7 @@
 
 // newFleet lays addresses, links and folders out; nothing is started.
 func newFleet(s Setup) (*fleet, error) {
-	f := &fleet{Setup: s, regions: map[string]string{}, stores: map[string]string{}, at: map[string]string{}, largest: s.Servers[len(s.Servers)-1]}
+	f := &fleet{Setup: s, regions: map[string]string{}, storeAddresses: map[string]string{}, relayAddresses: map[string]string{}, largestSize: s.Servers[len(s.Servers)-1]}
 	for i := range s.Zones {
 		zone := fmt.Sprintf("z%02d", i+1)
 		f.zones = append(f.zones, zone)
@@ -97,9 +97,9 @@
 			return nil, err
 		}
 	}
-	steps := []func() error{f.layCopies, f.layRelays, f.layServers}
-	for _, step := range steps {
-		if err := step(); err != nil {
+	setups := []func() error{f.setUpStoreReplicas, f.setUpRelays, f.setUpServers}
+	for _, setUp := range setups {
+		if err := setUp(); err != nil {
 			f.close()
 			return nil, err
 		}
@@ -109,25 +109,25 @@
 }
 
 func (f *fleet) newProcess(name, zone string) (*process, error) {
-	p := &process{name: name, zone: zone, dir: filepath.Join(f.Out, "p", name), ended: f.endedByItself}
+	p := &process{name: name, zone: zone, dir: filepath.Join(f.Out, "p", name), onUnexpectedExit: f.addUnexpectedExit}
 	if err := os.RemoveAll(p.dir); err != nil {
 		return nil, err
 	}
 	var err error
-	p.figures, err = freeAddress()
+	p.metricsAddress, err = freeAddress()
 	return p, err
 }
 
-func (f *fleet) endedByItself(p *process, err error) {
+func (f *fleet) addUnexpectedExit(p *process, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crash = append(f.crash, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+	f.unexpectedExits = append(f.unexpectedExits, fmt.Sprintf("%s ended by itself: %v", p.name, err))
 }
 
-func (f *fleet) crashes() []string {
+func (f *fleet) listUnexpectedExits() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string(nil), f.crash...)
+	return append([]string(nil), f.unexpectedExits...)
 }
 
 // connect makes a link between two places.
@@ -137,7 +137,7 @@
 		return "", err
 	}
 	l.SetTarget(address)
-	f.links = append(f.links, boundary{l, from, to})
+	f.links = append(f.links, zoneLink{l, from, to})
 	return l.Addr(), nil
 }
 
@@ -153,8 +153,8 @@
 	return out, nil
 }
 
-func (f *fleet) zoneOfCopy(id string) string {
-	for _, p := range f.copies {
+func (f *fleet) zoneOfReplica(id string) string {
+	for _, p := range f.storeReplicas {
 		if p.name == id {
 			return p.zone
 		}
@@ -165,28 +165,28 @@
 type yamlMap = map[string]any
 
 func (f *fleet) tracePath(p *process) string {
-	return filepath.Join(f.Out, "traces", fmt.Sprintf("%s.%d.trace", p.name, p.life))
+	return filepath.Join(f.Out, "traces", fmt.Sprintf("%s.%d.trace", p.name, p.incarnation))
 }
 
-// duties is the section of an order server.
-func (f *fleet) duties(copies map[string]string, publishes bool) yamlMap {
-	most := 2*f.largest + 64
-	d := yamlMap{"copies": copies, "sessions": 2*f.largest + 64, "renew_ms": renewMs, "presence_ms": presenceMs, "clock_rate": clockRate, "margin_ms": marginMs,
-		"list":  []yamlMap{{"name": "allotter", "ttl_ms": dutyTTL}, {"name": "settler", "ttl_ms": dutyTTL}},
-		"allot": yamlMap{"whole": float64(most) * aloneUnits * 2, "alone": aloneUnits, "servers": most}}
+// dutiesSection is the section of an order server.
+func (f *fleet) dutiesSection(replicas map[string]string, publishes bool) yamlMap {
+	maxSessions := 2*f.largestSize + 64
+	section := yamlMap{"copies": replicas, "sessions": 2*f.largestSize + 64, "renew_ms": renewIntervalMS, "presence_ms": presenceTTLMS, "clock_rate": maxClockDrift, "margin_ms": marginMS,
+		"list":  []yamlMap{{"name": "allotter", "ttl_ms": dutyTTLMS}, {"name": "settler", "ttl_ms": dutyTTLMS}},
+		"allot": yamlMap{"whole": float64(maxSessions) * unallocatedCalls * 2, "alone": unallocatedCalls, "servers": maxSessions}}
 	if f.Today && publishes {
-		d["list"] = append(d["list"].([]yamlMap), yamlMap{"name": "publisher", "ttl_ms": dutyTTL})
-		d["publish"] = yamlMap{"manifest": filepath.Join(f.Out, publishedDir, manifestName), "every_ms": 200}
+		section["list"] = append(section["list"].([]yamlMap), yamlMap{"name": "publisher", "ttl_ms": dutyTTLMS})
+		section["publish"] = yamlMap{"manifest": filepath.Join(f.Out, publishedDir, manifestName), "every_ms": 200}
 	}
-	return d
+	return section
 }
 
-// write writes the two files of an order server.
-func (f *fleet) write(p *process, listen, executor string, operator yamlMap) error {
-	platform := lab.PlatformFile{Name: p.name, Listen: listen, Executor: executor, Vault: executor, OperatorAddress: p.figures, Seed: f.Seed*1000 + uint64(p.life),
-		Servers: f.largest, VaultSlots: f.largest, MemoryMB: 192, Sockets: 1024}
+// writeServerFiles writes the two files of an order server.
+func (f *fleet) writeServerFiles(p *process, listen, executor string, operator yamlMap) error {
+	platform := lab.PlatformFile{Name: p.name, Listen: listen, Executor: executor, Vault: executor, OperatorAddress: p.metricsAddress, Seed: f.Seed*1000 + uint64(p.incarnation),
+		Servers: f.largestSize, VaultSlots: f.largestSize, MemoryMB: 192, Sockets: 1024}
 	if _, ok := operator["store"]; ok {
-		platform.MemoryMB, platform.Cores = 1536, copyCores
+		platform.MemoryMB, platform.Cores = 1536, replicaCores
 	}
 	if err := platform.Write(filepath.Join(p.dir, "config.json")); err != nil {
 		return err
@@ -209,52 +209,52 @@
 	return []string{labEnv, "RELAY_CONFIG=" + filepath.Join(p.dir, "config.json"), "PUFFINSADDLE_OPERATOR=" + filepath.Join(p.dir, "operator.yaml")}
 }
 
-// layOrderServer lays out where an order server listens and who does its work. operator is its operator's file, made for each life.
-func (f *fleet) layOrderServer(p *process, operator func() yamlMap) error {
+// setUpOrderServer lays out where an order server listens and who does its work. operator is its operator's file, made for each life.
+func (f *fleet) setUpOrderServer(p *process, operator func() yamlMap) error {
 	listen, err := freeAddress()
 	if err != nil {
 		return err
 	}
-	stand, err := lab.NewFakeExecutor(p.name)
+	executor, err := lab.NewFakeExecutor(p.name)
 	if err != nil {
 		return err
 	}
-	f.stands = append(f.stands, stand)
+	f.fakeExecutors = append(f.fakeExecutors, executor)
 	p.env = orderServerEnv(p)
-	p.before = func(p *process) error { return f.write(p, listen, stand.Addr(), operator()) }
+	p.writeFiles = func(p *process) error { return f.writeServerFiles(p, listen, executor.Addr(), operator()) }
 	return nil
 }
 
-// layCopies lays the copies of the store out, each in a region of its own as far as there are enough.
-func (f *fleet) layCopies() error {
-	for i := range copies {
+// setUpStoreReplicas lays the copies of the store out, each in a region of its own as far as there are enough.
+func (f *fleet) setUpStoreReplicas() error {
+	for i := range replicaCount {
 		p, err := f.newProcess(fmt.Sprintf("c%d", i+1), f.zones[i%len(f.zones)])
 		if err != nil {
 			return err
 		}
-		if f.stores[p.name], err = freeAddress(); err != nil {
+		if f.storeAddresses[p.name], err = freeAddress(); err != nil {
 			return err
 		}
-		f.copies = append(f.copies, p)
+		f.storeReplicas = append(f.storeReplicas, p)
 	}
-	for _, p := range f.copies {
+	for _, p := range f.storeReplicas {
 		via := map[string]string{}
-		for _, other := range f.copies {
+		for _, other := range f.storeReplicas {
 			if other == p {
 				continue
 			}
 			var err error
-			if via[other.name], err = f.connect(p.zone, other.zone, f.stores[other.name]); err != nil {
+			if via[other.name], err = f.connect(p.zone, other.zone, f.storeAddresses[other.name]); err != nil {
 				return err
 			}
 		}
-		reach := map[string]string{p.name: f.stores[p.name]}
-		for id, at := range via {
-			reach[id] = at
+		reachable := map[string]string{p.name: f.storeAddresses[p.name]}
+		for id, address := range via {
+			reachable[id] = address
 		}
-		err := f.layOrderServer(p, func() yamlMap {
-			return yamlMap{"duties": f.duties(reach, true),
-				"store": yamlMap{"id": p.name, "listen": f.stores[p.name], "election_ms": electionMs, "dir": filepath.Join(p.dir, "store"), "peers": f.stores, "via": via}}
+		err := f.setUpOrderServer(p, func() yamlMap {
+			return yamlMap{"duties": f.dutiesSection(reachable, true),
+				"store": yamlMap{"id": p.name, "listen": f.storeAddresses[p.name], "election_ms": electionTimeoutMS, "dir": filepath.Join(p.dir, "store"), "peers": f.storeAddresses, "via": via}}
 		})
 		if err != nil {
 			return err
@@ -263,20 +263,20 @@
 	return nil
 }
 
-// layRelays lays one relay a zone out.
-func (f *fleet) layRelays() error {
+// setUpRelays lays one relay a zone out.
+func (f *fleet) setUpRelays() error {
 	for _, zone := range f.zones {
 		p, err := f.newProcess("relay-"+zone, zone)
 		if err != nil {
 			return err
 		}
-		if f.at[p.name], err = freeAddress(); err != nil {
+		if f.relayAddresses[p.name], err = freeAddress(); err != nil {
 			return err
 		}
 		f.relays = append(f.relays, p)
 	}
 	for _, p := range f.relays {
-		reach, err := f.connectAll(p.zone, f.stores, f.zoneOfCopy)
+		reachable, err := f.connectAll(p.zone, f.storeAddresses, f.zoneOfReplica)
 		if err != nil {
 			return err
 		}
@@ -288,10 +288,10 @@
 		}
 		p.args = []string{"relay"}
 		p.env = []string{labEnv, "PUFFINSADDLE_OPERATOR=" + filepath.Join(p.dir, "operator.yaml")}
-		p.before = func(p *process) error {
+		p.writeFiles = func(p *process) error {
 			return writeYAML(filepath.Join(p.dir, "operator.yaml"), yamlMap{
-				"relay": yamlMap{"name": p.name, "region": f.regions[p.zone], "listen": f.at[p.name], "figures": p.figures, "copies": reach, "elsewhere": elsewhere,
-					"path": filepath.Join(p.dir, "records"), "watchers": f.largest + 64, "snapshots": 4, "memory_mb": 256},
+				"relay": yamlMap{"name": p.name, "region": f.regions[p.zone], "listen": f.relayAddresses[p.name], "figures": p.metricsAddress, "copies": reachable, "elsewhere": elsewhere,
+					"path": filepath.Join(p.dir, "records"), "watchers": f.largestSize + 64, "snapshots": 4, "memory_mb": 256},
 				"lab": yamlMap{"trace": f.tracePath(p), "plant": f.Plant}})
 		}
 	}
@@ -301,35 +301,35 @@
 // relayList is what a server in a zone knows of the relays; addresses may lead through links.
 func (f *fleet) relayList(through func(p *process) (string, error)) (list []distribution.Relay, err error) {
 	for _, p := range f.relays {
-		at := f.at[p.name]
+		address := f.relayAddresses[p.name]
 		if through != nil {
-			if at, err = through(p); err != nil {
+			if address, err = through(p); err != nil {
 				return nil, err
 			}
 		}
-		list = append(list, distribution.Relay{Name: p.name, Address: at, Zone: p.zone, Region: f.regions[p.zone]})
+		list = append(list, distribution.Relay{Name: p.name, Address: address, Zone: p.zone, Region: f.regions[p.zone]})
 	}
 	return list, nil
 }
 
-// layServers lays the real order servers out, in zones that keep no copy first.
-func (f *fleet) layServers() error {
+// setUpServers lays the real order servers out, in zones that keep no copy first.
+func (f *fleet) setUpServers() error {
 	for i := range f.Real {
-		zone := f.zones[(copies+i)%len(f.zones)]
+		zone := f.zones[(replicaCount+i)%len(f.zones)]
 		p, err := f.newProcess(fmt.Sprintf("s%02d", i+1), zone)
 		if err != nil {
 			return err
 		}
-		reach, err := f.connectAll(zone, f.stores, f.zoneOfCopy)
+		reachable, err := f.connectAll(zone, f.storeAddresses, f.zoneOfReplica)
 		if err != nil {
 			return err
 		}
-		relays, err := f.relayList(func(r *process) (string, error) { return f.connect(zone, r.zone, f.at[r.name]) })
+		relays, err := f.relayList(func(r *process) (string, error) { return f.connect(zone, r.zone, f.relayAddresses[r.name]) })
 		if err != nil {
 			return err
 		}
-		err = f.layOrderServer(p, func() yamlMap {
-			return yamlMap{"duties": f.duties(reach, false),
+		err = f.setUpOrderServer(p, func() yamlMap {
+			return yamlMap{"duties": f.dutiesSection(reachable, false),
 				"distribution": yamlMap{"zone": zone, "region": f.regions[zone], "relays": relays, "path": filepath.Join(p.dir, "records")}}
 		})
 		if err != nil {
@@ -340,19 +340,19 @@
 	return nil
 }
 
-// layHollows lays the hollow servers of one size out, one process a zone.
-func (f *fleet) layHollows(point, count int, at distribution.Position) error {
-	f.hollows = nil
+// setUpSimulators lays the hollow servers of one size out, one process a zone.
+func (f *fleet) setUpSimulators(point, count int, position distribution.Position) error {
+	f.simulators = nil
 	relays, err := f.relayList(nil)
 	if err != nil {
 		return err
 	}
 	zoneOf := map[string]string{}
 	for _, r := range f.relays {
-		zoneOf[f.at[r.name]] = r.zone
+		zoneOf[f.relayAddresses[r.name]] = r.zone
 	}
-	for _, c := range f.copies {
-		zoneOf[f.stores[c.name]] = c.zone
+	for _, c := range f.storeReplicas {
+		zoneOf[f.storeAddresses[c.name]] = c.zone
 	}
 	for i, zone := range f.zones {
 		p, err := f.newProcess(fmt.Sprintf("hollow-%s-%d", zone, point), zone)
@@ -363,18 +363,18 @@
 		if i < count%len(f.zones) {
 			n++
 		}
-		set := hollowConfig{Zone: zone, Region: f.regions[zone], Count: n, Seed: f.Seed*100 + uint64(i), Relays: relays, Copies: f.stores, ZoneOf: zoneOf,
-			Position: at, Empty: 1, Journal: filepath.Join(f.Out, "traces", fmt.Sprintf("hollow-%s.%d.trace", zone, point)), Plant: f.Plant,
-			RenewMs: renewMs, Presence: presenceMs, Today: f.Today}
+		config := simulatorConfig{Zone: zone, Region: f.regions[zone], Count: n, Seed: f.Seed*100 + uint64(i), Relays: relays, StoreReplicas: f.storeAddresses, ZoneOf: zoneOf,
+			Position: position, WithoutRecords: 1, TracePath: filepath.Join(f.Out, "traces", fmt.Sprintf("hollow-%s.%d.trace", zone, point)), InjectedBug: f.Plant,
+			RenewIntervalMS: renewIntervalMS, PresenceTTLMS: presenceTTLMS, WholeVersions: f.Today}
 		p.args = []string{"lab", "hollow", "--config", filepath.Join(p.dir, "hollow.json")}
-		p.before = func(p *process) error {
-			b, err := json.Marshal(set)
+		p.writeFiles = func(p *process) error {
+			b, err := json.Marshal(config)
 			if err != nil {
 				return err
 			}
 			return os.WriteFile(filepath.Join(p.dir, "hollow.json"), b, 0o644)
 		}
-		f.hollows = append(f.hollows, p)
+		f.simulators = append(f.simulators, p)
 	}
 	return nil
 }
@@ -389,18 +389,18 @@
 	return nil
 }
 
-// orderAll gives all processes of hollow servers an order.
-func (f *fleet) orderAll(o hollowOrder) error {
-	var wait sync.WaitGroup
-	errs := make([]error, len(f.hollows))
-	for i, h := range f.hollows {
-		wait.Add(1)
+// sendCommandToAll gives all processes of hollow servers an order.
+func (f *fleet) sendCommandToAll(o simulatorCommand) error {
+	var running sync.WaitGroup
+	errs := make([]error, len(f.simulators))
+	for i, h := range f.simulators {
+		running.Add(1)
 		go func() {
-			defer wait.Done()
-			_, errs[i] = h.order(o)
+			defer running.Done()
+			_, errs[i] = h.sendCommand(o)
 		}()
 	}
-	wait.Wait()
+	running.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -420,48 +420,48 @@
 			b.link.Cut(lab.BothDirections)
 		}
 	}
-	return f.orderAll(hollowOrder{Kind: orderCut, Zones: zones})
+	return f.sendCommandToAll(simulatorCommand{Kind: commandCut, Zones: zones})
 }
 
 func (f *fleet) heal() error {
 	for _, b := range f.links {
 		b.link.Heal()
 	}
-	return f.orderAll(hollowOrder{Kind: orderCut})
+	return f.sendCommandToAll(simulatorCommand{Kind: commandCut})
 }
 
 // leader is the copy that leads; nil: none says so.
 func (f *fleet) leader() *process {
-	var leads *process
+	var leader *process
 	term := uint64(0)
-	for _, p := range f.copies {
-		var v serverFigures
-		if readFigures(p.figures, &v) == nil && v.Duties != nil && v.Duties.Sessions != nil && v.Duties.Sessions.Term > term {
-			leads, term = p, v.Duties.Sessions.Term
+	for _, p := range f.storeReplicas {
+		var metrics serverMetrics
+		if readMetrics(p.metricsAddress, &metrics) == nil && metrics.Duties != nil && metrics.Duties.Sessions != nil && metrics.Duties.Sessions.Term > term {
+			leader, term = p, metrics.Duties.Sessions.Term
 		}
 	}
-	return leads
+	return leader
 }
 
 // endAll ends processes, all at once.
 func endAll(all []*process, sig syscall.Signal) {
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	for _, p := range all {
-		wait.Add(1)
+		running.Add(1)
 		go func() {
-			defer wait.Done()
+			defer running.Done()
 			p.end(sig)
 		}()
 	}
-	wait.Wait()
+	running.Wait()
 }
 
 // stop ends all processes in an order in which each can say what it has to.
 func (f *fleet) stop() {
-	endAll(f.hollows, syscall.SIGTERM)
+	endAll(f.simulators, syscall.SIGTERM)
 	endAll(f.servers, syscall.SIGTERM)
 	endAll(f.relays, syscall.SIGTERM)
-	endAll(f.copies, syscall.SIGTERM)
+	endAll(f.storeReplicas, syscall.SIGTERM)
 }
 
 // close frees what is left, at any end.
@@ -470,7 +470,7 @@
 	for _, b := range f.links {
 		b.link.Close()
 	}
-	for _, s := range f.stands {
+	for _, s := range f.fakeExecutors {
 		s.Close()
 	}
 	if f.spawner != nil {
@@ -479,18 +479,18 @@
 }
 
 // waitFor asks until something holds.
-func waitFor(within time.Duration, what string, holds func() (bool, string)) error {
-	late := time.Now().Add(within)
+func waitFor(timeout time.Duration, description string, condition func() (bool, string)) error {
+	deadline := time.Now().Add(timeout)
 	for {
-		ok, state := holds()
+		ok, state := condition()
 		if ok {
 			return nil
 		}
-		if time.Now().After(late) {
-			return fmt.Errorf("scale: after %s: %s: %s", within, what, state)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("scale: after %s: %s: %s", timeout, description, state)
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-const lookEvery = 100 * time.Millisecond
+const pollInterval = 100 * time.Millisecond
--- a/internal/lab/scale/journal.go
+++ b/internal/lab/scale/journal.go
@@ -11,31 +11,31 @@
 	"puffinsaddle/internal/trace"
 )
 
-// journal writes down what many hollow servers of one process did, for the checker.
-type journal struct {
+// traceWriter writes down what many hollow servers of one process did, for the checker.
+type traceWriter struct {
 	steady *clock.Clock
 	mu     sync.Mutex
-	f      *os.File
-	w      *bufio.Writer
+	file   *os.File
+	buffer *bufio.Writer
 	stop   chan struct{}
 }
 
-const flushEvery = 200 * time.Millisecond
+const flushInterval = 200 * time.Millisecond
 
-func openJournal(path string, steady *clock.Clock) (*journal, error) {
+func newTraceWriter(path string, steady *clock.Clock) (*traceWriter, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, err
 	}
-	j := &journal{steady: steady, f: f, w: bufio.NewWriterSize(f, 256<<10), stop: make(chan struct{})}
+	j := &traceWriter{steady: steady, file: f, buffer: bufio.NewWriterSize(f, 256<<10), stop: make(chan struct{})}
 	go func() {
-		t := time.NewTicker(flushEvery)
+		t := time.NewTicker(flushInterval)
 		defer t.Stop()
 		for {
 			select {
 			case <-t.C:
 				j.mu.Lock()
-				j.w.Flush()
+				j.buffer.Flush()
 				j.mu.Unlock()
 			case <-j.stop:
 				return
@@ -46,7 +46,7 @@
 }
 
 // add writes an event with the time of now, or its own where it has one.
-func (j *journal) add(e trace.Event) {
+func (j *traceWriter) add(e trace.Event) {
 	if e.At == 0 {
 		e.At = j.steady.Now()
 	}
@@ -56,13 +56,13 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.w.Write(append(b, '\n'))
+	j.buffer.Write(append(b, '\n'))
 }
 
-func (j *journal) close() error {
+func (j *traceWriter) close() error {
 	close(j.stop)
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.w.Flush()
-	return j.f.Close()
+	j.buffer.Flush()
+	return j.file.Close()
 }
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -18,54 +18,54 @@
 )
 
 const (
-	changesADay  = 24000.0
-	burstChanges = 100
-	loaders      = 6 // changes of the first load that are under way at once
-	retryPause   = 50 * time.Millisecond
-	fatKeys      = 400 // of a change that is meant to fill the buffers of watchers that do not read
+	changesPerDay      = 24000.0
+	burstChanges       = 100
+	loadConcurrency    = 6 // changes of the first load that are under way at once
+	retryBackoff       = 50 * time.Millisecond
+	keysPerLargeChange = 400 // of a change that is meant to fill the buffers of watchers that do not read
 )
 
-// writer has records changed.
-type writer struct {
-	root   context.Context // of the run: a change that has begun is seen through, though its phase ends
-	client *session.Client
-	routes int
-	tenant int
-	rng    *rand.Rand
-
-	mu     sync.Mutex
-	latest uint64 // revision
-	n      int    // changes agreed on
-	serial int
+// recordWriter has records changed.
+type recordWriter struct {
+	runCtx      context.Context // of the run: a change that has begun is seen through, though its phase ends
+	client      *session.Client
+	routeCount  int
+	tenantCount int
+	rng         *rand.Rand
+
+	mu             sync.Mutex
+	latestRevision uint64 // revision
+	committed      int    // changes agreed on
+	serial         int
 }
 
-func newWriter(ctx context.Context, f *fleet) *writer {
-	w := &writer{root: ctx, routes: f.Routes, tenant: f.Tenants, rng: rand.New(rand.NewPCG(f.Seed, 21))}
-	rules := terms(renewMs, 0)
-	w.client = session.NewClient(session.Options{ProcessID: "operator#scale", ReplicaAddresses: f.stores, Rules: rules, Seed: f.Seed, Steady: clock.Monotonic(), Log: zerolog.Nop()})
+func newRecordWriter(ctx context.Context, f *fleet) *recordWriter {
+	w := &recordWriter{runCtx: ctx, routeCount: f.Routes, tenantCount: f.Tenants, rng: rand.New(rand.NewPCG(f.Seed, 21))}
+	rules := sessionRules(renewIntervalMS, 0)
+	w.client = session.NewClient(session.Options{ProcessID: "operator#scale", ReplicaAddresses: f.storeAddresses, Rules: rules, Seed: f.Seed, Steady: clock.Monotonic(), Log: zerolog.Nop()})
 	go w.client.Run(ctx)
 	return w
 }
 
-func route(i, version int) records.Put {
+func routePut(i, version int) records.Put {
 	v, _ := json.Marshal(records.RouteValue{Service: fmt.Sprintf("svc-%05d", i/9), Class: "book-delivery", Group: fmt.Sprintf("group-%02d", i%40), Weight: float64(version%9 + 1),
 		Regions: []string{"r1", "r2"}})
 	return records.Put{Key: records.Key{Kind: records.Route, Name: fmt.Sprintf("svc-%05d/%05d", i/9, i)}, Value: v}
 }
 
-func tenant(i, version int) records.Put {
+func tenantPut(i, version int) records.Put {
 	v, _ := json.Marshal(records.TenantValue{Share: 0.0000025, RequestsPerSecond: float64(version%500) + 0.5})
 	return records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i)}, Value: v}
 }
 
 // load fills the store.
-func (w *writer) load(ctx context.Context) error {
+func (w *recordWriter) load(ctx context.Context) error {
 	changes := make(chan records.Change)
-	errs := make(chan error, loaders)
-	for range loaders {
+	errs := make(chan error, loadConcurrency)
+	for range loadConcurrency {
 		go func() {
 			for c := range changes {
-				if err := w.do(ctx, c); err != nil {
+				if err := w.commit(ctx, c); err != nil {
 					errs <- err
 					return
 				}
@@ -83,11 +83,11 @@
 			return false
 		}
 	}
-	for i := range w.routes + w.tenant {
-		if i < w.routes {
-			c.Puts = append(c.Puts, route(i, 0))
+	for i := range w.routeCount + w.tenantCount {
+		if i < w.routeCount {
+			c.Puts = append(c.Puts, routePut(i, 0))
 		} else {
-			c.Puts = append(c.Puts, tenant(i-w.routes, 0))
+			c.Puts = append(c.Puts, tenantPut(i-w.routeCount, 0))
 		}
 		if len(c.Puts) == records.MaxChangeKeys*3/4 && !send() {
 			break
@@ -97,7 +97,7 @@
 		send()
 	}
 	close(changes)
-	for range loaders {
+	for range loadConcurrency {
 		if err := <-errs; err != nil {
 			return err
 		}
@@ -105,35 +105,35 @@
 	return ctx.Err()
 }
 
-// do has a change agreed on. It is tried again where it is not known what came of it: to put the same again does no harm.
-func (w *writer) do(ctx context.Context, c records.Change) error {
+// commit has a change agreed on. It is tried again where it is not known what came of it: to put the same again does no harm.
+func (w *recordWriter) commit(ctx context.Context, c records.Change) error {
 	for ctx.Err() == nil {
 		r, err := w.client.Do(ctx, state.Command{Op: state.OpChangeRecords, Change: &c})
 		if err == nil {
 			w.mu.Lock()
-			w.latest = max(w.latest, r.Value)
-			w.n++
+			w.latestRevision = max(w.latestRevision, r.Value)
+			w.committed++
 			w.mu.Unlock()
 			return nil
 		}
 		if !errors.Is(err, session.ErrNotExecuted) && !errors.Is(err, session.ErrUnconfirmed) {
 			return err
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryBackoff)
 	}
 	return ctx.Err()
 }
 
-// next is a change as the day brings it: a few keys, now and then a key taken out or put back.
-func (w *writer) next(keys int) (c records.Change) {
+// nextChange is a change as the day brings it: a few keys, now and then a key taken out or put back.
+func (w *recordWriter) nextChange(keys int) (c records.Change) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.serial++
 	for i := range keys {
 		if i%2 == 0 {
-			c.Puts = append(c.Puts, tenant((w.rng.IntN(w.tenant/keys+1)*keys+i)%w.tenant, w.serial))
+			c.Puts = append(c.Puts, tenantPut((w.rng.IntN(w.tenantCount/keys+1)*keys+i)%w.tenantCount, w.serial))
 		} else {
-			c.Puts = append(c.Puts, route((w.rng.IntN(w.routes/keys+1)*keys+i)%w.routes, w.serial))
+			c.Puts = append(c.Puts, routePut((w.rng.IntN(w.routeCount/keys+1)*keys+i)%w.routeCount, w.serial))
 		}
 	}
 	seen := map[records.Key]bool{}
@@ -147,7 +147,7 @@
 	c.Puts = kept
 	extra := records.Key{Kind: records.Tenant, Name: fmt.Sprintf("extra-%02d", w.serial%40)}
 	if w.serial/40%2 == 0 {
-		p := tenant(0, w.serial)
+		p := tenantPut(0, w.serial)
 		p.Key = extra
 		c.Puts = append(c.Puts, p)
 	} else {
@@ -156,10 +156,10 @@
 	return c
 }
 
-const keysAChange = 3
+const keysPerChange = 3
 
-// steady makes changes at a rate, by chance, until the context ends.
-func (w *writer) steady(ctx context.Context, perSecond float64, keys int) {
+// changeSteadily makes changes at a rate, by chance, until the context ends.
+func (w *recordWriter) changeSteadily(ctx context.Context, perSecond float64, keys int) {
 	for {
 		w.mu.Lock()
 		wait := time.Duration(w.rng.ExpFloat64() / perSecond * float64(time.Second))
@@ -169,13 +169,13 @@
 			return
 		case <-time.After(wait):
 		}
-		w.do(w.root, w.next(keys))
+		w.commit(w.runCtx, w.nextChange(keys))
 	}
 }
 
-// burst makes many changes within a second.
-func (w *writer) burst(ctx context.Context, n int) {
-	var wait sync.WaitGroup
+// changeInBurst makes many changes within a second.
+func (w *recordWriter) changeInBurst(ctx context.Context, n int) {
+	var running sync.WaitGroup
 	t := time.NewTicker(time.Second / time.Duration(n))
 	defer t.Stop()
 	for range n {
@@ -183,18 +183,18 @@
 		case <-t.C:
 		case <-ctx.Done():
 		}
-		wait.Add(1)
+		running.Add(1)
 		go func() {
-			defer wait.Done()
-			w.do(w.root, w.next(keysAChange))
+			defer running.Done()
+			w.commit(w.runCtx, w.nextChange(keysPerChange))
 		}()
 	}
-	wait.Wait()
+	running.Wait()
 }
 
-// agreed is the latest revision that this writer knows, and how many changes it made.
-func (w *writer) agreed() (revision uint64, changes int) {
+// progress is the latest revision that this writer knows, and how many changes it made.
+func (w *recordWriter) progress() (revision uint64, changes int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.latest, w.n
+	return w.latestRevision, w.committed
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -43,8 +43,8 @@
 	return 0, fmt.Errorf("scale: %s has no %s", path, field)
 }
 
-// processorTime is what a process's threads have used, in seconds.
-func processorTime(pid int) (seconds float64) {
+// cpuTime is what a process's threads have used, in seconds.
+func cpuTime(pid int) (seconds float64) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
 		return 0
@@ -62,8 +62,8 @@
 	return seconds
 }
 
-// serverFigures is what the laboratory reads of an order server.
-type serverFigures struct {
+// serverMetrics is what the laboratory reads of an order server.
+type serverMetrics struct {
 	Duties *struct {
 		Me       string                 `json:"me"`
 		Present  bool                   `json:"present"`
@@ -79,10 +79,10 @@
 	} `json:"records"`
 }
 
-var web = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var metricsClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func readFigures(at string, into any) error {
-	r, err := web.Get("http://" + at + "/-/metrics")
+func readMetrics(address string, into any) error {
+	r, err := metricsClient.Get("http://" + address + "/-/metrics")
 	if err != nil {
 		return err
 	}
@@ -92,43 +92,43 @@
 
 // sample is what is read at one moment.
 type sample struct {
-	at           time.Time
-	leader       *process
-	leaderCPU    float64
-	configBytes  uint64
-	sessionBytes uint64
-	entries      uint64
-	relayCPU     map[string]float64
-	relayBytes   map[string]uint64
-	hollowCPU    float64
-	hollowBytes  uint64
+	at             time.Time
+	leader         *process
+	leaderCPU      float64
+	configBytes    uint64
+	sessionBytes   uint64
+	logEntries     uint64
+	relayCPU       map[string]float64
+	relayBytes     map[string]uint64
+	simulatedCPU   float64
+	simulatedBytes uint64
 }
 
-// take reads all counters.
-func (f *fleet) take() (s sample) {
+// takeSample reads all counters.
+func (f *fleet) takeSample() (s sample) {
 	s.at = time.Now()
 	s.leader = f.leader()
 	if s.leader != nil {
-		var v serverFigures
-		if readFigures(s.leader.figures, &v) == nil && v.Duties != nil {
+		var v serverMetrics
+		if readMetrics(s.leader.metricsAddress, &v) == nil && v.Duties != nil {
 			s.configBytes = v.Duties.Origin.SentBytes + v.Duties.Origin.ReceivedBytes
 			s.sessionBytes = v.Duties.Sessions.SentBytes + v.Duties.Sessions.ReceivedBytes
-			s.entries = v.Duties.Sessions.LogEntries
+			s.logEntries = v.Duties.Sessions.LogEntries
 		}
-		s.leaderCPU = processorTime(s.leader.pid())
+		s.leaderCPU = cpuTime(s.leader.pid())
 	}
 	s.relayCPU, s.relayBytes = map[string]float64{}, map[string]uint64{}
 	for _, p := range f.relays {
-		var v relay.Figures
-		if readFigures(p.figures, &v) == nil {
-			s.relayCPU[p.name] = processorTime(p.pid())
+		var v relay.Metrics
+		if readMetrics(p.metricsAddress, &v) == nil {
+			s.relayCPU[p.name] = cpuTime(p.pid())
 			s.relayBytes[p.name] = v.Serving.SentBytes + v.Serving.ReceivedBytes + v.Watching.SentBytes + v.Watching.ReceivedBytes
 		}
 	}
-	for _, h := range f.hollows {
-		s.hollowCPU += processorTime(h.pid())
-		if a, err := h.order(hollowOrder{Kind: orderFigures}); err == nil {
-			s.hollowBytes += a.Bytes
+	for _, h := range f.simulators {
+		s.simulatedCPU += cpuTime(h.pid())
+		if a, err := h.sendCommand(simulatorCommand{Kind: commandStatus}); err == nil {
+			s.simulatedBytes += a.Bytes
 		}
 	}
 	return s
@@ -136,25 +136,25 @@
 
 // rates are the differences of two samples, a second.
 type rates struct {
-	leaderCPU, configBytes, sessionBytes, entries float64
-	oneLeader                                     bool    // the same copy led at both; else nothing is known of it
-	relayCPU, relayBytes                          float64 // the most of any
-	hollowCPU, hollowBytes                        float64
+	leaderCPU, configBytes, sessionBytes, logEntries float64
+	sameLeader                                       bool    // the same copy led at both; else nothing is known of it
+	relayCPU, relayBytes                             float64 // the most of any
+	simulatedCPU, simulatedBytes                     float64
 }
 
-func between(a, b sample) (r rates) {
+func ratesBetween(a, b sample) (r rates) {
 	seconds := b.at.Sub(a.at).Seconds()
-	if r.oneLeader = a.leader == b.leader && a.leader != nil; r.oneLeader {
+	if r.sameLeader = a.leader == b.leader && a.leader != nil; r.sameLeader {
 		r.leaderCPU = (b.leaderCPU - a.leaderCPU) / seconds
 		r.configBytes = float64(b.configBytes-a.configBytes) / seconds
 		r.sessionBytes = float64(b.sessionBytes-a.sessionBytes) / seconds
-		r.entries = float64(b.entries-a.entries) / seconds
+		r.logEntries = float64(b.logEntries-a.logEntries) / seconds
 	}
 	for name := range b.relayCPU {
 		r.relayCPU = max(r.relayCPU, (b.relayCPU[name]-a.relayCPU[name])/seconds)
 		r.relayBytes = max(r.relayBytes, float64(b.relayBytes[name]-a.relayBytes[name])/seconds)
 	}
-	r.hollowCPU = (b.hollowCPU - a.hollowCPU) / seconds
-	r.hollowBytes = float64(b.hollowBytes-a.hollowBytes) / seconds
+	r.simulatedCPU = (b.simulatedCPU - a.simulatedCPU) / seconds
+	r.simulatedBytes = float64(b.simulatedBytes-a.simulatedBytes) / seconds
 	return r
 }
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -17,14 +17,14 @@
 
 // spawner starts processes that end with the laboratory, however that ends: the kernel ends children with the thread that
 // started them, so one thread starts all.
-type spawner struct{ starts chan func() }
+type spawner struct{ requests chan func() }
 
 func newSpawner() *spawner {
 	s := &spawner{make(chan func())}
 	go func() {
 		runtime.LockOSThread()
-		for do := range s.starts {
-			do()
+		for request := range s.requests {
+			request()
 		}
 	}()
 	return s
@@ -34,30 +34,30 @@
 	// A group of its own: Ctrl-C is the laboratory's, which then ends all that it began.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	errs := make(chan error)
-	s.starts <- func() { errs <- cmd.Start() }
+	s.requests <- func() { errs <- cmd.Start() }
 	return <-errs
 }
 
-func (s *spawner) close() { close(s.starts) }
+func (s *spawner) close() { close(s.requests) }
 
 // process is a process of the program.
 type process struct {
-	name    string
-	zone    string
-	dir     string
-	figures string // address of its figures; "": none
-	args    []string
-	env     []string
-	life    int
-	before  func(p *process) error // writes its files for the next life
-	ended   func(p *process, err error)
+	name             string
+	zone             string
+	dir              string
+	metricsAddress   string // address of its figures; "": none
+	args             []string
+	env              []string
+	incarnation      int
+	writeFiles       func(p *process) error // writes its files for the next life
+	onUnexpectedExit func(p *process, err error)
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	done chan struct{}
-	want bool // it is not to end by itself
-	in   io.WriteCloser
-	out  *bufio.Reader
+	mu        sync.Mutex
+	cmd       *exec.Cmd
+	exited    chan struct{}
+	shouldRun bool // it is not to end by itself
+	stdin     io.WriteCloser
+	stdout    *bufio.Reader
 }
 
 func (p *process) pid() int {
@@ -71,11 +71,11 @@
 
 // start starts the next life of the process.
 func (p *process) start(s *spawner, binary string) error {
-	p.life++
+	p.incarnation++
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return err
 	}
-	if err := p.before(p); err != nil {
+	if err := p.writeFiles(p); err != nil {
 		return err
 	}
 	log, err := os.OpenFile(filepath.Join(p.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -89,76 +89,76 @@
 		cmd.Env = []string{}
 	}
 	cmd.Stdout, cmd.Stderr = log, log
-	if p.in != nil || len(p.args) > 1 && p.args[1] == "hollow" {
+	if p.stdin != nil || len(p.args) > 1 && p.args[1] == "hollow" {
 		cmd.Stdout = nil
-		out, err := cmd.StdoutPipe()
+		stdout, err := cmd.StdoutPipe()
 		if err != nil {
 			return err
 		}
-		if p.in, err = cmd.StdinPipe(); err != nil {
+		if p.stdin, err = cmd.StdinPipe(); err != nil {
 			return err
 		}
-		p.out = bufio.NewReader(out)
+		p.stdout = bufio.NewReader(stdout)
 	}
 	if err := s.start(cmd); err != nil {
 		return err
 	}
-	done := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.done, p.want = cmd, done, true
+	p.cmd, p.exited, p.shouldRun = cmd, exited, true
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
-		unexpected := p.cmd == cmd && p.want
+		unexpected := p.cmd == cmd && p.shouldRun
 		p.mu.Unlock()
 		if unexpected {
-			p.ended(p, err)
+			p.onUnexpectedExit(p, err)
 		}
-		close(done)
+		close(exited)
 	}()
 	return nil
 }
 
-const endWithin = 10 * time.Second
+const exitTimeout = 10 * time.Second
 
 // end asks the process to end, or kills it, and waits.
 func (p *process) end(sig syscall.Signal) {
 	p.mu.Lock()
-	p.want = false
-	cmd, done, in := p.cmd, p.done, p.in
+	p.shouldRun = false
+	cmd, exited, stdin := p.cmd, p.exited, p.stdin
 	p.mu.Unlock()
 	if cmd == nil {
 		return
 	}
-	if in != nil {
-		in.Close()
+	if stdin != nil {
+		stdin.Close()
 	}
 	cmd.Process.Signal(sig)
 	select {
-	case <-done:
-	case <-time.After(endWithin):
+	case <-exited:
+	case <-time.After(exitTimeout):
 		cmd.Process.Kill()
-		<-done
+		<-exited
 	}
 }
 
-var errNoAnswer = errors.New("scale: a process of hollow servers does not answer")
+var errNoResponse = errors.New("scale: a process of hollow servers does not answer")
 
-// order gives a process of hollow servers an order and reads its answer.
-func (p *process) order(o hollowOrder) (a hollowAnswer, err error) {
+// sendCommand gives a process of hollow servers an order and reads its answer.
+func (p *process) sendCommand(o simulatorCommand) (a simulatorStatus, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b, err := json.Marshal(o)
 	if err != nil {
 		return a, err
 	}
-	if _, err := p.in.Write(append(b, '\n')); err != nil {
-		return a, fmt.Errorf("%w: %s: %v", errNoAnswer, p.name, err)
+	if _, err := p.stdin.Write(append(b, '\n')); err != nil {
+		return a, fmt.Errorf("%w: %s: %v", errNoResponse, p.name, err)
 	}
-	line, err := p.out.ReadBytes('\n')
+	line, err := p.stdout.ReadBytes('\n')
 	if err != nil {
-		return a, fmt.Errorf("%w: %s: %v", errNoAnswer, p.name, err)
+		return a, fmt.Errorf("%w: %s: %v", errNoResponse, p.name, err)
 	}
 	if err := json.Unmarshal(line, &a); err != nil {
 		return a, err
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -25,61 +25,61 @@
 	value func(Point) float64
 }
 
-// chart draws curves over the number of servers.
-func chart(title, unit string, points []Point, all ...series) template.HTML {
+// drawChart draws curves over the number of servers.
+func drawChart(title, unit string, points []Point, all ...series) template.HTML {
 	var b bytes.Buffer
-	c := svg.New(&b)
-	c.Start(chartWidth, chartHeight+18*len(all))
-	c.Text(4, 14, title, "font-size:12px;font-weight:bold")
-	top, right := 0.0, float64(points[len(points)-1].Servers)
+	canvas := svg.New(&b)
+	canvas.Start(chartWidth, chartHeight+18*len(all))
+	canvas.Text(4, 14, title, "font-size:12px;font-weight:bold")
+	maxValue, maxX := 0.0, float64(points[len(points)-1].Servers)
 	for _, s := range all {
 		for _, p := range points {
-			top = max(top, s.value(p))
+			maxValue = max(maxValue, s.value(p))
 		}
 	}
-	if top == 0 {
-		top = 1
+	if maxValue == 0 {
+		maxValue = 1
 	}
 	height, width := chartHeight-chartTop-chartBottom, chartWidth-chartLeft-20
-	x := func(servers float64) int { return chartLeft + int(servers/right*float64(width)) }
-	y := func(v float64) int { return chartTop + height - int(v/top*float64(height)) }
+	x := func(servers float64) int { return chartLeft + int(servers/maxX*float64(width)) }
+	y := func(v float64) int { return chartTop + height - int(v/maxValue*float64(height)) }
 	for i := range 5 {
-		v := top * float64(i) / 4
-		c.Line(chartLeft, y(v), chartLeft+width, y(v), "stroke:#eee")
-		c.Text(chartLeft-4, y(v)+4, fmt.Sprintf("%.3g %s", v, unit), "text-anchor:end;font-size:10px;fill:#555")
+		v := maxValue * float64(i) / 4
+		canvas.Line(chartLeft, y(v), chartLeft+width, y(v), "stroke:#eee")
+		canvas.Text(chartLeft-4, y(v)+4, fmt.Sprintf("%.3g %s", v, unit), "text-anchor:end;font-size:10px;fill:#555")
 	}
 	for _, p := range points {
-		c.Text(x(float64(p.Servers)), chartTop+height+14, fmt.Sprint(p.Servers), "text-anchor:middle;font-size:10px;fill:#555")
+		canvas.Text(x(float64(p.Servers)), chartTop+height+14, fmt.Sprint(p.Servers), "text-anchor:middle;font-size:10px;fill:#555")
 	}
 	for i, s := range all {
 		var xs, ys []int
 		for _, p := range points {
 			xs, ys = append(xs, x(float64(p.Servers))), append(ys, y(s.value(p)))
-			c.Circle(xs[len(xs)-1], ys[len(ys)-1], 3, "fill:"+s.color)
+			canvas.Circle(xs[len(xs)-1], ys[len(ys)-1], 3, "fill:"+s.color)
 		}
-		c.Polyline(xs, ys, "fill:none;stroke-width:1.5;stroke:"+s.color)
-		c.Text(chartLeft, chartHeight+14+18*i, s.name, "font-size:11px;fill:"+s.color)
+		canvas.Polyline(xs, ys, "fill:none;stroke-width:1.5;stroke:"+s.color)
+		canvas.Text(chartLeft, chartHeight+14+18*i, s.name, "font-size:11px;fill:"+s.color)
 	}
-	c.End()
+	canvas.End()
 	return template.HTML(b.String())
 }
 
-// charts are the curves of a report.
-func charts(points []Point) []template.HTML {
+// drawCharts are the curves of a report.
+func drawCharts(points []Point) []template.HTML {
 	const blue, red, green = "#246", "#c33", "#283"
 	return []template.HTML{
-		chart("time until a change is in force", "ms", points, series{"median", blue, func(p Point) float64 { return p.InForceP50 }},
+		drawChart("time until a change is in force", "ms", points, series{"median", blue, func(p Point) float64 { return p.InForceP50 }},
 			series{"99th in 100", green, func(p Point) float64 { return p.InForceP99 }}, series{"most", red, func(p Point) float64 { return p.InForceMax }}),
-		chart("the copy that leads: processor time", "core", points, series{"configuration", blue, func(p Point) float64 { return p.LeaderConfigCPU }},
+		drawChart("the copy that leads: processor time", "core", points, series{"configuration", blue, func(p Point) float64 { return p.LeaderConfigCPU }},
 			series{"sessions", red, func(p Point) float64 { return p.LeaderSessionCPU }}),
-		chart("the copy that leads: bytes a second for configuration", "B/s", points, series{"configuration", blue, func(p Point) float64 { return p.LeaderConfigBytes }}),
-		chart("the copy that leads: bytes a second for sessions", "B/s", points, series{"sessions", red, func(p Point) float64 { return p.LeaderSessionBytes }}),
-		chart("the busiest relay: processor time", "core", points, series{"relay", blue, func(p Point) float64 { return p.RelayCPU }}),
-		chart("one server: processor time", "core", points, series{"with sessions", red, func(p Point) float64 { return p.ServerCPU }},
+		drawChart("the copy that leads: bytes a second for configuration", "B/s", points, series{"configuration", blue, func(p Point) float64 { return p.LeaderConfigBytes }}),
+		drawChart("the copy that leads: bytes a second for sessions", "B/s", points, series{"sessions", red, func(p Point) float64 { return p.LeaderSessionBytes }}),
+		drawChart("the busiest relay: processor time", "core", points, series{"relay", blue, func(p Point) float64 { return p.RelayCPU }}),
+		drawChart("one server: processor time", "core", points, series{"with sessions", red, func(p Point) float64 { return p.ServerCPU }},
 			series{"configuration alone", blue, func(p Point) float64 { return p.ServerConfigCPU }}),
-		chart("one server: bytes a second", "B/s", points, series{"with sessions", red, func(p Point) float64 { return p.ServerBytes }},
+		drawChart("one server: bytes a second", "B/s", points, series{"with sessions", red, func(p Point) float64 { return p.ServerBytes }},
 			series{"configuration alone", blue, func(p Point) float64 { return p.ServerConfig }}),
-		chart("memory of a process", "MB", points, series{"order server, the most", blue, func(p Point) float64 { return float64(p.ServerMemory) / (1 << 20) }},
+		drawChart("memory of a process", "MB", points, series{"order server, the most", blue, func(p Point) float64 { return float64(p.ServerMemory) / (1 << 20) }},
 			series{"relay, the most", green, func(p Point) float64 { return float64(p.RelayMemory) / (1 << 20) }},
 			series{"copy of the store, the most", red, func(p Point) float64 { return float64(p.LeaderMemory) / (1 << 20) }}),
 	}
@@ -103,7 +103,7 @@
 	Ms        float64
 }
 
-const maxShown = 50 // violations on the page
+const maxShownViolations = 50 // violations on the page
 
 // writeReport writes the page.
 func writeReport(path string, s Setup, r Result, o *outcome, found *findings) error {
@@ -113,9 +113,9 @@
 	}
 	defer f.Close()
 	var rows []faultRow
-	for _, m := range o.made {
-		rows = append(rows, faultRow{r.Points[m.Point].Servers, m.Kind, m.Hit, m.To - m.From})
+	for _, m := range o.injectedFaults {
+		rows = append(rows, faultRow{r.Points[m.Point].Servers, m.Kind, m.Target, m.ToMS - m.FromMS})
 	}
-	return reportPage.Execute(f, map[string]any{"Setup": s, "Result": r, "Violations": found.violations[:min(len(found.violations), maxShown)],
-		"Charts": charts(r.Points), "Faults": rows, "Notes": o.notes})
+	return reportPage.Execute(f, map[string]any{"Setup": s, "Result": r, "Violations": found.violations[:min(len(found.violations), maxShownViolations)],
+		"Charts": drawCharts(r.Points), "Faults": rows, "Notes": o.notes})
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -17,12 +17,12 @@
 	"puffinsaddle/internal/trace"
 )
 
-func TestOneSeedGivesOneSchedule(t *testing.T) {
-	a, b := schedule(7), schedule(7)
+func TestFaultScheduleIsDeterministic(t *testing.T) {
+	a, b := faultSchedule(7), faultSchedule(7)
 	if !reflect.DeepEqual(a, b) || len(a) != len(faultKinds) {
 		t.Errorf("%d and %d faults", len(a), len(b))
 	}
-	if reflect.DeepEqual(a, schedule(8)) {
+	if reflect.DeepEqual(a, faultSchedule(8)) {
 		t.Error("another seed gives the same")
 	}
 	for i, f := range a {
@@ -33,7 +33,7 @@
 }
 
 // Wrong use is refused with the reason, before anything starts.
-func TestWrongUseIsRefused(t *testing.T) {
+func TestInvalidFlagsAreRejected(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -60,8 +60,8 @@
 	}
 }
 
-// story is what one server wrote down, over three revisions that were agreed on.
-func story(t *testing.T, events ...trace.Event) []string {
+// violationsIn is what one server wrote down, over three revisions that were agreed on.
+func violationsIn(t *testing.T, events ...trace.Event) []string {
 	t.Helper()
 	out := t.TempDir()
 	write := func(name string, all []trace.Event) {
@@ -85,18 +85,18 @@
 		events[i].Who = "z01-h1"
 	}
 	write("hollow-z01.0.trace", events)
-	return check(&outcome{setup: Setup{Out: out}, points: make([]Point, 1), spans: []span{{0, 100}}}).violations
+	return checkTraces(&outcome{setup: Setup{Out: out}, points: make([]Point, 1), sizeSpans: []span{{0, 100}}}).violations
 }
 
 // The checker finds each way in which a server may go wrong, and nothing in one that did not.
-func TestCheckerFindsWhatIsWrong(t *testing.T) {
+func TestCheckerFindsViolations(t *testing.T) {
 	force := func(at float64, from, to uint64, digest string) trace.Event {
 		return trace.Event{At: at, What: trace.CommitsInForce, Index: from, N: to, Text: digest}
 	}
 	install := func(at float64, n uint64, digest string) trace.Event {
 		return trace.Event{At: at, What: trace.RecordsInstalled, N: n, Text: digest}
 	}
-	if v := story(t, install(5, 0, ""), force(12, 1, 1, "d1"), force(31, 2, 3, "d3"), trace.Event{At: 32, What: trace.RevisionReported, N: 3}); len(v) > 0 {
+	if v := violationsIn(t, install(5, 0, ""), force(12, 1, 1, "d1"), force(31, 2, 3, "d3"), trace.Event{At: 32, What: trace.RevisionReported, N: 3}); len(v) > 0 {
 		t.Errorf("nothing is wrong: %v", v)
 	}
 	for want, events := range map[string][]trace.Event{
@@ -109,15 +109,15 @@
 		"took a snapshot as of":   {install(31, 3, "d2")},
 		"ended at revision":       {force(12, 1, 1, "d1")},
 	} {
-		found := story(t, events...)
+		found := violationsIn(t, events...)
 		if len(found) == 0 || !strings.Contains(strings.Join(found, "\n"), want) {
 			t.Errorf("%s: %v", want, found)
 		}
 	}
 }
 
-// build builds the program for runs of the laboratory.
-func build(t *testing.T) string {
+// buildProgram builds the program for runs of the laboratory.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "puffinsaddle")
 	if out, err := exec.Command("go", "build", "-o", binary, "../../../cmd/puffinsaddle").CombinedOutput(); err != nil {
@@ -126,13 +126,13 @@
 	return binary
 }
 
-// small is the command line of a small run.
-func small(t *testing.T, args ...string) []string {
+// smallRunArgs is the command line of a small run.
+func smallRunArgs(t *testing.T, args ...string) []string {
 	return append([]string{"lab", "scale", "--servers", "20", "--zones", "4", "--regions", "2", "--real", "2", "--routes", "300", "--tenants", "900", "--for", "4s", "--out", t.TempDir()}, args...)
 }
 
-// processesOf lists the processes that run a program.
-func processesOf(t *testing.T, binary string) (pids []string) {
+// runningProcesses lists the processes that run a program.
+func runningProcesses(t *testing.T, binary string) (pids []string) {
 	t.Helper()
 	links, err := filepath.Glob("/proc/[0-9]*/exe")
 	if err != nil {
@@ -148,9 +148,9 @@
 
 // Ctrl-C in the middle of a run ends it, with a word on why, and every process that it began.
 func TestInterruptEndsAllProcesses(t *testing.T) {
-	const patience = 2 * time.Minute
-	binary := build(t)
-	cmd := exec.Command(binary, small(t, "--for", "60s")...)
+	const runTimeout = 2 * time.Minute
+	binary := buildProgram(t)
+	cmd := exec.Command(binary, smallRunArgs(t, "--for", "60s")...)
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -160,13 +160,13 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	late := time.AfterFunc(patience, func() { cmd.Process.Kill() })
-	defer late.Stop()
-	began := false
+	killTimer := time.AfterFunc(runTimeout, func() { cmd.Process.Kill() })
+	defer killTimer.Stop()
+	started := false
 	for lines := bufio.NewScanner(out); lines.Scan(); {
 		if strings.Contains(lines.Text(), "have them from snapshots") {
-			began = true
-			if n := len(processesOf(t, binary)); n < 10 {
+			started = true
+			if n := len(runningProcesses(t, binary)); n < 10 {
 				t.Errorf("%d processes run", n)
 			}
 			cmd.Process.Signal(os.Interrupt)
@@ -174,18 +174,18 @@
 	}
 	err = cmd.Wait()
 	var exit *exec.ExitError
-	if !began || !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(errs.String(), "ended before its time") {
-		t.Errorf("began %v; %v; %s", began, err, errs.String())
+	if !started || !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(errs.String(), "ended before its time") {
+		t.Errorf("began %v; %v; %s", started, err, errs.String())
 	}
-	if left := processesOf(t, binary); len(left) > 0 {
+	if left := runningProcesses(t, binary); len(left) > 0 {
 		t.Errorf("left behind: %v", left)
 	}
 }
 
-// played is a small run's status and result.
-func played(t *testing.T, binary string, args ...string) (status int, r Result, text string) {
+// executeSmallRun is a small run's status and result.
+func executeSmallRun(t *testing.T, binary string, args ...string) (status int, r Result, text string) {
 	t.Helper()
-	cmd := exec.Command(binary, small(t, args...)...)
+	cmd := exec.Command(binary, smallRunArgs(t, args...)...)
 	out, err := cmd.CombinedOutput()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
@@ -197,11 +197,11 @@
 }
 
 // A small run with every kind of fault breaks nothing, and each planted bug is found.
-func TestSmallRunAndPlants(t *testing.T) {
-	binary := build(t)
+func TestSmallRunFindsOnlyInjectedBugs(t *testing.T) {
+	binary := buildProgram(t)
 	t.Run("none", func(t *testing.T) {
 		t.Parallel()
-		status, r, text := played(t, binary)
+		status, r, text := executeSmallRun(t, binary)
 		if status != 0 || r.Violations != 0 || len(r.Points) != 1 {
 			t.Fatalf("status %d:\n%s", status, text)
 		}
@@ -209,15 +209,15 @@
 			t.Errorf("%+v", p)
 		}
 	})
-	for plant, sign := range map[string]string{
-		distribution.PlantLostChange:       "skipped",
-		distribution.PlantEarlyReport:      "reported revision",
-		distribution.PlantSnapshotRevision: "took a snapshot",
+	for bug, wantText := range map[string]string{
+		distribution.BugLostChange:       "skipped",
+		distribution.BugEarlyReport:      "reported revision",
+		distribution.BugSnapshotRevision: "took a snapshot",
 	} {
-		t.Run(plant, func(t *testing.T) {
+		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
-			status, r, text := played(t, binary, "--plant", plant)
-			if status != 1 || r.Violations == 0 || !strings.Contains(text, sign) {
+			status, r, text := executeSmallRun(t, binary, "--plant", bug)
+			if status != 1 || r.Violations == 0 || !strings.Contains(text, wantText) {
 				t.Errorf("status %d:\n%s", status, text)
 			}
 		})
--- a/internal/net/accept/accept.go
+++ b/internal/net/accept/accept.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	pause       = 5 * time.Millisecond
-	lastAccepts = 5 * time.Millisecond // a listener that is to close goes on accepting for so long
-	lastAccept  = time.Second          // what waits in the queue is taken at once, unless it went meanwhile
+	acceptRetryDelay    = 5 * time.Millisecond
+	closingAcceptPeriod = 5 * time.Millisecond // a listener that is to close goes on accepting for so long
+	queuedAcceptTimeout = time.Second          // what waits in the queue is taken at once, unless it went meanwhile
 )
 
 // Listener accepts connections until it is shut.
@@ -25,8 +25,8 @@
 
 	mu      sync.Mutex
 	serving bool
-	shut    bool // no more than what waits is accepted
-	leave   bool // nor that: another process accepts it
+	stopped bool // no more than what waits is accepted
+	yielded bool // nor that: another process accepts it
 }
 
 // Listen opens the listening socket; Serve has to be called next.
@@ -35,11 +35,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return On(ln.(*net.TCPListener), log), nil
+	return New(ln.(*net.TCPListener), log), nil
 }
 
-// On takes a socket that listens already.
-func On(ln *net.TCPListener, log zerolog.Logger) *Listener {
+// New takes a socket that listens already.
+func New(ln *net.TCPListener, log zerolog.Logger) *Listener {
 	return &Listener{ln: ln, log: log, done: make(chan struct{})}
 }
 
@@ -50,7 +50,7 @@
 func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
 
 // Serve hands each connection to welcome, which must not wait, until the listener is shut.
-func (l *Listener) Serve(welcome func(net.Conn)) {
+func (l *Listener) Serve(handle func(net.Conn)) {
 	l.mu.Lock()
 	l.serving = true
 	l.mu.Unlock()
@@ -59,41 +59,41 @@
 		conn, err := l.ln.Accept()
 		switch {
 		case err == nil:
-			welcome(conn)
-		case timedOut(err):
-			l.rest(welcome)
+			handle(conn)
+		case isTimeout(err):
+			l.acceptQueued(handle)
 			return
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
 			l.log.Warn().Err(err).Msg("accept") // out of descriptors, most likely: some will be freed
-			time.Sleep(pause)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// rest accepts what waits in the queue of a listener whose time is over. A deadline that has passed ends an Accept
+// acceptQueued accepts what waits in the queue of a listener whose time is over. A deadline that has passed ends an Accept
 // before it looks, and it may pass between two of them or before the first.
-func (l *Listener) rest(welcome func(net.Conn)) {
-	for l.waiting() {
-		l.ln.SetDeadline(time.Now().Add(lastAccept))
+func (l *Listener) acceptQueued(handle func(net.Conn)) {
+	for l.hasQueued() {
+		l.ln.SetDeadline(time.Now().Add(queuedAcceptTimeout))
 		conn, err := l.ln.Accept()
 		if err != nil {
 			l.log.Warn().Err(err).Msg("accept of what was left")
 			return
 		}
-		welcome(conn)
+		handle(conn)
 	}
 	l.ln.Close() // at once: who comes now is refused, and knows that nothing ran
 }
 
-// waiting tells that a connection is in the queue, and that it is ours to accept.
-func (l *Listener) waiting() bool {
+// hasQueued tells that a connection is in the queue, and that it is ours to accept.
+func (l *Listener) hasQueued() bool {
 	l.mu.Lock()
-	leave := l.leave
+	yielded := l.yielded
 	l.mu.Unlock()
 	raw, err := l.ln.SyscallConn()
-	if err != nil || leave {
+	if err != nil || yielded {
 		return false
 	}
 	ready := 0
@@ -103,28 +103,28 @@
 	return err == nil && ready > 0
 }
 
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// Shut closes the socket once its queue is empty. To close it at once would reset connections that the
+// StopAccepting closes the socket once its queue is empty. To close it at once would reset connections that the
 // machine has accepted and whose requests are therefore owed answers.
-func (l *Listener) Shut() { l.end(time.Now().Add(lastAccepts), false) }
+func (l *Listener) StopAccepting() { l.stop(time.Now().Add(closingAcceptPeriod), false) }
 
 // Yield closes our side of a socket that another process accepts from too: what waits in its queue is for that.
-func (l *Listener) Yield() { l.end(time.Now(), true) }
+func (l *Listener) Yield() { l.stop(time.Now(), true) }
 
-// end lets Serve accept up to a time, and what waits then. Where Serve has not begun, it does the same once it does;
+// stop lets Serve accept up to a time, and what waits then. Where Serve has not begun, it does the same once it does;
 // until then, or until Close, the socket stays open, since to close it would reset what waits.
-func (l *Listener) end(last time.Time, leave bool) {
+func (l *Listener) stop(deadline time.Time, yielded bool) {
 	l.mu.Lock()
-	again := l.shut
-	l.shut, l.leave = true, leave
+	alreadyStopped := l.stopped
+	l.stopped, l.yielded = true, yielded
 	serving := l.serving
 	l.mu.Unlock()
-	if !again {
-		l.ln.SetDeadline(last)
+	if !alreadyStopped {
+		l.ln.SetDeadline(deadline)
 	}
 	if serving {
 		<-l.done
--- a/internal/net/accept/accept_test.go
+++ b/internal/net/accept/accept_test.go
@@ -9,17 +9,17 @@
 	"github.com/rs/zerolog"
 )
 
-const queued = 20
+const queuedConns = 20
 
-// queue opens a listening socket with connections waiting in its queue, each with a byte sent.
-func queue(t *testing.T) (*Listener, []net.Conn) {
+// listenWithQueue opens a listening socket with connections waiting in its queue, each with a byte sent.
+func listenWithQueue(t *testing.T) (*Listener, []net.Conn) {
 	l, err := Listen("127.0.0.1:0", zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
 	var conns []net.Conn
-	for range queued {
+	for range queuedConns {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -32,14 +32,14 @@
 	return l, conns
 }
 
-func echo(conn net.Conn) {
+func echoByte(conn net.Conn) {
 	go func() {
 		io.CopyN(conn, conn, 1)
 		conn.Close()
 	}()
 }
 
-func answered(t *testing.T, conns []net.Conn) {
+func wantEchoes(t *testing.T, conns []net.Conn) {
 	t.Helper()
 	for i, conn := range conns {
 		if b, err := io.ReadAll(conn); string(b) != "x" {
@@ -49,11 +49,11 @@
 }
 
 // The notice to leave comes before the accepting began: what waits in the queue was reset.
-func TestShutBeforeServingResetsNothing(t *testing.T) {
-	l, conns := queue(t)
-	l.Shut()
-	l.Serve(echo)
-	answered(t, conns)
+func TestStopBeforeServeAnswersQueuedConnections(t *testing.T) {
+	l, conns := listenWithQueue(t)
+	l.StopAccepting()
+	l.Serve(echoByte)
+	wantEchoes(t, conns)
 	if conn, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		conn.Close()
 		t.Error("the socket is still open")
@@ -61,49 +61,49 @@
 }
 
 // The process gets no time between two accepts until its last moment for them has passed: the rest was reset.
-func TestLateAcceptsEmptyTheQueue(t *testing.T) {
-	l, conns := queue(t)
-	first, passed := make(chan struct{}), make(chan struct{})
-	welcomed := 0
+func TestQueueIsEmptiedAfterAcceptDeadline(t *testing.T) {
+	l, conns := listenWithQueue(t)
+	firstAccepted, deadlinePassed := make(chan struct{}), make(chan struct{})
+	accepted := 0
 	go l.Serve(func(conn net.Conn) {
-		if welcomed++; welcomed == 1 {
-			close(first)
-			<-passed
+		if accepted++; accepted == 1 {
+			close(firstAccepted)
+			<-deadlinePassed
 		}
-		echo(conn)
+		echoByte(conn)
 	})
-	<-first
-	ended := make(chan struct{})
+	<-firstAccepted
+	stopReturned := make(chan struct{})
 	go func() {
-		l.end(time.Unix(1, 0), false)
-		close(ended)
+		l.stop(time.Unix(1, 0), false)
+		close(stopReturned)
 	}()
-	for shut := false; !shut; time.Sleep(time.Millisecond) { // the deadline is set right after
+	for stopped := false; !stopped; time.Sleep(time.Millisecond) { // the deadline is set right after
 		l.mu.Lock()
-		shut = l.shut
+		stopped = l.stopped
 		l.mu.Unlock()
 	}
 	l.ln.SetDeadline(time.Unix(1, 0))
-	close(passed)
-	<-ended
-	answered(t, conns)
+	close(deadlinePassed)
+	<-stopReturned
+	wantEchoes(t, conns)
 }
 
 // To a successor that shares the socket, the queue is left.
-func TestYieldLeavesTheQueue(t *testing.T) {
-	l, conns := queue(t)
+func TestYieldLeavesQueueToSuccessor(t *testing.T) {
+	l, conns := listenWithQueue(t)
 	f, err := l.Socket().File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := net.FileListener(f)
+	successor, err := net.FileListener(f)
 	f.Close()
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Yield()
 	l.Serve(func(net.Conn) { t.Error("taken from the successor") })
-	go On(other.(*net.TCPListener), zerolog.Nop()).Serve(echo)
-	answered(t, conns)
-	other.Close()
+	go New(successor.(*net.TCPListener), zerolog.Nop()).Serve(echoByte)
+	wantEchoes(t, conns)
+	successor.Close()
 }
--- a/internal/net/accept/quiet.go
+++ b/internal/net/accept/quiet.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// Quiet tells that a connection is open with nothing to read. It is looked at right before a connection is
+// IsIdle tells that a connection is open with nothing to read. It is looked at right before a connection is
 // closed by us: what has come meanwhile is a request that the close would cut off.
-func Quiet(conn net.Conn) bool {
+func IsIdle(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -16,11 +16,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		idle = err == syscall.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
--- a/internal/net/cold_test.go
+++ b/internal/net/cold_test.go
@@ -14,50 +14,50 @@
 	"puffinsaddle/policy"
 )
 
-// many is how many processes meet a cold one.
-const many = 30
+// peerCount is how many processes meet a cold one.
+const peerCount = 30
 
-// allowed is the most that a budget of n calls may come to: beyond n only chance is borne.
-func allowed(n float64) int { return int(n + 2*math.Sqrt(n) + 2) }
+// limitWithChance is the most that a budget of n calls may come to: beyond n only chance is borne.
+func limitWithChance(n float64) int { return int(n + 2*math.Sqrt(n) + 2) }
 
 // Thirty routers follow what one cold order server tells them, each with all the requests that a connection may have open.
 // The ramp holds for their sum: no more runs at once than the settings let a cold server have, as long as it is cold.
-func TestColdServerUnderThirtyRouters(t *testing.T) {
+func TestWarmupRampLimitsLoadOfManyRouters(t *testing.T) {
 	set := settings
-	set.Cores, set.Callers, set.JustStarted, set.WarmupPeriod, set.ColdSpeedShare = 4, many, true, 3*time.Second, 0.25
+	set.Cores, set.Callers, set.JustStarted, set.WarmupPeriod, set.ColdSpeedShare = 4, peerCount, true, 3*time.Second, 0.25
 	x := newExecutor(t)
-	h := withExecutorBy(t, clock.System(), set, x, "127.0.0.1:1")
+	h := newServerWithExecutorOnClock(t, clock.System(), set, x, "127.0.0.1:1")
 	x.want("JOIN", "0")
-	x.say("WELCOME booting 0")
-	began := time.Now()
-	x.pass()
+	x.send("WELCOME booting 0")
+	startedAt := time.Now()
+	x.answerBarrier()
 	var mu sync.Mutex
-	running, most := 0, 0
+	running, maxRunning := 0, 0
 	go func() {
-		for c := range x.cmds {
+		for c := range x.commands {
 			switch c.words[0] {
 			case "METER":
-				x.say("METERS %s 0.1 0 0.1 1", c.words[1]) // idle: the ramp alone holds starts back
+				x.send("METERS %s 0.1 0 0.1 1", c.words[1]) // idle: the ramp alone holds starts back
 			case "EXEC":
 				mu.Lock()
 				running++
-				most = max(most, running)
+				maxRunning = max(maxRunning, running)
 				mu.Unlock()
 				go func() {
 					time.Sleep(30 * time.Millisecond)
 					mu.Lock()
 					defer mu.Unlock()
 					running--
-					x.notice("EXIT", c.words[1]+" success 30", "done")
+					x.sendNotice("EXIT", c.words[1]+" success 30", "done")
 				}()
 			}
 		}
 	}()
 	var wait sync.WaitGroup
-	answers := make(chan string, many*1000)
-	for i := range many {
+	answers := make(chan string, peerCount*1000)
+	for i := range peerCount {
 		p := h.router()
-		wait.Go(func() { followAdvice(p, i, began.Add(set.WarmupPeriod/2), answers) })
+		wait.Go(func() { obeyRetryAfter(p, i, startedAt.Add(set.WarmupPeriod/2), answers) })
 	}
 	wait.Wait()
 	close(answers)
@@ -70,25 +70,25 @@
 	n := float64(set.Cores) * (1 + (set.MaxRunningPerCore-1)*share)
 	mu.Lock()
 	defer mu.Unlock()
-	if most > allowed(n) || most == 0 {
-		t.Errorf("%d ran at once, with %.1f allowed and %d by chance", most, n, allowed(n))
+	if maxRunning > limitWithChance(n) || maxRunning == 0 {
+		t.Errorf("%d ran at once, with %.1f allowed and %d by chance", maxRunning, n, limitWithChance(n))
 	}
 	if count["done"] == 0 || count["error"] > 0 {
 		t.Errorf("answers: %v", count)
 	}
 }
 
-// followAdvice plays a router: as many requests as a connection may have, and after a refusal nothing before its time.
-func followAdvice(p *routerPeer, router int, until time.Time, answers chan<- string) {
-	const open = 32
+// obeyRetryAfter plays a router: as many requests as a connection may have, and after a refusal nothing before its time.
+func obeyRetryAfter(p *fakeRouter, router int, deadline time.Time, answers chan<- string) {
+	const maxOpen = 32
 	next, pending := 0, 0
-	for time.Now().Before(until) || pending > 0 {
-		for pending < open && time.Now().Before(until) {
+	for time.Now().Before(deadline) || pending > 0 {
+		for pending < maxOpen && time.Now().Before(deadline) {
 			next++
 			pending++
-			p.req(next, router<<16|next, "book-delivery", "", "x")
+			p.sendRequest(next, router<<16|next, "book-delivery", "", "x")
 		}
-		a := p.answer()
+		a := p.readAnswer()
 		if a[0] == "0" {
 			continue
 		}
@@ -107,82 +107,82 @@
 
 // Thirty order servers begin beside one vault that is cold: a call there takes as long as a server waits. The calls in hand of
 // all, in the mean of the span that the settings name, stay within the sum of their shares.
-func TestThirtyServersBesideAColdVault(t *testing.T) {
+func TestDownstreamSharesHoldOnUnresponsiveVault(t *testing.T) {
 	set := settings
 	set.DownstreamShare, set.CallPeriod, set.JustStarted, set.WarmupPeriod, set.ColdSpeedShare = 2, 500*time.Millisecond, true, 10*time.Second, 0.25
 	set.Classes = append([]policy.Class(nil), set.Classes...)
 	set.Classes[0].SkipWorth = 0 // every request needs its call
-	below := &coldVault{span: set.CallPeriod}
-	at := newVault(t, below.serve)
-	var executors []*executorPeer
-	var houses []*house
-	for range many {
+	downstream := &unresponsiveVault{period: set.CallPeriod}
+	vaultAddress := startVault(t, downstream.serve)
+	var executors []*fakeExecutor
+	var servers []*testServer
+	for range peerCount {
 		x := newExecutor(t)
-		houses = append(houses, withExecutorBy(t, clock.System(), set, x, at))
+		servers = append(servers, newServerWithExecutorOnClock(t, clock.System(), set, x, vaultAddress))
 		executors = append(executors, x)
 	}
 	for i, x := range executors {
 		x.want("JOIN", "0")
-		x.say("WELCOME booting 0")
-		x.pass()
-		go callAlways(x)
-		p := houses[i].router()
+		x.send("WELCOME booting 0")
+		x.answerBarrier()
+		go runWithDownstreamCalls(x)
+		p := servers[i].router()
 		go func() {
 			for n := range 32 {
-				p.req(n+1, i<<16|n, "tank-level", ",wait=15000", "x")
+				p.sendRequest(n+1, i<<16|n, "tank-level", ",wait=15000", "x")
 			}
 		}()
 	}
 	time.Sleep(4 * set.CallPeriod)
-	n := float64(many) * set.DownstreamShare
-	mean, calls := below.most()
-	if mean > float64(allowed(n)) {
-		t.Errorf("%.1f calls in hand in the mean of %s, with %.0f allowed and %d by chance", mean, set.CallPeriod, n, allowed(n))
+	n := float64(peerCount) * set.DownstreamShare
+	mean, calls := downstream.maxMeanInFlight()
+	if mean > float64(limitWithChance(n)) {
+		t.Errorf("%.1f calls in hand in the mean of %s, with %.0f allowed and %d by chance", mean, set.CallPeriod, n, limitWithChance(n))
 	}
-	if calls < many {
-		t.Errorf("%d calls were made by %d servers", calls, many)
+	if calls < peerCount {
+		t.Errorf("%d calls were made by %d servers", calls, peerCount)
 	}
 }
 
-// callAlways plays an executor whose runs all need a call.
-func callAlways(x *executorPeer) {
-	for c := range x.cmds {
+// runWithDownstreamCalls plays an executor whose runs all need a call.
+func runWithDownstreamCalls(x *fakeExecutor) {
+	for c := range x.commands {
 		switch c.words[0] {
 		case "METER":
-			x.say("METERS %s 0.1 0 0.1 1", c.words[1])
+			x.send("METERS %s 0.1 0 0.1 1", c.words[1])
 		case "EXEC":
-			x.notice("CALLOUT", c.words[1], "q")
+			x.sendNotice("CALLOUT", c.words[1], "q")
 		case "RETURN":
-			x.notice("EXIT", c.words[1]+" success 5", "r")
+			x.sendNotice("EXIT", c.words[1]+" success 5", "r")
 		}
 	}
 }
 
-// coldVault answers no call before its caller gives up, and sums calls in hand over time.
-type coldVault struct {
-	span time.Duration
+// unresponsiveVault answers no call before its caller gives up, and sums calls in hand over time.
+type unresponsiveVault struct {
+	period time.Duration
 
-	mu    sync.Mutex
-	calls int
-	edges []edge
+	mu      sync.Mutex
+	calls   int
+	changes []inFlightChange
 }
 
-// edge is a change of the calls in hand.
-type edge struct {
-	at time.Time
-	by int
+// inFlightChange is a change of the calls in hand.
+type inFlightChange struct {
+	at    time.Time
+	delta int
 }
 
-func (v *coldVault) note(by int) {
+func (v *unresponsiveVault) record(delta int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.edges = append(v.edges, edge{time.Now(), by})
-	v.calls += max(by, 0)
+	v.changes = append(v.changes, inFlightChange{time.Now(), delta})
+	v.calls += max(delta, 0)
 }
 
-func (v *coldVault) serve(w http.ResponseWriter, r *http.Request) {
-	v.note(1)
-	defer v.note(-1)
+func (v *unresponsiveVault) serve(w http.ResponseWriter, r *http.Request) {
+	v.record(1)
+	defer v.record(-1)
 	io.Copy(io.Discard, r.Body)
 	select {
 	case <-r.Context().Done():
@@ -190,35 +190,35 @@
 	}
 }
 
-// most is the largest mean of the calls in hand over one span, and how many calls came.
-func (v *coldVault) most() (mean float64, calls int) {
+// maxMeanInFlight is the largest mean of the calls in hand over one span, and how many calls came.
+func (v *unresponsiveVault) maxMeanInFlight() (mean float64, calls int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.edges) == 0 {
+	if len(v.changes) == 0 {
 		return 0, 0
 	}
 	end := time.Now()
-	for begin := v.edges[0].at; begin.Before(end); begin = begin.Add(v.span / 20) {
-		area, in, last := 0.0, 0, v.edges[0].at
+	for begin := v.changes[0].at; begin.Before(end); begin = begin.Add(v.period / 20) {
+		area, inFlight, last := 0.0, 0, v.changes[0].at
 		add := func(to time.Time) {
 			from := last
 			if from.Before(begin) {
 				from = begin
 			}
-			if stop := begin.Add(v.span); to.After(stop) {
+			if stop := begin.Add(v.period); to.After(stop) {
 				to = stop
 			}
 			if to.After(from) {
-				area += float64(in) * to.Sub(from).Seconds()
+				area += float64(inFlight) * to.Sub(from).Seconds()
 			}
 		}
-		for _, e := range v.edges {
+		for _, e := range v.changes {
 			add(e.at)
-			in += e.by
+			inFlight += e.delta
 			last = e.at
 		}
 		add(end)
-		mean = max(mean, area/v.span.Seconds())
+		mean = max(mean, area/v.period.Seconds())
 	}
 	return mean, v.calls
 }
--- a/internal/net/configwatch/client.go
+++ b/internal/net/configwatch/client.go
@@ -64,7 +64,7 @@
 type Client struct {
 	options ClientOptions
 
-	traffic                                meter.Count
+	traffic                                meter.ByteCounts
 	connections, snapshots, latestRevision atomic.Uint64
 
 	mu           sync.Mutex
@@ -139,7 +139,7 @@
 		return err
 	}
 	s := &stream{client: c, relay: relay, conn: conn, done: make(chan struct{})}
-	s.skipNextCommit = c.options.InjectedBug == distribution.PlantLostChange && c.lastRelay != "" && c.lastRelay != relay.Address
+	s.skipNextCommit = c.options.InjectedBug == distribution.BugLostChange && c.lastRelay != "" && c.lastRelay != relay.Address
 	defer close(s.done)
 	err = s.read()
 	if s.served {
--- a/internal/net/configwatch/configwatch_test.go
+++ b/internal/net/configwatch/configwatch_test.go
@@ -111,9 +111,9 @@
 	t.Helper()
 	w := &watcher{commits: make(chan uint64, 100000), done: make(chan struct{})}
 	w.Replica = replica.Open(replica.Options{Name: "server", Path: path, Log: zerolog.Nop(),
-		Committed: func(c records.Commit) { w.commits <- c.Revision }})
+		OnCommit: func(c records.Commit) { w.commits <- c.Revision }})
 	o := configwatch.ClientOptions{Name: "server", Replica: w.Replica, Steady: clock.Monotonic(), Log: zerolog.Nop(),
-		Selector: distribution.NewSelector(relays, distribution.Place{Zone: "z"}, 1)}
+		Selector: distribution.NewSelector(relays, distribution.Locality{Zone: "z"}, 1)}
 	for _, c := range modify {
 		c(&o)
 	}
@@ -435,7 +435,7 @@
 			address, ended := startScriptedFeed(t, func(int) []byte { return []byte(text) })
 			w := startWatcher(t, "", []distribution.Relay{{Name: "bad", Address: address, Zone: "z"}})
 			waitUntil(t, "the connection is closed", func() bool { return ended.Load() > 0 })
-			if p := w.Position(); p.Revision > 1 || w.Records() > 1 {
+			if p := w.Position(); p.Revision > 1 || w.RecordCount() > 1 {
 				t.Errorf("the watcher advanced to %+v", p)
 			}
 		})
@@ -446,20 +446,20 @@
 func TestReportsIncludeRejectedRecords(t *testing.T) {
 	f := startFeed(t, distribution.DefaultLimits)
 	w := &watcher{}
-	w.Replica = replica.Open(replica.Options{Name: "picky", Log: zerolog.Nop(), Check: func(p records.Put) error {
+	w.Replica = replica.Open(replica.Options{Name: "picky", Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
 		if p.Name == "bad" {
 			return errors.New("value rejected")
 		}
 		return nil
 	}})
 	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: "picky", Replica: w.Replica,
-		Steady: clock.Monotonic(), Log: zerolog.Nop(), Selector: distribution.NewSelector(relaysOf(f), distribution.Place{}, 1)})
+		Steady: clock.Monotonic(), Log: zerolog.Nop(), Selector: distribution.NewSelector(relaysOf(f), distribution.Locality{}, 1)})
 	go w.client.Run(t.Context())
 	f.commit("good")
 	f.commit("bad")
 	waitUntil(t, "the rejection is reported", func() bool {
 		r := f.server.Report()
-		return r.Servers == 1 && r.Lowest == 2 && r.Rejecting == 1 && len(r.Rejections) == 1 && r.Rejections[0].Key == "setting/bad" &&
+		return r.Servers == 1 && r.LowestRevision == 2 && r.ServersRejecting == 1 && len(r.Rejections) == 1 && r.Rejections[0].Key == "setting/bad" &&
 			r.Rejections[0].Reason == "value rejected" && r.Rejections[0].Revision == 2
 	})
 	f.mu.Lock()
@@ -468,7 +468,7 @@
 	if err = errors.Join(err, f.server.Publish(commit)); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "no rejection is reported any more", func() bool { r := f.server.Report(); return r.Lowest == 3 && r.Rejecting == 0 })
+	waitUntil(t, "no rejection is reported any more", func() bool { r := f.server.Report(); return r.LowestRevision == 3 && r.ServersRejecting == 0 })
 }
 
 // BenchmarkFanOut measures the cost of a commit at a feed for several numbers of watchers.
--- a/internal/net/configwatch/server.go
+++ b/internal/net/configwatch/server.go
@@ -59,14 +59,14 @@
 	snapshotLimiter *rate.Limiter
 	buildMu         sync.Mutex // one snapshot is compressed at a time
 
-	traffic                          meter.Count
+	traffic                          meter.ByteCounts
 	snapshots, refused, disconnected atomic.Uint64
 
 	mu             sync.Mutex
 	feed           *distribution.Feed
 	progress       *distribution.Progress
 	regions        *distribution.Regions // of the relays that watch here
-	revisionAges   distribution.Ages
+	revisionAges   distribution.CommitTimes
 	changed        chan struct{}     // closed at each change of the feed
 	conns          map[net.Conn]bool // connections of served watchers
 	cachedSnapshot *records.Snapshot // nil: none
@@ -108,7 +108,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feed.Reset(p)
-	s.revisionAges = distribution.Ages{}
+	s.revisionAges = distribution.CommitTimes{}
 	s.revisionAges.Add(p.Revision, s.options.Steady.Now()) // lower bound of the lag of watchers behind it
 	s.cachedSnapshot = nil
 	s.notifyWatchers()
@@ -124,21 +124,21 @@
 func (s *Server) Position() distribution.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.feed.At()
+	return s.feed.Position()
 }
 
 // Report returns the sum of the reports of the watchers.
 func (s *Server) Report() distribution.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.progress.Sum(s.feed.At().Revision)
+	return s.progress.Sum(s.feed.Position().Revision)
 }
 
 // Status returns the progress of the regions whose relays watch here or did before.
 func (s *Server) Status() distribution.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	latest := s.feed.At().Revision
+	latest := s.feed.Position().Revision
 	return distribution.Status{Revision: latest, Regions: s.regions.Status(s.options.Steady.Now(), latest, &s.revisionAges)}
 }
 
@@ -146,7 +146,7 @@
 func (s *Server) Metrics() Metrics {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Metrics{s.feed.Watchers(), s.feed.At().Revision, s.feed.Floor(), s.feed.Held(), s.traffic.Out.Load(), s.traffic.In.Load(),
+	return Metrics{s.feed.Watchers(), s.feed.Position().Revision, s.feed.OldestRevision(), s.feed.RetainedBytes(), s.traffic.Out.Load(), s.traffic.In.Load(),
 		s.snapshots.Load(), s.refused.Load(), s.disconnected.Load()}
 }
 
@@ -205,8 +205,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.feed.Admit(w.Position)
-	if a.Verdict == distribution.Refuse {
-		return a, &Refusal{a.RetryMs, s.options.AlternateAddresses, a.Reason}
+	if a.Verdict == distribution.VerdictRefuse {
+		return a, &Refusal{a.RetryDelayMS, s.options.AlternateAddresses, a.Reason}
 	}
 	return a, nil
 }
@@ -232,7 +232,7 @@
 	delete(s.conns, conn)
 	s.feed.Leave()
 	s.progress.Drop(name)
-	s.regions.Left(name)
+	s.regions.MarkDisconnected(name)
 }
 
 // readReports receives the watcher's reports until the connection ends. It counts a watcher that violates the protocol.
@@ -263,7 +263,7 @@
 // sendCommits sends the commits that the watcher lacks, after a snapshot if needed, and heartbeats when there are none.
 func (s *Server) sendCommits(ctx context.Context, conn net.Conn, w Watch, a distribution.Admission) error {
 	revision := w.Position.Revision
-	if a.Verdict == distribution.Snapshot {
+	if a.Verdict == distribution.VerdictSnapshot {
 		var err error
 		if revision, err = s.sendSnapshot(ctx, conn); err != nil {
 			return err
@@ -271,8 +271,8 @@
 	}
 	for {
 		s.mu.Lock()
-		frames, through, err := s.feed.Next(revision, maxBatchBytes)
-		latest, changed := s.feed.At().Revision, s.changed
+		frames, through, err := s.feed.FramesAfter(revision, maxBatchBytes)
+		latest, changed := s.feed.Position().Revision, s.changed
 		s.mu.Unlock()
 		if err != nil {
 			return err
@@ -348,13 +348,13 @@
 	s.buildMu.Lock()
 	defer s.buildMu.Unlock()
 	s.mu.Lock()
-	cached, oldest := s.cachedSnapshot, s.feed.Floor()
+	cached, oldest := s.cachedSnapshot, s.feed.OldestRevision()
 	s.mu.Unlock()
 	if cached != nil && cached.Revision >= oldest {
 		return cached, nil
 	}
 	table, revision := s.options.Source.Table()
-	if s.options.InjectedBug == distribution.PlantSnapshotRevision {
+	if s.options.InjectedBug == distribution.BugSnapshotRevision {
 		revision++ // injected bug: the revision of the next change, which the table lacks
 	}
 	fresh, err := records.NewSnapshot(table, revision)
--- a/internal/net/fronts_test.go
+++ b/internal/net/fronts_test.go
@@ -17,11 +17,11 @@
 	"puffinsaddle/internal/net/uwsgi"
 )
 
-const each = 60 // requests of each front in the mixed story
+const requestsPerFront = 60 // requests of each front in the mixed story
 
-// mixed sends the same bookings and readings through both fronts at once and counts the answers by kind. One
+// sendMixedLoad sends the same bookings and readings through both fronts at once and counts the answers by kind. One
 // in four is of a class that nobody knows.
-func mixed(h *house) (byRESP, byUWSGI map[string]int) {
+func sendMixedLoad(h *testServer) (byRESP, byUWSGI map[string]int) {
 	class := func(i int) string { return []string{"book-delivery", "tank-level", "book-delivery", "nobodys"}[i%4] }
 	byRESP, byUWSGI = map[string]int{}, map[string]int{}
 	var wg sync.WaitGroup
@@ -29,13 +29,13 @@
 	go func() {
 		defer wg.Done()
 		p := h.router()
-		for i := 1; i <= each; i++ {
-			p.req(i, i, class(i), "", fmt.Sprint("order ", i))
-			if i%20 > 0 && i < each {
+		for i := 1; i <= requestsPerFront; i++ {
+			p.sendRequest(i, i, class(i), "", fmt.Sprint("order ", i))
+			if i%20 > 0 && i < requestsPerFront {
 				continue
 			}
 			for range 20 {
-				a := p.answer()
+				a := p.readAnswer()
 				byRESP[a[1]]++
 				if a[1] == "done" && a[3] != "for order "+a[0] {
 					h.t.Errorf("a result for another: %q", a)
@@ -45,9 +45,9 @@
 	}()
 	go func() {
 		defer wg.Done()
-		for i := 1; i <= each; i++ {
+		for i := 1; i <= requestsPerFront; i++ {
 			body := fmt.Sprint("order ", i)
-			status, _, result := h.gateway(packet(body, "PATH_INFO", "/orders/"+class(i), "ORDER_ID", id(1000+i)), false).answers()
+			status, _, result := h.gateway(packet(body, "PATH_INFO", "/orders/"+class(i), "ORDER_ID", id(1000+i)), false).readResponse()
 			byUWSGI[map[int]string{200: "done", 404: "later", 502: "error"}[status]]++
 			if status == 200 && result != "for "+body {
 				h.t.Errorf("a result for another: %q", result)
@@ -58,12 +58,12 @@
 	return
 }
 
-func check(t *testing.T, byRESP, byUWSGI, starts map[string]int) {
+func checkCounts(t *testing.T, byRESP, byUWSGI, starts map[string]int) {
 	t.Helper()
-	if fmt.Sprint(byRESP) != fmt.Sprint(byUWSGI) || byRESP["done"] != each*3/4 || byRESP["later"] != each/4 {
+	if fmt.Sprint(byRESP) != fmt.Sprint(byUWSGI) || byRESP["done"] != requestsPerFront*3/4 || byRESP["later"] != requestsPerFront/4 {
 		t.Errorf("answers by RESP %v, by uwsgi %v", byRESP, byUWSGI)
 	}
-	for i := 1; i <= each; i++ {
+	for i := 1; i <= requestsPerFront; i++ {
 		for _, n := range []int{i, 1000 + i} {
 			if want := min(i%4, 3) / 3; starts[id(n)] != 1-want {
 				t.Errorf("%s was started %d times", id(n), starts[id(n)])
@@ -73,62 +73,62 @@
 }
 
 // The Lab's proof: both fronts, one executor, the same counts, no request run twice.
-func TestMixedLoadOnTheExecutor(t *testing.T) {
+func TestMixedLoadRunsOnceOnExecutor(t *testing.T) {
 	x := newExecutor(t)
-	h := withExecutor(t, x, "127.0.0.1:1")
-	x.welcome(0)
-	starts := x.obey()
-	byRESP, byUWSGI := mixed(h)
-	check(t, byRESP, byUWSGI, starts())
+	h := newServerWithExecutor(t, x, "127.0.0.1:1")
+	x.acceptJoin(0)
+	starts := x.runAll()
+	byRESP, byUWSGI := sendMixedLoad(h)
+	checkCounts(t, byRESP, byUWSGI, starts())
 }
 
 // The same with uwsgi servers behind the core; the first of them is down.
-func TestMixedLoadOnUWSGIServers(t *testing.T) {
+func TestMixedLoadRunsOnceOnUWSGIServers(t *testing.T) {
 	var mu sync.Mutex
 	starts := map[string]int{}
-	at := uwsgiServer(t, func(conn net.Conn, vars map[string]string, body string) {
+	address := startUWSGIServer(t, func(conn net.Conn, vars map[string]string, body string) {
 		mu.Lock()
 		starts[vars["ORDER_ID"]]++
 		mu.Unlock()
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfor %s", 4+len(body), body)
 	})
-	set := config.UWSGI{Servers: []string{"127.0.0.1:1", at}, MaxResult: 4096}
-	h := build(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
+	set := config.UWSGI{Servers: []string{"127.0.0.1:1", address}, MaxResultBytes: 4096}
+	h := newServer(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
 	h.core.RunnerStarted(false)
-	byRESP, byUWSGI := mixed(h)
+	byRESP, byUWSGI := sendMixedLoad(h)
 	mu.Lock()
 	defer mu.Unlock()
-	check(t, byRESP, byUWSGI, starts)
+	checkCounts(t, byRESP, byUWSGI, starts)
 }
 
 // A server that takes a booking and breaks off may have booked it: 502, and no second server hears of it.
-func TestBrokenServerIsNotTriedAgain(t *testing.T) {
-	var heard atomic.Int32
-	broken := func(conn net.Conn, _ map[string]string, _ string) { heard.Add(1) }
-	set := config.UWSGI{Servers: []string{uwsgiServer(t, broken), uwsgiServer(t, broken)}, MaxResult: 4096}
-	h := build(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
+func TestUnsafeRequestIsNotRetriedOnBrokenServer(t *testing.T) {
+	var received atomic.Int32
+	broken := func(conn net.Conn, _ map[string]string, _ string) { received.Add(1) }
+	set := config.UWSGI{Servers: []string{startUWSGIServer(t, broken), startUWSGIServer(t, broken)}, MaxResultBytes: 4096}
+	h := newServer(t, uwsgi.NewRunner(set, clock.System(), zerolog.Nop()), nil, config.UWSGI{}, nil)
 	h.core.RunnerStarted(false)
-	if status, _, _ := h.gateway(packet("b", "ORDER_CLASS", "book-delivery"), false).answers(); status != http.StatusBadGateway {
+	if status, _, _ := h.gateway(packet("b", "ORDER_CLASS", "book-delivery"), false).readResponse(); status != http.StatusBadGateway {
 		t.Errorf("status %d, want 502", status)
 	}
-	if heard.Load() != 1 {
-		t.Errorf("%d servers heard of it, want 1", heard.Load())
+	if received.Load() != 1 {
+		t.Errorf("%d servers heard of it, want 1", received.Load())
 	}
 }
 
 // Whatever is no packet gets one answer: cut short, malformed, too large, too slow.
-func TestWhatIsNoPacketGetsOneAnswer(t *testing.T) {
-	h := build(t, newIdleRunner(t), nil, config.UWSGI{}, nil)
-	slow := build(t, newIdleRunner(t), nil, config.UWSGI{ReadMs: 20}, nil)
-	whole := packet("body", "ORDER_CLASS", "book-delivery")
+func TestInvalidPacketGetsOneAnswer(t *testing.T) {
+	h := newServer(t, newIdleRunner(t), nil, config.UWSGI{}, nil)
+	slow := newServer(t, newIdleRunner(t), nil, config.UWSGI{ReadTimeoutMS: 20}, nil)
+	complete := packet("body", "ORDER_CLASS", "book-delivery")
 	for _, c := range []struct {
 		name, bytes string
 		end         bool
-		h           *house
+		h           *testServer
 		want        int
 	}{
-		{"header cut short", whole[:3], true, h, 400}, {"variables cut short", whole[:20], true, h, 400},
-		{"body cut short", whole[:len(whole)-1], true, h, 400}, {"modifiers", "\x05" + whole[1:], false, h, 400},
+		{"header cut short", complete[:3], true, h, 400}, {"variables cut short", complete[:20], true, h, 400},
+		{"body cut short", complete[:len(complete)-1], true, h, 400}, {"modifiers", "\x05" + complete[1:], false, h, 400},
 		{"a length beyond the block", "\x00\x04\x00\x00\xff\x00ab", false, h, 400}, {"no value", "\x00\x03\x00\x00\x01\x00a", false, h, 400},
 		{"a length that is none", "\x00\x14\x00\x00\x0e\x00CONTENT_LENGTH\x02\x00-1", false, h, 400},
 		{"too large", packet(strings.Repeat("x", 5000), "ORDER_CLASS", "book-delivery"), false, h, 400},
@@ -137,64 +137,64 @@
 		{"out of range", packet("", "ORDER_CLASS", "book-delivery", "ORDER_KB", "2e6"), false, h, 400},
 		{"long ago", packet("", "ORDER_CLASS", "book-delivery", "ORDER_AT", "1"), false, h, 400},
 		{"no end of waiting", packet("", "ORDER_CLASS", "book-delivery", "ORDER_WAIT", "1e12"), false, h, 400},
-		{"half a packet and then nothing", whole[:20], false, slow, 408},
+		{"half a packet and then nothing", complete[:20], false, slow, 408},
 	} {
-		if status, _, _ := c.h.gateway(c.bytes, c.end).answers(); status != c.want {
+		if status, _, _ := c.h.gateway(c.bytes, c.end).readResponse(); status != c.want {
 			t.Errorf("%s: status %d, want %d", c.name, status, c.want)
 		}
 	}
 }
 
 // A notice to drain finds one booking running, one half read and one still to come: each gets one answer.
-func TestDrainAnswersEveryone(t *testing.T) {
-	x, h := serving(t)
+func TestDrainAnswersEachRequestOnce(t *testing.T) {
+	x, h := newReadyServer(t)
 	p := h.router()
-	p.req(1, 1, "book-delivery", "", "a")
+	p.sendRequest(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
-	half := h.gateway(packet("b", "ORDER_CLASS", "book-delivery")[:20], false)
-	left := make(chan struct{})
-	go func() { h.core.Shutdown(clock.System().Now(), 1500, h.resp, h.uw); close(left) }()
+	partial := h.gateway(packet("b", "ORDER_CLASS", "book-delivery")[:20], false)
+	shutdownDone := make(chan struct{})
+	go func() { h.core.Shutdown(clock.System().Now(), 1500, h.resp, h.uwsgi); close(shutdownDone) }()
 	p.want("0", "closing")
 	booking := h.gateway(packet("c", "ORDER_CLASS", "book-delivery", "ORDER_ID", id(3)), false)
 	x.want("EXEC", id(3))
-	x.notice("EXIT", id(3)+" success 1", "C")
-	if status, _, result := booking.answers(); status != 200 || result != "C" {
+	x.sendNotice("EXIT", id(3)+" success 1", "C")
+	if status, _, result := booking.readResponse(); status != 200 || result != "C" {
 		t.Errorf("the booking got %d %q", status, result)
 	}
 	late := h.router() // comes to a draining server, and is served too
 	late.want("0", "closing")
-	late.req(1, 4, "book-delivery", "", "d")
+	late.sendRequest(1, 4, "book-delivery", "", "d")
 	x.want("EXEC", id(4))
-	x.notice("EXIT", id(4)+" success 1", "D")
+	x.sendNotice("EXIT", id(4)+" success 1", "D")
 	late.want("1", "done", "", "D")
 	p.want("1", "error") // its run never ended
-	if status, _, _ := half.answers(); status != http.StatusRequestTimeout {
+	if status, _, _ := partial.readResponse(); status != http.StatusRequestTimeout {
 		t.Errorf("half a packet got %d, want 408", status)
 	}
-	<-left
-	if _, err := net.Dial("tcp", h.uw.Addr().String()); err == nil {
+	<-shutdownDone
+	if _, err := net.Dial("tcp", h.uwsgi.Addr().String()); err == nil {
 		t.Error("the listener is still open")
 	}
 }
 
 // A gateway that goes away is a caller that has gone: its held request is never run. Overdue and refused
 // requests have statuses of their own.
-func TestGatewayGoneOverdueRefused(t *testing.T) {
-	x, h := serving(t)
+func TestGatewayStatusesForOverdueRefusedAndRepeated(t *testing.T) {
+	x, h := newReadyServer(t)
 	g := h.gateway(packet("a", "ORDER_CLASS", "book-delivery", "ORDER_ID", id(1), "ORDER_WAIT", "1000"), false)
 	x.want("EXEC", id(1))
-	if status, _, _ := g.answers(); status != http.StatusGatewayTimeout {
+	if status, _, _ := g.readResponse(); status != http.StatusGatewayTimeout {
 		t.Errorf("overdue: %d, want 504", status)
 	}
-	status, head, _ := h.gateway(packet("b", "ORDER_CLASS", "book-delivery", "ORDER_WAIT", "1"), false).answers()
+	status, head, _ := h.gateway(packet("b", "ORDER_CLASS", "book-delivery", "ORDER_WAIT", "1"), false).readResponse()
 	if status != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 		t.Errorf("hopeless: %d with Retry-After %q, want 503", status, head.Get("Retry-After"))
 	}
 	gone := h.gateway(packet("c", "ORDER_CLASS", "book-delivery", "ORDER_ID", id(2)), false)
 	x.want("EXEC", id(2))
 	gone.conn.Close()
-	x.notice("EXIT", id(2)+" interrupted 1", "")
-	if status, _, _ := h.gateway(packet("c", "ORDER_CLASS", "book-delivery", "ORDER_ID", id(2)), false).answers(); status != 502 {
+	x.sendNotice("EXIT", id(2)+" interrupted 1", "")
+	if status, _, _ := h.gateway(packet("c", "ORDER_CLASS", "book-delivery", "ORDER_ID", id(2)), false).readResponse(); status != 502 {
 		t.Errorf("a booking that was begun before: %d, want 502", status)
 	}
 	if _, err := io.ReadAll(gone.conn); err == nil {
@@ -203,5 +203,5 @@
 }
 
 func newIdleRunner(t *testing.T) *uwsgi.Runner {
-	return uwsgi.NewRunner(config.UWSGI{Servers: []string{"127.0.0.1:1"}, MaxResult: 4096}, clock.System(), zerolog.Nop())
+	return uwsgi.NewRunner(config.UWSGI{Servers: []string{"127.0.0.1:1"}, MaxResultBytes: 4096}, clock.System(), zerolog.Nop())
 }
--- a/internal/net/handover/handover.go
+++ b/internal/net/handover/handover.go
@@ -3,7 +3,7 @@
 // has not accepted the other does, so no connection is lost when the older closes its own.
 //
 // The newer one sends a byte when it is about to serve. Up to format 1 the older answers the same byte. From 2 on it
-// answers toldAll, a length in eight bytes and what the newer needs to know, as text.
+// answers stateMarker, a length in eight bytes and what the newer needs to know, as text.
 package handover
 
 import (
@@ -22,28 +22,28 @@
 )
 
 const (
-	takeFor  = time.Second // a process that does not answer in this time is none
-	mostText = 4 << 10     // bytes of the addresses
-	mostFD   = 8
+	handshakeTimeout = time.Second // a process that does not answer in this time is none
+	maxAddressBytes  = 4 << 10     // bytes of the addresses
+	maxSockets       = 8
 
-	tellFor  = 5 * time.Second // what is told may be megabytes
-	mostTold = 1 << 30         // bytes of it
-	format   = 2
-	toldAll  = 3
+	stateTimeout  = 5 * time.Second // what is told may be megabytes
+	maxStateBytes = 1 << 30         // bytes of it
+	formatVersion = 2
+	stateMarker   = 3
 )
 
 // Offer hands the sockets to whoever asks.
 type Offer struct {
-	ln         *net.UnixListener
-	successors atomic.Int32
-	know       func() []byte
-	gone       func()
+	ln             *net.UnixListener
+	successors     atomic.Int32
+	state          func() []byte
+	successorEnded func()
 }
 
 // New offers listening sockets, by the addresses they were opened for, at a path. What stands there is replaced: it is
 // what an earlier process left. Asked for by a successor that is about to serve, know is what that one needs to know; gone
 // is called once it has ended.
-func New(path string, sockets map[string]*net.TCPListener, know func() []byte, gone func(), log zerolog.Logger) (*Offer, error) {
+func New(path string, sockets map[string]*net.TCPListener, state func() []byte, successorEnded func(), log zerolog.Logger) (*Offer, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false) // by then the successor's may stand there
-	o := &Offer{ln: ln, know: know, gone: gone}
+	o := &Offer{ln: ln, state: state, successorEnded: successorEnded}
 	go func() {
 		for {
 			conn, err := ln.AcceptUnix()
@@ -61,17 +61,17 @@
 			}
 			if err != nil {
 				log.Warn().Err(err).Msg("handover")
-				time.Sleep(takeFor)
+				time.Sleep(handshakeTimeout)
 				continue
 			}
-			go o.give(conn, sockets, log)
+			go o.serveSuccessor(conn, sockets, log)
 		}
 	}()
 	return o, nil
 }
 
-// give passes the sockets on, and then holds the connection: its end is the end of the successor.
-func (o *Offer) give(conn *net.UnixConn, sockets map[string]*net.TCPListener, log zerolog.Logger) {
+// serveSuccessor passes the sockets on, and then holds the connection: its end is the end of the successor.
+func (o *Offer) serveSuccessor(conn *net.UnixConn, sockets map[string]*net.TCPListener, log zerolog.Logger) {
 	defer conn.Close()
 	var names []string
 	var fds []int
@@ -96,16 +96,16 @@
 	if n, _ := conn.Read(b[:]); n == 0 {
 		return
 	}
-	defer o.gone() // last of all
-	text := o.know()
+	defer o.successorEnded() // last of all
+	state := o.state()
 	o.successors.Add(1)
 	defer o.successors.Add(-1)
-	log.Info().Int("bytes", len(text)).Msg("a successor serves")
+	log.Info().Int("bytes", len(state)).Msg("a successor serves")
 	answer := b[:] // an earlier build wants no more
-	if b[0] >= format {
-		answer = append(binary.BigEndian.AppendUint64([]byte{toldAll}, uint64(len(text))), text...)
+	if b[0] >= formatVersion {
+		answer = append(binary.BigEndian.AppendUint64([]byte{stateMarker}, uint64(len(state))), state...)
 	}
-	conn.SetWriteDeadline(time.Now().Add(tellFor))
+	conn.SetWriteDeadline(time.Now().Add(stateTimeout))
 	conn.Write(answer)
 	conn.Read(b[:])
 }
@@ -117,46 +117,46 @@
 	if err != nil {
 		return 0, err
 	}
-	if e := raw.Control(func(of uintptr) { fd, err = syscall.Dup(int(of)) }); e != nil {
+	if e := raw.Control(func(original uintptr) { fd, err = syscall.Dup(int(original)) }); e != nil {
 		return 0, e
 	}
 	return fd, err
 }
 
-// Serving tells the process that gave the sockets that this one is about to serve, and waits, for a while, until that has
+// AnnounceServing tells the process that gave the sockets that this one is about to serve, and waits, for a while, until that has
 // heard it: a notice to leave must not find it unaware. What it tells in turn is the text; false: it told nothing, since it
 // went, or hangs, or is of an earlier build, and may still begin what it will not tell.
-func Serving(tie net.Conn) (text []byte, told bool) {
-	tie.SetDeadline(time.Now().Add(takeFor))
-	defer tie.SetDeadline(time.Time{})
-	if _, err := tie.Write([]byte{format}); err != nil {
+func AnnounceServing(predecessor net.Conn) (state []byte, complete bool) {
+	predecessor.SetDeadline(time.Now().Add(handshakeTimeout))
+	defer predecessor.SetDeadline(time.Time{})
+	if _, err := predecessor.Write([]byte{formatVersion}); err != nil {
 		return nil, false
 	}
-	var head [9]byte
-	if _, err := io.ReadFull(tie, head[:1]); err != nil || head[0] != toldAll {
+	var header [9]byte
+	if _, err := io.ReadFull(predecessor, header[:1]); err != nil || header[0] != stateMarker {
 		return nil, false
 	}
-	tie.SetDeadline(time.Now().Add(tellFor))
-	if _, err := io.ReadFull(tie, head[1:]); err != nil {
+	predecessor.SetDeadline(time.Now().Add(stateTimeout))
+	if _, err := io.ReadFull(predecessor, header[1:]); err != nil {
 		return nil, false
 	}
-	size := binary.BigEndian.Uint64(head[1:])
-	if size > mostTold {
+	size := binary.BigEndian.Uint64(header[1:])
+	if size > maxStateBytes {
 		return nil, false
 	}
-	text = make([]byte, size)
-	_, err := io.ReadFull(tie, text)
-	return text, err == nil
+	state = make([]byte, size)
+	_, err := io.ReadFull(predecessor, state)
+	return state, err == nil
 }
 
-// Gone waits until the process before this one has ended.
-func Gone(tie net.Conn) {
-	io.Copy(io.Discard, tie)
+// WaitForExit waits until the process before this one has ended.
+func WaitForExit(predecessor net.Conn) {
+	io.Copy(io.Discard, predecessor)
 }
 
-// Taken tells whether a successor that serves on the sockets is alive. To one that has them and does not serve yet, the
+// HasSuccessor tells whether a successor that serves on the sockets is alive. To one that has them and does not serve yet, the
 // queue is not left: it may never come to it.
-func (o *Offer) Taken() bool { return o != nil && o.successors.Load() > 0 }
+func (o *Offer) HasSuccessor() bool { return o != nil && o.successors.Load() > 0 }
 
 // Close ends the offer.
 func (o *Offer) Close() {
@@ -167,8 +167,8 @@
 
 // Take asks the process that offers sockets at a path for them, by their addresses. There may be none; then there
 // are no sockets and no error. The tie must stay open for as long as this process means to succeed the other.
-func Take(path string) (sockets map[string]*net.TCPListener, tie net.Conn, err error) {
-	conn, err := net.DialTimeout("unix", path, takeFor)
+func Take(path string) (sockets map[string]*net.TCPListener, predecessor net.Conn, err error) {
+	conn, err := net.DialTimeout("unix", path, handshakeTimeout)
 	if err != nil {
 		return nil, nil, nil // nobody, or somebody who ended and left his socket behind
 	}
@@ -180,9 +180,9 @@
 			}
 		}
 	}()
-	conn.SetReadDeadline(time.Now().Add(takeFor))
-	text, control := make([]byte, mostText), make([]byte, syscall.CmsgSpace(4*mostFD))
-	n, nc, _, _, err := conn.(*net.UnixConn).ReadMsgUnix(text, control)
+	conn.SetReadDeadline(time.Now().Add(handshakeTimeout))
+	addresses, control := make([]byte, maxAddressBytes), make([]byte, syscall.CmsgSpace(4*maxSockets))
+	n, nc, _, _, err := conn.(*net.UnixConn).ReadMsgUnix(addresses, control)
 	if err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
@@ -195,7 +195,7 @@
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
 	sockets = map[string]*net.TCPListener{}
-	names := strings.Split(string(text[:n]), "\n")
+	names := strings.Split(string(addresses[:n]), "\n")
 	for i, fd := range fds {
 		syscall.CloseOnExec(fd)
 		f := os.NewFile(uintptr(fd), "handed over")
--- a/internal/net/members/members.go
+++ b/internal/net/members/members.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// every is the time between reports. An entry lapses after 3 s without one, and a quarter of them may be lost:
+// reportInterval is the time between reports. An entry lapses after 3 s without one, and a quarter of them may be lost:
 // all of the 14 that fall into a lapse are lost once in some 250 million times.
-const every = 200 * time.Millisecond
+const reportInterval = 200 * time.Millisecond
 
 // Reporter reports that the order server is there.
 type Reporter struct {
-	name  string
-	every time.Duration
-	dial  func(address string) (net.Conn, error)
-	kick  chan struct{} // report now
+	name     string
+	interval time.Duration
+	dial     func(address string) (net.Conn, error)
+	wakeup   chan struct{} // report now
 
 	mu      sync.Mutex
 	address string
@@ -26,7 +26,7 @@
 
 // New makes a reporter.
 func New(address, name string) *Reporter {
-	return &Reporter{address: address, name: name, every: every, kick: make(chan struct{}, 1),
+	return &Reporter{address: address, name: name, interval: reportInterval, wakeup: make(chan struct{}, 1),
 		dial: func(address string) (net.Conn, error) { return net.Dial("udp", address) }}
 }
 
@@ -37,18 +37,18 @@
 	r.leaving = true
 }
 
-// Move sends the reports to a new address, the next one at once.
-func (r *Reporter) Move(address string) {
+// SetAddress sends the reports to a new address, the next one at once.
+func (r *Reporter) SetAddress(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.address = address
 	select {
-	case r.kick <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (r *Reporter) now() (address, report string) {
+func (r *Reporter) current() (address, report string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.leaving {
@@ -61,41 +61,41 @@
 // report is lost.
 func (r *Reporter) Run(ctx context.Context) {
 	var conn net.Conn
-	var at string
-	drop := func() {
+	var connAddress string
+	closeConn := func() {
 		if conn != nil {
 			conn.Close()
 		}
 		conn = nil
 	}
-	defer drop()
-	tick := time.NewTicker(r.every)
-	defer tick.Stop()
+	defer closeConn()
+	ticker := time.NewTicker(r.interval)
+	defer ticker.Stop()
 	for {
-		address, report := r.now()
-		if address != at {
-			drop()
-			at = address
+		address, report := r.current()
+		if address != connAddress {
+			closeConn()
+			connAddress = address
 		}
 		// A refusal of an earlier report sticks to the socket and shows at the next one, which then was not sent: it
 		// goes out again at once on a new socket, so that a service that comes back hears the first one after that.
-		for try := 0; try < 2 && at != ""; try++ {
+		for attempt := 0; attempt < 2 && connAddress != ""; attempt++ {
 			if conn == nil {
-				if conn, _ = r.dial(at); conn == nil {
+				if conn, _ = r.dial(connAddress); conn == nil {
 					break
 				}
 			}
-			conn.SetWriteDeadline(time.Now().Add(every)) // reports must not fall behind a full queue
+			conn.SetWriteDeadline(time.Now().Add(reportInterval)) // reports must not fall behind a full queue
 			if _, err := conn.Write([]byte(report)); err == nil {
 				break
 			}
-			drop()
+			closeConn()
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
-		case <-r.kick:
+		case <-ticker.C:
+		case <-r.wakeup:
 		}
 	}
 }
--- a/internal/net/meter/meter.go
+++ b/internal/net/meter/meter.go
@@ -6,17 +6,17 @@
 	"sync/atomic"
 )
 
-// Count is bytes since the start.
-type Count struct{ In, Out atomic.Uint64 }
+// ByteCounts is bytes since the start.
+type ByteCounts struct{ In, Out atomic.Uint64 }
 
 // Conn is a connection whose bytes are counted.
 type Conn struct {
 	net.Conn
-	count *Count
+	count *ByteCounts
 }
 
 // New counts the bytes of a connection.
-func New(conn net.Conn, c *Count) *Conn { return &Conn{conn, c} }
+func New(conn net.Conn, c *ByteCounts) *Conn { return &Conn{conn, c} }
 
 // Read counts what came.
 func (c *Conn) Read(b []byte) (int, error) {
--- a/internal/net/operator/operator.go
+++ b/internal/net/operator/operator.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	callFor  = 2 * time.Second // a call is read and answered within this
-	mostHead = 4 << 10         // bytes of a call's head; it has no body that matters
+	callTimeout    = 2 * time.Second // a call is read and answered within this
+	maxHeaderBytes = 4 << 10         // bytes of a call's head; it has no body that matters
 )
 
 // Calls is what operators may ask for. None of them waits.
 type Calls struct {
 	Ready   func() bool // this process can serve
-	Figures func() any
+	Metrics func() any
 	Drain   func(away bool)             // send clients away, or take them again
-	More    map[string]http.HandlerFunc // further calls, by method and path
+	Extra   map[string]http.HandlerFunc // further calls, by method and path
 }
 
 // Front serves operators.
 type Front struct {
-	ln     net.Listener
-	most   int // connections; past this the oldest gives way to a new one
-	server *http.Server
+	ln       net.Listener
+	maxConns int // connections; past this the oldest gives way to a new one
+	server   *http.Server
 
-	mu   sync.Mutex
-	open []net.Conn // oldest first
+	mu    sync.Mutex
+	conns []net.Conn // oldest first
 }
 
 // Listen opens the listening socket; Serve has to be called next.
-func Listen(address string, most int, calls Calls, log zerolog.Logger) (*Front, error) {
+func Listen(address string, maxConns int, calls Calls, log zerolog.Logger) (*Front, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	f := &Front{ln: ln, most: most}
+	f := &Front{ln: ln, maxConns: maxConns}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !calls.Ready() {
@@ -52,7 +52,7 @@
 	})
 	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(calls.Figures())
+		json.NewEncoder(w).Encode(calls.Metrics())
 	})
 	for path, away := range map[string]bool{"PUT /-/drain": true, "PUT /-/resume": false} {
 		mux.HandleFunc(path, func(http.ResponseWriter, *http.Request) {
@@ -60,10 +60,10 @@
 			calls.Drain(away)
 		})
 	}
-	for path, call := range calls.More {
-		mux.HandleFunc(path, call)
+	for path, handler := range calls.Extra {
+		mux.HandleFunc(path, handler)
 	}
-	f.server = &http.Server{Handler: mux, ReadTimeout: callFor, WriteTimeout: callFor, MaxHeaderBytes: mostHead, ConnState: f.state}
+	f.server = &http.Server{Handler: mux, ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: f.trackConn}
 	f.server.SetKeepAlivesEnabled(false)
 	return f, nil
 }
@@ -85,22 +85,22 @@
 	f.server.Close()
 }
 
-// state closes the oldest connection where there are too many. Guards against callers that connect and finish
+// trackConn closes the oldest connection where there are too many. Guards against callers that connect and finish
 // no call: they must not keep others out until their time is up.
-func (f *Front) state(conn net.Conn, s http.ConnState) {
+func (f *Front) trackConn(conn net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		f.open = append(f.open, conn)
-		if len(f.open) > f.most {
-			f.open[0].Close()
-			f.open = f.open[1:]
+		f.conns = append(f.conns, conn)
+		if len(f.conns) > f.maxConns {
+			f.conns[0].Close()
+			f.conns = f.conns[1:]
 		}
 	case http.StateClosed, http.StateHijacked:
-		for i, o := range f.open {
+		for i, o := range f.conns {
 			if o == conn {
-				f.open = append(f.open[:i], f.open[i+1:]...)
+				f.conns = append(f.conns[:i], f.conns[i+1:]...)
 				return
 			}
 		}
--- a/internal/net/operator_test.go
+++ b/internal/net/operator_test.go
@@ -13,14 +13,14 @@
 	"puffinsaddle/internal/net/operator"
 )
 
-// operators opens the operators' address of a house; what it returns makes one call there.
-func (h *house) operators(most int) (address string, call func(method, path string) (status int, body string)) {
-	f, err := operator.Listen("127.0.0.1:0", most, operator.Calls{Ready: h.core.Ready, Drain: h.core.ForceUnhealthy,
-		Figures: func() any { return h.core.Metrics() }}, zerolog.Nop())
+// listenForOperators opens the operators' address of a house; what it returns makes one call there.
+func (h *testServer) listenForOperators(maxConns int) (address string, call func(method, path string) (status int, body string)) {
+	f, err := operator.Listen("127.0.0.1:0", maxConns, operator.Calls{Ready: h.core.Ready, Drain: h.core.ForceUnhealthy,
+		Metrics: func() any { return h.core.Metrics() }}, zerolog.Nop())
 	must(h.t, err)
 	go f.Serve()
 	h.t.Cleanup(func() { f.Close(h.t.Context()) })
-	client := &http.Client{Timeout: patience}
+	client := &http.Client{Timeout: testTimeout}
 	return f.Addr().String(), func(method, path string) (int, string) {
 		h.t.Helper()
 		r, err := http.NewRequest(method, "http://"+f.Addr().String()+path, nil)
@@ -36,10 +36,10 @@
 
 // Operators send clients away and take them again: checks tell of it, and what comes is served all the while. The
 // figures count what the routers were answered. Callers that finish no call keep nobody out.
-func TestOperatorsSendClientsAwayAndReadFigures(t *testing.T) {
+func TestOperatorDrainsResumesAndReadsMetrics(t *testing.T) {
 	x := newExecutor(t)
-	h := withExecutor(t, x, "127.0.0.1:1")
-	address, call := h.operators(2)
+	h := newServerWithExecutor(t, x, "127.0.0.1:1")
+	address, call := h.listenForOperators(2)
 	for range 6 {
 		conn, err := net.Dial("tcp", address)
 		must(t, err)
@@ -48,13 +48,13 @@
 	if status, _ := call("GET", "/-/ready"); status != http.StatusServiceUnavailable {
 		t.Errorf("ready before the executor is up: %d", status)
 	}
-	x.welcome(0)
-	x.pass() // comes after WELCOME was read
+	x.acceptJoin(0)
+	x.answerBarrier() // comes after WELCOME was read
 	if status, _ := call("GET", "/-/ready"); status != http.StatusOK {
 		t.Errorf("not ready: %d", status)
 	}
 	p := h.router()
-	ask := func(tag, want string) {
+	wantHealth := func(tag, want string) {
 		t.Helper()
 		p.send("HEALTH", tag)
 		p.want(tag, want)
@@ -62,34 +62,34 @@
 	if status, _ := call("PUT", "/-/drain"); status != http.StatusOK {
 		t.Errorf("drain: %d", status)
 	}
-	ask("1", "sick")
-	p.req(2, 2, "book-delivery", "", "a")
+	wantHealth("1", "sick")
+	p.sendRequest(2, 2, "book-delivery", "", "a")
 	x.want("EXEC", id(2))
-	p.req(3, 3, "nobodys", "", "b")
+	p.sendRequest(3, 3, "nobodys", "", "b")
 	p.want("3", "later")
-	figures := func() (f core.Metrics) {
+	metrics := func() (f core.Metrics) {
 		t.Helper()
 		_, text := call("GET", "/-/metrics")
 		must(t, json.Unmarshal([]byte(text), &f))
 		return f
 	}
-	if f := figures(); f.Active != 1 || f.Attempts != 1 || f.OK["book-delivery"] != 0 {
+	if f := metrics(); f.Active != 1 || f.Attempts != 1 || f.OK["book-delivery"] != 0 {
 		t.Errorf("with one running: %+v", f)
 	}
-	x.notice("EXIT", id(2)+" success 1", "A")
+	x.sendNotice("EXIT", id(2)+" success 1", "A")
 	p.want("2", "done", "", "A")
-	if f := figures(); f.Active != 0 || f.OK["book-delivery"] != 1 || len(f.Shed) != len(settings.Classes) {
+	if f := metrics(); f.Active != 0 || f.OK["book-delivery"] != 1 || len(f.Shed) != len(settings.Classes) {
 		t.Errorf("with one served: %+v", f)
 	}
-	p.req(4, 4, "book-delivery", "", "c")
+	p.sendRequest(4, 4, "book-delivery", "", "c")
 	x.want("EXEC", id(4))
 	p.send("ABORT", "4")
-	ask("5", "sick") // so that the ABORT was read
-	if f := figures(); f.Active != 0 || f.Attempts != 2 {
+	wantHealth("5", "sick") // so that the ABORT was read
+	if f := metrics(); f.Active != 0 || f.Attempts != 2 {
 		t.Errorf("with its caller gone: %+v", f)
 	}
 	call("PUT", "/-/resume")
-	ask("6", "healthy")
+	wantHealth("6", "healthy")
 	if status, _ := call("PUT", "/-/ready"); status < 400 {
 		t.Errorf("a call that does not exist: %d", status)
 	}
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -28,7 +28,7 @@
 	"puffinsaddle/policy"
 )
 
-const patience = 60 * time.Second // a story that hangs fails by then; none is timed
+const testTimeout = 60 * time.Second // a story that hangs fails by then; none is timed
 
 var settings = policy.Settings{
 	Classes: []policy.Class{
@@ -48,64 +48,64 @@
 	}
 }
 
-// house is an order server whose surroundings the test plays.
-type house struct {
-	t    *testing.T
-	core *core.Core
-	resp *respfront.Front
-	uw   *uwsgi.Front
+// testServer is an order server whose surroundings the test plays.
+type testServer struct {
+	t     *testing.T
+	core  *core.Core
+	resp  *respfront.Front
+	uwsgi *uwsgi.Front
 
 	link  *executor.Link // only with a scripted executor
 	vault *vault.Client
 }
 
-func build(t *testing.T, runner core.Runner, below core.Downstream, set config.UWSGI, hand func(*core.Core)) *house {
-	return buildBy(t, clock.System(), settings, runner, below, set, hand)
+func newServer(t *testing.T, runner core.Runner, downstream core.Downstream, uwsgiSettings config.UWSGI, configure func(*core.Core)) *testServer {
+	return newServerOnClock(t, clock.System(), settings, runner, downstream, uwsgiSettings, configure)
 }
 
-// buildBy builds a house by a clock and settings of the test's own.
-func buildBy(t *testing.T, clk *clock.Clock, settings policy.Settings, runner core.Runner, below core.Downstream, set config.UWSGI, hand func(*core.Core)) *house {
-	c := core.New(clk, zerolog.Nop(), settings, 1, runner, below, nil)
-	if hand != nil {
-		hand(c)
+// newServerOnClock builds a house by a clock and settings of the test's own.
+func newServerOnClock(t *testing.T, clk *clock.Clock, settings policy.Settings, runner core.Runner, downstream core.Downstream, uwsgiSettings config.UWSGI, configure func(*core.Core)) *testServer {
+	c := core.New(clk, zerolog.Nop(), settings, 1, runner, downstream, nil)
+	if configure != nil {
+		configure(c)
 	}
-	h := &house{t: t, core: c}
+	h := &testServer{t: t, core: c}
 	ln, err := accept.Listen("127.0.0.1:0", zerolog.Nop())
 	must(t, err)
 	h.resp = respfront.New(ln, 64, c, clk, zerolog.Nop())
-	set.Conns, set.KB = 64, 10
-	set.MaxBody, set.MaxResult = 4096, 4096
-	if set.ReadMs == 0 {
-		set.ReadMs = 1e6
+	uwsgiSettings.MaxConnections, uwsgiSettings.DefaultRequestKB = 64, 10
+	uwsgiSettings.MaxBodyBytes, uwsgiSettings.MaxResultBytes = 4096, 4096
+	if uwsgiSettings.ReadTimeoutMS == 0 {
+		uwsgiSettings.ReadTimeoutMS = 1e6
 	}
 	ln, err = accept.Listen("127.0.0.1:0", zerolog.Nop())
 	must(t, err)
-	h.uw = uwsgi.New(ln, set, c, clk, zerolog.Nop())
+	h.uwsgi = uwsgi.New(ln, uwsgiSettings, c, clk, zerolog.Nop())
 	go c.Run()
 	go h.resp.Serve()
-	go h.uw.Serve()
-	t.Cleanup(func() { c.Stop(); h.resp.Close(); h.uw.Close() })
+	go h.uwsgi.Serve()
+	t.Cleanup(func() { c.Stop(); h.resp.Close(); h.uwsgi.Close() })
 	return h
 }
 
-// withExecutor builds a house that has a scripted executor.
-func withExecutor(t *testing.T, x *executorPeer, vaultAt string, change ...func(*executor.Link)) *house {
-	return withExecutorBy(t, clock.System(), settings, x, vaultAt, change...)
+// newServerWithExecutor builds a house that has a scripted executor.
+func newServerWithExecutor(t *testing.T, x *fakeExecutor, vaultAddress string, change ...func(*executor.Link)) *testServer {
+	return newServerWithExecutorOnClock(t, clock.System(), settings, x, vaultAddress, change...)
 }
 
-// withExecutorRoom also bounds what may be kept of keyed tries, in bytes.
-func withExecutorRoom(t *testing.T, clk *clock.Clock, settings policy.Settings, x *executorPeer, room int) *house {
-	return executorHouse(t, clk, settings, x, "127.0.0.1:1", func(c *core.Core) { c.SetKeyTableBytes(room) })
+// newServerWithKeyTable also bounds what may be kept of keyed tries, in bytes.
+func newServerWithKeyTable(t *testing.T, clk *clock.Clock, settings policy.Settings, x *fakeExecutor, maxBytes int) *testServer {
+	return newConfiguredServerWithExecutor(t, clk, settings, x, "127.0.0.1:1", func(c *core.Core) { c.SetKeyTableBytes(maxBytes) })
 }
 
-func withExecutorBy(t *testing.T, clk *clock.Clock, settings policy.Settings, x *executorPeer, vaultAt string, change ...func(*executor.Link)) *house {
-	return executorHouse(t, clk, settings, x, vaultAt, func(*core.Core) {}, change...)
+func newServerWithExecutorOnClock(t *testing.T, clk *clock.Clock, settings policy.Settings, x *fakeExecutor, vaultAddress string, change ...func(*executor.Link)) *testServer {
+	return newConfiguredServerWithExecutor(t, clk, settings, x, vaultAddress, func(*core.Core) {}, change...)
 }
 
-func executorHouse(t *testing.T, clk *clock.Clock, settings policy.Settings, x *executorPeer, vaultAt string, hand func(*core.Core), change ...func(*executor.Link)) *house {
+func newConfiguredServerWithExecutor(t *testing.T, clk *clock.Clock, settings policy.Settings, x *fakeExecutor, vaultAddress string, configure func(*core.Core), change ...func(*executor.Link)) *testServer {
 	var c *core.Core
-	link := executor.New(x.ln.Addr().String(), zerolog.Nop(), func(cold, another bool) {
-		if another {
+	link := executor.New(x.ln.Addr().String(), zerolog.Nop(), func(cold, replaced bool) {
+		if replaced {
 			c.RunnerReplaced(cold)
 		}
 		c.RunnerStarted(cold)
@@ -114,23 +114,23 @@
 	for _, c := range change {
 		c(link)
 	}
-	calls := vault.New(vaultAt, clk)
-	h := buildBy(t, clk, settings, link, calls, config.UWSGI{}, func(made *core.Core) {
+	calls := vault.New(vaultAddress, clk)
+	h := newServerOnClock(t, clk, settings, link, calls, config.UWSGI{}, func(made *core.Core) {
 		c = made
-		hand(c)
+		configure(c)
 	})
 	h.link, h.vault = link, calls
 	go link.Run(t.Context())
 	return h
 }
 
-// serving builds a house whose executor is up and whose vault is down.
-func serving(t *testing.T) (*executorPeer, *house) {
+// newReadyServer builds a house whose executor is up and whose vault is down.
+func newReadyServer(t *testing.T) (*fakeExecutor, *testServer) {
 	t.Helper()
 	x := newExecutor(t)
-	h := withExecutor(t, x, "127.0.0.1:1")
-	x.welcome(0)
-	x.pass()
+	h := newServerWithExecutor(t, x, "127.0.0.1:1")
+	x.acceptJoin(0)
+	x.answerBarrier()
 	return x, h
 }
 
@@ -139,22 +139,22 @@
 	body  []byte
 }
 
-// executorPeer plays the executor; the test reads its commands and writes its notices.
-type executorPeer struct {
-	t    *testing.T
-	ln   net.Listener
-	cmds chan command
-	mu   sync.Mutex
-	conn net.Conn
-	n    int
-	born time.Time
-	mute bool // METERs but for the fence's get no answer
+// fakeExecutor plays the executor; the test reads its commands and writes its notices.
+type fakeExecutor struct {
+	t            *testing.T
+	ln           net.Listener
+	commands     chan command
+	mu           sync.Mutex
+	conn         net.Conn
+	lastNotice   int
+	startedAt    time.Time
+	ignoreMeters bool // METERs but for the fence's get no answer
 }
 
-func newExecutor(t *testing.T) *executorPeer {
+func newExecutor(t *testing.T) *fakeExecutor {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
-	x := &executorPeer{t: t, ln: ln, cmds: make(chan command, 1000), born: time.Now()}
+	x := &fakeExecutor{t: t, ln: ln, commands: make(chan command, 1000), startedAt: time.Now()}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -165,13 +165,13 @@
 			x.mu.Lock()
 			x.conn = conn
 			x.mu.Unlock()
-			go x.read(bufio.NewReader(conn))
+			go x.readCommands(bufio.NewReader(conn))
 		}
 	}()
 	return x
 }
 
-func (x *executorPeer) read(r *bufio.Reader) {
+func (x *fakeExecutor) readCommands(r *bufio.Reader) {
 	for {
 		line, err := r.ReadString('\n')
 		if err != nil {
@@ -186,91 +186,93 @@
 			}
 			c.body = c.body[:n]
 		}
-		x.cmds <- c
+		x.commands <- c
 	}
 }
 
-// next is the next command but for the gauges, which are answered here.
-func (x *executorPeer) next() command {
+// nextCommand is the next command but for the gauges, which are answered here.
+func (x *fakeExecutor) nextCommand() command {
 	x.t.Helper()
-	late := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
-		case c := <-x.cmds:
+		case c := <-x.commands:
 			if c.words[0] == "METER" && !strings.HasPrefix(c.words[1], "f") {
-				if x.mute {
+				if x.ignoreMeters {
 					continue
 				}
-				x.say("METERS %s 0.1 0 0.1 1", c.words[1])
+				x.send("METERS %s 0.1 0 0.1 1", c.words[1])
 				continue
 			}
 			return c
-		case <-late:
+		case <-timeout:
 			x.t.Fatal("no command came")
 		}
 	}
 }
 
-func (x *executorPeer) want(words ...string) command {
+func (x *fakeExecutor) want(words ...string) command {
 	x.t.Helper()
-	c := x.next()
+	c := x.nextCommand()
 	if got := strings.Join(c.words, " "); !strings.HasPrefix(got, strings.Join(words, " ")) {
 		x.t.Fatalf("command %q, want %q", got, words)
 	}
 	return c
 }
 
-func (x *executorPeer) say(format string, a ...any) {
+func (x *fakeExecutor) send(format string, a ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	fmt.Fprintf(x.conn, format+"\r\n", a...)
 }
 
-// notice numbers a notice; its last word is the length of the body.
-func (x *executorPeer) notice(kind, rest string, body string) {
-	x.n++
-	x.say("%s %d %s %d\r\n%s", kind, x.n, rest, len(body), body)
+// sendNotice numbers a notice; its last word is the length of the body.
+func (x *fakeExecutor) sendNotice(kind, rest string, body string) {
+	x.lastNotice++
+	x.send("%s %d %s %d\r\n%s", kind, x.lastNotice, rest, len(body), body)
 }
 
-// welcome answers the joining, and the fence that comes after it.
-func (x *executorPeer) welcome(n int) {
+// acceptJoin answers the joining, and the fence that comes after it.
+func (x *fakeExecutor) acceptJoin(lastNotice int) {
 	x.t.Helper()
-	x.want("JOIN", strconv.Itoa(n))
-	x.hail()
+	x.want("JOIN", strconv.Itoa(lastNotice))
+	x.sendWelcome()
 }
 
-// hail tells how long ago the executor began.
-func (x *executorPeer) hail() { x.say("WELCOME steady %d", time.Since(x.born).Milliseconds()) }
+// sendWelcome tells how long ago the executor began.
+func (x *fakeExecutor) sendWelcome() {
+	x.send("WELCOME steady %d", time.Since(x.startedAt).Milliseconds())
+}
 
-// rejoin is a welcome on a new link; what was still on its way over the old one is passed over.
-func (x *executorPeer) rejoin(n int) {
+// acceptRejoin is a welcome on a new link; what was still on its way over the old one is passed over.
+func (x *fakeExecutor) acceptRejoin(lastNotice int) {
 	x.t.Helper()
-	for c := x.next(); c.words[0] != "JOIN"; c = x.next() {
+	for c := x.nextCommand(); c.words[0] != "JOIN"; c = x.nextCommand() {
 	}
-	x.hail()
+	x.sendWelcome()
 }
 
-func (x *executorPeer) pass() {
+func (x *fakeExecutor) answerBarrier() {
 	x.t.Helper()
-	x.say("METERS %s 0.1 0 0.1 1", x.want("METER").words[1])
+	x.send("METERS %s 0.1 0 0.1 1", x.want("METER").words[1])
 }
 
-// routerPeer plays a router on one connection.
-type routerPeer struct {
+// fakeRouter plays a router on one connection.
+type fakeRouter struct {
 	t    *testing.T
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-func (h *house) router() *routerPeer {
+func (h *testServer) router() *fakeRouter {
 	conn, err := net.Dial("tcp", h.resp.Addr().String())
 	must(h.t, err)
 	h.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
-	return &routerPeer{h.t, conn, bufio.NewReader(conn)}
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	return &fakeRouter{h.t, conn, bufio.NewReader(conn)}
 }
 
-func (p *routerPeer) send(words ...string) {
+func (p *fakeRouter) send(words ...string) {
 	b := redcon.AppendArray(nil, len(words))
 	for _, w := range words {
 		b = redcon.AppendBulkString(b, w)
@@ -278,13 +280,13 @@
 	p.conn.Write(b)
 }
 
-// req sends a request that came just now.
-func (p *routerPeer) req(tag, id int, class, more, body string) {
+// sendRequest sends a request that came just now.
+func (p *fakeRouter) sendRequest(tag, id int, class, more, body string) {
 	p.send("REQ", strconv.Itoa(tag), class, fmt.Sprintf("id=%016x,at=%d,from=4,kb=10,rank=0.5%s", id, time.Now().UnixMilli(), more), body)
 }
 
-// answer reads one array of bulk strings.
-func (p *routerPeer) answer() []string {
+// readAnswer reads one array of bulk strings.
+func (p *fakeRouter) readAnswer() []string {
 	p.t.Helper()
 	line, err := p.r.ReadString('\n')
 	must(p.t, err)
@@ -304,9 +306,9 @@
 	return words
 }
 
-func (p *routerPeer) want(words ...string) {
+func (p *fakeRouter) want(words ...string) {
 	p.t.Helper()
-	got := p.answer()
+	got := p.readAnswer()
 	for i, w := range words {
 		if i >= len(got) || got[i] != w {
 			p.t.Fatalf("answer %q, want %q", got, words)
@@ -314,34 +316,34 @@
 	}
 }
 
-// newVault plays the vault.
-func newVault(t *testing.T, do http.HandlerFunc) string {
+// startVault plays the vault.
+func startVault(t *testing.T, do http.HandlerFunc) string {
 	s := httptest.NewServer(do)
 	t.Cleanup(s.CloseClientConnections)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// cut breaks the executor's link.
-func (x *executorPeer) cut() {
+// closeConn breaks the executor's link.
+func (x *fakeExecutor) closeConn() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conn.Close()
 }
 
-// obey runs whatever comes until the test ends, and counts the starts of each id.
-func (x *executorPeer) obey() (starts func() map[string]int) {
+// runAll runs whatever comes until the test ends, and counts the starts of each id.
+func (x *fakeExecutor) runAll() (starts func() map[string]int) {
 	var mu sync.Mutex
 	count := map[string]int{}
 	go func() {
-		for c := range x.cmds {
+		for c := range x.commands {
 			switch c.words[0] {
 			case "METER":
-				x.say("METERS %s 0.1 0 0.1 1", c.words[1])
+				x.send("METERS %s 0.1 0 0.1 1", c.words[1])
 			case "EXEC":
 				mu.Lock()
 				count[c.words[1]]++
 				mu.Unlock()
-				x.notice("EXIT", c.words[1]+" success 1", "for "+string(c.body))
+				x.sendNotice("EXIT", c.words[1]+" success 1", "for "+string(c.body))
 			}
 		}
 	}()
@@ -363,25 +365,25 @@
 }
 
 // gateway opens a connection of the uwsgi front, sends bytes and ends its side of it if told so.
-func (h *house) gateway(b string, end bool) *gatewayPeer {
-	conn, err := net.Dial("tcp", h.uw.Addr().String())
+func (h *testServer) gateway(b string, closeWrite bool) *fakeGateway {
+	conn, err := net.Dial("tcp", h.uwsgi.Addr().String())
 	must(h.t, err)
 	h.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, b)
-	if end {
+	if closeWrite {
 		conn.(*net.TCPConn).CloseWrite()
 	}
-	return &gatewayPeer{h.t, conn}
+	return &fakeGateway{h.t, conn}
 }
 
-type gatewayPeer struct {
+type fakeGateway struct {
 	t    *testing.T
 	conn net.Conn
 }
 
-// answers reads all that comes up to the end of the connection: it has to be one response.
-func (g *gatewayPeer) answers() (status int, head http.Header, body string) {
+// readResponse reads all that comes up to the end of the connection: it has to be one response.
+func (g *fakeGateway) readResponse() (status int, header http.Header, body string) {
 	g.t.Helper()
 	r := bufio.NewReader(g.conn)
 	resp, err := http.ReadResponse(r, nil)
@@ -394,8 +396,8 @@
 	return resp.StatusCode, resp.Header, string(b)
 }
 
-// uwsgiServer plays a server that answers each request by do, which sees the variables and the body.
-func uwsgiServer(t *testing.T, do func(conn net.Conn, vars map[string]string, body string)) string {
+// startUWSGIServer plays a server that answers each request by do, which sees the variables and the body.
+func startUWSGIServer(t *testing.T, do func(conn net.Conn, vars map[string]string, body string)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -407,11 +409,11 @@
 			}
 			go func() {
 				defer conn.Close()
-				head := make([]byte, 4)
-				if _, err := io.ReadFull(conn, head); err != nil {
+				header := make([]byte, 4)
+				if _, err := io.ReadFull(conn, header); err != nil {
 					return
 				}
-				block := make([]byte, int(head[1])|int(head[2])<<8)
+				block := make([]byte, int(header[1])|int(header[2])<<8)
 				io.ReadFull(conn, block)
 				var words []string
 				for len(block) >= 2 {
--- a/internal/net/rare_test.go
+++ b/internal/net/rare_test.go
@@ -16,21 +16,21 @@
 	"puffinsaddle/policy"
 )
 
-// leaving begins a drain on a clock that the test sets, and returns once new connections are refused: then only the
+// beginShutdown begins a drain on a clock that the test sets, and returns once new connections are refused: then only the
 // last look is left.
-func leaving(t *testing.T, h *house, p *routerPeer, clk *clock.Clock) (left chan struct{}) {
+func beginShutdown(t *testing.T, h *testServer, p *fakeRouter, clk *clock.Clock) (shutdownDone chan struct{}) {
 	t.Helper()
-	left = make(chan struct{})
+	shutdownDone = make(chan struct{})
 	go func() {
-		h.core.Shutdown(start, 1200, h.resp)
-		close(left)
+		h.core.Shutdown(startMS, 1200, h.resp)
+		close(shutdownDone)
 	}()
 	p.want("0", "closing")
-	clk.Set(start + 951)
+	clk.Set(startMS + 951)
 	for {
 		conn, err := net.Dial("tcp", h.resp.Addr().String())
 		if err != nil {
-			return left
+			return shutdownDone
 		}
 		conn.Close()
 		time.Sleep(time.Millisecond)
@@ -39,136 +39,136 @@
 
 // A request crosses the asking to send no more, and is read while the process waits for just that. It was closed on
 // with the request running.
-func TestLastLookSeesWhatCrossed(t *testing.T) {
-	x, h, clk := keyed(t, nil)
+func TestShutdownWaitsForRequestThatCrossesClosing(t *testing.T) {
+	x, h, clk := newKeyedServer(t, nil)
 	p := h.router()
 	p.send("HEALTH", "1") // so that the connection is taken
 	p.want("1", "healthy")
-	left := leaving(t, h, p, clk)
-	p.req(1, 1, "book-delivery", fmt.Sprintf(",at=%.0f", start+951), "a")
+	shutdownDone := beginShutdown(t, h, p, clk)
+	p.sendRequest(1, 1, "book-delivery", fmt.Sprintf(",at=%.0f", startMS+951), "a")
 	x.want("EXEC", id(1))
 	for now := 951.0; now < 1100; now += 10 { // up to where the process ends at the latest
-		clk.Set(start + now)
+		clk.Set(startMS + now)
 	}
 	time.Sleep(20 * time.Millisecond) // a process that does not look again ends here; one that does has nothing to wait for
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	p.want("1", "done", "", "A")
-	clk.Set(start + 1300)
-	<-left
+	clk.Set(startMS + 1300)
+	<-shutdownDone
 }
 
-// looked is a front that counts how often the process looks whether it is through.
-type looked struct {
+// flushCounter is a front that counts how often the process looks whether it is through.
+type flushCounter struct {
 	core.Front
-	looks atomic.Int64
+	calls atomic.Int64
 }
 
-func (l *looked) Flushed() bool {
-	l.looks.Add(1)
+func (l *flushCounter) Flushed() bool {
+	l.calls.Add(1)
 	return l.Front.Flushed()
 }
 
 // The same where the process was replaced: it asks its callers to go to the successor, and what crosses that is read by a
 // process that waits for nothing else.
-func TestLastLookBesideASuccessor(t *testing.T) {
-	x, h, clk := keyed(t, nil)
+func TestYieldWaitsForRequestThatCrossesClosing(t *testing.T) {
+	x, h, clk := newKeyedServer(t, nil)
 	p := h.router()
 	p.send("HEALTH", "1")
 	p.want("1", "healthy")
-	front, left := &looked{Front: h.resp}, make(chan struct{})
+	front, yieldDone := &flushCounter{Front: h.resp}, make(chan struct{})
 	go func() {
-		h.core.YieldToSuccessor(start, front)
-		close(left)
+		h.core.YieldToSuccessor(startMS, front)
+		close(yieldDone)
 	}()
 	p.want("0", "closing")
-	clk.Set(start + 999) // from the next one on it may end, once calm
-	p.req(1, 1, "book-delivery", fmt.Sprintf(",at=%.0f", start+999), "a")
+	clk.Set(startMS + 999) // from the next one on it may end, once calm
+	p.sendRequest(1, 1, "book-delivery", fmt.Sprintf(",at=%.0f", startMS+999), "a")
 	x.want("EXEC", id(1))
 	for now := 1000.0; now < 3600; now += 200 {
-		clk.Set(start + now)
-		for n := front.looks.Load() + 2; front.looks.Load() < n; time.Sleep(time.Millisecond) {
+		clk.Set(startMS + now)
+		for n := front.calls.Load() + 2; front.calls.Load() < n; time.Sleep(time.Millisecond) {
 			select {
-			case <-left:
+			case <-yieldDone:
 				t.Fatalf("left after %.0f ms, with a request that runs", now)
 			default:
 			}
 		}
 	}
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	p.want("1", "done", "", "A")
-	clk.Set(start + 4000)
-	<-left
+	clk.Set(startMS + 4000)
+	<-yieldDone
 }
 
 // Requests that the executor knows nothing of: what waits beside them fails, what comes after them fails unread by the
 // module, and what runs is answered by its run. Reading ends where they don't stop. A connection on which something was
 // served is not held to this. All used to be cut off, true requests among them.
-func TestForgedRequestsTakeNoRoomAndLoseNothing(t *testing.T) {
-	x, h := serving(t)
+func TestUnknownRequestsDoNotFailValidOnes(t *testing.T) {
+	x, h := newReadyServer(t)
 	good, bad := h.router(), h.router()
-	good.req(1, 1, "book-delivery", "", "a")
+	good.sendRequest(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	good.want("1", "done", "", "A")
-	for i, p := range []*routerPeer{bad, good} {
-		p.req(2, 10+i, "book-delivery", "", "b")
+	for i, p := range []*fakeRouter{bad, good} {
+		p.sendRequest(2, 10+i, "book-delivery", "", "b")
 		x.want("EXEC", id(10+i))
-		p.req(3, 20+i, "book-delivery", "", "c")
+		p.sendRequest(3, 20+i, "book-delivery", "", "c")
 		x.want("EXEC", id(20+i))
-		x.say("BAD EXEC %s", id(10+i))
+		x.send("BAD EXEC %s", id(10+i))
 		p.want("2", "error")
 	}
 	for tag := 4; tag < 12; tag++ {
-		bad.req(tag, 100+tag, "book-delivery", "", "d")
+		bad.sendRequest(tag, 100+tag, "book-delivery", "", "d")
 		bad.want(fmt.Sprint(tag), "error")
 	}
-	good.req(4, 30, "book-delivery", "", "e")
+	good.sendRequest(4, 30, "book-delivery", "", "e")
 	x.want("EXEC", id(30)) // none of the eight before was begun
-	bad.req(12, 112, "book-delivery", "", "d")
+	bad.sendRequest(12, 112, "book-delivery", "", "d")
 	for i := range 2 {
-		x.notice("EXIT", id(20+i)+" success 1", "C")
+		x.sendNotice("EXIT", id(20+i)+" success 1", "C")
 	}
 	bad.want("3", "done", "", "C")
 	if n, err := io.Copy(io.Discard, bad.r); n > 0 {
 		t.Errorf("the ninth was answered with %d bytes, %v", n, err)
 	}
 	good.want("3", "done", "", "C")
-	x.notice("EXIT", id(30)+" success 1", "E")
+	x.sendNotice("EXIT", id(30)+" success 1", "E")
 	good.want("4", "done", "", "E")
 }
 
 // The link breaks behind a reply to a call, and the run stands at its next call by when the new link is through: a RETURN
 // names no call, so one sent again was taken for the reply to that. Where the call may be left out that is said of the
 // call by its number, where not the request fails; either way no reply reaches a call that it is not for.
-func TestReplyOfUnknownFateIsNotSentAgain(t *testing.T) {
+func TestReplyOfUnknownDeliveryIsNotResent(t *testing.T) {
 	set := settings
 	set.Classes = append(slices.Clone(set.Classes), policy.Class{Name: "needy", Aim: 600 * time.Millisecond, Deadline: 20 * time.Second,
 		Worth: 4, LateValue: 1, Calls: true})
 	x := newExecutor(t)
-	h := withExecutorBy(t, clock.System(), set, x, newVault(t, func(w http.ResponseWriter, r *http.Request) {
+	h := newServerWithExecutorOnClock(t, clock.System(), set, x, startVault(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "for %s", b)
 	}))
-	x.welcome(0)
-	x.pass()
+	x.acceptJoin(0)
+	x.answerBarrier()
 	p := h.router()
-	p.req(1, 1, "tank-level", "", "a")
+	p.sendRequest(1, 1, "tank-level", "", "a")
 	x.want("EXEC", id(1))
-	p.req(2, 2, "needy", "", "b")
+	p.sendRequest(2, 2, "needy", "", "b")
 	x.want("EXEC", id(2))
-	x.mute = true
+	x.ignoreMeters = true
 	for n := 1; n <= 2; n++ {
-		x.notice("CALLOUT", id(n), fmt.Sprint("call ", n))
+		x.sendNotice("CALLOUT", id(n), fmt.Sprint("call ", n))
 		if c := x.want("RETURN", id(n)); string(c.body) != fmt.Sprint("for call ", n) {
 			t.Errorf("the run got %q", c.body)
 		}
 	}
-	x.cut() // no answer came to what went out behind the replies
-	x.rejoin(2)
-	x.mute = false
-	x.pass()
-	x.notice("CALLOUT", id(1), "call 3") // both replies had arrived
-	x.notice("CALLOUT", id(2), "call 4")
+	x.closeConn() // no answer came to what went out behind the replies
+	x.acceptRejoin(2)
+	x.ignoreMeters = false
+	x.answerBarrier()
+	x.sendNotice("CALLOUT", id(1), "call 3") // both replies had arrived
+	x.sendNotice("CALLOUT", id(2), "call 4")
 	p.want("2", "error")
 	if c := x.want("BYPASS", id(1)); c.words[2] != "1" {
 		t.Errorf("left out: the call of notice %s", c.words[2])
@@ -176,124 +176,124 @@
 	if c := x.want("RETURN", id(1)); string(c.body) != "for call 3" {
 		t.Errorf("the call got %q", c.body)
 	}
-	x.notice("EXIT", id(2)+" interrupted 5", "")
-	x.notice("EXIT", id(1)+" success 5", "A")
+	x.sendNotice("EXIT", id(2)+" interrupted 5", "")
+	x.sendNotice("EXIT", id(1)+" success 5", "A")
 	p.want("1", "done", "", "A")
 }
 
 // The same break, but a METER behind the replies was answered before it: they arrived, and nothing is sent again.
-func TestReplyThatArrivedIsLeftAlone(t *testing.T) {
+func TestConfirmedReplyIsNotResent(t *testing.T) {
 	x := newExecutor(t)
-	h := withExecutor(t, x, newVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "reply") }))
-	x.welcome(0)
-	x.pass()
+	h := newServerWithExecutor(t, x, startVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "reply") }))
+	x.acceptJoin(0)
+	x.answerBarrier()
 	p := h.router()
-	p.req(1, 1, "tank-level", "", "a")
+	p.sendRequest(1, 1, "tank-level", "", "a")
 	x.want("EXEC", id(1))
-	x.notice("CALLOUT", id(1), "q")
+	x.sendNotice("CALLOUT", id(1), "q")
 	x.want("RETURN", id(1))
-	p.req(2, 2, "book-delivery", "", "b")
+	p.sendRequest(2, 2, "book-delivery", "", "b")
 	x.want("EXEC", id(2)) // on the way to it, the METER was answered
-	x.notice("EXIT", id(2)+" success 1", "B")
+	x.sendNotice("EXIT", id(2)+" success 1", "B")
 	p.want("2", "done", "", "B")
-	x.cut()
-	x.rejoin(2)
-	x.pass()
-	p.req(3, 3, "book-delivery", "", "c")
+	x.closeConn()
+	x.acceptRejoin(2)
+	x.answerBarrier()
+	p.sendRequest(3, 3, "book-delivery", "", "c")
 	x.want("EXEC", id(3)) // the first command of all
-	x.notice("EXIT", id(1)+" success 5", "A")
+	x.sendNotice("EXIT", id(1)+" success 5", "A")
 	p.want("1", "done", "", "A")
 }
 
 // The executor ends with a run on and another begins at its address: the run fails, what comes after is begun at the new
 // one, and its notices, which count from 1 again, are heard. All of them passed for old ones before.
-func TestAnotherExecutorIsJoinedAnew(t *testing.T) {
-	x, h := serving(t)
+func TestReplacedExecutorIsJoinedFromFirstNotice(t *testing.T) {
+	x, h := newReadyServer(t)
 	p := h.router()
-	p.req(1, 1, "book-delivery", "", "a")
+	p.sendRequest(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
-	p.req(2, 2, "book-delivery", "", "b")
+	p.sendRequest(2, 2, "book-delivery", "", "b")
 	x.want("EXEC", id(2))
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	p.want("1", "done", "", "A")
-	x.cut()
+	x.closeConn()
 	x.want("JOIN", "1")
 	time.Sleep(1100 * time.Millisecond) // an executor takes a while to begin, which its age shows
-	x.born, x.n = time.Now(), 0
-	x.hail()
+	x.startedAt, x.lastNotice = time.Now(), 0
+	x.sendWelcome()
 	p.want("2", "error")
 	x.want("JOIN", "0")
-	x.hail()
-	x.pass()
-	p.req(3, 3, "book-delivery", "", "c")
+	x.sendWelcome()
+	x.answerBarrier()
+	p.sendRequest(3, 3, "book-delivery", "", "c")
 	x.want("EXEC", id(3))
-	x.notice("EXIT", id(3)+" success 1", "C")
+	x.sendNotice("EXIT", id(3)+" success 1", "C")
 	p.want("3", "done", "", "C")
 }
 
 // The other executor begins cold, on a machine that falls under what the warm one before it took: a second request was
 // begun beside the first as before.
-func TestAnotherExecutorIsCold(t *testing.T) {
+func TestReplacedExecutorStartsCold(t *testing.T) {
 	set := settings
 	set.Cores, set.ColdSpeedShare, set.WarmupPeriod = 1, 0, time.Hour
 	x := newExecutor(t)
-	h := withExecutorBy(t, clock.System(), set, x, "127.0.0.1:1")
-	x.welcome(0)
-	x.pass()
+	h := newServerWithExecutorOnClock(t, clock.System(), set, x, "127.0.0.1:1")
+	x.acceptJoin(0)
+	x.answerBarrier()
 	p := h.router()
 	for n := 1; n <= 2; n++ { // the warm one takes both
-		p.req(n, n, "book-delivery", "", "a")
+		p.sendRequest(n, n, "book-delivery", "", "a")
 		x.want("EXEC", id(n))
 	}
-	x.cut()
+	x.closeConn()
 	x.want("JOIN", "0")
 	time.Sleep(1100 * time.Millisecond) // an executor takes a while to begin, which its age shows
-	x.say("WELCOME booting 0")
+	x.send("WELCOME booting 0")
 	for range 2 {
-		if a := p.answer(); a[1] != "error" {
+		if a := p.readAnswer(); a[1] != "error" {
 			t.Errorf("answered %q", a)
 		}
 	}
 	x.want("JOIN", "0")
-	x.say("WELCOME booting 0")
-	x.pass()
+	x.send("WELCOME booting 0")
+	x.answerBarrier()
 	handled := make(chan struct{})
 	h.core.AfterPendingEvents(func() { close(handled) })
 	<-handled
-	p.req(3, 3, "book-delivery", "", "c")
+	p.sendRequest(3, 3, "book-delivery", "", "c")
 	x.want("EXEC", id(3))
-	p.req(4, 4, "book-delivery", ",wait=500", "d")
+	p.sendRequest(4, 4, "book-delivery", ",wait=500", "d")
 	p.want("4", "later") // it never ran
-	x.notice("EXIT", id(3)+" success 1", "C")
+	x.sendNotice("EXIT", id(3)+" success 1", "C")
 	p.want("3", "done", "", "C")
 }
 
 // A router gives up just as the answer comes: whichever the server hears of first, there is one answer at most, and the
 // connection goes on.
-func TestGivingUpAgainstTheAnswer(t *testing.T) {
-	x, h := serving(t)
+func TestAbortConcurrentWithAnswer(t *testing.T) {
+	x, h := newReadyServer(t)
 	p, seen := h.router(), map[string]int{}
 	for n := 1; n <= 40; n += 2 {
-		p.req(n, n, "book-delivery", "", "a")
+		p.sendRequest(n, n, "book-delivery", "", "a")
 		x.want("EXEC", id(n))
 		if n%4 == 1 {
-			x.notice("EXIT", id(n)+" success 1", "A")
+			x.sendNotice("EXIT", id(n)+" success 1", "A")
 			p.send("ABORT", fmt.Sprint(n))
 		} else {
 			p.send("ABORT", fmt.Sprint(n))
-			x.notice("EXIT", id(n)+" interrupted 1", "")
+			x.sendNotice("EXIT", id(n)+" interrupted 1", "")
 		}
-		p.req(n+1, n+1, "book-delivery", "", "b")
+		p.sendRequest(n+1, n+1, "book-delivery", "", "b")
 		x.want("EXEC", id(n+1))
-		x.notice("EXIT", id(n+1)+" success 1", "B")
-		p.once(seen, n+1)
+		x.sendNotice("EXIT", id(n+1)+" success 1", "B")
+		p.readAnswersUpTo(seen, n+1)
 	}
 }
 
-// once reads up to the answer to a tag; before it may come answers to tags before it, late ones too, to each one at most.
-func (p *routerPeer) once(seen map[string]int, tag int) (before [][]string) {
+// readAnswersUpTo reads up to the answer to a tag; before it may come answers to tags before it, late ones too, to each one at most.
+func (p *fakeRouter) readAnswersUpTo(seen map[string]int, tag int) (before [][]string) {
 	p.t.Helper()
-	for a := p.answer(); ; a = p.answer() {
+	for a := p.readAnswer(); ; a = p.readAnswer() {
 		n, _ := strconv.Atoi(a[0])
 		if seen[a[0]]++; seen[a[0]] > 1 || n < 1 || n > tag {
 			p.t.Fatalf("answered %q, for the %dth time", a, seen[a[0]])
@@ -307,24 +307,24 @@
 
 // A caller gives up just as the reply to its run's call comes; the executor says of what comes late that it did not carry
 // it out, which ends nothing. Then it gives the wrong kinds of refusal besides.
-func TestGivingUpACallAgainstItsReply(t *testing.T) {
+func TestAbortConcurrentWithCallReply(t *testing.T) {
 	called, reply := make(chan struct{}), make(chan struct{})
 	x := newExecutor(t)
-	h := withExecutor(t, x, newVault(t, func(w http.ResponseWriter, r *http.Request) {
+	h := newServerWithExecutor(t, x, startVault(t, func(w http.ResponseWriter, r *http.Request) {
 		io.ReadAll(r.Body)
 		called <- struct{}{}
 		<-reply
 		io.WriteString(w, "reply")
 	}))
-	x.welcome(0)
-	x.pass()
+	x.acceptJoin(0)
+	x.answerBarrier()
 	p, seen := h.router(), map[string]int{}
-	begun := func(n int) { // behind replies to the calls of those that were given up, which may come late
+	wantStart := func(n int) { // behind replies to the calls of those that were given up, which may come late
 		t.Helper()
-		c := x.next()
-		for given := 1; c.words[0] == "RETURN" && given <= n; given += 2 {
-			if c.words[1] == id(given) {
-				c, given = x.next(), -1
+		c := x.nextCommand()
+		for aborted := 1; c.words[0] == "RETURN" && aborted <= n; aborted += 2 {
+			if c.words[1] == id(aborted) {
+				c, aborted = x.nextCommand(), -1
 			}
 		}
 		if c.words[0] != "EXEC" || c.words[1] != id(n) {
@@ -332,18 +332,18 @@
 		}
 	}
 	for n := 1; n <= 20; n += 2 {
-		p.req(n, n, "tank-level", "", "a")
-		begun(n)
-		x.notice("CALLOUT", id(n), "q")
+		p.sendRequest(n, n, "tank-level", "", "a")
+		wantStart(n)
+		x.sendNotice("CALLOUT", id(n), "q")
 		<-called
 		go func() { reply <- struct{}{} }()
 		p.send("ABORT", fmt.Sprint(n))
-		x.say("BAD RETURN %s\r\nBAD BYPASS %s\r\nBAD KILL %s\r\nBAD COMMAND", id(n), id(n), id(n))
-		x.notice("EXIT", id(n)+" interrupted 1", "")
-		p.req(n+1, n+1, "book-delivery", "", "b")
-		begun(n + 1)
-		x.notice("EXIT", id(n+1)+" success 1", "B")
-		for _, a := range p.once(seen, n+1) { // of those that were given up
+		x.send("BAD RETURN %s\r\nBAD BYPASS %s\r\nBAD KILL %s\r\nBAD COMMAND", id(n), id(n), id(n))
+		x.sendNotice("EXIT", id(n)+" interrupted 1", "")
+		p.sendRequest(n+1, n+1, "book-delivery", "", "b")
+		wantStart(n + 1)
+		x.sendNotice("EXIT", id(n+1)+" success 1", "B")
+		for _, a := range p.readAnswersUpTo(seen, n+1) { // of those that were given up
 			if tag, _ := strconv.Atoi(a[0]); tag%2 == 0 || a[1] != "error" {
 				t.Fatalf("answered %q", a)
 			}
--- a/internal/net/respfront/front.go
+++ b/internal/net/respfront/front.go
@@ -127,7 +127,7 @@
 func (c *conn) stopIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.inCommand || len(c.openRequests) > 0 || c.writing || len(c.sendBuffer) > 0 || !accept.Quiet(c.nc) {
+	if c.inCommand || len(c.openRequests) > 0 || c.writing || len(c.sendBuffer) > 0 || !accept.IsIdle(c.nc) {
 		return false
 	}
 	c.broken = true
@@ -153,7 +153,7 @@
 }
 
 // StopAccepting closes the listener once its queue is empty.
-func (f *Front) StopAccepting() { f.ln.Shut() }
+func (f *Front) StopAccepting() { f.ln.StopAccepting() }
 
 // Yield leaves new connections to the process that shares the listening socket, and asks all routers to connect there.
 func (f *Front) Yield() {
@@ -593,7 +593,7 @@
 func (c *conn) hasPendingData() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.broken && (c.writing || len(c.sendBuffer) > 0 || !c.readDone && (c.inCommand || !accept.Quiet(c.nc)))
+	return !c.broken && (c.writing || len(c.sendBuffer) > 0 || !c.readDone && (c.inCommand || !accept.IsIdle(c.nc)))
 }
 
 // writeLoop sends what is queued, and closes the connection once no further answers are due.
--- a/internal/net/respfront/front_test.go
+++ b/internal/net/respfront/front_test.go
@@ -114,7 +114,7 @@
 	io.WriteString(conn, reqFrame(2)[:20])
 	for inCommand := false; !inCommand; runtime.Gosched() { // all of it was read from the socket
 		c.mu.Lock()
-		inCommand = c.inCommand && accept.Quiet(c.nc)
+		inCommand = c.inCommand && accept.IsIdle(c.nc)
 		c.mu.Unlock()
 	}
 	other := dial(t, f)
@@ -187,7 +187,7 @@
 	clk.Set(startMS + invalidRequestDelayMS)
 	for inCommand := false; !inCommand; runtime.Gosched() {
 		c.mu.Lock()
-		inCommand = c.inCommand && accept.Quiet(c.nc)
+		inCommand = c.inCommand && accept.IsIdle(c.nc)
 		c.mu.Unlock()
 	}
 	if f.Flushed() {
@@ -265,7 +265,7 @@
 		client, c := newConnPair(t, f)
 		c.receivedCommand, c.inCommand, c.waitingSince = inCommand, inCommand, time.Now().Add(-time.Hour)
 		io.WriteString(client, "rest")
-		for accept.Quiet(c.nc) {
+		for accept.IsIdle(c.nc) {
 			runtime.Gosched()
 		}
 		b := make([]byte, 10)
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -205,7 +205,7 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	conn.SetWriteDeadline(time.Now().Add(frame.MessageTimeout))
-	if _, err := conn.Write([]byte{store.ForSessions}); err != nil {
+	if _, err := conn.Write([]byte{store.PurposeSessions}); err != nil {
 		return err
 	}
 	writer := newMessageWriter(conn)
--- a/internal/net/session/server.go
+++ b/internal/net/session/server.go
@@ -39,10 +39,10 @@
 
 // Replica is the store replica in whose process a Server runs.
 type Replica interface {
-	Office() (term uint64, leads bool)
+	Leadership() (term uint64, leads bool)
 	Leader() string
 	Propose(c state.Command) func() (state.Result, error)
-	Prove() func() error
+	ConfirmLeadership() func() error
 	View(look func(st *state.State, index uint64))
 }
 
@@ -66,7 +66,7 @@
 
 	leaderTerm atomic.Uint64
 	counts     counts
-	traffic    meter.Count
+	traffic    meter.ByteCounts
 
 	// Owned by the goroutine of Run.
 	batch            []any
@@ -253,7 +253,7 @@
 }
 
 func (d *Server) execute(s *session, requestID uint64, cmd state.Command) {
-	if _, leads := d.replica.Office(); !leads {
+	if _, leads := d.replica.Leadership(); !leads {
 		d.redirect(s, requestID)
 		return
 	}
@@ -353,7 +353,7 @@
 	if !ticked || d.proposing {
 		return // once per tick, so that heartbeats share a log entry
 	}
-	term, leads := d.replica.Office()
+	term, leads := d.replica.Leadership()
 	switch {
 	case !leads:
 		d.readyTerm = 0
@@ -418,7 +418,7 @@
 		}()
 		return
 	}
-	wait := d.replica.Prove()
+	wait := d.replica.ConfirmLeadership()
 	go func() {
 		p.err = wait()
 		d.inbox.Put(p)
@@ -430,7 +430,7 @@
 	d.proposing = false
 	now := d.steady.Now()
 	if p.heartbeats == nil && p.err == nil { // the term's first entry
-		if term, leads := d.replica.Office(); leads && term == p.term {
+		if term, leads := d.replica.Leadership(); leads && term == p.term {
 			d.readyTerm, d.assumedLeader = p.term, true
 			d.leaderTerm.Store(p.term)
 			d.grantor.StartTerm(p.term, now)
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -39,7 +39,7 @@
 	maxOrders int           // most orders in one entry
 }
 
-func (c *fakeReplica) Office() (uint64, bool) {
+func (c *fakeReplica) Leadership() (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.term, c.leads
@@ -56,7 +56,7 @@
 	return func() (state.Result, error) { return r, nil }
 }
 
-func (c *fakeReplica) Prove() func() error {
+func (c *fakeReplica) ConfirmLeadership() func() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index++
@@ -104,7 +104,7 @@
 			}
 			go func() {
 				var purpose [1]byte
-				if _, err := io.ReadFull(conn, purpose[:]); err != nil || purpose[0] != store.ForSessions {
+				if _, err := io.ReadFull(conn, purpose[:]); err != nil || purpose[0] != store.PurposeSessions {
 					conn.Close()
 					return
 				}
@@ -221,7 +221,7 @@
 			t.Fatal(err)
 		}
 		conn.SetDeadline(time.Now().Add(testTimeout))
-		conn.Write(append([]byte{store.ForSessions}, b...))
+		conn.Write(append([]byte{store.PurposeSessions}, b...))
 		if name == "truncated message" {
 			conn.(*net.TCPConn).CloseWrite()
 		}
@@ -255,7 +255,7 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		conn.SetDeadline(time.Now().Add(testTimeout))
-		conn.Write(append([]byte{store.ForSessions}, must(encodeFrame(clientMessage{Query: ReadCapacity, RequestID: 1}))...))
+		conn.Write(append([]byte{store.PurposeSessions}, must(encodeFrame(clientMessage{Query: ReadCapacity, RequestID: 1}))...))
 		conns = append(conns, conn)
 		var m serverMessage
 		if err := newReader(conn, 0).Next(&m); err != nil {
@@ -308,7 +308,7 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		processID := fmt.Sprintf("os-%d#1", i)
-		conn.Write(append([]byte{store.ForSessions}, must(encodeFrame(clientMessage{Heartbeat: &duty.Heartbeat{From: processID, Seq: 1,
+		conn.Write(append([]byte{store.PurposeSessions}, must(encodeFrame(clientMessage{Heartbeat: &duty.Heartbeat{From: processID, Seq: 1,
 			Candidacies: []string{duty.PresenceName(processID)}}}))...))
 		go io.Copy(io.Discard, conn)
 	}
@@ -347,7 +347,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conn.Write([]byte{store.ForSessions})
+		conn.Write([]byte{store.PurposeSessions})
 		go func() { // a silent session would be closed
 			for conn.SetWriteDeadline(time.Now().Add(testTimeout)) == nil {
 				if _, err := conn.Write(must(encodeFrame(clientMessage{Query: ReadCapacity, RequestID: 1}))); err != nil {
--- a/internal/net/stories_test.go
+++ b/internal/net/stories_test.go
@@ -21,128 +21,128 @@
 	"puffinsaddle/policy"
 )
 
-const odd = "any \x00\r\n$5\xff bytes"
+const binaryBody = "any \x00\r\n$5\xff bytes"
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
 // A calm hour: health before the executor is up, answers in any order, every byte as it came, a call below.
-func TestServedWithCallsInAnyOrder(t *testing.T) {
-	below := newVault(t, func(w http.ResponseWriter, r *http.Request) {
+func TestAnswersInAnyOrderWithDownstreamCall(t *testing.T) {
+	vaultAddress := startVault(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s/%s", r.Header.Get("X-Ticket"), b)
 	})
 	x := newExecutor(t)
-	h := withExecutor(t, x, below)
+	h := newServerWithExecutor(t, x, vaultAddress)
 	p := h.router()
 	p.send("HEALTH", "1", "deep=1")
 	p.want("1", "healthy")
-	x.welcome(0)
-	x.pass()
-	p.req(2, 2, "book-delivery", "", odd)
-	if c := x.want("EXEC", id(2), "book-delivery"); string(c.body) != odd {
+	x.acceptJoin(0)
+	x.answerBarrier()
+	p.sendRequest(2, 2, "book-delivery", "", binaryBody)
+	if c := x.want("EXEC", id(2), "book-delivery"); string(c.body) != binaryBody {
 		t.Errorf("the executor got %q", c.body)
 	}
-	p.req(3, 3, "tank-level", "", "")
+	p.sendRequest(3, 3, "tank-level", "", "")
 	x.want("EXEC", id(3), "tank-level", "0")
-	x.notice("CALLOUT", id(3), "q"+odd)
-	if c := x.want("RETURN", id(3)); string(c.body) != id(3)+"/q"+odd {
+	x.sendNotice("CALLOUT", id(3), "q"+binaryBody)
+	if c := x.want("RETURN", id(3)); string(c.body) != id(3)+"/q"+binaryBody {
 		t.Errorf("the run got %q", c.body)
 	}
-	x.notice("EXIT", id(3)+" success 12.5", "r"+odd)
-	p.want("3", "done", "", "r"+odd)
-	x.notice("EXIT", id(2)+" failure 1", "")
+	x.sendNotice("EXIT", id(3)+" success 12.5", "r"+binaryBody)
+	p.want("3", "done", "", "r"+binaryBody)
+	x.sendNotice("EXIT", id(2)+" failure 1", "")
 	p.want("2", "error")
-	p.req(4, 4, "no-such-class", "", "")
+	p.sendRequest(4, 4, "no-such-class", "", "")
 	p.want("4", "later")
 }
 
 // The link breaks: what had no notice is sent again, but only once the fence shows that it did not arrive, and
 // a notice that comes twice counts once.
-func TestLinkBreaksWithCommandsOfUnknownFate(t *testing.T) {
-	x, h := serving(t)
+func TestUndeliveredCommandsAreResentAfterBarrier(t *testing.T) {
+	x, h := newReadyServer(t)
 	p := h.router()
-	p.req(1, 1, "book-delivery", "", "a")
+	p.sendRequest(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
-	p.req(2, 2, "book-delivery", "", "b")
+	p.sendRequest(2, 2, "book-delivery", "", "b")
 	x.want("EXEC", id(2))
-	p.req(3, 3, "book-delivery", "", "c")
+	p.sendRequest(3, 3, "book-delivery", "", "c")
 	x.want("EXEC", id(3))
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	p.want("1", "done", "", "A")
-	x.cut()
-	x.welcome(1)
-	x.say("EXIT 1 %s success 1 1\r\nA", id(1)) // again
-	x.notice("EXIT", id(2)+" success 1", "B")  // it had ended while there was no link
+	x.closeConn()
+	x.acceptJoin(1)
+	x.send("EXIT 1 %s success 1 1\r\nA", id(1))   // again
+	x.sendNotice("EXIT", id(2)+" success 1", "B") // it had ended while there was no link
 	p.want("2", "done", "", "B")
-	x.pass()
+	x.answerBarrier()
 	if c := x.want("EXEC", id(3)); string(c.body) != "c" {
 		t.Errorf("sent again with body %q", c.body)
 	}
-	x.notice("EXIT", id(3)+" success 1", "C")
+	x.sendNotice("EXIT", id(3)+" success 1", "C")
 	p.want("3", "done", "", "C")
 }
 
 // The executor's machine is gone, and its end of the link says nothing of it: the link is made anew, and what had no
 // notice is sent again.
-func TestSilentLinkIsMadeAnew(t *testing.T) {
+func TestSilentExecutorConnectionIsReplaced(t *testing.T) {
 	x := newExecutor(t)
-	h := withExecutor(t, x, "127.0.0.1:1", func(l *executor.Link) { l.ReadTimeout = 2 * time.Second })
-	x.welcome(0)
-	x.pass()
+	h := newServerWithExecutor(t, x, "127.0.0.1:1", func(l *executor.Link) { l.ReadTimeout = 2 * time.Second })
+	x.acceptJoin(0)
+	x.answerBarrier()
 	p := h.router()
-	p.req(1, 1, "book-delivery", "", "a")
+	p.sendRequest(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
-	late := time.After(patience)
+	timeout := time.After(testTimeout)
 	for joined := false; !joined; { // nothing is answered on this link any more
 		select {
-		case c := <-x.cmds:
+		case c := <-x.commands:
 			joined = c.words[0] == "JOIN"
-		case <-late:
+		case <-timeout:
 			t.Fatal("the silent link stands")
 		}
 	}
-	x.hail()
-	x.pass()
+	x.sendWelcome()
+	x.answerBarrier()
 	x.want("EXEC", id(1))
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	p.want("1", "done", "", "A")
 }
 
 // The due time passes while the work goes on: the answer does not wait for it, nor does the work's end bring
 // a second one.
-func TestOverdueIsAnsweredBeforeTheRunEnds(t *testing.T) {
-	x, h := serving(t)
+func TestOverdueRequestIsAnsweredBeforeRunEnds(t *testing.T) {
+	x, h := newReadyServer(t)
 	p := h.router()
-	p.req(1, 1, "book-delivery", ",wait=1000", "a")
+	p.sendRequest(1, 1, "book-delivery", ",wait=1000", "a")
 	x.want("EXEC", id(1))
 	p.want("1", "error")
-	x.notice("EXIT", id(1)+" interrupted 1005", "")
-	p.req(2, 2, "book-delivery", "", "b")
+	x.sendNotice("EXIT", id(1)+" interrupted 1005", "")
+	p.sendRequest(2, 2, "book-delivery", "", "b")
 	x.want("EXEC", id(2))
-	x.notice("EXIT", id(2)+" success 1", "B")
+	x.sendNotice("EXIT", id(2)+" success 1", "B")
 	p.want("2", "done", "", "B")
-	p.req(3, 3, "book-delivery", fmt.Sprintf(",at=%d,wait=5", time.Now().UnixMilli()-1000), "late already")
+	p.sendRequest(3, 3, "book-delivery", fmt.Sprintf(",at=%d,wait=5", time.Now().UnixMilli()-1000), "late already")
 	p.want("3", "later")
 }
 
 // An id that came before is not run again, whether its first try is open or over.
-func TestOneEffectForOneID(t *testing.T) {
-	x, h := serving(t)
+func TestRepeatedRequestIDDoesNotRun(t *testing.T) {
+	x, h := newReadyServer(t)
 	p := h.router()
-	p.req(1, 7, "book-delivery", "", "a")
+	p.sendRequest(1, 7, "book-delivery", "", "a")
 	x.want("EXEC", id(7))
-	p.req(2, 7, "book-delivery", "", "a")
+	p.sendRequest(2, 7, "book-delivery", "", "a")
 	p.want("2", "error")
-	x.notice("EXIT", id(7)+" success 1", "A")
+	x.sendNotice("EXIT", id(7)+" success 1", "A")
 	p.want("1", "done", "", "A")
-	p.req(3, 7, "book-delivery", "", "a")
+	p.sendRequest(3, 7, "book-delivery", "", "a")
 	p.want("3", "error")
 }
 
 // Malformed input ends its own connection and no other. redcon's own reader panics on the
 // second of these, and never comes back from the third.
-func TestMalformedInputEndsItsOwnConnection(t *testing.T) {
-	x, h := serving(t)
+func TestMalformedInputClosesOnlyItsConnection(t *testing.T) {
+	x, h := newReadyServer(t)
 	good := h.router()
 	for _, bad := range []string{"*1\r\n$x\r\n", "*1\r\n$9223372036854775807\r\n+", "*9223372036854775807\r\n$1\r\n", "*-1\r\n", "*+2\r\n",
 		"*2\r\n$4\r\nREQ\r\n$1\r\n1\r\n", "GET / HTTP/1.1\r\n", strings.Repeat("*", 100), "*2\r\n$3\r\nREQ\r\n$1\r\n0\r\n",
@@ -153,19 +153,19 @@
 			t.Errorf("%.30q was answered with %d bytes, %v", bad, n, err)
 		}
 	}
-	good.req(1, 1, "book-delivery", "", "a")
+	good.sendRequest(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	good.want("1", "done", "", "A")
 }
 
 // A router that reads none of its answers is cut off; the others are served all the while.
-func TestSlowReaderStallsNobody(t *testing.T) {
-	x, h := serving(t)
+func TestSlowReaderDoesNotDelayOthers(t *testing.T) {
+	x, h := newReadyServer(t)
 	slow, good := h.router(), h.router()
-	cut := make(chan struct{})
+	disconnected := make(chan struct{})
 	go func() {
-		defer close(cut)
+		defer close(disconnected)
 		for i := 1; ; i++ { // ends when the server closes the connection
 			if _, err := slow.conn.Write(bytes.Repeat([]byte("*2\r\n$6\r\nHEALTH\r\n$1\r\n5\r\n"), 500)); err != nil {
 				if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -175,35 +175,35 @@
 			}
 		}
 	}()
-	good.req(1, 1, "book-delivery", "", "a")
+	good.sendRequest(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
-	x.notice("EXIT", id(1)+" success 1", "A")
+	x.sendNotice("EXIT", id(1)+" success 1", "A")
 	good.want("1", "done", "", "A")
-	<-cut
+	<-disconnected
 }
 
 // A caller that gives up while its run stands at a call: the call is given up by closing its connection.
-func TestGivingUpClosesTheCall(t *testing.T) {
+func TestAbortCancelsDownstreamCall(t *testing.T) {
 	begun, ended := make(chan struct{}), make(chan struct{})
-	below := newVault(t, func(w http.ResponseWriter, r *http.Request) {
+	vaultAddress := startVault(t, func(w http.ResponseWriter, r *http.Request) {
 		io.ReadAll(r.Body)
 		close(begun)
 		<-r.Context().Done()
 		close(ended)
 	})
 	x := newExecutor(t)
-	h := withExecutor(t, x, below)
-	x.welcome(0)
-	x.pass()
+	h := newServerWithExecutor(t, x, vaultAddress)
+	x.acceptJoin(0)
+	x.answerBarrier()
 	p := h.router()
-	p.req(1, 1, "tank-level", "", "a")
+	p.sendRequest(1, 1, "tank-level", "", "a")
 	x.want("EXEC", id(1))
-	x.notice("CALLOUT", id(1), "q")
+	x.sendNotice("CALLOUT", id(1), "q")
 	<-begun
 	p.send("ABORT", "1")
 	<-ended
-	x.notice("EXIT", id(1)+" interrupted 5", "")
-	p.req(2, 2, "book-delivery", "", "b")
+	x.sendNotice("EXIT", id(1)+" interrupted 5", "")
+	p.sendRequest(2, 2, "book-delivery", "", "b")
 	x.want("EXEC", id(2))
 }
 
@@ -232,7 +232,7 @@
 		{"failed", reply(500, ""), 1e6, policy.Failed, ""}, {"overdue", reply(504, ""), 1e6, policy.TimedOut, ""},
 		{"own limit", hang, 20, policy.TimedOut, ""}, {"broken", broken, 1e6, policy.InvalidReply, ""},
 	} {
-		got, body := vault.New(newVault(t, c.do), clock.System()).Call(t.Context(), id(1), c.maxMs, []byte("x"))
+		got, body := vault.New(startVault(t, c.do), clock.System()).Call(t.Context(), id(1), c.maxMs, []byte("x"))
 		if got != c.want || string(body) != c.result {
 			t.Errorf("%s: %v %q, want %v %q", c.name, got, body, c.want, c.result)
 		}
@@ -244,7 +244,7 @@
 
 // What a vault may send besides, before or in place of a reply: extra heads and bytes behind harm neither this
 // call nor the next, and what can't be proven whole is a break, known at once where the head tells it.
-func TestVaultSpoilsReplies(t *testing.T) {
+func TestInvalidVaultReplies(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 	for _, c := range []struct {
 		name, bytes string
@@ -298,35 +298,35 @@
 
 // The executor's link and the vault move while a run stands at a call: the run goes on at the new addresses,
 // and a deep check that the break caught is asked again.
-func TestPeersMoveUnderLoad(t *testing.T) {
+func TestExecutorAndVaultAddressChangeDuringCall(t *testing.T) {
 	begun, release := make(chan struct{}), make(chan struct{})
-	old := newVault(t, func(w http.ResponseWriter, r *http.Request) {
+	oldVault := startVault(t, func(w http.ResponseWriter, r *http.Request) {
 		io.ReadAll(r.Body)
 		close(begun)
 		<-release
 		io.WriteString(w, "from the old vault")
 	})
 	x := newExecutor(t)
-	h := withExecutor(t, x, old)
-	x.welcome(0)
-	x.pass()
+	h := newServerWithExecutor(t, x, oldVault)
+	x.acceptJoin(0)
+	x.answerBarrier()
 	p := h.router()
-	p.req(1, 1, "tank-level", "", "a")
+	p.sendRequest(1, 1, "tank-level", "", "a")
 	x.want("EXEC", id(1))
-	x.notice("CALLOUT", id(1), "q")
+	x.sendNotice("CALLOUT", id(1), "q")
 	<-begun
 	checked := make(chan bool, 1)
-	if !h.link.Diagnose(func(good bool) { checked <- good }) {
+	if !h.link.Diagnose(func(healthy bool) { checked <- healthy }) {
 		t.Fatal("no check was begun")
 	}
 	x.want("DIAG")
 	y := newExecutor(t)
-	y.n = x.n
+	y.lastNotice = x.lastNotice
 	h.link.SetAddress(y.ln.Addr().String())
-	h.vault.SetAddress(newVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "from the new") }))
-	y.welcome(1)
-	y.pass()
-	y.say("DIAGNOSED %s success", y.want("DIAG").words[1])
+	h.vault.SetAddress(startVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "from the new") }))
+	y.acceptJoin(1)
+	y.answerBarrier()
+	y.send("DIAGNOSED %s success", y.want("DIAG").words[1])
 	if !<-checked {
 		t.Error("the break was taken for sickness")
 	}
@@ -334,18 +334,18 @@
 	if c := y.want("RETURN", id(1)); string(c.body) != "from the old vault" {
 		t.Errorf("the run got %q", c.body)
 	}
-	y.notice("CALLOUT", id(1), "q")
+	y.sendNotice("CALLOUT", id(1), "q")
 	if c := y.want("RETURN", id(1)); string(c.body) != "from the new" {
 		t.Errorf("the run got %q", c.body)
 	}
-	y.notice("EXIT", id(1)+" success 12", "A")
+	y.sendNotice("EXIT", id(1)+" success 12", "A")
 	p.want("1", "done", "", "A")
 }
 
 // Figures that make no sense are answered with an error at once, and get neither to the module nor to the
 // executor; the connection goes on, and ends where they don't stop.
-func TestFalseFiguresStayOutside(t *testing.T) {
-	x, h := serving(t)
+func TestInvalidRequestValuesAreRejected(t *testing.T) {
+	x, h := newReadyServer(t)
 	now := time.Now().UnixMilli()
 	good := fmt.Sprintf("id=%016x,at=%d,from=4,kb=10,rank=0.5", 99, now)
 	for _, c := range []struct{ old, new string }{
@@ -369,38 +369,38 @@
 		t.Errorf("the ninth was answered with %d bytes, %v", n, err)
 	}
 	p = h.router()
-	p.req(1, 1, "book-delivery", "", "a")
+	p.sendRequest(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1)) // the first command of all
 }
 
 // Connections that say nothing, or not all of a command, or nothing more, end; a full table gives up the
 // longest mute one for one that speaks, and never one that waits for an answer.
-func TestMuteConnectionsGiveWay(t *testing.T) {
-	x, h := serving(t) // the table has room for 64
+func TestSilentConnectionsAreReplaced(t *testing.T) {
+	x, h := newReadyServer(t) // the table has room for 64
 	busy := h.router()
-	busy.req(1, 1, "book-delivery", "", "a")
+	busy.sendRequest(1, 1, "book-delivery", "", "a")
 	x.want("EXEC", id(1))
-	var mute []*routerPeer
+	var silent []*fakeRouter
 	for range 64 {
-		mute = append(mute, h.router())
+		silent = append(silent, h.router())
 	}
 	last := h.router()
-	last.req(1, 2, "book-delivery", "", "b")
+	last.sendRequest(1, 2, "book-delivery", "", "b")
 	x.want("EXEC", id(2))
-	for _, p := range mute { // some by the full table, the rest by their time
+	for _, p := range silent { // some by the full table, the rest by their time
 		if n, err := io.Copy(io.Discard, p.r); n > 0 || err != nil {
 			t.Fatalf("a mute connection got %d bytes, %v", n, err)
 		}
 	}
-	half := h.router()
-	half.send("HEALTH", "1")
-	half.want("1", "healthy")
-	io.WriteString(half.conn, "*3\r\n$3\r\nREQ\r\n")
-	if n, err := io.Copy(io.Discard, half.r); n > 0 || err != nil {
+	partial := h.router()
+	partial.send("HEALTH", "1")
+	partial.want("1", "healthy")
+	io.WriteString(partial.conn, "*3\r\n$3\r\nREQ\r\n")
+	if n, err := io.Copy(io.Discard, partial.r); n > 0 || err != nil {
 		t.Errorf("half a command got %d bytes, %v", n, err)
 	}
-	for i, p := range []*routerPeer{busy, last} {
-		x.notice("EXIT", id(1+i)+" success 1", "A")
+	for i, p := range []*fakeRouter{busy, last} {
+		x.sendNotice("EXIT", id(1+i)+" success 1", "A")
 		p.want("1", "done", "", "A")
 		p.want("0", "closing") // it asked once and stays
 		if n, err := io.Copy(io.Discard, p.r); n > 0 || err != nil {
--- a/internal/net/uwsgi/front.go
+++ b/internal/net/uwsgi/front.go
@@ -57,8 +57,8 @@
 	f.ln.Serve(func(conn net.Conn) {
 		f.mu.Lock()
 		open := len(f.conns)
-		full := open >= f.settings.Conns
-		if open >= 2*f.settings.Conns { // refused connections also hold a descriptor while their answer is written
+		full := open >= f.settings.MaxConnections
+		if open >= 2*f.settings.MaxConnections { // refused connections also hold a descriptor while their answer is written
 			f.mu.Unlock()
 			conn.Close()
 			return
@@ -87,7 +87,7 @@
 
 // StopAccepting closes the listener and stops reading incomplete requests, which are answered with status 408.
 func (f *Front) StopAccepting() {
-	f.ln.Shut()
+	f.ln.StopAccepting()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.shuttingDown = true
@@ -124,11 +124,11 @@
 	f.mu.Lock()
 	deadline := time.Now()
 	if !f.shuttingDown {
-		deadline = deadline.Add(clock.Duration(f.settings.ReadMs))
+		deadline = deadline.Add(clock.Duration(f.settings.ReadTimeoutMS))
 	}
 	conn.SetReadDeadline(deadline)
 	f.mu.Unlock()
-	p, err := readPacket(conn, f.settings.MaxBody)
+	p, err := readPacket(conn, f.settings.MaxBodyBytes)
 	if err == io.EOF {
 		return // nothing was sent
 	}
@@ -179,7 +179,7 @@
 // unless the packet names an earlier time.
 func (f *Front) parseRequest(p *packet, arrivedMS float64) (*core.Request, error) {
 	v := p.vars
-	q := &core.Request{ID: v[varID], Class: v[varClass], ArrivedAt: arrivedMS, Retry: v[varRetry] == "1", KB: f.settings.KB,
+	q := &core.Request{ID: v[varID], Class: v[varClass], ArrivedAt: arrivedMS, Retry: v[varRetry] == "1", KB: f.settings.DefaultRequestKB,
 		Rank: defaultRank, Key: v[varKey], IdempotencyKey: v[varIdempotencyKey], Tenant: v[varTenant], Body: p.body}
 	if q.Class == "" {
 		uri := v["PATH_INFO"]
--- a/internal/net/uwsgi/runner.go
+++ b/internal/net/uwsgi/runner.go
@@ -33,7 +33,7 @@
 
 // NewRunner returns a runner that uses the servers and the limit on results in settings.
 func NewRunner(settings config.UWSGI, clk *clock.Clock, log zerolog.Logger) *Runner {
-	r := &Runner{maxResultBytes: settings.MaxResult, clock: clk, log: log}
+	r := &Runner{maxResultBytes: settings.MaxResultBytes, clock: clk, log: log}
 	r.SetServers(settings.Servers)
 	return r
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,31 +22,31 @@
 
 // Options set up a relay.
 type Options struct {
-	Name      string
-	Region    string // where it stands
-	Listen    string
-	Listener  net.Listener        // in place of Listen; nil: none
-	Copies    map[string]string   // address of each copy of the store, by its id
-	Elsewhere []string            // relays that a watcher that is refused may try, by name or address
-	Path      string              // of the copy on the disk; "": none is kept
-	Limits    distribution.Limits // zero: the default
-	Seed      uint64
-	Steady    *clock.Clock
-	Log       zerolog.Logger
-	Plant     string
-
-	Committed func(records.Commit)        // for each commit that is in force here; nil: nobody asks
-	Adopted   func(distribution.Position) // for each snapshot; nil: nobody asks
-	Reported  func(revision uint64)       // for each revision reported for the first time; nil: nobody asks
+	Name           string
+	Region         string // where it stands
+	Listen         string
+	Listener       net.Listener        // in place of Listen; nil: none
+	StoreAddresses map[string]string   // address of each copy of the store, by its id
+	Elsewhere      []string            // relays that a watcher that is refused may try, by name or address
+	Path           string              // of the copy on the disk; "": none is kept
+	Limits         distribution.Limits // zero: the default
+	Seed           uint64
+	Steady         *clock.Clock
+	Log            zerolog.Logger
+	InjectedBug    string
+
+	OnCommit   func(records.Commit)        // for each commit that is in force here; nil: nobody asks
+	OnSnapshot func(distribution.Position) // for each snapshot; nil: nobody asks
+	OnReport   func(revision uint64)       // for each revision reported for the first time; nil: nobody asks
 }
 
 // Relay is one relay.
 type Relay struct {
-	o       Options
-	ln      net.Listener
-	server  *configwatch.Server
-	client  *configwatch.Client
-	replica *replica.Replica
+	options  Options
+	listener net.Listener
+	server   *configwatch.Server
+	client   *configwatch.Client
+	replica  *replica.Replica
 }
 
 // follower is the relay's own copy, whose reports speak for its watchers.
@@ -66,59 +66,59 @@
 	if o.Limits == (distribution.Limits{}) {
 		o.Limits = distribution.DefaultLimits
 	}
-	r := &Relay{o: o, ln: o.Listener}
-	if r.ln == nil {
+	r := &Relay{options: o, listener: o.Listener}
+	if r.listener == nil {
 		var err error
-		if r.ln, err = net.Listen("tcp", o.Listen); err != nil {
+		if r.listener, err = net.Listen("tcp", o.Listen); err != nil {
 			return nil, fmt.Errorf("relay: %w", err)
 		}
 	}
-	r.server = configwatch.NewServer(configwatch.ServerOptions{Limits: o.Limits, Source: r, CheckWatch: r.serves, AlternateAddresses: o.Elsewhere, Steady: o.Steady,
-		Log: o.Log, Seed: o.Seed, InjectedBug: o.Plant})
+	r.server = configwatch.NewServer(configwatch.ServerOptions{Limits: o.Limits, Source: r, CheckWatch: r.checkWatch, AlternateAddresses: o.Elsewhere, Steady: o.Steady,
+		Log: o.Log, Seed: o.Seed, InjectedBug: o.InjectedBug})
 	r.replica = replica.Open(replica.Options{Name: o.Name, Path: o.Path, Limits: records.Limits{MaxCommits: o.Limits.Commits, MaxBytes: o.Limits.Bytes},
-		Committed: r.committed, Adopted: r.adopted, Reported: o.Reported, Log: o.Log, Plant: o.Plant})
-	floor, commits := r.replica.Held()
-	r.server.Reset(floor)
+		OnCommit: r.publishCommit, OnSnapshot: r.publishSnapshot, OnReport: o.OnReport, Log: o.Log, InjectedBug: o.InjectedBug})
+	start, commits := r.replica.RetainedCommits()
+	r.server.Reset(start)
 	for _, c := range commits {
 		if err := r.server.Publish(c); err != nil {
-			r.ln.Close()
+			r.listener.Close()
 			return nil, fmt.Errorf("relay: %w", err)
 		}
 	}
-	if o.Adopted != nil {
-		o.Adopted(r.replica.Position())
+	if o.OnSnapshot != nil {
+		o.OnSnapshot(r.replica.Position())
 	}
-	var copies []distribution.Relay
-	for _, id := range slices.Sorted(maps.Keys(o.Copies)) {
-		copies = append(copies, distribution.Relay{Name: id, Address: o.Copies[id]})
+	var storeReplicas []distribution.Relay
+	for _, id := range slices.Sorted(maps.Keys(o.StoreAddresses)) {
+		storeReplicas = append(storeReplicas, distribution.Relay{Name: id, Address: o.StoreAddresses[id]})
 	}
-	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, IsRelay: true, Region: o.Region, Preamble: []byte{store.ForWatches},
-		Selector: distribution.NewCopySelector(copies, o.Seed), Replica: follower{r.replica, r.server},
-		Steady: o.Steady, Log: o.Log, InjectedBug: o.Plant})
+	r.client = configwatch.NewClient(configwatch.ClientOptions{Name: o.Name, IsRelay: true, Region: o.Region, Preamble: []byte{store.PurposeWatches},
+		Selector: distribution.NewStoreSelector(storeReplicas, o.Seed), Replica: follower{r.replica, r.server},
+		Steady: o.Steady, Log: o.Log, InjectedBug: o.InjectedBug})
 	return r, nil
 }
 
-// serves sends watchers on while the relay has nothing at all.
-func (r *Relay) serves(configwatch.Watch) *configwatch.Refusal {
+// checkWatch sends watchers on while the relay has nothing at all.
+func (r *Relay) checkWatch(configwatch.Watch) *configwatch.Refusal {
 	if r.replica.Position().Revision > 0 || r.client.Metrics().Connections > 0 {
 		return nil
 	}
-	return &configwatch.Refusal{RetryMS: leadRetryMs, AlternateAddresses: r.o.Elsewhere, Reason: "this relay has no configuration yet"}
+	return &configwatch.Refusal{RetryMS: notLeaderRetryMS, AlternateAddresses: r.options.Elsewhere, Reason: "this relay has no configuration yet"}
 }
 
-// committed passes a commit on. It is called under the replica's lock, in order.
-func (r *Relay) committed(c records.Commit) {
-	if r.o.Committed != nil {
-		r.o.Committed(c)
+// publishCommit passes a commit on. It is called under the replica's lock, in order.
+func (r *Relay) publishCommit(c records.Commit) {
+	if r.options.OnCommit != nil {
+		r.options.OnCommit(c)
 	}
 	if err := r.server.Publish(c); err != nil {
-		r.o.Log.Error().Err(err).Msg("commit not served")
+		r.options.Log.Error().Err(err).Msg("commit not served")
 	}
 }
 
-func (r *Relay) adopted(p distribution.Position) {
-	if r.o.Adopted != nil {
-		r.o.Adopted(p)
+func (r *Relay) publishSnapshot(p distribution.Position) {
+	if r.options.OnSnapshot != nil {
+		r.options.OnSnapshot(p)
 	}
 	r.server.Reset(p)
 }
@@ -127,39 +127,39 @@
 func (r *Relay) Table() (*records.Table, uint64) { return r.replica.Table() }
 
 // Addr is where the relay listens.
-func (r *Relay) Addr() string { return r.ln.Addr().String() }
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Figures are the relay's counts.
-type Figures struct {
+// Metrics are the relay's counts.
+type Metrics struct {
 	Serving  configwatch.Metrics       `json:"serving"`
 	Watching configwatch.ClientMetrics `json:"watching"`
 	Records  int                       `json:"records"`
 	Report   distribution.Report       `json:"report"`
 }
 
-// Figures reads the counts.
-func (r *Relay) Figures() Figures {
-	return Figures{r.server.Metrics(), r.client.Metrics(), r.replica.Records(), r.server.Report()}
+// Metrics reads the counts.
+func (r *Relay) Metrics() Metrics {
+	return Metrics{r.server.Metrics(), r.client.Metrics(), r.replica.RecordCount(), r.server.Report()}
 }
 
 // Run serves until the context ends.
 func (r *Relay) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		r.ln.Close()
+		r.listener.Close()
 		r.server.DisconnectAll()
 	})
 	defer stop()
 	defer r.replica.Close()
 	go r.client.Run(ctx)
 	for {
-		conn, err := r.ln.Accept()
+		conn, err := r.listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			r.o.Log.Warn().Err(err).Msg("accept failed")
+			r.options.Log.Warn().Err(err).Msg("accept failed")
 			due := make(chan struct{})
-			r.o.Steady.After(acceptRetryMs, func() { close(due) })
+			r.options.Steady.After(acceptRetryMS, func() { close(due) })
 			<-due
 			continue
 		}
@@ -167,4 +167,4 @@
 	}
 }
 
-const acceptRetryMs = 50.0 // after an accept that failed, as where descriptors are used up
+const acceptRetryMS = 50.0 // after an accept that failed, as where descriptors are used up
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	rewriteAfter   = 8 << 20 // bytes of commits behind the snapshot in the file
-	earlyReportFor = 300 * time.Millisecond
+	maxCommitBytes   = 8 << 20 // bytes of commits behind the snapshot in the file
+	earlyReportDelay = 300 * time.Millisecond
 )
 
 // Options set up a replica.
@@ -30,38 +30,38 @@
 	Path   string         // of the copy on the disk; "": none is kept
 	Limits records.Limits // of the commits that are remembered; relays serve their watchers from them
 
-	// Check tells whether a record can be put into force; nil: all can.
-	Check func(records.Put) error
-	// Use puts settings into force, each with its value, nil where it was deleted. An error leaves those before in force, and is
+	// CheckRecord tells whether a record can be put into force; nil: all can.
+	CheckRecord func(records.Put) error
+	// ApplySettings puts settings into force, each with its value, nil where it was deleted. An error leaves those before in force, and is
 	// reported until settings that fit come; nil: nothing is to be done.
-	Use func(settings map[string][]byte) error
+	ApplySettings func(settings map[string][]byte) error
 
-	// Committed is called for each commit once it is in force, and Adopted once a snapshot is; nil: nobody asks.
-	Committed func(records.Commit)
-	Adopted   func(at distribution.Position)
-	// Reported is called with each revision that is reported for the first time; nil: nobody asks.
-	Reported func(revision uint64)
+	// OnCommit is called for each commit once it is in force, and Adopted once a snapshot is; nil: nobody asks.
+	OnCommit   func(records.Commit)
+	OnSnapshot func(at distribution.Position)
+	// OnReport is called with each revision that is reported for the first time; nil: nobody asks.
+	OnReport func(revision uint64)
 
-	Log   zerolog.Logger
-	Plant string // a planted bug, for the laboratory; "": none
+	Log         zerolog.Logger
+	InjectedBug string // a planted bug, for the laboratory; "": none
 }
 
 // Replica is the copy. It is a configwatch.Replica.
 type Replica struct {
-	o Options
+	options Options
 
-	mu       sync.Mutex
-	set      *records.Set
-	file     *recordfile.File
-	rejected map[records.Key]distribution.Rejection
-	unfit    map[records.Key]distribution.Rejection // those of them that the last Use made
-	early    uint64                                 // the planted bug reports this
-	reported uint64
+	mu                sync.Mutex
+	set               *records.Set
+	file              *recordfile.File
+	rejected          map[records.Key]distribution.Rejection
+	settingRejections map[records.Key]distribution.Rejection // those of them that the last Use made
+	earlyRevision     uint64                                 // the planted bug reports this
+	reportedRevision  uint64
 }
 
 // Open reads the copy on the disk, if there is any. A spoilt one is thrown away.
 func Open(o Options) *Replica {
-	r := &Replica{o: o, set: records.NewSet(o.Limits), rejected: map[records.Key]distribution.Rejection{}}
+	r := &Replica{options: o, set: records.NewSet(o.Limits), rejected: map[records.Key]distribution.Rejection{}}
 	if o.Path == "" {
 		return r
 	}
@@ -70,10 +70,10 @@
 		err = r.load(content)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		r.o.Log.Error().Err(err).Msg("the copy of the configuration on the disk is thrown away; it is fetched anew")
+		r.options.Log.Error().Err(err).Msg("the copy of the configuration on the disk is thrown away; it is fetched anew")
 		r.set = records.NewSet(o.Limits)
 		if err := os.Remove(o.Path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			r.o.Log.Error().Err(err).Msg("it could not be removed")
+			r.options.Log.Error().Err(err).Msg("it could not be removed")
 		}
 	}
 	if r.file == nil {
@@ -90,17 +90,17 @@
 			return fmt.Errorf("%w: %v", recordfile.ErrCorrupt, err)
 		}
 	}
-	r.useAll()
-	r.o.Log.Info().Uint64("revision", r.set.Revision()).Int("records", r.set.Table().Len()).Int("commits", len(c.Commits)).
+	r.applyAll()
+	r.options.Log.Info().Uint64("revision", r.set.Revision()).Int("records", r.set.Table().Len()).Int("commits", len(c.Commits)).
 		Msg("configuration from the disk is in force")
 	var err error
-	r.file, err = recordfile.Reopen(r.o.Path, c)
+	r.file, err = recordfile.Reopen(r.options.Path, c)
 	return err
 }
 
 // rewrite writes the file anew. Where that fails the process goes on without one.
 func (r *Replica) rewrite() {
-	if r.o.Path == "" {
+	if r.options.Path == "" {
 		return
 	}
 	if r.file != nil {
@@ -109,10 +109,10 @@
 	}
 	snapshot, err := records.NewSnapshot(r.set.Table(), r.set.Revision())
 	if err == nil {
-		r.file, err = recordfile.Write(r.o.Path, snapshot)
+		r.file, err = recordfile.Write(r.options.Path, snapshot)
 	}
 	if err != nil {
-		r.o.Log.Error().Err(err).Msg("no copy of the configuration is kept on the disk")
+		r.options.Log.Error().Err(err).Msg("no copy of the configuration is kept on the disk")
 	}
 }
 
@@ -132,48 +132,48 @@
 
 // Follow takes the next commit and puts it into force.
 func (r *Replica) Follow(c records.Commit) error {
-	if r.o.Plant == distribution.PlantEarlyReport {
+	if r.options.InjectedBug == distribution.BugEarlyReport {
 		r.mu.Lock()
-		r.early = c.Revision
+		r.earlyRevision = c.Revision
 		r.mu.Unlock()
-		time.Sleep(earlyReportFor)
+		time.Sleep(earlyReportDelay)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err := r.set.ApplyCommit(c); err != nil {
 		return err
 	}
-	r.use(c)
-	r.append(c)
-	if r.o.Committed != nil {
-		r.o.Committed(c)
+	r.applyCommit(c)
+	r.appendToFile(c)
+	if r.options.OnCommit != nil {
+		r.options.OnCommit(c)
 	}
 	return nil
 }
 
-func (r *Replica) append(c records.Commit) {
+func (r *Replica) appendToFile(c records.Commit) {
 	if r.file == nil {
 		return
 	}
 	if err := r.file.Append(c); err != nil {
-		r.o.Log.Error().Err(err).Msg("no copy of the configuration is kept on the disk")
+		r.options.Log.Error().Err(err).Msg("no copy of the configuration is kept on the disk")
 		r.file.Close()
 		r.file = nil
 		return
 	}
-	if r.file.CommitBytes() > rewriteAfter {
+	if r.file.CommitBytes() > maxCommitBytes {
 		r.rewrite()
 	}
 }
 
-// use checks the records of a commit and puts its settings into force. A record that the check refuses is held, since all hold
+// applyCommit checks the records of a commit and puts its settings into force. A record that the check refuses is held, since all hold
 // the same, but not put into force, and is reported until another takes its place.
-func (r *Replica) use(c records.Commit) {
+func (r *Replica) applyCommit(c records.Commit) {
 	settings := map[string][]byte{}
 	for _, p := range c.Puts {
 		delete(r.rejected, p.Key)
-		if r.o.Check != nil {
-			if err := r.o.Check(p); err != nil {
+		if r.options.CheckRecord != nil {
+			if err := r.options.CheckRecord(p); err != nil {
 				r.reject(p.Key, c.Revision, err)
 				continue
 			}
@@ -188,50 +188,50 @@
 			settings[k.Name] = nil
 		}
 	}
-	r.useSettings(settings, c.Revision)
+	r.applySettings(settings, c.Revision)
 }
 
-// useSettings puts settings into force, all together.
-func (r *Replica) useSettings(settings map[string][]byte, revision uint64) {
-	if len(settings) == 0 || r.o.Use == nil {
+// applySettings puts settings into force, all together.
+func (r *Replica) applySettings(settings map[string][]byte, revision uint64) {
+	if len(settings) == 0 || r.options.ApplySettings == nil {
 		return
 	}
-	for k, made := range r.unfit {
-		if r.rejected[k] == made { // the check may have refused another value meanwhile
+	for k, previous := range r.settingRejections {
+		if r.rejected[k] == previous { // the check may have refused another value meanwhile
 			delete(r.rejected, k)
 		}
 	}
-	r.unfit = map[records.Key]distribution.Rejection{}
-	err := r.o.Use(settings)
+	r.settingRejections = map[records.Key]distribution.Rejection{}
+	err := r.options.ApplySettings(settings)
 	if err == nil {
 		return
 	}
 	for name := range settings {
 		k := records.Key{Kind: records.Setting, Name: name}
 		r.reject(k, revision, err)
-		r.unfit[k] = r.rejected[k]
+		r.settingRejections[k] = r.rejected[k]
 	}
 }
 
 func (r *Replica) reject(k records.Key, revision uint64, err error) {
-	r.o.Log.Error().Stringer("key", k).Uint64("revision", revision).Err(err).Msg("a record is not put into force")
-	r.rejected[k] = distribution.Rejection{Server: r.o.Name, Key: k.String(), Revision: revision, Reason: err.Error()}
+	r.options.Log.Error().Stringer("key", k).Uint64("revision", revision).Err(err).Msg("a record is not put into force")
+	r.rejected[k] = distribution.Rejection{Server: r.options.Name, Key: k.String(), Revision: revision, Reason: err.Error()}
 }
 
-// useAll checks all records and puts all settings into force, after a snapshot.
-func (r *Replica) useAll() {
+// applyAll checks all records and puts all settings into force, after a snapshot.
+func (r *Replica) applyAll() {
 	clear(r.rejected)
 	all := records.Commit{Revision: r.set.Revision()}
 	for record := range r.set.Table().All() {
-		if record.Kind == records.Setting || r.o.Check != nil {
+		if record.Kind == records.Setting || r.options.CheckRecord != nil {
 			all.Puts = append(all.Puts, records.Put{Key: record.Key, Value: record.Value})
 		}
 		if len(all.Puts) == records.MaxChangeKeys {
-			r.use(all)
+			r.applyCommit(all)
 			all.Puts = all.Puts[:0]
 		}
 	}
-	r.use(all)
+	r.applyCommit(all)
 }
 
 // Adopt takes the records of a snapshot in place of all that is held.
@@ -239,11 +239,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.set.ReplaceTable(t, h.Revision)
-	r.useAll()
+	r.applyAll()
 	r.rewrite()
-	r.o.Log.Info().Uint64("revision", h.Revision).Int("records", h.RecordCount).Int64("bytes", h.CompressedBytes).Msg("configuration from a snapshot is in force")
-	if r.o.Adopted != nil {
-		r.o.Adopted(r.position())
+	r.options.Log.Info().Uint64("revision", h.Revision).Int("records", h.RecordCount).Int64("bytes", h.CompressedBytes).Msg("configuration from a snapshot is in force")
+	if r.options.OnSnapshot != nil {
+		r.options.OnSnapshot(r.position())
 	}
 	return nil
 }
@@ -252,12 +252,12 @@
 func (r *Replica) Discard(reason error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.o.Log.Error().Err(reason).Msg("the configuration that is held was never agreed on; it is fetched anew")
-	r.set = records.NewSet(r.o.Limits)
+	r.options.Log.Error().Err(reason).Msg("the configuration that is held was never agreed on; it is fetched anew")
+	r.set = records.NewSet(r.options.Limits)
 	if r.file != nil {
 		r.file.Close()
 		r.file = nil
-		os.Remove(r.o.Path)
+		os.Remove(r.options.Path)
 	}
 }
 
@@ -273,19 +273,19 @@
 func (r *Replica) Report() distribution.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	report := distribution.Report{Servers: 1, Lowest: max(r.set.Revision(), r.early), LowestName: r.o.Name}
+	report := distribution.Report{Servers: 1, LowestRevision: max(r.set.Revision(), r.earlyRevision), LowestServer: r.options.Name}
 	if len(r.rejected) > 0 {
-		report.Rejecting = 1
+		report.ServersRejecting = 1
 		for _, rejection := range r.rejected {
 			report.Rejections = append(report.Rejections, rejection)
 		}
 		slices.SortFunc(report.Rejections, func(a, b distribution.Rejection) int { return strings.Compare(a.Key, b.Key) })
 	}
-	report.Check()
-	if r.o.Reported != nil && report.Lowest > r.reported {
-		r.o.Reported(report.Lowest)
+	report.Clamp()
+	if r.options.OnReport != nil && report.LowestRevision > r.reportedRevision {
+		r.options.OnReport(report.LowestRevision)
 	}
-	r.reported = report.Lowest
+	r.reportedRevision = report.LowestRevision
 	return report
 }
 
@@ -303,8 +303,8 @@
 	return r.set.Table().Clone(), r.set.Revision()
 }
 
-// Held lists the commits that are remembered, and the position before the first.
-func (r *Replica) Held() (floor distribution.Position, commits []records.Commit) {
+// RetainedCommits lists the commits that are remembered, and the position before the first.
+func (r *Replica) RetainedCommits() (start distribution.Position, commits []records.Commit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	commits, err := r.set.CommitsSince(r.set.OldestRevision())
@@ -314,8 +314,8 @@
 	return distribution.Position{Revision: r.set.OldestRevision(), Digest: commits[0].Before}, slices.Clone(commits)
 }
 
-// Records counts the records that are held.
-func (r *Replica) Records() int {
+// RecordCount counts the records that are held.
+func (r *Replica) RecordCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.set.Table().Len()
