--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -18,15 +18,17 @@
 	return records.Put{Key: records.Key{Kind: records.Setting, Name: name}, Value: []byte(value)}
 }
 
-// agreed makes the commits that the replicas of a test take.
-type agreed struct {
+// commitSource makes the commits that the replicas of a test take.
+type commitSource struct {
 	t   *testing.T
 	set *records.Set
 }
 
-func newAgreed(t *testing.T) *agreed { return &agreed{t, records.NewSet(records.DefaultLimits)} }
+func newCommitSource(t *testing.T) *commitSource {
+	return &commitSource{t, records.NewSet(records.DefaultLimits)}
+}
 
-func (a *agreed) change(c records.Change) records.Commit {
+func (a *commitSource) change(c records.Change) records.Commit {
 	a.t.Helper()
 	commit, err := a.set.Apply(c)
 	if err != nil {
@@ -35,12 +37,12 @@
 	return commit
 }
 
-func (a *agreed) put(name, value string) records.Commit {
+func (a *commitSource) put(name, value string) records.Commit {
 	a.t.Helper()
 	return a.change(records.Change{Puts: []records.Put{setting(name, value)}})
 }
 
-func (a *agreed) snapshot() (records.Header, *records.Table) {
+func (a *commitSource) snapshot() (records.Header, *records.Table) {
 	a.t.Helper()
 	s, err := records.NewSnapshot(a.set.Table(), a.set.Revision())
 	if err != nil {
@@ -53,10 +55,10 @@
 	return s.Header, table
 }
 
-// inForce is the settings that a replica put into force.
-type inForce map[string]string
+// appliedSettings is the settings that a replica put into force.
+type appliedSettings map[string]string
 
-func (f inForce) use(settings map[string][]byte) error {
+func (f appliedSettings) apply(settings map[string][]byte) error {
 	for name, value := range settings {
 		if value == nil {
 			delete(f, name)
@@ -67,7 +69,7 @@
 	return nil
 }
 
-func (f inForce) String() string { return fmt.Sprint(map[string]string(f)) }
+func (f appliedSettings) String() string { return fmt.Sprint(map[string]string(f)) }
 
 func follow(t *testing.T, r *Replica, commits ...records.Commit) {
 	t.Helper()
@@ -79,20 +81,20 @@
 }
 
 // A replica that starts again has in force what it had, before anybody is asked, and goes on from its revision.
-func TestRestartGoesOnFromTheDisk(t *testing.T) {
-	a, path := newAgreed(t), filepath.Join(t.TempDir(), "records")
+func TestRestartResumesFromDisk(t *testing.T) {
+	a, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
 	first := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
 	follow(t, first, a.put("a", "1"), a.put("b", "1"), a.put("a", "2"))
 	follow(t, first, a.change(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "b"}}}))
 	first.Close()
-	used := inForce{}
-	second := Open(Options{Name: "s", Path: path, Use: used.use, Log: zerolog.Nop()})
+	applied := appliedSettings{}
+	second := Open(Options{Name: "s", Path: path, ApplySettings: applied.apply, Log: zerolog.Nop()})
 	defer second.Close()
 	if p := second.Position(); p.Revision != 4 || p.Digest != a.set.Digest() {
 		t.Errorf("it is at %+v", p)
 	}
-	if used.String() != "map[a:2]" {
-		t.Errorf("in force: %v", used)
+	if applied.String() != "map[a:2]" {
+		t.Errorf("in force: %v", applied)
 	}
 	follow(t, second, a.put("c", "1"))
 	if value, revision, ok := second.Get(records.Key{Kind: records.Setting, Name: "c"}); !ok || string(value) != "1" || revision != 5 {
@@ -101,8 +103,8 @@
 }
 
 // A spoilt copy is thrown away with a log line, and the replica begins with nothing and keeps a new one.
-func TestSpoiltCopyIsThrownAway(t *testing.T) {
-	a, path := newAgreed(t), filepath.Join(t.TempDir(), "records")
+func TestCorruptFileIsDiscarded(t *testing.T) {
+	a, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
 	first := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
 	follow(t, first, a.put("a", "1"))
 	h, table := a.snapshot()
@@ -135,9 +137,9 @@
 }
 
 // A commit that is not the next one, or rests on other records, changes nothing.
-func TestCommitsOutOfOrderChangeNothing(t *testing.T) {
-	a, used := newAgreed(t), inForce{}
-	r := Open(Options{Name: "s", Use: used.use, Log: zerolog.Nop()})
+func TestOutOfOrderCommitsAreRejected(t *testing.T) {
+	a, applied := newCommitSource(t), appliedSettings{}
+	r := Open(Options{Name: "s", ApplySettings: applied.apply, Log: zerolog.Nop()})
 	one, two, three := a.put("a", "1"), a.put("a", "2"), a.put("a", "3")
 	follow(t, r, one)
 	other := two
@@ -148,17 +150,17 @@
 		if !errors.As(err, &order) || order.DigestMismatch != (name == "other records") {
 			t.Errorf("%s: %v", name, err)
 		}
-		if r.Position().Revision != 1 || used["a"] != "1" {
-			t.Errorf("%s: at %+v, in force %v", name, r.Position(), used)
+		if r.Position().Revision != 1 || applied["a"] != "1" {
+			t.Errorf("%s: at %+v, in force %v", name, r.Position(), applied)
 		}
 	}
 	follow(t, r, two, three)
 }
 
 // A record that the check refuses is held and reported, and what was in force before stays, until another value comes or it goes.
-func TestRefusedRecordsStayOutOfForce(t *testing.T) {
-	a, used := newAgreed(t), inForce{}
-	r := Open(Options{Name: "s", Use: used.use, Log: zerolog.Nop(), Check: func(p records.Put) error {
+func TestRejectedRecordsAreNotApplied(t *testing.T) {
+	a, applied := newCommitSource(t), appliedSettings{}
+	r := Open(Options{Name: "s", ApplySettings: applied.apply, Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
 		if string(p.Value) == "bad" {
 			return errors.New("not to be had")
 		}
@@ -166,23 +168,23 @@
 	}})
 	follow(t, r, a.put("a", "1"), a.put("a", "bad"), a.put("b", "bad"))
 	report := r.Report()
-	if used["a"] != "1" || report.Lowest != 3 || report.Rejecting != 1 || len(report.Rejections) != 2 {
-		t.Errorf("in force %v, reported %+v", used, report)
+	if applied["a"] != "1" || report.LowestRevision != 3 || report.ServersRejecting != 1 || len(report.Rejections) != 2 {
+		t.Errorf("in force %v, reported %+v", applied, report)
 	}
 	if j := report.Rejections[0]; j.Key != "setting/a" || j.Revision != 2 || j.Reason != "not to be had" || j.Server != "s" {
 		t.Errorf("%+v", j)
 	}
 	follow(t, r, a.put("a", "2"), a.change(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "b"}}}))
-	if report = r.Report(); used["a"] != "2" || report.Rejecting != 0 || len(report.Rejections) != 0 {
-		t.Errorf("in force %v, reported %+v", used, report)
+	if report = r.Report(); applied["a"] != "2" || report.ServersRejecting != 0 || len(report.Rejections) != 0 {
+		t.Errorf("in force %v, reported %+v", applied, report)
 	}
 }
 
 // Settings that do not fit together are reported with the reason, until a change makes them fit.
-func TestSettingsThatDoNotFitAreReported(t *testing.T) {
-	a, all := newAgreed(t), inForce{}
-	r := Open(Options{Name: "s", Log: zerolog.Nop(), Use: func(settings map[string][]byte) error {
-		all.use(settings)
+func TestInconsistentSettingsAreReported(t *testing.T) {
+	a, all := newCommitSource(t), appliedSettings{}
+	r := Open(Options{Name: "s", Log: zerolog.Nop(), ApplySettings: func(settings map[string][]byte) error {
+		all.apply(settings)
 		if all["a"] != all["b"] {
 			return errors.New("a and b differ")
 		}
@@ -190,25 +192,25 @@
 	}})
 	follow(t, r, a.put("a", "1"))
 	report := r.Report()
-	if len(report.Rejections) != 1 || report.Rejections[0].Key != "setting/a" || report.Rejections[0].Reason != "a and b differ" || report.Rejecting != 1 {
+	if len(report.Rejections) != 1 || report.Rejections[0].Key != "setting/a" || report.Rejections[0].Reason != "a and b differ" || report.ServersRejecting != 1 {
 		t.Errorf("%+v", report)
 	}
 	follow(t, r, a.put("b", "1"))
-	if report = r.Report(); len(report.Rejections) != 0 || report.Rejecting != 0 {
+	if report = r.Report(); len(report.Rejections) != 0 || report.ServersRejecting != 0 {
 		t.Errorf("%+v", report)
 	}
 }
 
 // A value that the check refuses stays reported, though the settings without it fit again.
-func TestRefusedValueStaysReportedWhereTheRestFits(t *testing.T) {
-	a, all := newAgreed(t), inForce{}
-	r := Open(Options{Name: "s", Log: zerolog.Nop(), Check: func(p records.Put) error {
+func TestRejectedValueStaysReportedWhenOthersApply(t *testing.T) {
+	a, all := newCommitSource(t), appliedSettings{}
+	r := Open(Options{Name: "s", Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
 		if string(p.Value) == "bad" {
 			return errors.New("not to be had")
 		}
 		return nil
-	}, Use: func(settings map[string][]byte) error {
-		all.use(settings)
+	}, ApplySettings: func(settings map[string][]byte) error {
+		all.apply(settings)
 		if all["b"] == "" {
 			return errors.New("b is missing")
 		}
@@ -223,14 +225,14 @@
 }
 
 // What was never agreed on is thrown away with its file; what is in force stays so until a snapshot takes its place.
-func TestDiscardedRecordsStayInForceUntilASnapshot(t *testing.T) {
-	a, used, path := newAgreed(t), inForce{}, filepath.Join(t.TempDir(), "records")
-	r := Open(Options{Name: "s", Path: path, Use: used.use, Log: zerolog.Nop()})
+func TestDiscardKeepsAppliedSettingsUntilSnapshot(t *testing.T) {
+	a, applied, path := newCommitSource(t), appliedSettings{}, filepath.Join(t.TempDir(), "records")
+	r := Open(Options{Name: "s", Path: path, ApplySettings: applied.apply, Log: zerolog.Nop()})
 	defer r.Close()
 	follow(t, r, a.put("a", "1"))
 	r.Discard(errors.New("other records"))
-	if r.Position() != (distribution.Position{}) || used["a"] != "1" {
-		t.Errorf("at %+v, in force %v", r.Position(), used)
+	if r.Position() != (distribution.Position{}) || applied["a"] != "1" {
+		t.Errorf("at %+v, in force %v", r.Position(), applied)
 	}
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the file is still there: %v", err)
@@ -240,31 +242,31 @@
 	if err := r.Adopt(h, table); err != nil {
 		t.Fatal(err)
 	}
-	if r.Position().Revision != 2 || used["a"] != "2" {
-		t.Errorf("at %+v, in force %v", r.Position(), used)
+	if r.Position().Revision != 2 || applied["a"] != "2" {
+		t.Errorf("at %+v, in force %v", r.Position(), applied)
 	}
 }
 
 // The file is written anew where the commits behind its snapshot have grown large.
-func TestFileStaysBounded(t *testing.T) {
-	a, path := newAgreed(t), filepath.Join(t.TempDir(), "records")
+func TestFileSizeIsBounded(t *testing.T) {
+	a, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
 	r := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
 	large := string(bytes.Repeat([]byte("x"), records.MaxSettingBytes-8))
-	const commits = 2*rewriteAfter/records.MaxSettingBytes + 10
+	const commits = 2*maxCommitBytes/records.MaxSettingBytes + 10
 	for i := range commits {
 		follow(t, r, a.put("a", fmt.Sprint(i, large)))
 		info, err := os.Stat(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if info.Size() > rewriteAfter+3*records.MaxSettingBytes {
+		if info.Size() > maxCommitBytes+3*records.MaxSettingBytes {
 			t.Fatalf("%d bytes after %d commits", info.Size(), i+1)
 		}
 	}
 	r.Close()
-	again := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
-	defer again.Close()
-	if p := again.Position(); p.Revision != commits || p.Digest != a.set.Digest() {
+	reopened := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
+	defer reopened.Close()
+	if p := reopened.Position(); p.Revision != commits || p.Digest != a.set.Digest() {
 		t.Errorf("it is at %+v", p)
 	}
 }
@@ -279,7 +281,7 @@
 					Value: fmt.Appendf(nil, `{"share":0.0000025,"limit":%d.5}`, version%500)}
 			}
 			set := records.NewSet(records.DefaultLimits)
-			r := Open(Options{Name: "s", Path: filepath.Join(b.TempDir(), "records"), Check: records.CheckValue, Log: zerolog.Nop()})
+			r := Open(Options{Name: "s", Path: filepath.Join(b.TempDir(), "records"), CheckRecord: records.CheckValue, Log: zerolog.Nop()})
 			defer r.Close()
 			for i := 0; i < n; {
 				var c records.Change
--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -26,127 +26,127 @@
 )
 
 const (
-	backupKind   = "puffinsaddle backup"
-	backupFormat = 1
-	mostHeader   = 4 << 10
-	mostBackup   = 4 << 30 // bytes of a state
-	pieceFor     = 10 * time.Second
+	backupKind     = "puffinsaddle backup"
+	backupFormat   = 1
+	maxHeaderBytes = 4 << 10
+	maxStateBytes  = 4 << 30 // bytes of a state
+	chunkTimeout   = 10 * time.Second
 )
 
-// ErrBackup is the error of a backup that is not whole.
-var ErrBackup = errors.New("store: no whole backup")
+// ErrInvalidBackup is the error of a backup that is not whole.
+var ErrInvalidBackup = errors.New("store: no whole backup")
 
 // Backup is the first line of a backup, as JSON; behind it stands the state, compressed.
 type Backup struct {
-	Kind   string `json:"kind"`
-	Format int    `json:"format"`
-	Name   string `json:"set"`   // of the set that it is of
-	Times  uint64 `json:"times"` // that operators had begun it anew
-	From   string `json:"from"`
-	Index  uint64 `json:"index"`
-	Term   uint64 `json:"term"`
-	Bytes  int64  `json:"bytes"`  // of the state
-	SHA256 string `json:"sha256"` // of the state, in hex
-	Error  string `json:"error,omitempty"`
+	Kind              string `json:"kind"`
+	Format            int    `json:"format"`
+	ClusterName       string `json:"set"`   // of the set that it is of
+	ClusterGeneration uint64 `json:"times"` // that operators had begun it anew
+	SourceID          string `json:"from"`
+	Index             uint64 `json:"index"`
+	Term              uint64 `json:"term"`
+	Bytes             int64  `json:"bytes"`  // of the state
+	SHA256            string `json:"sha256"` // of the state, in hex
+	Error             string `json:"error,omitempty"`
 }
 
 // serveBackup sends the whole state as of one position, which holds all that was agreed on before it was asked for.
 func (s *Store) serveBackup(conn net.Conn) {
 	defer conn.Close()
-	h, text, err := s.point()
+	h, content, err := s.openBackupSnapshot()
 	if err != nil {
-		frame.Send(conn, Backup{Kind: backupKind, Error: err.Error()}, mostHeader)
+		frame.Send(conn, Backup{Kind: backupKind, Error: err.Error()}, maxHeaderBytes)
 		return
 	}
-	defer text.Close()
-	if frame.Send(conn, h, mostHeader) != nil {
+	defer content.Close()
+	if frame.Send(conn, h, maxHeaderBytes) != nil {
 		return
 	}
-	z, err := zstd.NewWriter(deadlines{conn})
+	z, err := zstd.NewWriter(deadlineConn{conn})
 	if err != nil {
 		return
 	}
-	if _, err = io.Copy(z, text); err == nil { // else it is cut short, which whoever reads it finds
+	if _, err = io.Copy(z, content); err == nil { // else it is cut short, which whoever reads it finds
 		z.Close()
 	}
 }
 
-// deadlines gives each piece a time to be written or read in. Guards against a peer that stalls.
-type deadlines struct{ net.Conn }
+// deadlineConn gives each piece a time to be written or read in. Guards against a peer that stalls.
+type deadlineConn struct{ net.Conn }
 
-func (d deadlines) Write(b []byte) (int, error) {
-	d.SetWriteDeadline(time.Now().Add(pieceFor))
+func (d deadlineConn) Write(b []byte) (int, error) {
+	d.SetWriteDeadline(time.Now().Add(chunkTimeout))
 	return d.Conn.Write(b)
 }
 
-func (d deadlines) Read(b []byte) (int, error) {
-	d.SetReadDeadline(time.Now().Add(pieceFor))
+func (d deadlineConn) Read(b []byte) (int, error) {
+	d.SetReadDeadline(time.Now().Add(chunkTimeout))
 	return d.Conn.Read(b)
 }
 
-// point makes a snapshot, and opens it.
-func (s *Store) point() (h Backup, text io.ReadCloser, err error) {
-	r := s.now.Load()
-	if _, leads := s.Office(); r == nil || !leads {
+// openBackupSnapshot makes a snapshot, and opens it.
+func (s *Store) openBackupSnapshot() (h Backup, content io.ReadCloser, err error) {
+	r := s.active.Load()
+	if _, leads := s.Leadership(); r == nil || !leads {
 		return h, nil, fmt.Errorf("store: %s does not lead, but %q", s.o.ID, s.Leader())
 	}
-	if err := s.Prove()(); err != nil {
+	if err := s.ConfirmLeadership()(); err != nil {
 		return h, nil, fmt.Errorf("%w: %v", ErrNoQuorum, err)
 	}
 	if err := r.raft.Snapshot().Error(); err != nil && !errors.Is(err, raft.ErrNothingNewToSnapshot) {
 		return h, nil, err
 	}
-	all, err := r.folder.Snap.List()
+	snapshots, err := r.directory.Snapshots.List()
 	if err != nil {
 		return h, nil, err
 	}
-	if len(all) == 0 {
+	if len(snapshots) == 0 {
 		return h, nil, errors.New("store: nothing was agreed on yet")
 	}
 	sum, n := sha256.New(), int64(0)
-	m, text, err := r.folder.Snap.Open(all[0].ID)
+	m, content, err := r.directory.Snapshots.Open(snapshots[0].ID)
 	if err == nil {
-		n, err = io.Copy(sum, text)
-		text.Close()
+		n, err = io.Copy(sum, content)
+		content.Close()
 	}
 	if err == nil {
-		_, text, err = r.folder.Snap.Open(m.ID)
+		_, content, err = r.directory.Snapshots.Open(m.ID)
 	}
 	if err != nil {
 		return h, nil, err
 	}
-	own := r.folder.Mark()
-	return Backup{Kind: backupKind, Format: backupFormat, Name: own.ClusterName, Times: own.ClusterGeneration, From: s.o.ID, Index: m.Index, Term: m.Term,
-		Bytes: n, SHA256: hex.EncodeToString(sum.Sum(nil))}, text, nil
+	directory := r.directory.State()
+	return Backup{Kind: backupKind, Format: backupFormat, ClusterName: directory.ClusterName, ClusterGeneration: directory.ClusterGeneration, SourceID: s.o.ID, Index: m.Index, Term: m.Term,
+		Bytes: n, SHA256: hex.EncodeToString(sum.Sum(nil))}, content, nil
 }
 
-// Save asks the nodes at these addresses for a backup and writes it to a file, which stands only once it is whole.
-func Save(ctx context.Context, peers map[string]string, path string) (h Backup, err error) {
+// SaveBackup asks the nodes at these addresses for a backup and writes it to a file, which stands only once it is whole.
+func SaveBackup(ctx context.Context, peers map[string]string, path string) (h Backup, err error) {
 	if _, err := os.Stat(path); err == nil {
 		return h, fmt.Errorf("store: %s is there already", path)
 	}
-	why := errors.New("store: no node is named")
+	lastErr := errors.New("store: no node is named")
 	for _, id := range slices.Sorted(maps.Keys(peers)) {
-		if h, err = saveFrom(ctx, peers[id], path); err == nil {
+		if h, err = saveBackupFrom(ctx, peers[id], path); err == nil {
 			return h, nil
 		}
-		why = fmt.Errorf("%s: %w", id, err)
+		lastErr = fmt.Errorf("%s: %w", id, err)
 	}
-	return h, why
+	return h, lastErr
 }
 
-func saveFrom(ctx context.Context, at, path string) (h Backup, err error) {
-	d := net.Dialer{Timeout: writeFor}
-	conn, err := d.DialContext(ctx, "tcp", at)
+func saveBackupFrom(ctx context.Context, address, path string) (h Backup, err error) {
+	d := net.Dialer{Timeout: writeTimeout}
+	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return h, err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	if _, err := conn.Write([]byte{forBackup}); err != nil {
+	if _, err := conn.Write([]byte{purposeBackup}); err != nil {
 		return h, err
 	}
-	r := frame.NewReader(conn, pieceFor, mostHeader)
+	r := frame.NewReader(conn, chunkTimeout, maxHeaderBytes)
 	if err := r.Next(&h); err != nil {
 		return h, err
 	}
@@ -159,12 +159,12 @@
 	}
 	defer os.Remove(f.Name())
 	defer f.Close()
-	head, err := json.Marshal(h)
+	header, err := json.Marshal(h)
 	if err == nil {
-		_, err = f.Write(append(head, '\n'))
+		_, err = f.Write(append(header, '\n'))
 	}
 	if err == nil {
-		_, err = io.Copy(f, r.Remainder(deadlines{conn}))
+		_, err = io.Copy(f, r.Remainder(deadlineConn{conn}))
 	}
 	if err == nil {
 		err = f.Sync()
@@ -183,81 +183,81 @@
 
 // ReadBackup reads a backup and writes its state; an error tells that what was written is not whole.
 func ReadBackup(r io.Reader, to io.Writer) (h Backup, err error) {
-	in := bufio.NewReaderSize(r, mostHeader)
+	in := bufio.NewReaderSize(r, maxHeaderBytes)
 	line, err := in.ReadSlice('\n')
 	if err != nil {
-		return h, fmt.Errorf("%w: its first line: %v", ErrBackup, err)
+		return h, fmt.Errorf("%w: its first line: %v", ErrInvalidBackup, err)
 	}
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&h); err != nil {
-		return h, fmt.Errorf("%w: its first line: %v", ErrBackup, err)
+		return h, fmt.Errorf("%w: its first line: %v", ErrInvalidBackup, err)
 	}
 	switch {
 	case h.Kind != backupKind:
-		return h, fmt.Errorf("%w: its kind is %q", ErrBackup, h.Kind)
+		return h, fmt.Errorf("%w: its kind is %q", ErrInvalidBackup, h.Kind)
 	case h.Format != backupFormat:
-		return h, fmt.Errorf("%w: its format is %d, this build reads %d", ErrBackup, h.Format, backupFormat)
-	case h.Bytes <= 0 || h.Bytes > mostBackup || h.Index == 0 || h.Term == 0:
-		return h, fmt.Errorf("%w: %d bytes as of entry %d in term %d", ErrBackup, h.Bytes, h.Index, h.Term)
+		return h, fmt.Errorf("%w: its format is %d, this build reads %d", ErrInvalidBackup, h.Format, backupFormat)
+	case h.Bytes <= 0 || h.Bytes > maxStateBytes || h.Index == 0 || h.Term == 0:
+		return h, fmt.Errorf("%w: %d bytes as of entry %d in term %d", ErrInvalidBackup, h.Bytes, h.Index, h.Term)
 	}
 	z, err := zstd.NewReader(in, zstd.WithDecoderConcurrency(1))
 	if err != nil {
-		return h, fmt.Errorf("%w: %v", ErrBackup, err)
+		return h, fmt.Errorf("%w: %v", ErrInvalidBackup, err)
 	}
 	defer z.Close()
 	sum := sha256.New()
 	n, err := io.Copy(io.MultiWriter(sum, to), io.LimitReader(z, h.Bytes+1))
 	switch {
 	case err != nil:
-		return h, fmt.Errorf("%w: after %d of %d bytes: %v", ErrBackup, n, h.Bytes, err)
+		return h, fmt.Errorf("%w: after %d of %d bytes: %v", ErrInvalidBackup, n, h.Bytes, err)
 	case n != h.Bytes:
-		return h, fmt.Errorf("%w: it has %d bytes, not %d", ErrBackup, n, h.Bytes)
+		return h, fmt.Errorf("%w: it has %d bytes, not %d", ErrInvalidBackup, n, h.Bytes)
 	case hex.EncodeToString(sum.Sum(nil)) != h.SHA256:
-		return h, fmt.Errorf("%w: its digest is not the one that it tells", ErrBackup)
+		return h, fmt.Errorf("%w: its digest is not the one that it tells", ErrInvalidBackup)
 	}
 	return h, nil
 }
 
-// Restore makes a node's folder from a backup. The folder begins a set of its own, with a name that no other has, so no copy of
+// RestoreBackup makes a node's folder from a backup. The folder begins a set of its own, with a name that no other has, so no copy of
 // the set that the backup is of is taken for one of this; the other nodes join it with empty folders. Nothing is made where the
 // backup is not whole.
-func Restore(o Options, backup io.Reader) (h Backup, err error) {
+func RestoreBackup(o Options, backup io.Reader) (h Backup, err error) {
 	if o.Log == nil {
 		o.Log = io.Discard
 	}
 	if o.Peers[o.ID] == "" {
 		return h, fmt.Errorf("store: %s is not among its own peers", o.ID)
 	}
-	if _, err := os.Stat(filepath.Join(o.Dir, disk.File)); err == nil {
+	if _, err := os.Stat(filepath.Join(o.Dir, disk.FileName)); err == nil {
 		return h, fmt.Errorf("store: %s holds a copy already", o.Dir)
 	}
-	var text bytes.Buffer
-	if h, err = ReadBackup(backup, &text); err != nil {
+	var content bytes.Buffer
+	if h, err = ReadBackup(backup, &content); err != nil {
 		return h, err
 	}
-	if _, err := state.ReadSnapshot(text.Bytes()); err != nil {
-		return h, fmt.Errorf("%w: %v", ErrBackup, err)
+	if _, err := state.ReadSnapshot(content.Bytes()); err != nil {
+		return h, fmt.Errorf("%w: %v", ErrInvalidBackup, err)
 	}
-	proc, err := disk.Draw()
+	processID, err := disk.NewRandomID()
 	if err != nil {
 		return h, err
 	}
-	name, err := disk.Draw()
+	clusterName, err := disk.NewRandomID()
 	if err != nil {
 		return h, err
 	}
-	f, err := disk.OpenFolder(o.Dir, proc, o.Log, disk.Options{})
+	f, err := disk.OpenDirectory(o.Dir, processID, o.Log, disk.Options{})
 	if err != nil {
 		return h, err
 	}
 	defer f.Close()
 	_, trans := raft.NewInmemTransport(raft.ServerAddress(o.Peers[o.ID]))
-	sink, err := f.Snap.Create(1, h.Index, h.Term, o.alone(), h.Index, trans)
+	sink, err := f.Snapshots.Create(1, h.Index, h.Term, o.soleVoterConfiguration(), h.Index, trans)
 	if err != nil {
 		return h, err
 	}
-	if _, err := sink.Write(text.Bytes()); err != nil {
+	if _, err := sink.Write(content.Bytes()); err != nil {
 		sink.Cancel()
 		return h, err
 	}
@@ -267,5 +267,5 @@
 	if err := f.SetUint64([]byte("CurrentTerm"), h.Term); err != nil {
 		return h, err
 	}
-	return h, f.Anew(name)
+	return h, f.RecordNewCluster(clusterName)
 }
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -23,12 +23,12 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Format is that of the folders that this build writes. Format 1 had no checksums; its folders are taken over at their first
+// FormatVersion is that of the folders that this build writes. Format 1 had no checksums; its folders are taken over at their first
 // opening.
-const Format = 2
+const FormatVersion = 2
 
-// File is the name of the bolt file in a copy's folder.
-const File = "raft.db"
+// FileName is the name of the bolt file in a copy's folder.
+const FileName = "raft.db"
 
 // ErrStopped is the error of everything after a write that failed, or damage that was met.
 var ErrStopped = errors.New("disk: stopped")
@@ -36,103 +36,103 @@
 // ErrNotFound is the error of a value that was never written, in raft's words.
 var ErrNotFound = errors.New("not found")
 
-// ErrNewer tells that a folder was written by a later build.
-var ErrNewer = errors.New("disk: a later build wrote it")
+// ErrNewerFormat tells that a folder was written by a later build.
+var ErrNewerFormat = errors.New("disk: a later build wrote it")
 
-// Damage tells of a record that is not what was written.
-type Damage struct {
-	Path  string
-	Place string // such as: entry 17
-	Why   string
+// CorruptionError tells of a record that is not what was written.
+type CorruptionError struct {
+	Path     string
+	Location string // such as: entry 17
+	Reason   string
 }
 
-func (d *Damage) Error() string {
-	return fmt.Sprintf("disk: %s: %s is damaged: %s", d.Path, d.Place, d.Why)
+func (d *CorruptionError) Error() string {
+	return fmt.Sprintf("disk: %s: %s is damaged: %s", d.Path, d.Location, d.Reason)
 }
 
 const (
-	lockFor   = time.Second // another process may be about to let go of the file
-	batch     = 256         // records that are taken over from an earlier format at once
-	formatKey = "format"
+	lockTimeout        = time.Second // another process may be about to let go of the file
+	migrationBatchSize = 256         // records that are taken over from an earlier format at once
+	formatKey          = "format"
 )
 
 var (
-	table = crc32.MakeTable(crc32.Castagnoli)
-	magic = []byte("pufc")
+	checksumTable = crc32.MakeTable(crc32.Castagnoli)
+	checksumMagic = []byte("pufc")
 
 	// Buckets, and the form of an entry, are those of hashicorp/raft-boltdb, which the build before used.
-	logs   = []byte("logs")
-	values = []byte("conf")
-	form   = earlier()
+	logsBucket    = []byte("logs")
+	valuesBucket  = []byte("conf")
+	entryEncoding = newEntryEncoding()
 )
 
-func earlier() *codec.MsgpackHandle {
+func newEntryEncoding() *codec.MsgpackHandle {
 	h := &codec.MsgpackHandle{}
 	h.TimeNotBuiltin = true
 	return h
 }
 
-const trailer = 8 // magic and checksum
+const trailerSize = 8 // magic and checksum
 
-// sum is the checksum of a record with its place, so that one that stands elsewhere is damage too.
-func sum(bucket, key, text []byte) uint32 {
-	c := crc32.Update(0, table, bucket)
-	c = crc32.Update(c, table, key)
-	return crc32.Update(c, table, text)
+// checksum is the checksum of a record with its place, so that one that stands elsewhere is damage too.
+func checksum(bucket, key, data []byte) uint32 {
+	c := crc32.Update(0, checksumTable, bucket)
+	c = crc32.Update(c, checksumTable, key)
+	return crc32.Update(c, checksumTable, data)
 }
 
-func seal(bucket, key, text []byte) []byte {
-	b := append(make([]byte, 0, len(text)+trailer), text...)
-	return binary.BigEndian.AppendUint32(append(b, magic...), sum(bucket, key, text))
+func appendChecksum(bucket, key, data []byte) []byte {
+	b := append(make([]byte, 0, len(data)+trailerSize), data...)
+	return binary.BigEndian.AppendUint32(append(b, checksumMagic...), checksum(bucket, key, data))
 }
 
-// unseal parts a record from its checksum and compares.
-func (l *Log) unseal(bucket, key, b []byte) ([]byte, error) {
-	n := len(b) - trailer
-	if n < 0 || !bytes.Equal(b[n:n+len(magic)], magic) {
-		return nil, &Damage{l.path, place(bucket, key), "it has no checksum"}
+// verifyChecksum parts a record from its checksum and compares.
+func (l *Log) verifyChecksum(bucket, key, b []byte) ([]byte, error) {
+	n := len(b) - trailerSize
+	if n < 0 || !bytes.Equal(b[n:n+len(checksumMagic)], checksumMagic) {
+		return nil, &CorruptionError{l.path, recordLocation(bucket, key), "it has no checksum"}
 	}
-	want := binary.BigEndian.Uint32(b[n+len(magic):])
-	if got := sum(bucket, key, b[:n]); got != want {
-		return nil, &Damage{l.path, place(bucket, key), fmt.Sprintf("its checksum is %08x, not %08x", got, want)}
+	want := binary.BigEndian.Uint32(b[n+len(checksumMagic):])
+	if got := checksum(bucket, key, b[:n]); got != want {
+		return nil, &CorruptionError{l.path, recordLocation(bucket, key), fmt.Sprintf("its checksum is %08x, not %08x", got, want)}
 	}
 	return b[:n], nil
 }
 
-func place(bucket, key []byte) string {
-	if bytes.Equal(bucket, logs) && len(key) == 8 {
+func recordLocation(bucket, key []byte) string {
+	if bytes.Equal(bucket, logsBucket) && len(key) == 8 {
 		return fmt.Sprintf("entry %d", binary.BigEndian.Uint64(key))
 	}
 	return fmt.Sprintf("%q", key)
 }
 
-func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
 // Log is raft's log and stable store.
 type Log struct {
 	db   *bbolt.DB
 	path string
 
-	mu      sync.Mutex
-	stopped error
-	fail    func(error)
-	running atomic.Bool
-	fault   atomic.Pointer[func(op string) error] // a failing disk, for tests
+	mu            sync.Mutex
+	stopReason    error
+	onFailure     func(error)
+	raftRunning   atomic.Bool
+	injectedFault atomic.Pointer[func(op string) error] // a failing disk, for tests
 }
 
 // Options set up a Log.
 type Options struct {
-	Fail func(error) // called once, on a goroutine of its own, when the log stops; nil: nobody asks
+	OnFailure func(error) // called once, on a goroutine of its own, when the log stops; nil: nobody asks
 }
 
 // Open opens the bolt file of a folder, or makes it, and checks every record.
 func Open(dir string, o Options) (*Log, error) {
-	l := &Log{path: filepath.Join(dir, File), fail: o.Fail}
+	l := &Log{path: filepath.Join(dir, FileName), onFailure: o.OnFailure}
 	if info, err := os.Stat(l.path); err == nil && info.Size() > 0 { // a later build's is not to be touched
 		if err := l.open(true); err != nil {
 			return nil, err
 		}
-		_, err = l.format()
+		_, err = l.readFormat()
 		if err = errors.Join(err, l.db.Close()); err != nil {
 			return nil, err
 		}
@@ -140,9 +140,9 @@
 	if err := l.open(false); err != nil {
 		return nil, err
 	}
-	err := l.takeOver()
+	err := l.migrate()
 	if err == nil {
-		_, err = l.check()
+		_, err = l.verifyRecords()
 	}
 	if err != nil {
 		l.db.Close()
@@ -155,18 +155,18 @@
 	if err := checkPages(l.path); err != nil {
 		return err
 	}
-	return guard(l.path, "the file", func() (err error) {
+	return recoverCorruption(l.path, "the file", func() (err error) {
 		// The list of free pages is not kept but found anew at each opening: no checksum guards it, and a wrong one would
 		// let later writes destroy earlier ones.
-		l.db, err = bbolt.Open(l.path, 0o600, &bbolt.Options{Timeout: lockFor, ReadOnly: readOnly, NoFreelistSync: true})
+		l.db, err = bbolt.Open(l.path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, NoFreelistSync: true})
 		if err != nil {
-			return opening(l.path, err)
+			return classifyOpenError(l.path, err)
 		}
 		if !readOnly {
 			err = l.db.Update(func(tx *bbolt.Tx) error {
-				_, err := tx.CreateBucketIfNotExists(logs)
+				_, err := tx.CreateBucketIfNotExists(logsBucket)
 				if err == nil {
-					_, err = tx.CreateBucketIfNotExists(values)
+					_, err = tx.CreateBucketIfNotExists(valuesBucket)
 				}
 				return err
 			})
@@ -178,77 +178,77 @@
 	})
 }
 
-// opening sorts the errors of opening a bolt file.
-func opening(path string, err error) error {
+// classifyOpenError sorts the errors of opening a bolt file.
+func classifyOpenError(path string, err error) error {
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
 		return fmt.Errorf("disk: %s is open in another process", path)
 	case errors.Is(err, bolterrors.ErrInvalid), errors.Is(err, bolterrors.ErrChecksum), errors.Is(err, bolterrors.ErrVersionMismatch):
-		return &Damage{path, "the file's head", err.Error()}
+		return &CorruptionError{path, "the file's head", err.Error()}
 	}
 	return err
 }
 
-// guard turns a panic over pages that make no sense into damage. A page that lies outside of the file is a fault of memory,
+// recoverCorruption turns a panic over pages that make no sense into damage. A page that lies outside of the file is a fault of memory,
 // which would end the process; it is turned into a panic for as long.
-func guard(path, place string, do func() error) (err error) {
+func recoverCorruption(path, location string, do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = &Damage{path, place, fmt.Sprint(r)}
+			err = &CorruptionError{path, location, fmt.Sprint(r)}
 		}
 	}()
 	return do()
 }
 
-// takeOver gives every record of an earlier format its checksum. It may be cut off at any point and goes on at the next
+// migrate gives every record of an earlier format its checksum. It may be cut off at any point and goes on at the next
 // opening.
-func (l *Log) takeOver() error {
-	return guard(l.path, "the file", func() error {
-		have, err := l.format()
-		if err != nil || have == Format {
+func (l *Log) migrate() error {
+	return recoverCorruption(l.path, "the file", func() error {
+		version, err := l.readFormat()
+		if err != nil || version == FormatVersion {
 			return err
 		}
-		for _, name := range [][]byte{logs, values} {
-			for from := []byte{0}; from != nil; {
-				if from, err = l.takeOverSome(name, from); err != nil {
+		for _, bucketName := range [][]byte{logsBucket, valuesBucket} {
+			for startKey := []byte{0}; startKey != nil; {
+				if startKey, err = l.migrateBatch(bucketName, startKey); err != nil {
 					return fmt.Errorf("disk: %s: %w", l.path, err)
 				}
 			}
 		}
 		return l.db.Update(func(tx *bbolt.Tx) error {
-			return tx.Bucket(values).Put([]byte(formatKey), seal(values, []byte(formatKey), []byte{Format}))
+			return tx.Bucket(valuesBucket).Put([]byte(formatKey), appendChecksum(valuesBucket, []byte(formatKey), []byte{FormatVersion}))
 		})
 	})
 }
 
-// takeOverSome takes some records over and tells where the rest begins; nil: there is none.
-func (l *Log) takeOverSome(name, from []byte) (rest []byte, err error) {
+// migrateBatch takes some records over and tells where the rest begins; nil: there is none.
+func (l *Log) migrateBatch(bucketName, startKey []byte) (nextKey []byte, err error) {
 	err = l.db.Update(func(tx *bbolt.Tx) error {
-		bucket := tx.Bucket(name)
-		type record struct{ key, text []byte }
-		var some []record
+		bucket := tx.Bucket(bucketName)
+		type record struct{ key, data []byte }
+		var unsealed []record
 		c := bucket.Cursor()
-		k, v := c.Seek(from)
-		for ; k != nil && len(some) < batch; k, v = c.Next() {
-			if _, err := l.unseal(name, k, v); err != nil { // a record that was not taken over yet
-				some = append(some, record{bytes.Clone(k), seal(name, k, v)})
+		k, v := c.Seek(startKey)
+		for ; k != nil && len(unsealed) < migrationBatchSize; k, v = c.Next() {
+			if _, err := l.verifyChecksum(bucketName, k, v); err != nil { // a record that was not taken over yet
+				unsealed = append(unsealed, record{bytes.Clone(k), appendChecksum(bucketName, k, v)})
 			}
 		}
-		rest = bytes.Clone(k)
-		for _, r := range some {
-			if err := bucket.Put(r.key, r.text); err != nil {
+		nextKey = bytes.Clone(k)
+		for _, r := range unsealed {
+			if err := bucket.Put(r.key, r.data); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	return rest, err
+	return nextKey, err
 }
 
-// format is that of the folder; 1 where nothing is told.
-func (l *Log) format() (int, error) {
-	v, err := l.get(formatKey)
+// readFormat is that of the folder; 1 where nothing is told.
+func (l *Log) readFormat() (int, error) {
+	v, err := l.readValue(formatKey)
 	if errors.Is(err, ErrNotFound) {
 		return 1, nil
 	}
@@ -256,92 +256,92 @@
 		return 0, err
 	}
 	if len(v) != 1 {
-		return 0, &Damage{l.path, formatKey, fmt.Sprintf("%d bytes", len(v))}
+		return 0, &CorruptionError{l.path, formatKey, fmt.Sprintf("%d bytes", len(v))}
 	}
-	if v[0] > Format {
-		err = fmt.Errorf("%w: %s has format %d, this build reads up to %d", ErrNewer, l.path, v[0], Format)
+	if v[0] > FormatVersion {
+		err = fmt.Errorf("%w: %s has format %d, this build reads up to %d", ErrNewerFormat, l.path, v[0], FormatVersion)
 	}
 	return int(v[0]), err
 }
 
-// Found is what a look at all records found.
-type Found struct {
-	First   uint64 `json:"first"`
-	Last    uint64 `json:"last"`
-	Entries int    `json:"entries"`
-	Bytes   int64  `json:"bytes"` // of the entries' data
-	Term    uint64 `json:"term"`  // the latest known
+// LogSummary is what a look at all records found.
+type LogSummary struct {
+	FirstIndex uint64 `json:"first"`
+	LastIndex  uint64 `json:"last"`
+	Entries    int    `json:"entries"`
+	Bytes      int64  `json:"bytes"` // of the entries' data
+	Term       uint64 `json:"term"`  // the latest known
 }
 
-// check reads every record.
-func (l *Log) check() (f Found, err error) {
-	err = guard(l.path, "the file", func() error {
+// verifyRecords reads every record.
+func (l *Log) verifyRecords() (summary LogSummary, err error) {
+	err = recoverCorruption(l.path, "the file", func() error {
 		return l.db.View(func(tx *bbolt.Tx) error {
-			var before raft.Log
-			err := tx.Bucket(logs).ForEach(func(k, v []byte) error {
+			var previous raft.Log
+			err := tx.Bucket(logsBucket).ForEach(func(k, v []byte) error {
 				var e raft.Log
-				if err := l.decode(k, v, &e); err != nil {
+				if err := l.decodeEntry(k, v, &e); err != nil {
 					return err
 				}
 				switch {
-				case before.Index > 0 && e.Index != before.Index+1:
-					return &Damage{l.path, fmt.Sprintf("entry %d", before.Index+1), "it is missing"}
-				case e.Term < before.Term:
-					return &Damage{l.path, place(logs, k), fmt.Sprintf("its term is %d, after %d", e.Term, before.Term)}
+				case previous.Index > 0 && e.Index != previous.Index+1:
+					return &CorruptionError{l.path, fmt.Sprintf("entry %d", previous.Index+1), "it is missing"}
+				case e.Term < previous.Term:
+					return &CorruptionError{l.path, recordLocation(logsBucket, k), fmt.Sprintf("its term is %d, after %d", e.Term, previous.Term)}
 				}
-				if f.First == 0 {
-					f.First = e.Index
+				if summary.FirstIndex == 0 {
+					summary.FirstIndex = e.Index
 				}
-				f.Last = e.Index
-				f.Entries++
-				f.Bytes += int64(len(e.Data))
-				before = e
+				summary.LastIndex = e.Index
+				summary.Entries++
+				summary.Bytes += int64(len(e.Data))
+				previous = e
 				return nil
 			})
 			if err != nil {
 				return err
 			}
-			return tx.Bucket(values).ForEach(func(k, v []byte) error {
-				text, err := l.unseal(values, k, v)
-				if err == nil && string(k) == "CurrentTerm" && len(text) == 8 {
-					f.Term = binary.BigEndian.Uint64(text)
+			return tx.Bucket(valuesBucket).ForEach(func(k, v []byte) error {
+				data, err := l.verifyChecksum(valuesBucket, k, v)
+				if err == nil && string(k) == "CurrentTerm" && len(data) == 8 {
+					summary.Term = binary.BigEndian.Uint64(data)
 				}
 				return err
 			})
 		})
 	})
-	return f, err
+	return summary, err
 }
 
-// decode reads one entry and checks it.
-func (l *Log) decode(key, v []byte, into *raft.Log) error {
-	text, err := l.unseal(logs, key, v)
+// decodeEntry reads one entry and checks it.
+func (l *Log) decodeEntry(key, v []byte, entry *raft.Log) error {
+	data, err := l.verifyChecksum(logsBucket, key, v)
 	if err != nil {
 		return err
 	}
-	if err := codec.NewDecoderBytes(text, form).Decode(into); err != nil {
-		return &Damage{l.path, place(logs, key), err.Error()}
+	if err := codec.NewDecoderBytes(data, entryEncoding).Decode(entry); err != nil {
+		return &CorruptionError{l.path, recordLocation(logsBucket, key), err.Error()}
 	}
-	if !bytes.Equal(number(into.Index), key) {
-		return &Damage{l.path, place(logs, key), fmt.Sprintf("entry %d stands there", into.Index)}
+	if !bytes.Equal(encodeUint64(entry.Index), key) {
+		return &CorruptionError{l.path, recordLocation(logsBucket, key), fmt.Sprintf("entry %d stands there", entry.Index)}
 	}
 	return nil
 }
 
-func (l *Log) read(index uint64, into *raft.Log) error {
+func (l *Log) readEntry(index uint64, entry *raft.Log) error {
 	return l.db.View(func(tx *bbolt.Tx) error {
-		key := number(index)
-		v := tx.Bucket(logs).Get(key)
+		key := encodeUint64(index)
+		v := tx.Bucket(logsBucket).Get(key)
 		if v == nil {
 			return raft.ErrLogNotFound
 		}
-		return l.decode(key, v, into)
+		return l.decodeEntry(key, v, entry)
 	})
 }
 
-func (l *Log) get(key string) (text []byte, err error) {
+func (l *Log) readValue(key string) (value []byte, err error) {
 	err = l.db.View(func(tx *bbolt.Tx) error {
-		bucket := tx.Bucket(values)
+		bucket := tx.Bucket(valuesBucket)
 		if bucket == nil {
 			return ErrNotFound // a file that was made and not begun
 		}
@@ -349,21 +349,21 @@
 		if v == nil {
 			return ErrNotFound
 		}
-		text, err = l.unseal(values, []byte(key), v)
-		text = bytes.Clone(text)
+		value, err = l.verifyChecksum(valuesBucket, []byte(key), v)
+		value = bytes.Clone(value)
 		return err
 	})
-	return text, err
+	return value, err
 }
 
-func (l *Log) write(key string, v []byte) error {
+func (l *Log) writeValue(key string, v []byte) error {
 	return l.db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket(values).Put([]byte(key), seal(values, []byte(key), v))
+		return tx.Bucket(valuesBucket).Put([]byte(key), appendChecksum(valuesBucket, []byte(key), v))
 	})
 }
 
-func (l *Log) number(key string) (uint64, error) {
-	v, err := l.get(key)
+func (l *Log) readUint64(key string) (uint64, error) {
+	v, err := l.readValue(key)
 	if errors.Is(err, ErrNotFound) {
 		return 0, nil
 	}
@@ -371,19 +371,19 @@
 		return 0, err
 	}
 	if len(v) != 8 {
-		return 0, &Damage{l.path, fmt.Sprintf("%q", key), fmt.Sprintf("%d bytes, not 8", len(v))}
+		return 0, &CorruptionError{l.path, fmt.Sprintf("%q", key), fmt.Sprintf("%d bytes, not 8", len(v))}
 	}
 	return binary.BigEndian.Uint64(v), nil
 }
 
-// Run tells that raft runs on it: from now on a goroutine of raft's that would panic over an error ends instead.
-func (l *Log) Run() { l.running.Store(true) }
+// SetRaftRunning tells that raft runs on it: from now on a goroutine of raft's that would panic over an error ends instead.
+func (l *Log) SetRaftRunning() { l.raftRunning.Store(true) }
 
-// Stopped is why nothing is read or written any more; nil: it is.
-func (l *Log) Stopped() error {
+// StopReason is why nothing is read or written any more; nil: it is.
+func (l *Log) StopReason() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.stopped
+	return l.stopReason
 }
 
 // Close closes the file.
@@ -392,29 +392,29 @@
 	return l.db.Close()
 }
 
-func (l *Log) stop(why error, tell bool) {
+func (l *Log) stop(reason error, notify bool) {
 	l.mu.Lock()
-	first := l.stopped == nil
+	first := l.stopReason == nil
 	if first {
-		l.stopped = why
+		l.stopReason = reason
 	}
 	l.mu.Unlock()
-	if first && tell && l.fail != nil {
-		go l.fail(why)
+	if first && notify && l.onFailure != nil {
+		go l.onFailure(reason)
 	}
 }
 
-// do carries an operation out, and stops all that follow where it fails for more than a record that is not there.
-func (l *Log) do(op string, do func() error) error {
-	if why := l.Stopped(); why != nil {
-		return fmt.Errorf("%w: %w", ErrStopped, why)
+// execute carries an operation out, and stops all that follow where it fails for more than a record that is not there.
+func (l *Log) execute(op string, execute func() error) error {
+	if reason := l.StopReason(); reason != nil {
+		return fmt.Errorf("%w: %w", ErrStopped, reason)
 	}
 	err := error(nil)
-	if f := l.fault.Load(); f != nil {
+	if f := l.injectedFault.Load(); f != nil {
 		err = (*f)(op)
 	}
 	if err == nil {
-		err = guard(l.path, op, do)
+		err = recoverCorruption(l.path, op, execute)
 	}
 	if err == nil || errors.Is(err, raft.ErrLogNotFound) || errors.Is(err, ErrNotFound) {
 		return err
@@ -423,26 +423,26 @@
 	return err
 }
 
-// must is do for where raft panics over an error: its goroutine ends in place of the process, and whoever was told by Fail
+// executeOrExit is do for where raft panics over an error: its goroutine ends in place of the process, and whoever was told by Fail
 // ends the rest. Nothing that raft would do next can then rest on what was not read or written.
-func (l *Log) must(op string, do func() error) error {
-	err := l.do(op, do)
-	if err != nil && l.running.Load() && !errors.Is(err, raft.ErrLogNotFound) && !errors.Is(err, ErrNotFound) {
+func (l *Log) executeOrExit(op string, do func() error) error {
+	err := l.execute(op, do)
+	if err != nil && l.raftRunning.Load() && !errors.Is(err, raft.ErrLogNotFound) && !errors.Is(err, ErrNotFound) {
 		runtime.Goexit()
 	}
 	return err
 }
 
 // FirstIndex is the position of the first entry; 0: there is none.
-func (l *Log) FirstIndex() (uint64, error) { return l.end((*bbolt.Cursor).First) }
+func (l *Log) FirstIndex() (uint64, error) { return l.boundaryIndex((*bbolt.Cursor).First) }
 
 // LastIndex is the position of the last entry; 0: there is none.
-func (l *Log) LastIndex() (uint64, error) { return l.end((*bbolt.Cursor).Last) }
+func (l *Log) LastIndex() (uint64, error) { return l.boundaryIndex((*bbolt.Cursor).Last) }
 
-func (l *Log) end(seek func(*bbolt.Cursor) (k, v []byte)) (n uint64, err error) {
-	err = l.do("read", func() error {
+func (l *Log) boundaryIndex(seek func(*bbolt.Cursor) (k, v []byte)) (n uint64, err error) {
+	err = l.execute("read", func() error {
 		return l.db.View(func(tx *bbolt.Tx) error {
-			if k, _ := seek(tx.Bucket(logs).Cursor()); len(k) == 8 {
+			if k, _ := seek(tx.Bucket(logsBucket).Cursor()); len(k) == 8 {
 				n = binary.BigEndian.Uint64(k)
 			}
 			return nil
@@ -452,26 +452,26 @@
 }
 
 // GetLog reads an entry.
-func (l *Log) GetLog(index uint64, into *raft.Log) error {
-	return l.must("read", func() error { return l.read(index, into) })
+func (l *Log) GetLog(index uint64, entry *raft.Log) error {
+	return l.executeOrExit("read", func() error { return l.readEntry(index, entry) })
 }
 
 // StoreLog writes an entry.
 func (l *Log) StoreLog(e *raft.Log) error { return l.StoreLogs([]*raft.Log{e}) }
 
 // StoreLogs writes entries, all or none of them.
-func (l *Log) StoreLogs(all []*raft.Log) error {
-	return l.do("write", func() error {
+func (l *Log) StoreLogs(logs []*raft.Log) error {
+	return l.execute("write", func() error {
 		return l.db.Update(func(tx *bbolt.Tx) error {
-			bucket := tx.Bucket(logs)
-			var text []byte
-			for _, e := range all {
-				text = text[:0]
-				if err := codec.NewEncoderBytes(&text, form).Encode(e); err != nil {
+			bucket := tx.Bucket(logsBucket)
+			var data []byte
+			for _, e := range logs {
+				data = data[:0]
+				if err := codec.NewEncoderBytes(&data, entryEncoding).Encode(e); err != nil {
 					return err
 				}
-				key := number(e.Index)
-				if err := bucket.Put(key, seal(logs, key, text)); err != nil {
+				key := encodeUint64(e.Index)
+				if err := bucket.Put(key, appendChecksum(logsBucket, key, data)); err != nil {
 					return err
 				}
 			}
@@ -482,10 +482,10 @@
 
 // DeleteRange deletes entries, the last one included.
 func (l *Log) DeleteRange(first, last uint64) error {
-	return l.do("write", func() error {
+	return l.execute("write", func() error {
 		return l.db.Update(func(tx *bbolt.Tx) error {
-			c := tx.Bucket(logs).Cursor()
-			for k, _ := c.Seek(number(first)); len(k) == 8 && binary.BigEndian.Uint64(k) <= last; k, _ = c.Seek(number(first)) {
+			c := tx.Bucket(logsBucket).Cursor()
+			for k, _ := c.Seek(encodeUint64(first)); len(k) == 8 && binary.BigEndian.Uint64(k) <= last; k, _ = c.Seek(encodeUint64(first)) {
 				if err := c.Delete(); err != nil {
 					return err
 				}
@@ -497,22 +497,22 @@
 
 // Set writes a value of raft's.
 func (l *Log) Set(key, v []byte) error {
-	return l.must("write", func() error { return l.write(string(key), v) })
+	return l.executeOrExit("write", func() error { return l.writeValue(string(key), v) })
 }
 
-// put writes a value of our own, on a goroutine that is none of raft's.
-func (l *Log) put(key string, v []byte) error {
-	return l.do("write", func() error { return l.write(key, v) })
+// storeValue writes a value of our own, on a goroutine that is none of raft's.
+func (l *Log) storeValue(key string, v []byte) error {
+	return l.execute("write", func() error { return l.writeValue(key, v) })
 }
 
-func (l *Log) putNumber(key string, n uint64) error { return l.put(key, number(n)) }
+func (l *Log) storeUint64(key string, n uint64) error { return l.storeValue(key, encodeUint64(n)) }
 
-// putAll writes values of our own, all or none.
-func (l *Log) putAll(of map[string][]byte) error {
-	return l.do("write", func() error {
+// storeValues writes values of our own, all or none.
+func (l *Log) storeValues(pairs map[string][]byte) error {
+	return l.execute("write", func() error {
 		return l.db.Update(func(tx *bbolt.Tx) error {
-			for key, v := range of {
-				if err := tx.Bucket(values).Put([]byte(key), seal(values, []byte(key), v)); err != nil {
+			for key, v := range pairs {
+				if err := tx.Bucket(valuesBucket).Put([]byte(key), appendChecksum(valuesBucket, []byte(key), v)); err != nil {
 					return err
 				}
 			}
@@ -523,19 +523,19 @@
 
 // Get reads a value.
 func (l *Log) Get(key []byte) (v []byte, err error) {
-	err = l.do("read", func() (err error) { v, err = l.get(string(key)); return err })
+	err = l.execute("read", func() (err error) { v, err = l.readValue(string(key)); return err })
 	return v, err
 }
 
 // SetUint64 writes a number.
-func (l *Log) SetUint64(key []byte, n uint64) error { return l.Set(key, number(n)) }
+func (l *Log) SetUint64(key []byte, n uint64) error { return l.Set(key, encodeUint64(n)) }
 
 // GetUint64 reads a number.
 func (l *Log) GetUint64(key []byte) (n uint64, err error) {
-	err = l.do("read", func() (err error) {
-		v, err := l.get(string(key))
+	err = l.execute("read", func() (err error) {
+		v, err := l.readValue(string(key))
 		if err == nil && len(v) != 8 {
-			err = &Damage{l.path, fmt.Sprintf("%q", key), fmt.Sprintf("%d bytes, not 8", len(v))}
+			err = &CorruptionError{l.path, fmt.Sprintf("%q", key), fmt.Sprintf("%d bytes, not 8", len(v))}
 		}
 		if err == nil {
 			n = binary.BigEndian.Uint64(v)
--- a/internal/store/disk/disk_test.go
+++ b/internal/store/disk/disk_test.go
@@ -20,31 +20,31 @@
 	"puffinsaddle/internal/admit"
 )
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-func entries(from, to uint64) (all []*raft.Log) {
+func makeEntries(from, to uint64) (all []*raft.Log) {
 	for i := from; i <= to; i++ {
 		all = append(all, &raft.Log{Index: i, Term: 1 + i/20, Type: raft.LogCommand, Data: []byte(fmt.Sprintf(`{"op":"set","key":"k%d","value":"%x"}`, i, i*i))})
 	}
 	return all
 }
 
-func folder(t *testing.T, dir, proc string) *Folder {
+func mustOpenDirectory(t *testing.T, dir, proc string) *Directory {
 	t.Helper()
-	f, err := OpenFolder(dir, proc, io.Discard, Options{})
+	f, err := OpenDirectory(dir, proc, io.Discard, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-// filled makes a folder with entries and what raft keeps beside them.
-func filled(t *testing.T, n uint64) string {
+// newFilledDirectory makes a folder with entries and what raft keeps beside them.
+func newFilledDirectory(t *testing.T, n uint64) string {
 	t.Helper()
 	dir := t.TempDir()
-	f := folder(t, dir, "p")
+	f := mustOpenDirectory(t, dir, "p")
 	for at := uint64(1); at <= n; at += 7 {
-		if err := f.StoreLogs(entries(at, min(at+6, n))); err != nil {
+		if err := f.StoreLogs(makeEntries(at, min(at+6, n))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -56,7 +56,7 @@
 	if err := f.Set([]byte("LastVoteCand"), []byte("127.0.0.1:1")); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Remember(map[string]admit.DirectoryState{"b": {DirectoryID: "x", OpenCount: 2, LastIndex: 7}}); err != nil {
+	if err := f.RecordPeerDirectories(map[string]admit.DirectoryState{"b": {DirectoryID: "x", OpenCount: 2, LastIndex: 7}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Close(); err != nil {
@@ -65,80 +65,80 @@
 	return dir
 }
 
-func TestFolderTellsOfItself(t *testing.T) {
-	dir := filled(t, 50)
-	f := folder(t, dir, "q")
-	m := f.Mark()
-	if m.OpenCount != 2 || m.LastIndex != 50 || m.Term != 9 || m.ProcessID != "q" || m.DirectoryID == "" || f.Fresh() || !f.Votes() {
+func TestDirectoryStatePersists(t *testing.T) {
+	dir := newFilledDirectory(t, 50)
+	f := mustOpenDirectory(t, dir, "q")
+	m := f.State()
+	if m.OpenCount != 2 || m.LastIndex != 50 || m.Term != 9 || m.ProcessID != "q" || m.DirectoryID == "" || f.Empty() || !f.IsVoter() {
 		t.Errorf("%+v", m)
 	}
-	if marks, err := f.Marks(); err != nil || marks["b"].LastIndex != 7 {
+	if marks, err := f.PeerDirectories(); err != nil || marks["b"].LastIndex != 7 {
 		t.Errorf("%+v %v", marks, err)
 	}
-	if err := f.Join(admit.DirectoryState{JoinIndex: 40, ClusterGeneration: 2, ClusterName: "n"}); err != nil || f.Votes() {
+	if err := f.RecordJoin(admit.DirectoryState{JoinIndex: 40, ClusterGeneration: 2, ClusterName: "n"}); err != nil || f.IsVoter() {
 		t.Errorf("joined: %v", err)
 	}
 	f.Close()
-	if f = folder(t, dir, "r"); f.Votes() || f.Mark().JoinIndex != 40 || f.Mark().ClusterGeneration != 2 || f.Mark().ClusterName != "n" || f.Mark().DirectoryID != m.DirectoryID {
-		t.Errorf("a learner that starts again: %+v", f.Mark())
+	if f = mustOpenDirectory(t, dir, "r"); f.IsVoter() || f.State().JoinIndex != 40 || f.State().ClusterGeneration != 2 || f.State().ClusterName != "n" || f.State().DirectoryID != m.DirectoryID {
+		t.Errorf("a learner that starts again: %+v", f.State())
 	}
-	if err := f.Voter(); err != nil {
+	if err := f.RecordVoter(); err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
-	if f = folder(t, dir, "s"); !f.Votes() {
+	if f = mustOpenDirectory(t, dir, "s"); !f.IsVoter() {
 		t.Error("a vote is forgotten")
 	}
-	if _, err := OpenFolder(dir, "t", io.Discard, Options{}); err == nil || !strings.Contains(err.Error(), "open in another process") {
+	if _, err := OpenDirectory(dir, "t", io.Discard, Options{}); err == nil || !strings.Contains(err.Error(), "open in another process") {
 		t.Errorf("a folder that is open: %v", err)
 	}
 	f.Close()
 	r, err := Verify(dir)
-	if err != nil || r.Damage != "" || r.Entries != 50 || r.Mark.OpenCount != 4 || r.Remembers["b"].OpenCount != 2 {
+	if err != nil || r.Corruption != "" || r.Entries != 50 || r.Directory.OpenCount != 4 || r.PeerDirectories["b"].OpenCount != 2 {
 		t.Errorf("%+v %v", r, err)
 	}
 	n := 0
-	if err := Entries(dir, 10, 12, func(e *raft.Log) { n += int(e.Index) }); err != nil || n != 33 {
+	if err := ReadEntries(dir, 10, 12, func(e *raft.Log) { n += int(e.Index) }); err != nil || n != 33 {
 		t.Errorf("%d %v", n, err)
 	}
 }
 
 // Any one bit of the file is spoilt: that is told, or changes nothing that is read, or the log ends earlier, which whoever
 // remembers how far it went finds.
-func TestNoSpoiltBitIsReadAsData(t *testing.T) {
-	dir := filled(t, 50)
-	path := filepath.Join(dir, File)
-	whole, err := os.ReadFile(path)
+func TestFlippedBitIsNeverReadAsData(t *testing.T) {
+	dir := newFilledDirectory(t, 50)
+	path := filepath.Join(dir, FileName)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := map[uint64][]byte{}
-	for _, e := range entries(1, 50) {
+	for _, e := range makeEntries(1, 50) {
 		want[e.Index] = e.Data
 	}
 	var used []int // most of the file is empty
-	for at, b := range whole {
+	for at, b := range original {
 		if b != 0 {
 			used = append(used, at)
 		}
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	told, same, shorter := 0, 0, 0
+	reported, unaffected, shorter := 0, 0, 0
 	for range 600 {
-		spoilt := bytes.Clone(whole)
+		corrupt := bytes.Clone(original)
 		at, bit := used[rng.IntN(len(used))], rng.IntN(8)
-		spoilt[at] ^= 1 << bit
-		if err := os.WriteFile(path, spoilt, 0o600); err != nil {
+		corrupt[at] ^= 1 << bit
+		if err := os.WriteFile(path, corrupt, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		l, err := Open(dir, Options{})
-		if d := (*Damage)(nil); errors.As(err, &d) {
-			told++
+		if d := (*CorruptionError)(nil); errors.As(err, &d) {
+			reported++
 			continue
 		}
 		if err != nil {
-			if errors.Is(err, ErrNewer) || strings.Contains(err.Error(), "disk") {
-				told++
+			if errors.Is(err, ErrNewerFormat) || strings.Contains(err.Error(), "disk") {
+				reported++
 				continue
 			}
 			t.Fatalf("byte %d bit %d: %v", at, bit, err)
@@ -161,85 +161,85 @@
 			t.Errorf("byte %d bit %d: the term is read as %d", at, bit, term)
 		}
 		if last == 50 {
-			same++
+			unaffected++
 		} else {
 			shorter++
 		}
 		l.Close()
 	}
-	if told == 0 || same == 0 {
-		t.Errorf("%d told, %d without an effect, %d shorter", told, same, shorter)
+	if reported == 0 || unaffected == 0 {
+		t.Errorf("%d told, %d without an effect, %d shorter", reported, unaffected, shorter)
 	}
-	t.Logf("%d told, %d without an effect, %d with a shorter log", told, same, shorter)
+	t.Logf("%d told, %d without an effect, %d with a shorter log", reported, unaffected, shorter)
 }
 
-func TestFileThatIsCutShortIsDamage(t *testing.T) {
-	dir := filled(t, 400)
-	path := filepath.Join(dir, File)
-	whole, err := os.ReadFile(path)
+func TestTruncatedFileIsCorruption(t *testing.T) {
+	dir := newFilledDirectory(t, 400)
+	path := filepath.Join(dir, FileName)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, n := range []int{1, 100, 4096, 8192, 12288, len(whole) / 2} {
-		if err := os.WriteFile(path, whole[:n], 0o600); err != nil {
+	for _, n := range []int{1, 100, 4096, 8192, 12288, len(original) / 2} {
+		if err := os.WriteFile(path, original[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Open(dir, Options{})
-		if d := (*Damage)(nil); !errors.As(err, &d) || !strings.Contains(err.Error(), path) {
-			t.Errorf("%d bytes of %d: %v", n, len(whole), err)
+		if d := (*CorruptionError)(nil); !errors.As(err, &d) || !strings.Contains(err.Error(), path) {
+			t.Errorf("%d bytes of %d: %v", n, len(original), err)
 		}
 	}
 }
 
 // A folder of the build before, without checksums, is taken over, also where that was cut off in the middle; one of a later
 // build is turned down and left alone.
-func TestFormats(t *testing.T) {
+func TestOldFormatIsMigratedAndNewerFormatRejected(t *testing.T) {
 	dir := t.TempDir()
-	path := filepath.Join(dir, File)
-	old, err := bbolt.Open(path, 0o600, nil) // as hashicorp/raft-boltdb writes it
+	path := filepath.Join(dir, FileName)
+	db, err := bbolt.Open(path, 0o600, nil) // as hashicorp/raft-boltdb writes it
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = old.Update(func(tx *bbolt.Tx) error {
-		log, err := tx.CreateBucket(logs)
+	err = db.Update(func(tx *bbolt.Tx) error {
+		log, err := tx.CreateBucket(logsBucket)
 		if err != nil {
 			return err
 		}
-		for _, e := range entries(1, 600) {
-			var text []byte
-			if err := codec.NewEncoderBytes(&text, form).Encode(e); err != nil {
+		for _, e := range makeEntries(1, 600) {
+			var data []byte
+			if err := codec.NewEncoderBytes(&data, entryEncoding).Encode(e); err != nil {
 				return err
 			}
-			key := number(e.Index)
+			key := encodeUint64(e.Index)
 			if e.Index <= 300 { // it got so far once
-				text = seal(logs, key, text)
+				data = appendChecksum(logsBucket, key, data)
 			}
-			if err := log.Put(key, text); err != nil {
+			if err := log.Put(key, data); err != nil {
 				return err
 			}
 		}
-		stable, err := tx.CreateBucket(values)
+		stable, err := tx.CreateBucket(valuesBucket)
 		if err != nil {
 			return err
 		}
-		return stable.Put([]byte("CurrentTerm"), number(31))
+		return stable.Put([]byte("CurrentTerm"), encodeUint64(31))
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	old.Close()
+	db.Close()
 	if _, err := Verify(dir); err == nil || !strings.Contains(err.Error(), "format 1") {
 		t.Errorf("%v", err)
 	}
-	f := folder(t, dir, "p")
-	if m := f.Mark(); m.LastIndex != 600 || m.Term != 31 || m.OpenCount != 1 {
+	f := mustOpenDirectory(t, dir, "p")
+	if m := f.State(); m.LastIndex != 600 || m.Term != 31 || m.OpenCount != 1 {
 		t.Errorf("%+v", m)
 	}
 	var e raft.Log
-	if err := f.GetLog(400, &e); err != nil || !bytes.Equal(e.Data, entries(400, 400)[0].Data) {
+	if err := f.GetLog(400, &e); err != nil || !bytes.Equal(e.Data, makeEntries(400, 400)[0].Data) {
 		t.Errorf("%+v %v", e, err)
 	}
-	if err := f.put(formatKey, []byte{Format + 1}); err != nil {
+	if err := f.storeValue(formatKey, []byte{FormatVersion + 1}); err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
@@ -247,10 +247,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenFolder(dir, "p", io.Discard, Options{}); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "format 3, this build reads up to 2") {
+	if _, err := OpenDirectory(dir, "p", io.Discard, Options{}); !errors.Is(err, ErrNewerFormat) || !strings.Contains(err.Error(), "format 3, this build reads up to 2") {
 		t.Errorf("%v", err)
 	}
-	if _, err := Verify(dir); !errors.Is(err, ErrNewer) {
+	if _, err := Verify(dir); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("%v", err)
 	}
 	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(before, after) {
@@ -261,49 +261,49 @@
 // After a write that failed nothing is written or read any more, and whoever has to know is told once.
 func TestFailedWriteStopsTheLog(t *testing.T) {
 	failed := make(chan error, 10)
-	l, err := Open(t.TempDir(), Options{Fail: func(err error) { failed <- err }})
+	l, err := Open(t.TempDir(), Options{OnFailure: func(err error) { failed <- err }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if err := l.StoreLogs(entries(1, 5)); err != nil {
+	if err := l.StoreLogs(makeEntries(1, 5)); err != nil {
 		t.Fatal(err)
 	}
-	full := errors.New("no space left on device")
+	errDiskFull := errors.New("no space left on device")
 	fault := func(op string) error {
 		if op == "write" {
-			return full
+			return errDiskFull
 		}
 		return nil
 	}
-	l.fault.Store(&fault)
-	if err := l.StoreLogs(entries(6, 7)); !errors.Is(err, full) {
+	l.injectedFault.Store(&fault)
+	if err := l.StoreLogs(makeEntries(6, 7)); !errors.Is(err, errDiskFull) {
 		t.Errorf("%v", err)
 	}
-	l.fault.Store(nil)
+	l.injectedFault.Store(nil)
 	var e raft.Log
-	for what, err := range map[string]error{"a write": l.StoreLogs(entries(6, 7)), "a read": l.GetLog(1, &e), "a value": l.Set([]byte("k"), nil)} {
-		if !errors.Is(err, ErrStopped) || !errors.Is(err, full) {
-			t.Errorf("%s after it: %v", what, err)
+	for operation, err := range map[string]error{"a write": l.StoreLogs(makeEntries(6, 7)), "a read": l.GetLog(1, &e), "a value": l.Set([]byte("k"), nil)} {
+		if !errors.Is(err, ErrStopped) || !errors.Is(err, errDiskFull) {
+			t.Errorf("%s after it: %v", operation, err)
 		}
 	}
 	select {
 	case err := <-failed:
-		if !errors.Is(err, full) {
+		if !errors.Is(err, errDiskFull) {
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nobody was told")
 	}
 	// raft panics where its term can't be written; the goroutine that would ends instead.
-	l.Run()
-	after := make(chan string, 1)
+	l.SetRaftRunning()
+	outcome := make(chan string, 1)
 	go func() {
-		defer func() { after <- "ended" }()
+		defer func() { outcome <- "ended" }()
 		l.SetUint64([]byte("CurrentTerm"), 8)
-		after <- "went on"
+		outcome <- "went on"
 	}()
-	if got := <-after; got != "ended" {
+	if got := <-outcome; got != "ended" {
 		t.Errorf("the goroutine %s", got)
 	}
 	if len(failed) > 0 {
@@ -311,16 +311,16 @@
 	}
 }
 
-func TestSnapshotsAreChecked(t *testing.T) {
-	for name, spoil := range map[string]func(dir string) error{
-		"a bit of its text":   func(dir string) error { return flip(filepath.Join(dir, "state.bin")) },
+func TestCorruptSnapshotIsReported(t *testing.T) {
+	for name, corrupt := range map[string]func(dir string) error{
+		"a bit of its text":   func(dir string) error { return flipBit(filepath.Join(dir, "state.bin")) },
 		"its description":     func(dir string) error { return os.WriteFile(filepath.Join(dir, "meta.json"), []byte("{"), 0o600) },
 		"its text is missing": func(dir string) error { return os.Remove(filepath.Join(dir, "state.bin")) },
 	} {
-		dir := filled(t, 10)
-		f := folder(t, dir, "p")
+		dir := newFilledDirectory(t, 10)
+		f := mustOpenDirectory(t, dir, "p")
 		_, trans := raft.NewInmemTransport("a")
-		sink, err := f.Snap.Create(1, 30, 2, raft.Configuration{}, 1, trans)
+		sink, err := f.Snapshots.Create(1, 30, 2, raft.Configuration{}, 1, trans)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -329,24 +329,24 @@
 			t.Fatal(err)
 		}
 		f.Close()
-		if f = folder(t, dir, "p"); f.Mark().LastIndex != 30 {
-			t.Errorf("%+v", f.Mark())
+		if f = mustOpenDirectory(t, dir, "p"); f.State().LastIndex != 30 {
+			t.Errorf("%+v", f.State())
 		}
 		f.Close()
-		if err := spoil(filepath.Join(dir, snapshotsDir, sink.ID())); err != nil {
+		if err := corrupt(filepath.Join(dir, snapshotsDir, sink.ID())); err != nil {
 			t.Fatal(err)
 		}
-		_, err = OpenFolder(dir, "p", io.Discard, Options{})
-		if d := (*Damage)(nil); !errors.As(err, &d) || !strings.Contains(err.Error(), sink.ID()) {
+		_, err = OpenDirectory(dir, "p", io.Discard, Options{})
+		if d := (*CorruptionError)(nil); !errors.As(err, &d) || !strings.Contains(err.Error(), sink.ID()) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if r, err := Verify(dir); err != nil || !strings.Contains(r.Damage, sink.ID()) {
+		if r, err := Verify(dir); err != nil || !strings.Contains(r.Corruption, sink.ID()) {
 			t.Errorf("%s: %+v %v", name, r, err)
 		}
 	}
 }
 
-func flip(path string) error {
+func flipBit(path string) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -355,22 +355,22 @@
 	return os.WriteFile(path, b, 0o600)
 }
 
-func TestWhatIsSetAsideIsKeptTwice(t *testing.T) {
-	dir := filled(t, 5)
+func TestQuarantineKeepsTwoNewest(t *testing.T) {
+	dir := newFilledDirectory(t, 5)
 	for i := range 4 {
-		if _, err := SetAside(dir); err != nil {
+		if _, err := Quarantine(dir); err != nil {
 			t.Fatal(err)
 		}
-		f := folder(t, dir, "p")
-		if !f.Fresh() {
-			t.Errorf("%d: %+v", i, f.Mark())
+		f := mustOpenDirectory(t, dir, "p")
+		if !f.Empty() {
+			t.Errorf("%d: %+v", i, f.State())
 		}
-		if err := f.StoreLogs(entries(1, 3)); err != nil {
+		if err := f.StoreLogs(makeEntries(1, 3)); err != nil {
 			t.Fatal(err)
 		}
 		f.Close()
 	}
-	got, _ := filepath.Glob(filepath.Join(dir, setAside+"*"))
+	got, _ := filepath.Glob(filepath.Join(dir, quarantinePrefix+"*"))
 	if want := []string{filepath.Join(dir, "aside-3"), filepath.Join(dir, "aside-4")}; !slices.Equal(got, want) {
 		t.Errorf("%q", got)
 	}
--- a/internal/store/disk/folder.go
+++ b/internal/store/disk/folder.go
@@ -22,46 +22,46 @@
 
 // What a folder tells of itself.
 const (
-	folderKey = "folder" // drawn when it was made
-	lifeKey   = "life"   // how often it was opened
-	joinedKey = "joined" // the position as of which it joined without a vote
-	votesKey  = "votes"  // 1: it was given the vote since
-	setKey    = "set"    // how often operators began the set anew
-	nameKey   = "name"   // of the set
-	soleKey   = "sole"   // 1: they did so with this folder, and nobody else has got a vote since
-	marksKey  = "marks"  // what it remembers of other copies
+	directoryIDKey       = "folder" // drawn when it was made
+	openCountKey         = "life"   // how often it was opened
+	joinIndexKey         = "joined" // the position as of which it joined without a vote
+	voterKey             = "votes"  // 1: it was given the vote since
+	clusterGenerationKey = "set"    // how often operators began the set anew
+	clusterNameKey       = "name"   // of the set
+	soleVoterKey         = "sole"   // 1: they did so with this folder, and nobody else has got a vote since
+	peerDirectoriesKey   = "marks"  // what it remembers of other copies
 )
 
 const (
-	setAside     = "aside-" // folders of what was set aside
-	keepAside    = 2
-	snapshotsDir = "snapshots"
+	quarantinePrefix = "aside-" // folders of what was set aside
+	maxQuarantined   = 2
+	snapshotsDir     = "snapshots"
 )
 
-// Draw draws a name that no other process or folder has.
-func Draw() (string, error) {
+// NewRandomID draws a name that no other process or folder has.
+func NewRandomID() (string, error) {
 	var b [8]byte
 	_, err := crand.Read(b[:])
 	return hex.EncodeToString(b[:]), err
 }
 
-// Folder is a copy's folder: its log, and what it tells of itself.
-type Folder struct {
+// Directory is a copy's folder: its log, and what it tells of itself.
+type Directory struct {
 	*Log
-	Dir  string
-	Snap *raft.FileSnapshotStore
+	Path      string
+	Snapshots *raft.FileSnapshotStore
 
-	mark        admit.DirectoryState
-	votes, sole bool
+	state            admit.DirectoryState
+	voter, soleVoter bool
 }
 
-// OpenFolder opens a copy's folder, or makes it; proc is drawn at the start of the process. Where a record or a snapshot is
+// OpenDirectory opens a copy's folder, or makes it; proc is drawn at the start of the process. Where a record or a snapshot is
 // damaged the error is a Damage, and nothing in the folder was changed that tells of it.
-func OpenFolder(dir, proc string, log io.Writer, o Options) (*Folder, error) {
+func OpenDirectory(dir, processID string, log io.Writer, o Options) (*Directory, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
 	}
-	snap, err := raft.NewFileSnapshotStore(dir, keepSnapshots, log)
+	snapshots, err := raft.NewFileSnapshotStore(dir, maxSnapshots, log)
 	if err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
 	}
@@ -69,116 +69,116 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Folder{Log: l, Dir: dir, Snap: snap}
-	if err := f.know(proc); err != nil {
+	f := &Directory{Log: l, Path: dir, Snapshots: snapshots}
+	if err := f.load(processID); err != nil {
 		l.db.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-const keepSnapshots = 2
+const maxSnapshots = 2
 
-// know reads what the folder tells of itself, and notes that it was opened once more.
-func (f *Folder) know(proc string) error {
-	at, err := checkSnapshots(f.Dir, f.Snap)
+// load reads what the folder tells of itself, and notes that it was opened once more.
+func (f *Directory) load(processID string) error {
+	snapshotIndex, err := checkSnapshots(f.Path, f.Snapshots)
 	if err != nil {
 		return err
 	}
-	f.mark.ProcessID = proc
-	name, err := f.get(folderKey)
+	f.state.ProcessID = processID
+	name, err := f.readValue(directoryIDKey)
 	if errors.Is(err, ErrNotFound) {
-		var drawn string
-		if drawn, err = Draw(); err == nil {
-			name, err = []byte(drawn), f.put(folderKey, []byte(drawn))
+		var id string
+		if id, err = NewRandomID(); err == nil {
+			name, err = []byte(id), f.storeValue(directoryIDKey, []byte(id))
 		}
 	}
 	if err != nil {
 		return err
 	}
-	f.mark.DirectoryID = string(name)
-	if name, err = f.get(nameKey); err != nil && !errors.Is(err, ErrNotFound) {
+	f.state.DirectoryID = string(name)
+	if name, err = f.readValue(clusterNameKey); err != nil && !errors.Is(err, ErrNotFound) {
 		return err
 	}
-	f.mark.ClusterName = string(name)
-	for key, into := range map[string]*uint64{lifeKey: &f.mark.OpenCount, joinedKey: &f.mark.JoinIndex, setKey: &f.mark.ClusterGeneration, "CurrentTerm": &f.mark.Term} {
-		if *into, err = f.number(key); err != nil {
+	f.state.ClusterName = string(name)
+	for key, target := range map[string]*uint64{openCountKey: &f.state.OpenCount, joinIndexKey: &f.state.JoinIndex, clusterGenerationKey: &f.state.ClusterGeneration, "CurrentTerm": &f.state.Term} {
+		if *target, err = f.readUint64(key); err != nil {
 			return err
 		}
 	}
-	votes, err := f.number(votesKey)
+	voter, err := f.readUint64(voterKey)
 	if err != nil {
 		return err
 	}
-	sole, err := f.number(soleKey)
+	soleVoter, err := f.readUint64(soleVoterKey)
 	if err != nil {
 		return err
 	}
-	f.sole = sole == 1
-	f.votes = f.mark.JoinIndex == 0 || votes == 1
-	if f.mark.LastIndex, err = f.LastIndex(); err != nil {
+	f.soleVoter = soleVoter == 1
+	f.voter = f.state.JoinIndex == 0 || voter == 1
+	if f.state.LastIndex, err = f.LastIndex(); err != nil {
 		return err
 	}
-	f.mark.LastIndex = max(f.mark.LastIndex, at)
-	f.mark.OpenCount++
-	return f.putNumber(lifeKey, f.mark.OpenCount)
+	f.state.LastIndex = max(f.state.LastIndex, snapshotIndex)
+	f.state.OpenCount++
+	return f.storeUint64(openCountKey, f.state.OpenCount)
 }
 
-// Mark is what the folder had when it was opened.
-func (f *Folder) Mark() admit.DirectoryState { return f.mark }
+// State is what the folder had when it was opened.
+func (f *Directory) State() admit.DirectoryState { return f.state }
 
-// Fresh tells whether raft never wrote anything to it.
-func (f *Folder) Fresh() bool { return f.mark.LastIndex == 0 && f.mark.Term == 0 }
+// Empty tells whether raft never wrote anything to it.
+func (f *Directory) Empty() bool { return f.state.LastIndex == 0 && f.state.Term == 0 }
 
-// Votes tells whether the copy may vote with it: it began with its set, or was given the vote since it joined.
-func (f *Folder) Votes() bool { return f.votes }
+// IsVoter tells whether the copy may vote with it: it began with its set, or was given the vote since it joined.
+func (f *Directory) IsVoter() bool { return f.voter }
 
-// Join notes that the copy joined without a vote, as of a position, and in which set.
-func (f *Folder) Join(m admit.DirectoryState) error {
-	err := f.putAll(map[string][]byte{joinedKey: number(m.JoinIndex), setKey: number(m.ClusterGeneration), nameKey: []byte(m.ClusterName)})
+// RecordJoin notes that the copy joined without a vote, as of a position, and in which set.
+func (f *Directory) RecordJoin(m admit.DirectoryState) error {
+	err := f.storeValues(map[string][]byte{joinIndexKey: encodeUint64(m.JoinIndex), clusterGenerationKey: encodeUint64(m.ClusterGeneration), clusterNameKey: []byte(m.ClusterName)})
 	if err != nil {
 		return err
 	}
-	f.mark.JoinIndex, f.mark.ClusterGeneration, f.mark.ClusterName, f.votes = m.JoinIndex, m.ClusterGeneration, m.ClusterName, false
+	f.state.JoinIndex, f.state.ClusterGeneration, f.state.ClusterName, f.voter = m.JoinIndex, m.ClusterGeneration, m.ClusterName, false
 	return nil
 }
 
-// Named notes the name of the set that is about to begin.
-func (f *Folder) Named(name string) error {
-	f.mark.ClusterName = name
-	return f.put(nameKey, []byte(name))
+// RecordClusterName notes the name of the set that is about to begin.
+func (f *Directory) RecordClusterName(name string) error {
+	f.state.ClusterName = name
+	return f.storeValue(clusterNameKey, []byte(name))
 }
 
-// Sole tells whether operators began the set anew with this folder, and nobody else has got a vote since.
-func (f *Folder) Sole() bool { return f.sole }
+// SoleVoter tells whether operators began the set anew with this folder, and nobody else has got a vote since.
+func (f *Directory) SoleVoter() bool { return f.soleVoter }
 
-// Anew notes that operators begin a set with this folder: its own anew, or another under a new name.
-func (f *Folder) Anew(name string) error {
-	err := f.putAll(map[string][]byte{setKey: number(f.mark.ClusterGeneration + 1), soleKey: number(1), votesKey: number(1), nameKey: []byte(name)})
+// RecordNewCluster notes that operators begin a set with this folder: its own anew, or another under a new name.
+func (f *Directory) RecordNewCluster(name string) error {
+	err := f.storeValues(map[string][]byte{clusterGenerationKey: encodeUint64(f.state.ClusterGeneration + 1), soleVoterKey: encodeUint64(1), voterKey: encodeUint64(1), clusterNameKey: []byte(name)})
 	if err != nil {
 		return err
 	}
-	f.mark.ClusterGeneration++
-	f.mark.ClusterName = name
-	f.sole, f.votes = true, true
+	f.state.ClusterGeneration++
+	f.state.ClusterName = name
+	f.soleVoter, f.voter = true, true
 	return nil
 }
 
-// Shared notes that somebody else is about to get a vote.
-func (f *Folder) Shared() error {
-	if !f.sole {
+// RecordSecondVoter notes that somebody else is about to get a vote.
+func (f *Directory) RecordSecondVoter() error {
+	if !f.soleVoter {
 		return nil
 	}
-	f.sole = false
-	return f.putNumber(soleKey, 0)
+	f.soleVoter = false
+	return f.storeUint64(soleVoterKey, 0)
 }
 
-// Voter notes that the copy was given the vote.
-func (f *Folder) Voter() error { return f.putNumber(votesKey, 1) }
+// RecordVoter notes that the copy was given the vote.
+func (f *Directory) RecordVoter() error { return f.storeUint64(voterKey, 1) }
 
-// Marks reads what the folder remembers of other copies.
-func (f *Folder) Marks() (map[string]admit.DirectoryState, error) {
-	b, err := f.get(marksKey)
+// PeerDirectories reads what the folder remembers of other copies.
+func (f *Directory) PeerDirectories() (map[string]admit.DirectoryState, error) {
+	b, err := f.readValue(peerDirectoriesKey)
 	if errors.Is(err, ErrNotFound) {
 		return nil, nil
 	}
@@ -189,90 +189,90 @@
 	return m, json.Unmarshal(b, &m)
 }
 
-// Remember writes it.
-func (f *Folder) Remember(m map[string]admit.DirectoryState) error {
+// RecordPeerDirectories writes it.
+func (f *Directory) RecordPeerDirectories(m map[string]admit.DirectoryState) error {
 	b, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return f.put(marksKey, b)
+	return f.storeValue(peerDirectoriesKey, b)
 }
 
 // checkSnapshots reads every snapshot, whose checksums the library looks at, and tells the position of the latest.
-func checkSnapshots(dir string, snap *raft.FileSnapshotStore) (last uint64, err error) {
-	all, err := snap.List()
+func checkSnapshots(dir string, snapshots *raft.FileSnapshotStore) (lastIndex uint64, err error) {
+	listed, err := snapshots.List()
 	if err != nil {
 		return 0, err
 	}
-	for _, meta := range all {
+	for _, meta := range listed {
 		path := filepath.Join(dir, snapshotsDir, meta.ID)
-		_, r, err := snap.Open(meta.ID)
+		_, r, err := snapshots.Open(meta.ID)
 		if err != nil {
-			return 0, &Damage{path, "the snapshot", err.Error()}
+			return 0, &CorruptionError{path, "the snapshot", err.Error()}
 		}
 		r.Close()
-		last = max(last, meta.Index)
+		lastIndex = max(lastIndex, meta.Index)
 	}
 	names, err := os.ReadDir(filepath.Join(dir, snapshotsDir))
 	if err != nil {
 		return 0, err
 	}
 	for _, n := range names { // one whose own description can't be read is not listed
-		if n.IsDir() && !strings.HasSuffix(n.Name(), ".tmp") && !slices.ContainsFunc(all, func(m *raft.SnapshotMeta) bool { return m.ID == n.Name() }) &&
-			len(all) < keepSnapshots {
-			return 0, &Damage{filepath.Join(dir, snapshotsDir, n.Name()), "the snapshot", "its description can't be read"}
+		if n.IsDir() && !strings.HasSuffix(n.Name(), ".tmp") && !slices.ContainsFunc(listed, func(m *raft.SnapshotMeta) bool { return m.ID == n.Name() }) &&
+			len(listed) < maxSnapshots {
+			return 0, &CorruptionError{filepath.Join(dir, snapshotsDir, n.Name()), "the snapshot", "its description can't be read"}
 		}
 	}
-	return last, nil
+	return lastIndex, nil
 }
 
-// SetAside moves what a folder holds into a folder of its own below it, as evidence, and tells where. The oldest beyond two
+// Quarantine moves what a folder holds into a folder of its own below it, as evidence, and tells where. The oldest beyond two
 // are deleted.
-func SetAside(dir string) (string, error) {
+func Quarantine(dir string) (string, error) {
 	names, err := os.ReadDir(dir)
 	if err != nil {
 		return "", err
 	}
-	var had []int
+	var generations []int
 	for _, n := range names {
-		if k, err := strconv.Atoi(strings.TrimPrefix(n.Name(), setAside)); err == nil && strings.HasPrefix(n.Name(), setAside) {
-			had = append(had, k)
+		if generation, err := strconv.Atoi(strings.TrimPrefix(n.Name(), quarantinePrefix)); err == nil && strings.HasPrefix(n.Name(), quarantinePrefix) {
+			generations = append(generations, generation)
 		}
 	}
-	slices.Sort(had)
+	slices.Sort(generations)
 	next := 1
-	if len(had) > 0 {
-		next = had[len(had)-1] + 1
+	if len(generations) > 0 {
+		next = generations[len(generations)-1] + 1
 	}
-	to := filepath.Join(dir, setAside+strconv.Itoa(next))
-	if err := os.Mkdir(to, 0o755); err != nil {
+	target := filepath.Join(dir, quarantinePrefix+strconv.Itoa(next))
+	if err := os.Mkdir(target, 0o755); err != nil {
 		return "", err
 	}
-	for _, name := range []string{File, snapshotsDir} {
-		if err := os.Rename(filepath.Join(dir, name), filepath.Join(to, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	for _, name := range []string{FileName, snapshotsDir} {
+		if err := os.Rename(filepath.Join(dir, name), filepath.Join(target, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return "", err
 		}
 	}
-	for len(had) >= keepAside {
-		if err := os.RemoveAll(filepath.Join(dir, setAside+strconv.Itoa(had[0]))); err != nil {
+	for len(generations) >= maxQuarantined {
+		if err := os.RemoveAll(filepath.Join(dir, quarantinePrefix+strconv.Itoa(generations[0]))); err != nil {
 			return "", err
 		}
-		had = had[1:]
+		generations = generations[1:]
 	}
-	return to, nil
+	return target, nil
 }
 
 // Report is what a look at a folder found, for operators.
 type Report struct {
-	Found
-	Dir       string                          `json:"dir"`
-	Format    int                             `json:"format"`
-	Mark      admit.DirectoryState            `json:"mark"`
-	Votes     bool                            `json:"votes"`
-	Snapshots []Snapshot                      `json:"snapshots"`
-	Remembers map[string]admit.DirectoryState `json:"remembers"` // of other copies
-	Aside     []string                        `json:"aside,omitempty"`
-	Damage    string                          `json:"damage,omitempty"`
+	LogSummary
+	Dir             string                          `json:"dir"`
+	Format          int                             `json:"format"`
+	Directory       admit.DirectoryState            `json:"mark"`
+	Voter           bool                            `json:"votes"`
+	Snapshots       []Snapshot                      `json:"snapshots"`
+	PeerDirectories map[string]admit.DirectoryState `json:"remembers"` // of other copies
+	Quarantined     []string                        `json:"aside,omitempty"`
+	Corruption      string                          `json:"damage,omitempty"`
 }
 
 // Snapshot is one of a folder's.
@@ -287,73 +287,73 @@
 // folder at all; what is damaged stands in the report.
 func Verify(dir string) (r Report, err error) {
 	r.Dir = dir
-	path := filepath.Join(dir, File)
+	path := filepath.Join(dir, FileName)
 	if _, err := os.Stat(path); err != nil {
 		return r, fmt.Errorf("disk: %w", err)
 	}
-	asides, _ := filepath.Glob(filepath.Join(dir, setAside+"*"))
-	r.Aside = asides
-	damaged := func(err error) (Report, error) {
-		if d := (*Damage)(nil); errors.As(err, &d) {
-			r.Damage = d.Error()
+	quarantined, _ := filepath.Glob(filepath.Join(dir, quarantinePrefix+"*"))
+	r.Quarantined = quarantined
+	corrupt := func(err error) (Report, error) {
+		if d := (*CorruptionError)(nil); errors.As(err, &d) {
+			r.Corruption = d.Error()
 			return r, nil
 		}
 		return r, err
 	}
 	l := &Log{path: path}
 	if err := l.open(true); err != nil {
-		return damaged(err)
+		return corrupt(err)
 	}
 	defer l.db.Close()
-	if r.Format, err = l.format(); err != nil {
-		return damaged(err)
+	if r.Format, err = l.readFormat(); err != nil {
+		return corrupt(err)
 	}
-	if r.Format < Format {
+	if r.Format < FormatVersion {
 		return r, fmt.Errorf("disk: %s has format %d, without checksums: it is taken over when a copy opens it", path, r.Format)
 	}
-	if r.Found, err = l.check(); err != nil {
-		return damaged(err)
+	if r.LogSummary, err = l.verifyRecords(); err != nil {
+		return corrupt(err)
 	}
-	f := &Folder{Log: l}
-	if name, err := l.get(folderKey); err == nil {
-		r.Mark.DirectoryID = string(name)
+	f := &Directory{Log: l}
+	if name, err := l.readValue(directoryIDKey); err == nil {
+		r.Directory.DirectoryID = string(name)
 	}
-	r.Mark.OpenCount, _ = l.number(lifeKey)
-	r.Mark.JoinIndex, _ = l.number(joinedKey)
-	r.Mark.ClusterGeneration, _ = l.number(setKey)
-	if name, err := l.get(nameKey); err == nil {
-		r.Mark.ClusterName = string(name)
+	r.Directory.OpenCount, _ = l.readUint64(openCountKey)
+	r.Directory.JoinIndex, _ = l.readUint64(joinIndexKey)
+	r.Directory.ClusterGeneration, _ = l.readUint64(clusterGenerationKey)
+	if name, err := l.readValue(clusterNameKey); err == nil {
+		r.Directory.ClusterName = string(name)
 	}
-	votes, _ := l.number(votesKey)
-	r.Mark.Term, r.Mark.LastIndex, r.Votes = r.Found.Term, r.Found.Last, r.Mark.JoinIndex == 0 || votes == 1
-	if r.Remembers, err = f.Marks(); err != nil {
-		return damaged(err)
+	voter, _ := l.readUint64(voterKey)
+	r.Directory.Term, r.Directory.LastIndex, r.Voter = r.LogSummary.Term, r.LogSummary.LastIndex, r.Directory.JoinIndex == 0 || voter == 1
+	if r.PeerDirectories, err = f.PeerDirectories(); err != nil {
+		return corrupt(err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, snapshotsDir)); err != nil {
 		return r, nil
 	}
-	snap, err := raft.NewFileSnapshotStore(dir, keepSnapshots, io.Discard)
+	snapshots, err := raft.NewFileSnapshotStore(dir, maxSnapshots, io.Discard)
 	if err != nil {
 		return r, err
 	}
-	all, err := snap.List()
+	listed, err := snapshots.List()
 	if err != nil {
 		return r, err
 	}
-	for _, m := range all {
+	for _, m := range listed {
 		r.Snapshots = append(r.Snapshots, Snapshot{m.ID, m.Index, m.Term, m.Size})
 	}
-	last, err := checkSnapshots(dir, snap)
+	snapshotIndex, err := checkSnapshots(dir, snapshots)
 	if err != nil {
-		return damaged(err)
+		return corrupt(err)
 	}
-	r.Mark.LastIndex = max(r.Mark.LastIndex, last)
+	r.Directory.LastIndex = max(r.Directory.LastIndex, snapshotIndex)
 	return r, nil
 }
 
-// Entries calls look for the entries of a folder from one position to another, as far as they are whole.
-func Entries(dir string, from, to uint64, look func(*raft.Log)) error {
-	l := &Log{path: filepath.Join(dir, File)}
+// ReadEntries calls look for the entries of a folder from one position to another, as far as they are whole.
+func ReadEntries(dir string, from, to uint64, visit func(*raft.Log)) error {
+	l := &Log{path: filepath.Join(dir, FileName)}
 	if _, err := os.Stat(l.path); err != nil {
 		return fmt.Errorf("disk: %w", err)
 	}
@@ -361,15 +361,15 @@
 		return err
 	}
 	defer l.db.Close()
-	return guard(l.path, "the file", func() error {
+	return recoverCorruption(l.path, "the file", func() error {
 		return l.db.View(func(tx *bbolt.Tx) error {
-			c := tx.Bucket(logs).Cursor()
-			for k, v := c.Seek(number(from)); len(k) == 8 && binary.BigEndian.Uint64(k) <= to; k, v = c.Next() {
+			c := tx.Bucket(logsBucket).Cursor()
+			for k, v := c.Seek(encodeUint64(from)); len(k) == 8 && binary.BigEndian.Uint64(k) <= to; k, v = c.Next() {
 				var e raft.Log
-				if err := l.decode(k, v, &e); err != nil {
+				if err := l.decodeEntry(k, v, &e); err != nil {
 					return err
 				}
-				look(&e)
+				visit(&e)
 			}
 			return nil
 		})
--- a/internal/store/disk/pages.go
+++ b/internal/store/disk/pages.go
@@ -14,33 +14,33 @@
 // pages: one that does not make sense is a panic, partly on goroutines of its own where nobody can catch it, or a fault of
 // memory. Numbers are in the machine's own order, as the library writes them.
 const (
-	pageHead    = 16 // id, flags, count, overflow
-	elementSize = 16
-	metaSize    = 56 // before its checksum
-	metaMagic   = 0xED0CDAED
-	metaVersion = 2
-	branchPage  = 0x01
-	leafPage    = 0x02
-	metaPage    = 0x04
-	bucketLeaf  = 0x01
-	deepest     = 64
-	mostPage    = 1 << 16
+	pageHeaderSize = 16 // id, flags, count, overflow
+	elementSize    = 16
+	metaSize       = 56 // before its checksum
+	metaMagic      = 0xED0CDAED
+	metaVersion    = 2
+	branchPage     = 0x01
+	leafPage       = 0x02
+	metaPage       = 0x04
+	bucketLeaf     = 0x01
+	maxPageDepth   = 64
+	maxPageSize    = 1 << 16
 )
 
-var native = binary.NativeEndian
+var nativeOrder = binary.NativeEndian
 
-// pages walks through a bolt file.
-type pages struct {
-	path  string
-	f     io.ReaderAt
-	size  int64 // of a page
-	end   uint64
-	seen  map[uint64]bool
-	bytes int64 // of the file
+// pageTree walks through a bolt file.
+type pageTree struct {
+	path      string
+	file      io.ReaderAt
+	pageSize  int64 // of a page
+	pageCount uint64
+	seen      map[uint64]bool
+	fileSize  int64 // of the file
 }
 
-func (p *pages) bad(id uint64, format string, a ...any) error {
-	return &Damage{p.path, fmt.Sprintf("page %d", id), fmt.Sprintf(format, a...)}
+func (p *pageTree) corruption(id uint64, format string, a ...any) error {
+	return &CorruptionError{p.path, fmt.Sprintf("page %d", id), fmt.Sprintf(format, a...)}
 }
 
 // checkPages looks at all pages of a bolt file that are in use. A file of no bytes was never begun.
@@ -60,108 +60,108 @@
 	if info.Size() == 0 {
 		return nil
 	}
-	p := &pages{path: path, f: f, seen: map[uint64]bool{0: true, 1: true}, bytes: info.Size()}
-	root, err := p.meta()
+	p := &pageTree{path: path, file: f, seen: map[uint64]bool{0: true, 1: true}, fileSize: info.Size()}
+	root, err := p.readMeta()
 	if err != nil {
 		return err
 	}
-	if p.end > uint64(p.bytes/p.size) {
-		return &Damage{path, "the file", fmt.Sprintf("it is cut short: %d bytes, for %d pages of %d", p.bytes, p.end, p.size)}
+	if p.pageCount > uint64(p.fileSize/p.pageSize) {
+		return &CorruptionError{path, "the file", fmt.Sprintf("it is cut short: %d bytes, for %d pages of %d", p.fileSize, p.pageCount, p.pageSize)}
 	}
-	_, err = p.page(root, nil, nil, deepest)
+	_, err = p.checkPage(root, nil, nil, maxPageDepth)
 	return err
 }
 
-// meta reads the later of the two heads that is whole.
-func (p *pages) meta() (root uint64, err error) {
-	latest := uint64(0)
+// readMeta reads the later of the two heads that is whole.
+func (p *pageTree) readMeta() (root uint64, err error) {
+	latestTxID := uint64(0)
 	found := false
-	try := func(at int64) {
-		b := make([]byte, pageHead+metaSize+8)
-		if _, err := p.f.ReadAt(b, at); err != nil {
+	readAt := func(at int64) {
+		b := make([]byte, pageHeaderSize+metaSize+8)
+		if _, err := p.file.ReadAt(b, at); err != nil {
 			return
 		}
-		m := b[pageHead:]
+		m := b[pageHeaderSize:]
 		h := fnv.New64a()
 		h.Write(m[:metaSize])
-		size := native.Uint32(m[8:])
-		tx := native.Uint64(m[48:])
+		size := nativeOrder.Uint32(m[8:])
+		txID := nativeOrder.Uint64(m[48:])
 		switch {
-		case native.Uint16(b[8:])&metaPage == 0, native.Uint32(m) != metaMagic, native.Uint32(m[4:]) != metaVersion,
-			native.Uint64(m[metaSize:]) != h.Sum64(), size < 512 || size > mostPage, found && tx < latest:
+		case nativeOrder.Uint16(b[8:])&metaPage == 0, nativeOrder.Uint32(m) != metaMagic, nativeOrder.Uint32(m[4:]) != metaVersion,
+			nativeOrder.Uint64(m[metaSize:]) != h.Sum64(), size < 512 || size > maxPageSize, found && txID < latestTxID:
 			return
 		}
-		found, latest = true, tx
-		p.size, root, p.end = int64(size), native.Uint64(m[16:]), native.Uint64(m[40:])
+		found, latestTxID = true, txID
+		p.pageSize, root, p.pageCount = int64(size), nativeOrder.Uint64(m[16:]), nativeOrder.Uint64(m[40:])
 	}
-	try(0)
-	for size := int64(512); size <= mostPage; size *= 2 { // the first head may be the one that is spoilt
-		if p.size == 0 || p.size == size {
-			try(size)
+	readAt(0)
+	for size := int64(512); size <= maxPageSize; size *= 2 { // the first head may be the one that is spoilt
+		if p.pageSize == 0 || p.pageSize == size {
+			readAt(size)
 		}
 	}
 	if !found {
-		return 0, &Damage{p.path, "the file's head", "neither of its two copies is whole"}
+		return 0, &CorruptionError{p.path, "the file's head", "neither of its two copies is whole"}
 	}
 	return root, nil
 }
 
-// page looks at a page and all below it, whose keys have to lie from one on and before another; it returns the last key.
-func (p *pages) page(id uint64, from, before []byte, deep int) (last []byte, err error) {
-	if deep == 0 {
-		return nil, p.bad(id, "it lies too deep")
+// checkPage looks at a page and all below it, whose keys have to lie from one on and before another; it returns the last key.
+func (p *pageTree) checkPage(id uint64, minKey, limitKey []byte, depthLeft int) (lastKey []byte, err error) {
+	if depthLeft == 0 {
+		return nil, p.corruption(id, "it lies too deep")
 	}
-	if id < 2 || id >= p.end {
-		return nil, p.bad(id, "there are %d", p.end)
+	if id < 2 || id >= p.pageCount {
+		return nil, p.corruption(id, "there are %d", p.pageCount)
 	}
-	head := make([]byte, pageHead)
-	if _, err := p.f.ReadAt(head, int64(id)*p.size); err != nil {
-		return nil, p.bad(id, "%v", err)
+	header := make([]byte, pageHeaderSize)
+	if _, err := p.file.ReadAt(header, int64(id)*p.pageSize); err != nil {
+		return nil, p.corruption(id, "%v", err)
 	}
-	more := uint64(native.Uint32(head[12:]))
-	if got := native.Uint64(head); got != id {
-		return nil, p.bad(id, "it says that it is page %d", got)
+	overflow := uint64(nativeOrder.Uint32(header[12:]))
+	if got := nativeOrder.Uint64(header); got != id {
+		return nil, p.corruption(id, "it says that it is page %d", got)
 	}
-	if more >= p.end-id {
-		return nil, p.bad(id, "it goes on for %d pages, and there are %d", more, p.end)
+	if overflow >= p.pageCount-id {
+		return nil, p.corruption(id, "it goes on for %d pages, and there are %d", overflow, p.pageCount)
 	}
-	for k := id; k <= id+more; k++ {
+	for k := id; k <= id+overflow; k++ {
 		if p.seen[k] {
-			return nil, p.bad(k, "it is used twice")
+			return nil, p.corruption(k, "it is used twice")
 		}
 		p.seen[k] = true
 	}
-	b := make([]byte, int64(more+1)*p.size)
-	if _, err := p.f.ReadAt(b, int64(id)*p.size); err != nil {
-		return nil, p.bad(id, "%v", err)
+	b := make([]byte, int64(overflow+1)*p.pageSize)
+	if _, err := p.file.ReadAt(b, int64(id)*p.pageSize); err != nil {
+		return nil, p.corruption(id, "%v", err)
 	}
-	return p.elements(id, b, from, before, deep)
+	return p.checkElements(id, b, minKey, limitKey, depthLeft)
 }
 
-// elements looks at those of a page, or of one that lies within another.
-func (p *pages) elements(id uint64, b, from, before []byte, deep int) (last []byte, err error) {
-	flags, count := native.Uint16(b[8:]), int(native.Uint16(b[10:]))
+// checkElements looks at those of a page, or of one that lies within another.
+func (p *pageTree) checkElements(id uint64, b, minKey, limitKey []byte, depthLeft int) (lastKey []byte, err error) {
+	flags, count := nativeOrder.Uint16(b[8:]), int(nativeOrder.Uint16(b[10:]))
 	if flags != branchPage && flags != leafPage || flags == branchPage && count == 0 {
-		return nil, p.bad(id, "its kind is %#x, with %d elements", flags, count)
+		return nil, p.corruption(id, "its kind is %#x, with %d elements", flags, count)
 	}
-	if pageHead+count*elementSize > len(b) {
-		return nil, p.bad(id, "it has %d elements in %d bytes", count, len(b))
+	if pageHeaderSize+count*elementSize > len(b) {
+		return nil, p.corruption(id, "it has %d elements in %d bytes", count, len(b))
 	}
-	cut := func(at, pos, n uint64) ([]byte, bool) {
+	slice := func(at, pos, n uint64) ([]byte, bool) {
 		if pos > uint64(len(b)) || n > uint64(len(b)) || at+pos+n > uint64(len(b)) {
 			return nil, false
 		}
 		return b[at+pos : at+pos+n], true
 	}
 	key := func(i int) ([]byte, error) {
-		at := uint64(pageHead + i*elementSize)
-		pos, n := uint64(native.Uint32(b[at:])), uint64(native.Uint32(b[at+4:]))
+		at := uint64(pageHeaderSize + i*elementSize)
+		pos, n := uint64(nativeOrder.Uint32(b[at:])), uint64(nativeOrder.Uint32(b[at+4:]))
 		if flags == leafPage {
-			pos, n = uint64(native.Uint32(b[at+4:])), uint64(native.Uint32(b[at+8:]))
+			pos, n = uint64(nativeOrder.Uint32(b[at+4:])), uint64(nativeOrder.Uint32(b[at+8:]))
 		}
-		k, ok := cut(at, pos, n)
+		k, ok := slice(at, pos, n)
 		if !ok || n == 0 {
-			return nil, p.bad(id, "the key of element %d lies outside", i)
+			return nil, p.corruption(id, "the key of element %d lies outside", i)
 		}
 		return k, nil
 	}
@@ -170,54 +170,54 @@
 		if err != nil {
 			return nil, err
 		}
-		if from != nil && bytes.Compare(k, from) < 0 || i > 0 && last != nil && bytes.Compare(k, last) <= 0 || before != nil && bytes.Compare(k, before) >= 0 {
-			return nil, p.bad(id, "the keys are out of order at element %d", i)
+		if minKey != nil && bytes.Compare(k, minKey) < 0 || i > 0 && lastKey != nil && bytes.Compare(k, lastKey) <= 0 || limitKey != nil && bytes.Compare(k, limitKey) >= 0 {
+			return nil, p.corruption(id, "the keys are out of order at element %d", i)
 		}
-		at := uint64(pageHead + i*elementSize)
+		at := uint64(pageHeaderSize + i*elementSize)
 		if flags == branchPage {
-			until := before
+			childLimit := limitKey
 			if i+1 < count {
-				if until, err = key(i + 1); err != nil {
+				if childLimit, err = key(i + 1); err != nil {
 					return nil, err
 				}
 			}
-			if last, err = p.page(native.Uint64(b[at+8:]), k, until, deep-1); err != nil {
+			if lastKey, err = p.checkPage(nativeOrder.Uint64(b[at+8:]), k, childLimit, depthLeft-1); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		last = k
-		pos, n := uint64(native.Uint32(b[at+4:])), uint64(native.Uint32(b[at+8:]))
-		v, ok := cut(at, pos+n, uint64(native.Uint32(b[at+12:])))
+		lastKey = k
+		pos, n := uint64(nativeOrder.Uint32(b[at+4:])), uint64(nativeOrder.Uint32(b[at+8:]))
+		v, ok := slice(at, pos+n, uint64(nativeOrder.Uint32(b[at+12:])))
 		if !ok {
-			return nil, p.bad(id, "the value of element %d lies outside", i)
+			return nil, p.corruption(id, "the value of element %d lies outside", i)
 		}
-		switch native.Uint32(b[at:]) {
+		switch nativeOrder.Uint32(b[at:]) {
 		case 0:
 		case bucketLeaf:
-			if err := p.bucket(id, v, deep); err != nil {
+			if err := p.checkBucket(id, v, depthLeft); err != nil {
 				return nil, err
 			}
 		default:
-			return nil, p.bad(id, "the kind of element %d is unknown", i)
+			return nil, p.corruption(id, "the kind of element %d is unknown", i)
 		}
 	}
-	return last, nil
+	return lastKey, nil
 }
 
-// bucket looks at a bucket's pages, or at the one that lies within its own record where it is small.
-func (p *pages) bucket(id uint64, v []byte, deep int) error {
+// checkBucket looks at a bucket's pages, or at the one that lies within its own record where it is small.
+func (p *pageTree) checkBucket(id uint64, v []byte, depthLeft int) error {
 	if len(v) < 16 {
-		return p.bad(id, "a bucket has %d bytes", len(v))
+		return p.corruption(id, "a bucket has %d bytes", len(v))
 	}
-	if root := native.Uint64(v); root != 0 {
-		_, err := p.page(root, nil, nil, deep-1)
+	if root := nativeOrder.Uint64(v); root != 0 {
+		_, err := p.checkPage(root, nil, nil, depthLeft-1)
 		return err
 	}
-	within := v[16:]
-	if len(within) < pageHead || native.Uint16(within[8:]) != leafPage {
-		return p.bad(id, "a bucket within it makes no sense")
+	inline := v[16:]
+	if len(inline) < pageHeaderSize || nativeOrder.Uint16(inline[8:]) != leafPage {
+		return p.corruption(id, "a bucket within it makes no sense")
 	}
-	_, err := p.elements(id, within, nil, nil, deep-1)
+	_, err := p.checkElements(id, inline, nil, nil, depthLeft-1)
 	return err
 }
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -11,23 +11,23 @@
 	"puffinsaddle/internal/state"
 )
 
-// machine hands the log's entries to the replicated state, one at a time.
-type machine struct {
-	mu      sync.Mutex
-	state   *state.State
-	index   uint64 // of the last entry that was applied
-	changed chan struct{}
-	watch   func(index, term uint64, c state.Command, r state.Result) // called for each entry, in order; nil: nobody
-	plant   string
-	digest  admit.Digest
+// stateMachine hands the log's entries to the replicated state, one at a time.
+type stateMachine struct {
+	mu          sync.Mutex
+	state       *state.State
+	index       uint64 // of the last entry that was applied
+	changed     chan struct{}
+	onApply     func(index, term uint64, c state.Command, r state.Result) // called for each entry, in order; nil: nobody
+	injectedBug string
+	digest      admit.Digest
 }
 
-func newMachine() *machine {
-	return &machine{state: state.New(), changed: make(chan struct{})}
+func newStateMachine() *stateMachine {
+	return &stateMachine{state: state.New(), changed: make(chan struct{})}
 }
 
 // Apply carries out a command that the cluster has agreed on; it returns a state.Result.
-func (m *machine) Apply(l *raft.Log) any {
+func (m *stateMachine) Apply(l *raft.Log) any {
 	var c state.Command
 	var r state.Result
 	err := json.Unmarshal(l.Data, &c)
@@ -42,46 +42,46 @@
 		}
 	}
 	m.index = l.Index
-	if m.watch != nil {
-		m.watch(l.Index, l.Term, c, r)
+	if m.onApply != nil {
+		m.onApply(l.Index, l.Term, c, r)
 	}
-	m.tell()
+	m.notifyChanged()
 	return r
 }
 
-// looked is what the last look at a part of the state came to.
-func (m *machine) looked() admit.Digest {
+// latestDigest is what the last look at a part of the state came to.
+func (m *stateMachine) latestDigest() admit.Digest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.digest
 }
 
-// clear forgets all: the folder that it came from is not used any more.
-func (m *machine) clear() {
+// reset forgets all: the folder that it came from is not used any more.
+func (m *stateMachine) reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state, m.index, m.digest = state.New(), 0, admit.Digest{}
-	m.state.InjectedBug = m.plant
-	m.tell()
+	m.state.InjectedBug = m.injectedBug
+	m.notifyChanged()
 }
 
-func (m *machine) tell() {
+func (m *stateMachine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// kept is a copy of the state that is being written.
-type kept struct{ *state.Snapshot }
+// persistedState is a copy of the state that is being written.
+type persistedState struct{ *state.Snapshot }
 
 // Snapshot copies the state, so that it can be written while commands go on.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return kept{m.state.Snapshot()}, nil
+	return persistedState{m.state.Snapshot()}, nil
 }
 
 // Restore takes the state of a snapshot in place of its own.
-func (m *machine) Restore(r io.ReadCloser) error {
+func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	b, err := io.ReadAll(r)
 	if err != nil {
@@ -93,14 +93,14 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.InjectedBug = m.plant
+	s.InjectedBug = m.injectedBug
 	m.state = s
-	m.tell()
+	m.notifyChanged()
 	return nil
 }
 
 // Persist writes a snapshot.
-func (k kept) Persist(sink raft.SnapshotSink) error {
+func (k persistedState) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(k.Snapshot); err != nil {
 		sink.Cancel()
 		return err
@@ -109,4 +109,4 @@
 }
 
 // Release has nothing to free.
-func (kept) Release() {}
+func (persistedState) Release() {}
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -7,45 +7,45 @@
 	"github.com/hashicorp/raft"
 )
 
-var errNoVote = errors.New("store: this copy has no vote yet")
+var errNotVoter = errors.New("store: this copy has no vote yet")
 
-// gate is raft's transport of a copy that may not have its vote yet. raft itself goes by the latest configuration that it has
+// voteFilter is raft's transport of a copy that may not have its vote yet. raft itself goes by the latest configuration that it has
 // read, and a copy that joined anew reads old ones first: those in which it had the vote that it has forgotten.
-type gate struct {
+type voteFilter struct {
 	*raft.NetworkTransport
-	votes func() bool
-	rpcs  chan raft.RPC
-	over  chan struct{}
-	once  sync.Once
+	isVoter   func() bool
+	rpcs      chan raft.RPC
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-func newGate(t *raft.NetworkTransport, votes func() bool) *gate {
-	g := &gate{NetworkTransport: t, votes: votes, rpcs: make(chan raft.RPC), over: make(chan struct{})}
+func newVoteFilter(t *raft.NetworkTransport, isVoter func() bool) *voteFilter {
+	g := &voteFilter{NetworkTransport: t, isVoter: isVoter, rpcs: make(chan raft.RPC), done: make(chan struct{})}
 	go g.run()
 	return g
 }
 
-func (g *gate) run() {
+func (g *voteFilter) run() {
 	for {
 		select {
 		case rpc := <-g.NetworkTransport.Consumer():
-			if answer := forVoters(rpc.Command); answer != nil && !g.votes() {
-				rpc.Respond(answer, errNoVote)
+			if response := emptyVotingResponse(rpc.Command); response != nil && !g.isVoter() {
+				rpc.Respond(response, errNotVoter)
 				continue
 			}
 			select {
 			case g.rpcs <- rpc:
-			case <-g.over:
+			case <-g.done:
 				return
 			}
-		case <-g.over:
+		case <-g.done:
 			return
 		}
 	}
 }
 
-// forVoters is an empty answer to what is asked of voters alone; nil: it is asked of all.
-func forVoters(command any) any {
+// emptyVotingResponse is an empty answer to what is asked of voters alone; nil: it is asked of all.
+func emptyVotingResponse(command any) any {
 	header := raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax}
 	switch command.(type) {
 	case *raft.RequestVoteRequest:
@@ -59,26 +59,26 @@
 }
 
 // Consumer is what others ask.
-func (g *gate) Consumer() <-chan raft.RPC { return g.rpcs }
+func (g *voteFilter) Consumer() <-chan raft.RPC { return g.rpcs }
 
 // RequestVote asks for a vote; a copy without one asks nobody, so it never takes part in an election.
-func (g *gate) RequestVote(id raft.ServerID, at raft.ServerAddress, in *raft.RequestVoteRequest, out *raft.RequestVoteResponse) error {
-	if !g.votes() {
-		return errNoVote
+func (g *voteFilter) RequestVote(id raft.ServerID, address raft.ServerAddress, in *raft.RequestVoteRequest, out *raft.RequestVoteResponse) error {
+	if !g.isVoter() {
+		return errNotVoter
 	}
-	return g.NetworkTransport.RequestVote(id, at, in, out)
+	return g.NetworkTransport.RequestVote(id, address, in, out)
 }
 
 // RequestPreVote asks whether there would be one.
-func (g *gate) RequestPreVote(id raft.ServerID, at raft.ServerAddress, in *raft.RequestPreVoteRequest, out *raft.RequestPreVoteResponse) error {
-	if !g.votes() {
-		return errNoVote
+func (g *voteFilter) RequestPreVote(id raft.ServerID, address raft.ServerAddress, in *raft.RequestPreVoteRequest, out *raft.RequestPreVoteResponse) error {
+	if !g.isVoter() {
+		return errNotVoter
 	}
-	return g.NetworkTransport.RequestPreVote(id, at, in, out)
+	return g.NetworkTransport.RequestPreVote(id, address, in, out)
 }
 
 // Close ends the transport and its lane.
-func (g *gate) Close() error {
-	g.once.Do(func() { close(g.over) })
+func (g *voteFilter) Close() error {
+	g.closeOnce.Do(func() { close(g.done) })
 	return g.NetworkTransport.Close()
 }
--- a/internal/store/layer.go
+++ b/internal/store/layer.go
@@ -12,170 +12,170 @@
 
 // The first byte of a connection tells what it is for.
 const (
-	forRaft   = 'R'
-	forWrites = 'W' // writes sent on to the leader
-	forClaims = 'A' // what a copy says of its folder, before it takes part and while it does
-	forBackup = 'B' // the whole state at one position, from the copy that leads
-	forStatus = 'I' // one answer that tells how the copy is
-
-	// ForSessions opens a session of an order server, which need not keep a copy.
-	ForSessions = 'S'
-	// ForWatches opens a relay's watch of the configuration.
-	ForWatches = 'C'
+	purposeRaft   = 'R'
+	purposeWrites = 'W' // writes sent on to the leader
+	purposeClaims = 'A' // what a copy says of its folder, before it takes part and while it does
+	purposeBackup = 'B' // the whole state at one position, from the copy that leads
+	purposeStatus = 'I' // one answer that tells how the copy is
+
+	// PurposeSessions opens a session of an order server, which need not keep a copy.
+	PurposeSessions = 'S'
+	// PurposeWatches opens a relay's watch of the configuration.
+	PurposeWatches = 'C'
 )
 
-const helloFor = 2 * time.Second
+const purposeTimeout = 2 * time.Second
 
-// layer carries raft's connections and all others over one listening socket, so that a node has one address.
-type layer struct {
+// multiplexer carries raft's connections and all others over one listening socket, so that a node has one address.
+type multiplexer struct {
 	net.Listener
-	serve map[byte]func(net.Conn) // by purpose; each closes its connection
-	via   map[string]string       // where this node reaches an address, if elsewhere
-	done  chan struct{}
-	once  sync.Once
-	lane  atomic.Pointer[lane] // raft's; nil: none runs
+	handlers         map[byte]func(net.Conn) // by purpose; each closes its connection
+	addressOverrides map[string]string       // where this node reaches an address, if elsewhere
+	done             chan struct{}
+	closeOnce        sync.Once
+	raftLayer        atomic.Pointer[raftLayer] // raft's; nil: none runs
 
 	mu       sync.Mutex
 	sessions func(net.Conn) // nil: none are served
 	watches  func(net.Conn) // nil: none are served
 }
 
-func newLayer(ln net.Listener, serve map[byte]func(net.Conn), via map[string]string) *layer {
-	return &layer{Listener: ln, serve: serve, via: via, done: make(chan struct{})}
+func newMultiplexer(ln net.Listener, handlers map[byte]func(net.Conn), addressOverrides map[string]string) *multiplexer {
+	return &multiplexer{Listener: ln, handlers: handlers, addressOverrides: addressOverrides, done: make(chan struct{})}
 }
 
-// lane is what one raft after the other has of the socket.
-type lane struct {
-	*layer
-	name  string // of the set
-	conns chan net.Conn
-	over  chan struct{}
-	end   sync.Once
+// raftLayer is what one raft after the other has of the socket.
+type raftLayer struct {
+	*multiplexer
+	clusterName   string // of the set
+	conns         chan net.Conn
+	closed        chan struct{}
+	closeRaftOnce sync.Once
 }
 
-// open makes the lane of a raft that is about to run.
-func (l *layer) open(name string) *lane {
-	n := &lane{layer: l, name: name, conns: make(chan net.Conn), over: make(chan struct{})}
-	l.lane.Store(n)
+// openRaftLayer makes the lane of a raft that is about to run.
+func (l *multiplexer) openRaftLayer(clusterName string) *raftLayer {
+	n := &raftLayer{multiplexer: l, clusterName: clusterName, conns: make(chan net.Conn), closed: make(chan struct{})}
+	l.raftLayer.Store(n)
 	return n
 }
 
 // Accept hands raft its connections.
-func (n *lane) Accept() (net.Conn, error) {
+func (n *raftLayer) Accept() (net.Conn, error) {
 	select {
 	case c := <-n.conns:
 		return c, nil
-	case <-n.over:
+	case <-n.closed:
 	case <-n.done:
 	}
 	return nil, net.ErrClosed
 }
 
 // Close ends the lane; the socket stays.
-func (n *lane) Close() error {
-	n.end.Do(func() { close(n.over) })
-	n.layer.lane.CompareAndSwap(n, nil)
+func (n *raftLayer) Close() error {
+	n.closeRaftOnce.Do(func() { close(n.closed) })
+	n.multiplexer.raftLayer.CompareAndSwap(n, nil)
 	return nil
 }
 
 // Dial opens one of raft's connections.
-func (n *lane) Dial(at raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	conn, err := n.dial(string(at), forRaft, timeout)
+func (n *raftLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	conn, err := n.dial(string(address), purposeRaft, timeout)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := conn.Write(append([]byte{byte(len(n.name))}, n.name...)); err != nil {
+	if _, err := conn.Write(append([]byte{byte(len(n.clusterName))}, n.clusterName...)); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	return conn, nil
 }
 
-// same reads the name of the set that a connection of raft's is of. Guards against entries of another set, whose nodes were given
+// sameCluster reads the name of the set that a connection of raft's is of. Guards against entries of another set, whose nodes were given
 // the same addresses: raft itself would take them.
-func (n *lane) same(conn net.Conn) bool {
+func (n *raftLayer) sameCluster(conn net.Conn) bool {
 	b := make([]byte, 256)
 	if _, err := io.ReadFull(conn, b[:1]); err != nil {
 		return false
 	}
 	name := b[1 : 1+int(b[0])]
 	_, err := io.ReadFull(conn, name)
-	return err == nil && (n.name == "" || len(name) == 0 || string(name) == n.name)
+	return err == nil && (n.clusterName == "" || len(name) == 0 || string(name) == n.clusterName)
 }
 
-func (l *layer) session() func(net.Conn) {
+func (l *multiplexer) sessionHandler() func(net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sessions
 }
 
-func (l *layer) watch() func(net.Conn) {
+func (l *multiplexer) watchHandler() func(net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.watches
 }
 
-func (l *layer) run() {
+func (l *multiplexer) run() {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			l.Close()
 			return
 		}
-		go l.sort(conn)
+		go l.dispatch(conn)
 	}
 }
 
-func (l *layer) sort(conn net.Conn) {
+func (l *multiplexer) dispatch(conn net.Conn) {
 	var b [1]byte
-	conn.SetReadDeadline(time.Now().Add(helloFor))
+	conn.SetReadDeadline(time.Now().Add(purposeTimeout))
 	if _, err := conn.Read(b[:]); err != nil {
 		conn.Close()
 		return
 	}
-	n := l.lane.Load()
-	if b[0] == forRaft && n != nil && !n.same(conn) {
+	n := l.raftLayer.Load()
+	if b[0] == purposeRaft && n != nil && !n.sameCluster(conn) {
 		n = nil
 	}
 	conn.SetReadDeadline(time.Time{})
-	switch serve := l.serve[b[0]]; {
-	case b[0] == forRaft:
+	switch handler := l.handlers[b[0]]; {
+	case b[0] == purposeRaft:
 		if n != nil {
 			select {
 			case n.conns <- conn:
 				return
-			case <-n.over:
+			case <-n.closed:
 			case <-l.done:
 			}
 		}
-	case b[0] == ForSessions:
-		if serve := l.session(); serve != nil {
-			serve(conn)
+	case b[0] == PurposeSessions:
+		if handler := l.sessionHandler(); handler != nil {
+			handler(conn)
 			return
 		}
-	case b[0] == ForWatches:
-		if serve := l.watch(); serve != nil {
-			serve(conn)
+	case b[0] == PurposeWatches:
+		if handler := l.watchHandler(); handler != nil {
+			handler(conn)
 			return
 		}
-	case serve != nil:
-		serve(conn)
+	case handler != nil:
+		handler(conn)
 		return
 	}
 	conn.Close()
 }
 
 // Close ends the listening.
-func (l *layer) Close() error {
-	l.once.Do(func() { close(l.done) })
+func (l *multiplexer) Close() error {
+	l.closeOnce.Do(func() { close(l.done) })
 	return l.Listener.Close()
 }
 
-func (l *layer) dial(at string, purpose byte, timeout time.Duration) (net.Conn, error) {
-	if via := l.via[at]; via != "" {
-		at = via
+func (l *multiplexer) dial(address string, purpose byte, timeout time.Duration) (net.Conn, error) {
+	if override := l.addressOverrides[address]; override != "" {
+		address = override
 	}
-	conn, err := net.DialTimeout("tcp", at, timeout)
+	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/store/rates_test.go
+++ b/internal/store/rates_test.go
@@ -17,10 +17,10 @@
 	"puffinsaddle/internal/state"
 )
 
-const rateFor = 3 * time.Second // of one point
+const measurementTime = 3 * time.Second // of one point
 
-// threeCopies is a set of three copies in this process, each with its log on the disk, and the one that leads.
-func threeCopies(b *testing.B) *Store {
+// startThreeReplicas is a set of three copies in this process, each with its log on the disk, and the one that leads.
+func startThreeReplicas(b *testing.B) *Store {
 	b.Helper()
 	peers := map[string]string{}
 	var nodes []*Store
@@ -38,9 +38,9 @@
 			b.Fatal(err)
 		}
 	}
-	for late := time.Now().Add(patience); time.Now().Before(late); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		for _, s := range nodes {
-			if _, leads := s.Office(); leads {
+			if _, leads := s.Leadership(); leads {
 				return s
 			}
 		}
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// processorTime is what this process has used, in seconds.
-func processorTime(b *testing.B) float64 {
+// cpuSeconds is what this process has used, in seconds.
+func cpuSeconds(b *testing.B) float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
@@ -58,8 +58,8 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 }
 
-// diskBytes is what this process has had written to the disk, in bytes.
-func diskBytes(b *testing.B) float64 {
+// writtenBytes is what this process has had written to the disk, in bytes.
+func writtenBytes(b *testing.B) float64 {
 	const field = "write_bytes:"
 	text, err := os.ReadFile("/proc/self/io")
 	if err != nil {
@@ -80,51 +80,51 @@
 
 // measureRate has entries written at a rate, at times drawn ahead, and tells what three copies take of processor time and disk a
 // second, and how long an entry takes from the time that was drawn for it.
-func measureRate(b *testing.B, rate float64, write func(lead *Store, i int) error) {
-	lead := threeCopies(b)
-	if err := write(lead, 0); err != nil {
+func measureRate(b *testing.B, rate float64, write func(leader *Store, i int) error) {
+	leader := startThreeReplicas(b)
+	if err := write(leader, 0); err != nil {
 		b.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 41))
 	for b.Loop() {
-		var all sync.WaitGroup
+		var writes sync.WaitGroup
 		var mu sync.Mutex
-		var took []float64
-		usedBefore, writtenBefore, began := processorTime(b), diskBytes(b), time.Now()
+		var latenciesMS []float64
+		usedBefore, writtenBefore, began := cpuSeconds(b), writtenBytes(b), time.Now()
 		at := began
 		for i := 1; ; i++ {
 			at = at.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-			if at.Sub(began) > rateFor {
+			if at.Sub(began) > measurementTime {
 				break
 			}
 			time.Sleep(time.Until(at))
 			intended := at
-			all.Go(func() {
-				err := write(lead, i)
+			writes.Go(func() {
+				err := write(leader, i)
 				ms := float64(time.Since(intended)) / float64(time.Millisecond)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
 					b.Error(err)
 				}
-				took = append(took, ms)
+				latenciesMS = append(latenciesMS, ms)
 			})
 		}
-		all.Wait()
+		writes.Wait()
 		seconds := time.Since(began).Seconds()
-		slices.Sort(took)
-		if len(took) == 0 {
+		slices.Sort(latenciesMS)
+		if len(latenciesMS) == 0 {
 			b.Fatal("no entry was written")
 		}
-		b.ReportMetric(float64(len(took))/seconds, "entries/s")
-		b.ReportMetric((processorTime(b)-usedBefore)/seconds*1e6, "three-copies-µs/s")
-		b.ReportMetric((diskBytes(b)-writtenBefore)/seconds, "three-disks-bytes/s")
-		b.ReportMetric(took[len(took)/2], "p50-ms")
-		b.ReportMetric(took[len(took)*99/100], "p99-ms")
+		b.ReportMetric(float64(len(latenciesMS))/seconds, "entries/s")
+		b.ReportMetric((cpuSeconds(b)-usedBefore)/seconds*1e6, "three-copies-µs/s")
+		b.ReportMetric((writtenBytes(b)-writtenBefore)/seconds, "three-disks-bytes/s")
+		b.ReportMetric(latenciesMS[len(latenciesMS)/2], "p50-ms")
+		b.ReportMetric(latenciesMS[len(latenciesMS)*99/100], "p99-ms")
 	}
 }
 
-func proposed(lead *Store, c state.Command) error {
+func proposeAndWait(lead *Store, c state.Command) error {
 	r, err := lead.Propose(c)()
 	if err == nil && r.Error != "" {
 		err = fmt.Errorf("refused: %s", r.Error)
@@ -136,12 +136,12 @@
 func BenchmarkBookingRate(b *testing.B) {
 	for _, rate := range []int{250, 500, 1000, 2000, 4000} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
-			measureRate(b, float64(rate), func(lead *Store, i int) error {
+			measureRate(b, float64(rate), func(leader *Store, i int) error {
 				id := fmt.Sprintf("%016x", i)
-				if err := proposed(lead, state.Command{Op: state.OpBeginEffect, Key: id}); err != nil {
+				if err := proposeAndWait(leader, state.Command{Op: state.OpBeginEffect, Key: id}); err != nil {
 					return err
 				}
-				return proposed(lead, state.Command{Op: state.OpEndEffects, EffectIDs: []string{id}})
+				return proposeAndWait(leader, state.Command{Op: state.OpEndEffects, EffectIDs: []string{id}})
 			})
 		})
 	}
@@ -151,13 +151,13 @@
 func BenchmarkChangeRate(b *testing.B) {
 	for _, rate := range []int{10, 50, 100, 200, 400} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
-			measureRate(b, float64(rate), func(lead *Store, i int) error {
+			measureRate(b, float64(rate), func(leader *Store, i int) error {
 				var c records.Change
 				for k := range 3 {
 					c.Puts = append(c.Puts, records.Put{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("tenant-%06d", i%1000*3+k)},
 						Value: fmt.Appendf(nil, `{"share":0.0000025,"limit":%d.5}`, i%500)})
 				}
-				return proposed(lead, state.Command{Op: state.OpChangeRecords, Change: &c})
+				return proposeAndWait(leader, state.Command{Op: state.OpChangeRecords, Change: &c})
 			})
 		})
 	}
@@ -167,22 +167,22 @@
 func BenchmarkRestartRate(b *testing.B) {
 	for _, rate := range []int{1, 10, 50, 100, 200} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
-			measureRate(b, float64(rate), func(lead *Store, i int) error {
-				term, _ := lead.Office()
-				who := fmt.Sprintf("os-%04d#%016x", i%4300, i)
-				name := duty.PresenceName(who)
-				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: who, TTLMS: 3000, Term: term}
-				if err := proposed(lead, state.Command{Op: state.OpLeaseOrders, Orders: []duty.Order{grant}}); err != nil {
+			measureRate(b, float64(rate), func(leader *Store, i int) error {
+				term, _ := leader.Leadership()
+				serverID := fmt.Sprintf("os-%04d#%016x", i%4300, i)
+				name := duty.PresenceName(serverID)
+				grant := duty.Order{Kind: duty.Grant, Name: name, Holder: serverID, TTLMS: 3000, Term: term}
+				if err := proposeAndWait(leader, state.Command{Op: state.OpLeaseOrders, Orders: []duty.Order{grant}}); err != nil {
 					return err
 				}
 				epoch := uint64(0)
-				lead.View(func(st *state.State, _ uint64) {
+				leader.View(func(st *state.State, _ uint64) {
 					if l := st.Duties.Leases[name]; l != nil {
 						epoch = l.Epoch
 					}
 				})
-				lapse := duty.Order{Kind: duty.Expire, Name: name, Holder: who, Epoch: epoch, Term: term}
-				return proposed(lead, state.Command{Op: state.OpLeaseOrders, Orders: []duty.Order{lapse}})
+				expiry := duty.Order{Kind: duty.Expire, Name: name, Holder: serverID, Epoch: epoch, Term: term}
+				return proposeAndWait(leader, state.Command{Op: state.OpLeaseOrders, Orders: []duty.Order{expiry}})
 			})
 		})
 	}
--- a/internal/store/resolve.go
+++ b/internal/store/resolve.go
@@ -12,11 +12,11 @@
 	"puffinsaddle/internal/store/disk"
 )
 
-// Resolve begins a set anew with what the folder of one node holds, where a majority is lost for good. The node's process must
+// RecoverCluster begins a set anew with what the folder of one node holds, where a majority is lost for good. The node's process must
 // not run. It is the only one with a vote then; the others lose what they hold beyond it when they come, since each has to join
 // anew, and get their votes back as they catch up. Nobody can tell whether what is lost was agreed on: that is the operators'
 // decision.
-func Resolve(o Options) (disk.Report, error) {
+func RecoverCluster(o Options) (disk.Report, error) {
 	if o.Log == nil {
 		o.Log = io.Discard
 	}
@@ -27,36 +27,36 @@
 	switch {
 	case err != nil:
 		return report, err
-	case report.Damage != "":
-		return report, errors.New(report.Damage)
-	case report.Mark.LastIndex == 0:
+	case report.Corruption != "":
+		return report, errors.New(report.Corruption)
+	case report.Directory.LastIndex == 0:
 		return report, fmt.Errorf("store: %s holds nothing to begin with", o.Dir)
-	case !report.Votes:
-		return report, fmt.Errorf("store: %s joined as of entry %d and had not caught up: choose a copy with a vote", o.Dir, report.Mark.JoinIndex)
+	case !report.Voter:
+		return report, fmt.Errorf("store: %s joined as of entry %d and had not caught up: choose a copy with a vote", o.Dir, report.Directory.JoinIndex)
 	}
-	proc, err := disk.Draw()
+	processID, err := disk.NewRandomID()
 	if err != nil {
 		return report, err
 	}
-	f, err := disk.OpenFolder(o.Dir, proc, o.Log, disk.Options{})
+	f, err := disk.OpenDirectory(o.Dir, processID, o.Log, disk.Options{})
 	if err != nil {
 		return report, err
 	}
 	defer f.Close()
 	_, trans := raft.NewInmemTransport(raft.ServerAddress(o.Peers[o.ID]))
-	if err := raft.RecoverCluster(o.raft(), newMachine(), f, f, f.Snap, trans, o.alone()); err != nil {
+	if err := raft.RecoverCluster(o.raftConfig(), newStateMachine(), f, f, f.Snapshots, trans, o.soleVoterConfiguration()); err != nil {
 		return report, fmt.Errorf("store: %w", err)
 	}
 	// Last, so that an end in the middle leaves a folder that is still the set's, and the command can be given again.
-	if err := f.Anew(report.Mark.ClusterName); err != nil {
+	if err := f.RecordNewCluster(report.Directory.ClusterName); err != nil {
 		return report, err
 	}
-	report.Mark = f.Mark()
+	report.Directory = f.State()
 	return report, nil
 }
 
-// alone is a configuration in which this node alone has a vote.
-func (o Options) alone() (c raft.Configuration) {
+// soleVoterConfiguration is a configuration in which this node alone has a vote.
+func (o Options) soleVoterConfiguration() (c raft.Configuration) {
 	for _, id := range slices.Sorted(maps.Keys(o.Peers)) {
 		member := raft.Server{ID: raft.ServerID(id), Address: raft.ServerAddress(o.Peers[id]), Suffrage: raft.Nonvoter}
 		if id == o.ID {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-func open(t *testing.T, id, listen, dir string) *Store {
+func openNode(t *testing.T, id, listen, dir string) *Store {
 	t.Helper()
 	s, err := Open(Options{ID: id, Listen: listen, Dir: dir})
 	if err != nil {
@@ -22,9 +22,9 @@
 	return s
 }
 
-func ready(t *testing.T, nodes ...*Store) {
+func waitReady(t *testing.T, nodes ...*Store) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for _, s := range nodes {
 		if err := s.Ready(ctx); err != nil {
@@ -33,10 +33,10 @@
 	}
 }
 
-// set writes on a node; while a leader is being chosen the write is refused, and is made again.
-func set(t *testing.T, s *Store, key, value string) {
+// setValue writes on a node; while a leader is being chosen the write is refused, and is made again.
+func setValue(t *testing.T, s *Store, key, value string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		err := s.Set(key, []byte(value))
@@ -51,9 +51,9 @@
 	t.Fatalf("%s was not written", key)
 }
 
-func want(t *testing.T, s *Store, key, value string) {
+func waitValue(t *testing.T, s *Store, key, value string) {
 	t.Helper()
-	late := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		changed := s.Changed()
 		if v, ok := s.Get(key); ok && string(v) == value {
@@ -61,7 +61,7 @@
 		}
 		select {
 		case <-changed:
-		case <-late:
+		case <-timeout:
 			v, _ := s.Get(key)
 			t.Fatalf("%s is %q, want %q", key, v, value)
 		}
@@ -70,33 +70,33 @@
 
 func TestSnapshotAndRestart(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, "a", "127.0.0.1:0", dir)
-	at := s.Addr()
-	if err := s.Start(map[string]string{"a": at}); err != nil {
+	s := openNode(t, "a", "127.0.0.1:0", dir)
+	address := s.Addr()
+	if err := s.Start(map[string]string{"a": address}); err != nil {
 		t.Fatal(err)
 	}
-	ready(t, s)
-	set(t, s, "config", "one")
+	waitReady(t, s)
+	setValue(t, s, "config", "one")
 	if fresh, err := s.Begin("e1"); !fresh || err != nil {
 		t.Fatalf("the first begin: %v %v", fresh, err)
 	}
 	if err := s.Snapshot(); err != nil {
 		t.Fatal(err)
 	}
-	set(t, s, "inventory", "after the snapshot")
-	set(t, s, "drain/a", "x")
+	setValue(t, s, "inventory", "after the snapshot")
+	setValue(t, s, "drain/a", "x")
 	if err := s.Delete("drain/a"); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s = open(t, "a", at, dir)
+	s = openNode(t, "a", address, dir)
 	defer s.Close()
-	ready(t, s)
-	want(t, s, "config", "one")
-	want(t, s, "inventory", "after the snapshot")
-	set(t, s, "config", "two")
+	waitReady(t, s)
+	waitValue(t, s, "config", "one")
+	waitValue(t, s, "inventory", "after the snapshot")
+	setValue(t, s, "config", "two")
 	if fresh, err := s.Begin("e1"); fresh || err != nil {
 		t.Errorf("an effect begun before the restart begins again: %v %v", fresh, err)
 	}
@@ -105,11 +105,11 @@
 	}
 }
 
-func TestLossOfOneNodeAndOfTheQuorum(t *testing.T) {
+func TestWritesAfterNodeAndQuorumLoss(t *testing.T) {
 	peers := map[string]string{}
 	var nodes []*Store
 	for _, id := range []string{"a", "b", "c"} {
-		s := open(t, id, "127.0.0.1:0", t.TempDir())
+		s := openNode(t, id, "127.0.0.1:0", t.TempDir())
 		peers[id] = s.Addr()
 		nodes = append(nodes, s)
 	}
@@ -118,20 +118,20 @@
 			t.Fatal(err)
 		}
 	}
-	ready(t, nodes...)
+	waitReady(t, nodes...)
 	for i, s := range nodes { // two of these are followers, which send the write on
-		set(t, s, fmt.Sprint("k", i), "v")
+		setValue(t, s, fmt.Sprint("k", i), "v")
 	}
 	for _, s := range nodes {
 		for i := range nodes {
-			want(t, s, fmt.Sprint("k", i), "v")
+			waitValue(t, s, fmt.Sprint("k", i), "v")
 		}
 	}
 	if err := nodes[0].Close(); err != nil {
 		t.Fatal(err)
 	}
-	set(t, nodes[1], "after", "one lost")
-	want(t, nodes[2], "after", "one lost")
+	setValue(t, nodes[1], "after", "one lost")
+	waitValue(t, nodes[2], "after", "one lost")
 	if err := nodes[1].Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -144,13 +144,13 @@
 	nodes[2].Close()
 }
 
-func TestCloseWaitsForNoStuckRaft(t *testing.T) {
+func TestCloseDoesNotWaitForBlockedRaft(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
-	if err := within(1, func() error { <-never; return nil }); !errors.Is(err, ErrStuck) {
+	if err := waitFor(1, func() error { <-never; return nil }); !errors.Is(err, ErrShutdownTimeout) {
 		t.Errorf("%v", err)
 	}
-	if err := within(patience, func() error { return ErrNoQuorum }); !errors.Is(err, ErrNoQuorum) {
+	if err := waitFor(testTimeout, func() error { return ErrNoQuorum }); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("%v", err)
 	}
 }
@@ -160,9 +160,9 @@
 func BenchmarkBegins(b *testing.B) {
 	for _, writers := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("writers=%d", writers), func(b *testing.B) {
-			lead := threeCopies(b)
+			leader := startThreeReplicas(b)
 			var mu sync.Mutex
-			var took []float64
+			var latenciesMS []float64
 			var next atomic.Int64
 			var all sync.WaitGroup
 			b.ResetTimer()
@@ -172,26 +172,26 @@
 					defer all.Done()
 					for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
 						begun := time.Now()
-						if fresh, err := lead.Begin(fmt.Sprint("e", n)); !fresh || err != nil {
+						if fresh, err := leader.Begin(fmt.Sprint("e", n)); !fresh || err != nil {
 							b.Error(fresh, err)
 							return
 						}
 						ms := float64(time.Since(begun)) / float64(time.Millisecond)
 						mu.Lock()
-						took = append(took, ms)
+						latenciesMS = append(latenciesMS, ms)
 						mu.Unlock()
 					}
 				}()
 			}
 			all.Wait()
 			b.StopTimer()
-			if len(took) == 0 {
+			if len(latenciesMS) == 0 {
 				return
 			}
-			slices.Sort(took)
-			b.ReportMetric(float64(len(took))/b.Elapsed().Seconds(), "writes/s")
-			b.ReportMetric(took[len(took)/2], "p50-ms")
-			b.ReportMetric(took[len(took)*99/100], "p99-ms")
+			slices.Sort(latenciesMS)
+			b.ReportMetric(float64(len(latenciesMS))/b.Elapsed().Seconds(), "writes/s")
+			b.ReportMetric(latenciesMS[len(latenciesMS)/2], "p50-ms")
+			b.ReportMetric(latenciesMS[len(latenciesMS)*99/100], "p99-ms")
 		})
 	}
 }
