--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -113,11 +113,11 @@
 	}
 	k.BindTo(out, (*io.Writer)(nil))
 	err = k.Run()
-	var usage *lab.WrongUse
+	var usage *lab.UsageError
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.Is(err, lab.ErrBroken):
+	case errors.Is(err, lab.ErrInvariantViolated):
 		return exitFailure // the report names the invariant
 	case errors.As(err, &usage), errors.Is(err, errUsage):
 		fmt.Fprintln(errOut, "puffinsaddle:", err)
--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -98,7 +98,7 @@
 			return nil, err
 		}
 		h.trace = t
-		t.Add(trace.Event{What: trace.Up}, 0)
+		t.Add(trace.Event{What: trace.ProcessStarted}, 0)
 	}
 	injectedBug := cfg.Operator.Lab.InjectedBug
 	h.runner = &work.Runner{Steady: h.monotonic, Log: log, Trace: h.trace, CheckVersion: h.checkVersion}
@@ -131,11 +131,11 @@
 	g := &duty.Grantor{Rules: d.Rules(), Seed: 1, MaxPresent: d.Allocation.MaxProcesses, InjectedBug: h.cfg.Operator.Lab.InjectedBug}
 	h.sessionServer = session.NewServer(replica, g, d.MaxSessions, h.monotonic, h.log)
 	h.sessionServer.CheckChange = func(c records.Change) error { return checkChange(replica, c) }
-	h.sessionServer.OnTermStart = func(term uint64) { h.trace.Add(trace.Event{What: trace.Office, Term: term}, 0) }
+	h.sessionServer.OnTermStart = func(term uint64) { h.trace.Add(trace.Event{What: trace.TermStarted, Term: term}, 0) }
 	replica.ServeSessions(h.sessionServer.Serve)
 	h.origin = relay.NewOrigin(replica, h.monotonic, h.log, h.cfg.Operator.Lab.InjectedBug)
 	h.origin.OnCommit = func(c records.Commit) {
-		h.trace.Add(trace.Event{What: trace.Agreed, N: c.Revision, Text: c.After.String()}, 0)
+		h.trace.Add(trace.Event{What: trace.CommitAgreed, N: c.Revision, Text: c.After.String()}, 0)
 	}
 	h.sessionServer.ConfigStatus = h.origin.Status
 	replica.ServeWatches(h.origin.Serve)
@@ -251,7 +251,9 @@
 	if h == nil || h.trace == nil {
 		return nil
 	}
-	return func(phase, reason string) { h.trace.Add(trace.Event{What: trace.Copy, Text: phase, Cause: reason}, 0) }
+	return func(phase, reason string) {
+		h.trace.Add(trace.Event{What: trace.ReplicaPhase, Text: phase, Cause: reason}, 0)
+	}
 }
 
 // applyTracer returns a function that traces the commands that a store replica applies, or nil without a trace.
@@ -260,7 +262,7 @@
 		return nil
 	}
 	return func(index, term uint64, c state.Command, r state.Result) {
-		e := trace.Event{What: trace.Applied, Index: index, Term: term, Text: c.Op}
+		e := trace.Event{What: trace.EntryApplied, Index: index, Term: term, Text: c.Op}
 		if c.Fence != nil {
 			e.Duty, e.Epoch, e.Cause = c.Fence.Name, c.Fence.Epoch, r.Error
 		}
--- a/cmd/puffinsaddle/records.go
+++ b/cmd/puffinsaddle/records.go
@@ -115,10 +115,10 @@
 	injectedBug := cfg.Operator.Lab.InjectedBug
 	w.replica = replica.Open(replica.Options{Name: cfg.Name, Path: d.ReplicaPath, CheckRecord: records.CheckValue, ApplySettings: w.applySettings, Log: log, InjectedBug: injectedBug,
 		OnCommit: func(c records.Commit) {
-			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
+			t.Add(trace.Event{What: trace.CommitsInForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
 		OnSnapshot: func(p distribution.Position) { traceSnapshot(t, p) },
-		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
+		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.RevisionReported, N: revision}, 0) }})
 	traceSnapshot(t, w.replica.Position())
 	w.client = configwatch.NewClient(configwatch.ClientOptions{Name: cfg.Name, Steady: clock.Monotonic(), Log: log, InjectedBug: injectedBug, Replica: w.replica,
 		Selector: distribution.NewSelector(d.Relays, distribution.Locality{Zone: d.Zone, Region: d.Region}, cfg.Seed)})
@@ -127,7 +127,7 @@
 
 // traceSnapshot records that a snapshot at position p was installed.
 func traceSnapshot(t *trace.Log, p distribution.Position) {
-	t.Add(trace.Event{What: trace.Installed, N: p.Revision, Text: p.Digest.String()}, 0)
+	t.Add(trace.Event{What: trace.RecordsInstalled, N: p.Revision, Text: p.Digest.String()}, 0)
 }
 
 // applySettings applies changed settings all at once; a nil value deletes a setting. If the settings are then inconsistent
@@ -209,17 +209,17 @@
 			return err
 		}
 		defer t.Close()
-		t.Add(trace.Event{What: trace.Up}, 0)
+		t.Add(trace.Event{What: trace.ProcessStarted}, 0)
 	}
 	limits := distribution.DefaultLimits
 	limits.Watchers, limits.Snapshots = settings.MaxWatchers, settings.MaxSnapshots
 	r, err := relay.Open(relay.Options{Name: settings.Name, Region: settings.Region, Listen: settings.Listen, StoreAddresses: settings.Replicas, Elsewhere: settings.Alternatives, Path: settings.ReplicaPath, Limits: limits,
 		Seed: seedOf(settings.Name), Steady: steady, Log: log, InjectedBug: operatorFile.Lab.InjectedBug,
 		OnCommit: func(c records.Commit) {
-			t.Add(trace.Event{What: trace.InForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
+			t.Add(trace.Event{What: trace.CommitsInForce, Index: c.Revision, N: c.Revision, Text: c.After.String()}, 0)
 		},
 		OnSnapshot: func(p distribution.Position) { traceSnapshot(t, p) },
-		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.Reported, N: revision}, 0) }})
+		OnReport:   func(revision uint64) { t.Add(trace.Event{What: trace.RevisionReported, N: revision}, 0) }})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/check.go
+++ b/internal/lab/scale/check.go
@@ -103,9 +103,9 @@
 	appliedAt := map[uint64]float64{}
 	for _, e := range events {
 		switch {
-		case e.What == trace.Applied && e.Text == state.OpChangeRecords && e.Cause == "":
+		case e.What == trace.EntryApplied && e.Text == state.OpChangeRecords && e.Cause == "":
 			appliedAt[e.N] = e.At
-		case e.What == trace.Agreed:
+		case e.What == trace.CommitAgreed:
 			at, ok := appliedAt[e.N]
 			if !ok {
 				at = e.At
@@ -147,7 +147,7 @@
 		switch e.What {
 		case eventDown:
 			stoppedAt = e.At
-		case trace.Up:
+		case trace.ProcessStarted:
 			if stoppedAt >= 0 {
 				all = append(all, outage{stoppedAt, e.At})
 			}
@@ -198,15 +198,15 @@
 	p := processProgress{name: processName}
 	for _, e := range events {
 		switch e.What {
-		case trace.Up:
+		case trace.ProcessStarted:
 			p.startedAt, p.lacksRecords = e.At, false
 		case eventCorrupt:
 			p.lacksRecords = true
-		case trace.Installed:
+		case trace.RecordsInstalled:
 			f.checkInstalled(o, &p, e)
-		case trace.InForce:
+		case trace.CommitsInForce:
 			f.checkInForce(o, &p, e, outages)
-		case trace.Reported:
+		case trace.RevisionReported:
 			if e.N > p.revision {
 				f.addViolation("%s reported revision %d at %.1f ms, but revision %d was in force", processName, e.N, e.At, p.revision)
 			}
--- a/internal/lab/scale/cmd.go
+++ b/internal/lab/scale/cmd.go
@@ -138,13 +138,15 @@
 	}
 	fmt.Fprintln(out, string(b))
 	if len(found.violations) > 0 {
-		return lab.ErrBroken
+		return lab.ErrInvariantViolated
 	}
 	return nil
 }
 
 // usageError returns an error of wrong usage.
-func usageError(format string, a ...any) error { return &lab.WrongUse{Text: fmt.Sprintf(format, a...)} }
+func usageError(format string, a ...any) error {
+	return &lab.UsageError{Text: fmt.Sprintf(format, a...)}
+}
 
 // validate validates the command before any process is started.
 func (c *Cmd) validate() (Setup, error) {
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -53,7 +53,7 @@
 	storeAddresses map[string]string // address by store replica
 	relayAddresses map[string]string // address by relay
 	links          []zoneLink
-	fakeExecutors  []*lab.StandIn
+	fakeExecutors  []*lab.FakeExecutor
 	largestSize    int // the largest size, in servers
 
 	mu              sync.Mutex
@@ -140,7 +140,7 @@
 	if err != nil {
 		return "", err
 	}
-	l.To(address)
+	l.SetTarget(address)
 	f.links = append(f.links, zoneLink{l, from, to})
 	return l.Addr(), nil
 }
@@ -190,8 +190,8 @@
 
 // writeServerFiles writes the platform's file and the operator's file of an order server.
 func (f *fleet) writeServerFiles(p *process, listen, executor string, operator yamlMap) error {
-	platform := lab.PlatformFile{Name: p.name, Listen: listen, Executor: executor, Vault: executor, Operator: p.metricsAddress, Seed: f.Seed*1000 + uint64(p.incarnation),
-		Servers: f.largestSize, Slots: f.largestSize, MemoryMB: 192, Sockets: 1024}
+	platform := lab.PlatformFile{Name: p.name, Listen: listen, Executor: executor, Vault: executor, OperatorAddress: p.metricsAddress, Seed: f.Seed*1000 + uint64(p.incarnation),
+		Servers: f.largestSize, VaultSlots: f.largestSize, MemoryMB: 192, Sockets: 1024}
 	if _, ok := operator["store"]; ok {
 		platform.MemoryMB, platform.Cores = 1536, replicaCores
 	}
@@ -225,7 +225,7 @@
 	if err != nil {
 		return err
 	}
-	executor, err := lab.NewStandIn(p.name)
+	executor, err := lab.NewFakeExecutor(p.name)
 	if err != nil {
 		return err
 	}
@@ -429,7 +429,7 @@
 	}
 	for _, b := range f.links {
 		if inside[b.from] != inside[b.to] {
-			b.link.Cut(lab.Both)
+			b.link.Cut(lab.BothDirections)
 		}
 	}
 	return f.sendCommandToAll(simulatorCommand{Kind: commandCut, Zones: zones})
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -215,9 +215,9 @@
 	s.incarnation++
 	ctx, stop := context.WithCancel(s.simulator.ctx)
 	s.stop = stop
-	s.simulator.traceWriter.add(trace.Event{Who: s.name, What: trace.Up})
+	s.simulator.traceWriter.add(trace.Event{Who: s.name, What: trace.ProcessStarted})
 	if !corrupt {
-		s.simulator.traceWriter.add(trace.Event{Who: s.name, What: trace.Installed, N: s.position.Revision, Text: s.position.Digest.String()})
+		s.simulator.traceWriter.add(trace.Event{Who: s.name, What: trace.RecordsInstalled, N: s.position.Revision, Text: s.position.Digest.String()})
 	}
 	client := configwatch.NewClient(configwatch.ClientOptions{Name: s.name, Replica: s, Dial: s.dial, Steady: s.simulator.steady, Log: zerolog.Nop(), InjectedBug: s.simulator.config.InjectedBug,
 		Selector: distribution.NewSelector(s.simulator.config.Relays, distribution.Locality{Zone: s.simulator.config.Zone, Region: s.simulator.config.Region}, s.seed+uint64(s.incarnation))})
@@ -359,7 +359,7 @@
 		s.flush()
 	}
 	if s.pending.N == 0 {
-		s.pending = trace.Event{Who: s.name, What: trace.InForce, Index: c.Revision, Began: now}
+		s.pending = trace.Event{Who: s.name, What: trace.CommitsInForce, Index: c.Revision, Began: now}
 	}
 	s.pending.N, s.pending.Text, s.pending.At = c.Revision, c.After.String(), now
 	return nil
@@ -379,7 +379,7 @@
 	defer s.mu.Unlock()
 	s.flush()
 	s.position = records.DigestFollower{Revision: h.Revision, Digest: t.Digest()}
-	s.simulator.traceWriter.add(trace.Event{Who: s.name, What: trace.Installed, N: h.Revision, Text: h.Digest.String()})
+	s.simulator.traceWriter.add(trace.Event{Who: s.name, What: trace.RecordsInstalled, N: h.Revision, Text: h.Digest.String()})
 	return nil
 }
 
@@ -408,7 +408,7 @@
 	lowest := max(s.position.Revision, s.earlyRevision)
 	if lowest > s.reportedRevision {
 		s.reportedRevision = lowest
-		s.simulator.traceWriter.add(trace.Event{Who: s.name, What: trace.Reported, N: lowest})
+		s.simulator.traceWriter.add(trace.Event{Who: s.name, What: trace.RevisionReported, N: lowest})
 	}
 	return distribution.Report{Servers: 1, LowestRevision: lowest, LowestServer: s.name}
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 	}
-	write("c1.1.trace", []trace.Event{{At: 10, What: trace.Agreed, N: 1, Text: "d1"}, {At: 20, What: trace.Agreed, N: 2, Text: "d2"}, {At: 30, What: trace.Agreed, N: 3, Text: "d3"}})
+	write("c1.1.trace", []trace.Event{{At: 10, What: trace.CommitAgreed, N: 1, Text: "d1"}, {At: 20, What: trace.CommitAgreed, N: 2, Text: "d2"}, {At: 30, What: trace.CommitAgreed, N: 3, Text: "d3"}})
 	for i := range events {
 		events[i].Who = "z01-h1"
 	}
@@ -91,12 +91,12 @@
 // The checker must find each kind of violation, and none in a correct trace.
 func TestCheckerFindsViolations(t *testing.T) {
 	force := func(at float64, from, to uint64, digest string) trace.Event {
-		return trace.Event{At: at, What: trace.InForce, Index: from, N: to, Text: digest}
+		return trace.Event{At: at, What: trace.CommitsInForce, Index: from, N: to, Text: digest}
 	}
 	install := func(at float64, n uint64, digest string) trace.Event {
-		return trace.Event{At: at, What: trace.Installed, N: n, Text: digest}
+		return trace.Event{At: at, What: trace.RecordsInstalled, N: n, Text: digest}
 	}
-	if v := violationsIn(t, install(5, 0, ""), force(12, 1, 1, "d1"), force(31, 2, 3, "d3"), trace.Event{At: 32, What: trace.Reported, N: 3}); len(v) > 0 {
+	if v := violationsIn(t, install(5, 0, ""), force(12, 1, 1, "d1"), force(31, 2, 3, "d3"), trace.Event{At: 32, What: trace.RevisionReported, N: 3}); len(v) > 0 {
 		t.Errorf("violations in a correct trace: %v", v)
 	}
 	for want, events := range map[string][]trace.Event{
@@ -105,7 +105,7 @@
 		"never committed":         {force(12, 1, 1, "d1"), force(31, 2, 3, "d3"), force(41, 4, 4, "d4")},
 		"the committed digest is": {force(12, 1, 1, "d1"), force(31, 2, 3, "dx")},
 		"before it was committed": {force(12, 1, 1, "d1"), force(25, 2, 3, "d3")},
-		"reported revision":       {force(12, 1, 1, "d1"), {At: 25, What: trace.Reported, N: 3}, force(31, 2, 3, "d3")},
+		"reported revision":       {force(12, 1, 1, "d1"), {At: 25, What: trace.RevisionReported, N: 3}, force(31, 2, 3, "d3")},
 		"installed a snapshot of revision 3 with digest": {install(31, 3, "d2")},
 		"ended at revision": {force(12, 1, 1, "d1")},
 	} {
