--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -16,13 +16,13 @@
 
 	"github.com/rs/zerolog"
 
-	"puffinsaddle/internal/allot"
+	"puffinsaddle/internal/allocation"
 	"puffinsaddle/internal/clock"
 	"puffinsaddle/internal/config"
 	"puffinsaddle/internal/core"
 	"puffinsaddle/internal/distribution"
-	work "puffinsaddle/internal/duties"
 	"puffinsaddle/internal/duty"
+	work "puffinsaddle/internal/dutywork"
 	"puffinsaddle/internal/inventory"
 	"puffinsaddle/internal/net/configwatch"
 	"puffinsaddle/internal/net/session"
@@ -151,7 +151,7 @@
 	h.core.Store(c)
 	if a := h.cfg.Operator.Duties.Allocation; a.Total > 0 {
 		reserve := a.Capacity().ReservePerProcess
-		c.SetDownstreamShareFunc(func() float64 { return float64(reserve+h.client.Share()) / allot.UnitsPerCall })
+		c.SetDownstreamShareFunc(func() float64 { return float64(reserve+h.client.Share()) / allocation.UnitsPerCall })
 		h.runner.ApplyShare = func(_ int64, used func()) { c.AfterPendingEvents(used) }
 	}
 	h.runner.ApplyVersion = func(v publish.Version) {
@@ -172,7 +172,7 @@
 		return 0
 	}
 	neededCalls := c.DownstreamConcurrency()*needHeadroomFactor + needHeadroomCalls
-	return max(int64(neededCalls*allot.UnitsPerCall)-h.cfg.Operator.Duties.Allocation.Capacity().ReservePerProcess, 0)
+	return max(int64(neededCalls*allocation.UnitsPerCall)-h.cfg.Operator.Duties.Allocation.Capacity().ReservePerProcess, 0)
 }
 
 // updateMode sets the client's mode from the server's state, and repeats this periodically until the server drains.
@@ -291,7 +291,7 @@
 		return nil
 	}
 	f := &dutyMetrics{ProcessID: h.processID, Connected: h.client.Connected(), HeldEpochs: map[string]uint64{}, FencedCommands: h.client.FencedCommands(),
-		AllocatedShare: float64(h.client.Share()) / allot.UnitsPerCall, VersionInForce: h.runner.VersionInForce()}
+		AllocatedShare: float64(h.client.Share()) / allocation.UnitsPerCall, VersionInForce: h.runner.VersionInForce()}
 	_, _, f.HasPresence = h.client.Presence()
 	for _, t := range h.cfg.Operator.Duties.List {
 		if r, ok := h.client.ActiveGrant(t.Name); ok {
--- a/internal/allot/allot.go
+++ b/internal/allocation/allocation.go
@@ -1,10 +1,10 @@
-// Package allot divides the downstream capacity, counted in concurrent calls, among the live order servers by their need.
+// Package allocation divides the downstream capacity, counted in concurrent calls, among the live order servers by their need.
 // It does no I/O.
 //
 // Amounts are integers in thousandths of a concurrent call, so that sums are exact. Each process may always use a fixed
 // reserve, even without a valid share. The allotter divides the pool, which is the capacity less the reserves of all
 // processes.
-package allot
+package allocation
 
 import (
 	"errors"
@@ -18,7 +18,7 @@
 const UnitsPerCall = 1000
 
 // ErrOverPool is returned for a change that would bring the sum of shares in force above the pool.
-var ErrOverPool = errors.New("allot: shares would exceed the pool")
+var ErrOverPool = errors.New("allocation: shares would exceed the pool")
 
 // Capacity is the downstream capacity and the reserve of each process.
 type Capacity struct {
@@ -127,9 +127,9 @@
 	s := b.Shares[process]
 	switch {
 	case s == nil:
-		return fmt.Errorf("allot: no entry for process %s", process)
+		return fmt.Errorf("allocation: no entry for process %s", process)
 	case amount < 0:
-		return fmt.Errorf("allot: negative share of %d for %s", amount, process)
+		return fmt.Errorf("allocation: negative share of %d for %s", amount, process)
 	case amount == s.Target:
 		return nil
 	case amount > s.Cap && !unchecked && b.TotalCap()-s.Cap+amount > b.Pool:
--- a/internal/allot/allot_test.go
+++ b/internal/allocation/allocation_test.go
@@ -1,4 +1,4 @@
-package allot
+package allocation
 
 import (
 	"errors"
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -8,10 +8,10 @@
 	"net"
 	"slices"
 
-	"puffinsaddle/internal/admit"
-	"puffinsaddle/internal/allot"
+	"puffinsaddle/internal/allocation"
 	"puffinsaddle/internal/distribution"
 	"puffinsaddle/internal/duty"
+	"puffinsaddle/internal/rejoin"
 )
 
 // Duties configures the tasks that one order server holds at a time. They are disabled without store replicas.
@@ -46,9 +46,9 @@
 	IntervalMS        float64 `yaml:"every_ms"`
 }
 
-// Capacity returns the same limits in units of allot.UnitsPerCall to one call.
-func (a Allocation) Capacity() allot.Capacity {
-	return allot.Capacity{Total: int64(a.Total * allot.UnitsPerCall), ReservePerProcess: int64(a.ReservePerProcess * allot.UnitsPerCall), MaxProcesses: a.MaxProcesses}
+// Capacity returns the same limits in units of allocation.UnitsPerCall to one call.
+func (a Allocation) Capacity() allocation.Capacity {
+	return allocation.Capacity{Total: int64(a.Total * allocation.UnitsPerCall), ReservePerProcess: int64(a.ReservePerProcess * allocation.UnitsPerCall), MaxProcesses: a.MaxProcesses}
 }
 
 // Publish configures the publisher.
@@ -64,7 +64,7 @@
 }
 
 // InjectedBugs lists the bugs that the lab can inject.
-var InjectedBugs = slices.Concat(duty.InjectedBugs, admit.InjectedBugs, distribution.InjectedBugs)
+var InjectedBugs = slices.Concat(duty.InjectedBugs, rejoin.InjectedBugs, distribution.InjectedBugs)
 
 // Lab holds the settings that only the lab may use.
 type Lab struct {
--- a/internal/duties/keeper.go
+++ b/internal/dutywork/keeper.go
@@ -1,7 +1,7 @@
-// Package duties performs duties: it runs the work of a duty while this process holds its lease, and applies the decisions of
+// Package dutywork performs duties: it runs the work of a duty while this process holds its lease, and applies the decisions of
 // holders in other processes to this one. The decisions themselves, and the rules for when an act is permitted, are in the
-// packages duty, allot, settle and publish.
-package duties
+// packages duty, allocation, effectlog and publish.
+package dutywork
 
 import (
 	"context"
--- a/internal/duties/works.go
+++ b/internal/dutywork/works.go
@@ -1,4 +1,4 @@
-package duties
+package dutywork
 
 import (
 	"context"
@@ -6,12 +6,12 @@
 	"os"
 	"path/filepath"
 
-	"puffinsaddle/internal/allot"
+	"puffinsaddle/internal/allocation"
 	"puffinsaddle/internal/clock"
 	"puffinsaddle/internal/duty"
+	"puffinsaddle/internal/effectlog"
 	"puffinsaddle/internal/net/session"
 	"puffinsaddle/internal/publish"
-	"puffinsaddle/internal/settle"
 	"puffinsaddle/internal/state"
 )
 
@@ -28,7 +28,7 @@
 // AllotterWork returns the work of the allotter: it divides the downstream capacity among the order servers. Each step is
 // checked when it is applied and refused if the shares in force would exceed the pool, so a plan made from old state does no
 // harm.
-func (k *Runner) AllotterWork(intervalMS float64, capacity allot.Capacity, injectedBug string) Work {
+func (k *Runner) AllotterWork(intervalMS float64, capacity allocation.Capacity, injectedBug string) Work {
 	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
 		return func(ctx context.Context, grant duty.Ref) error {
 			var f session.CapacityStatus
@@ -39,7 +39,7 @@
 			if f.Pool != capacity.Pool() {
 				steps = append(steps, state.Command{Op: state.OpSetPool, Amount: capacity.Pool()})
 			}
-			for _, c := range allot.Plan(capacity.Pool(), f.Servers, injectedBug == duty.BugEarlyGrowth) {
+			for _, c := range allocation.Plan(capacity.Pool(), f.Servers, injectedBug == duty.BugEarlyGrowth) {
 				steps = append(steps, state.Command{Op: state.OpSetAllocation, Process: c.Who, Amount: c.Amount})
 			}
 			if len(steps) == 0 {
@@ -115,7 +115,7 @@
 // ended and are older than retentionMS.
 func (k *Runner) SettlerWork(intervalMS, retentionMS, maxDrift float64, steady *clock.Clock) Work {
 	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
-		var ages settle.AgeTracker
+		var ages effectlog.AgeTracker
 		return func(ctx context.Context, grant duty.Ref) error {
 			var e session.EffectStatus
 			if err := k.client.Read(ctx, session.ReadEffects, &e); err != nil {
--- a/internal/settle/settle.go
+++ b/internal/effectlog/effectlog.go
@@ -1,5 +1,5 @@
-// Package settle keeps the effect log and resolves orphaned effects, those whose server is gone. It does no I/O.
-package settle
+// Package effectlog keeps the effect log and resolves orphaned effects, those whose server is gone. It does no I/O.
+package effectlog
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 )
 
 // ErrFull is returned for an effect if the log has reached its limit and no effect in it may be removed yet.
-var ErrFull = errors.New("settle: the effect log is full")
+var ErrFull = errors.New("effectlog: the effect log is full")
 
 // State is the state of an effect.
 type State string
--- a/internal/settle/settle_test.go
+++ b/internal/effectlog/effectlog_test.go
@@ -1,4 +1,4 @@
-package settle
+package effectlog
 
 import (
 	"errors"
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -15,7 +15,7 @@
 
 	"github.com/rs/zerolog"
 
-	"puffinsaddle/internal/allot"
+	"puffinsaddle/internal/allocation"
 	"puffinsaddle/internal/backoff"
 	"puffinsaddle/internal/clock"
 	"puffinsaddle/internal/duty"
@@ -87,7 +87,7 @@
 	nextReplica       int     // counter into replicaIDs, used without a hint
 	lastRequestID     uint64
 	pendingReplies    map[uint64]chan serverMessage
-	share             allot.LocalShare
+	share             allocation.LocalShare
 	acknowledgedShare uint64 // version of the share in use
 	publishedVersion  uint64 // latest published version seen
 	succeededEffects  []string
@@ -312,7 +312,7 @@
 			}
 		case duty.LeaseEnded:
 			if a.Name == duty.PresenceName(c.options.ProcessID) {
-				c.share, c.acknowledgedShare = allot.LocalShare{}, 0
+				c.share, c.acknowledgedShare = allocation.LocalShare{}, 0
 			}
 			c.events.Put(a)
 		default:
--- a/internal/net/session/server.go
+++ b/internal/net/session/server.go
@@ -16,7 +16,7 @@
 
 	"github.com/rs/zerolog"
 
-	"puffinsaddle/internal/allot"
+	"puffinsaddle/internal/allocation"
 	"puffinsaddle/internal/clock"
 	"puffinsaddle/internal/distribution"
 	"puffinsaddle/internal/duty"
@@ -501,7 +501,7 @@
 	case ReadCapacity:
 		capacity := CapacityStatus{Pool: st.Allocations.Pool}
 		for _, processID := range st.Allocations.Processes() {
-			capacity.Servers = append(capacity.Servers, allot.ProcessNeed{Who: processID, Need: d.shareNeeds[processID],
+			capacity.Servers = append(capacity.Servers, allocation.ProcessNeed{Who: processID, Need: d.shareNeeds[processID],
 				Share: *st.Allocations.Shares[processID]})
 		}
 		v = capacity
--- a/internal/net/session/wire.go
+++ b/internal/net/session/wire.go
@@ -10,7 +10,7 @@
 	"net"
 	"time"
 
-	"puffinsaddle/internal/allot"
+	"puffinsaddle/internal/allocation"
 	"puffinsaddle/internal/duty"
 	"puffinsaddle/internal/frame"
 	"puffinsaddle/internal/state"
@@ -43,7 +43,7 @@
 // a redirect to the leader, or a refusal of the session.
 type serverMessage struct {
 	Reply         *duty.HeartbeatReply `json:"told,omitempty"`
-	Share         *allot.Share         `json:"share,omitempty"`   // with a reply
+	Share         *allocation.Share    `json:"share,omitempty"`   // with a reply
 	Version       uint64               `json:"version,omitempty"` // with a reply: latest published version
 	StaleCommands uint64               `json:"refused,omitempty"` // with a reply: commands of this server refused for a stale epoch
 	RequestID     uint64               `json:"no,omitempty"`
@@ -73,8 +73,8 @@
 
 // CapacityStatus is the result of ReadCapacity: the capacity pool, and the demand and share of each server.
 type CapacityStatus struct {
-	Pool    int64               `json:"pool"`
-	Servers []allot.ProcessNeed `json:"of"`
+	Pool    int64                    `json:"pool"`
+	Servers []allocation.ProcessNeed `json:"of"`
 }
 
 // EffectStatus is the result of ReadEffects: the state of the effect log.
--- a/internal/admit/admit.go
+++ b/internal/rejoin/rejoin.go
@@ -1,11 +1,11 @@
-// Package admit decides whether a store replica may take part in its cluster with the data directory that it has. It does no I/O.
+// Package rejoin decides whether a store replica may take part in its cluster with the data directory that it has. It does no I/O.
 //
 // A replica that votes after it has lost log entries can undo committed ones. Each replica therefore sends a Claim to its peers
 // before it takes part, and repeatedly while it runs; each peer, as a verifier, remembers the latest claim. With that memory a
 // plain restart is distinguished from a data directory that is older than the remembered one, an empty directory under a known id
 // and a second process under the same id. A replica that is contradicted has to rejoin: as a non-voter that replicates from the
 // others until it has caught up.
-package admit
+package rejoin
 
 import (
 	"fmt"
--- a/internal/admit/admit_test.go
+++ b/internal/rejoin/rejoin_test.go
@@ -1,4 +1,4 @@
-package admit
+package rejoin
 
 import (
 	"fmt"
--- a/internal/state/slopes_test.go
+++ b/internal/state/slopes_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"puffinsaddle/internal/allot"
+	"puffinsaddle/internal/allocation"
 	"puffinsaddle/internal/duty"
 	"puffinsaddle/internal/records"
 )
@@ -109,7 +109,7 @@
 			s := stateWithServers(b, n)
 			fence := duty.Ref{Name: "allotter", Epoch: s.Duties.Leases["allotter"].Epoch}
 			applyEntry(b, s, encodeEntry(b, Command{Op: OpFenced, Fence: &fence, Batch: []Command{{Op: OpSetPool, Amount: int64(n) * 1000}}}))
-			fleet, bytes := []allot.ProcessNeed{}, 0
+			fleet, bytes := []allocation.ProcessNeed{}, 0
 			for i := 0; b.Loop(); i++ {
 				var batch []Command
 				for j := range n {
@@ -120,7 +120,7 @@
 				bytes = len(act)
 			}
 			for _, process := range s.Allocations.Processes() {
-				fleet = append(fleet, allot.ProcessNeed{Who: process, Share: *s.Allocations.Shares[process]})
+				fleet = append(fleet, allocation.ProcessNeed{Who: process, Share: *s.Allocations.Shares[process]})
 			}
 			text, err := json.Marshal(fleet)
 			if err != nil {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -11,11 +11,11 @@
 	"slices"
 	"strings"
 
-	"puffinsaddle/internal/allot"
+	"puffinsaddle/internal/allocation"
 	"puffinsaddle/internal/duty"
+	"puffinsaddle/internal/effectlog"
 	"puffinsaddle/internal/publish"
 	"puffinsaddle/internal/records"
-	"puffinsaddle/internal/settle"
 )
 
 const (
@@ -87,8 +87,8 @@
 type State struct {
 	Values        map[string][]byte
 	Duties        *duty.Table
-	Allocations   *allot.Allocations
-	Effects       *settle.EffectLog
+	Allocations   *allocation.Allocations
+	Effects       *effectlog.EffectLog
 	Config        *publish.History
 	Records       *records.Set
 	Counters      map[string]uint64 // counters, by duty
@@ -99,8 +99,8 @@
 
 // New returns an empty state.
 func New() *State {
-	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Allocations: allot.NewAllocations(),
-		Effects: settle.NewEffectLog(maxEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
+	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Allocations: allocation.NewAllocations(),
+		Effects: effectlog.NewEffectLog(maxEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
 		Counters: map[string]uint64{}, StaleRefusals: map[string]uint64{}}
 }
 
@@ -253,15 +253,15 @@
 
 // Snapshot is the encoded form of the state. Earlier versions wrote only the fields values and order.
 type Snapshot struct {
-	Values        map[string][]byte    `json:"values"`
-	EffectOrder   []string             `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
-	Duties        *duty.Table          `json:"duties,omitempty"`
-	Allocations   *allot.Allocations   `json:"shares,omitempty"`
-	Effects       *settle.EffectLog    `json:"effects,omitempty"`
-	Config        *publish.History     `json:"config,omitempty"`
-	Records       *records.SetSnapshot `json:"records,omitempty"`
-	Counters      map[string]uint64    `json:"marks,omitempty"`
-	StaleRefusals map[string]uint64    `json:"stale,omitempty"`
+	Values        map[string][]byte       `json:"values"`
+	EffectOrder   []string                `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
+	Duties        *duty.Table             `json:"duties,omitempty"`
+	Allocations   *allocation.Allocations `json:"shares,omitempty"`
+	Effects       *effectlog.EffectLog    `json:"effects,omitempty"`
+	Config        *publish.History        `json:"config,omitempty"`
+	Records       *records.SetSnapshot    `json:"records,omitempty"`
+	Counters      map[string]uint64       `json:"marks,omitempty"`
+	StaleRefusals map[string]uint64       `json:"stale,omitempty"`
 }
 
 // Snapshot copies the state, so that it can be encoded while further commands are applied.
--- a/internal/store/disk/disk_test.go
+++ b/internal/store/disk/disk_test.go
@@ -17,7 +17,7 @@
 	"github.com/hashicorp/raft"
 	"go.etcd.io/bbolt"
 
-	"puffinsaddle/internal/admit"
+	"puffinsaddle/internal/rejoin"
 )
 
 const testTimeout = 60 * time.Second
@@ -56,7 +56,7 @@
 	if err := f.Set([]byte("LastVoteCand"), []byte("127.0.0.1:1")); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.RecordPeerDirectories(map[string]admit.DirectoryState{"b": {DirectoryID: "x", OpenCount: 2, LastIndex: 7}}); err != nil {
+	if err := f.RecordPeerDirectories(map[string]rejoin.DirectoryState{"b": {DirectoryID: "x", OpenCount: 2, LastIndex: 7}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Close(); err != nil {
@@ -75,7 +75,7 @@
 	if peers, err := f.PeerDirectories(); err != nil || peers["b"].LastIndex != 7 {
 		t.Errorf("%+v %v", peers, err)
 	}
-	if err := f.RecordJoin(admit.DirectoryState{JoinIndex: 40, ClusterGeneration: 2, ClusterName: "n"}); err != nil || f.IsVoter() {
+	if err := f.RecordJoin(rejoin.DirectoryState{JoinIndex: 40, ClusterGeneration: 2, ClusterName: "n"}); err != nil || f.IsVoter() {
 		t.Errorf("join as a non-voter: %v", err)
 	}
 	f.Close()
--- a/internal/store/disk/folder.go
+++ b/internal/store/disk/folder.go
@@ -17,7 +17,7 @@
 	"github.com/hashicorp/raft"
 	"go.etcd.io/bbolt"
 
-	"puffinsaddle/internal/admit"
+	"puffinsaddle/internal/rejoin"
 )
 
 // Keys of what a data directory records of itself and of its peers.
@@ -51,7 +51,7 @@
 	Path      string
 	Snapshots *raft.FileSnapshotStore
 
-	state            admit.DirectoryState
+	state            rejoin.DirectoryState
 	voter, soleVoter bool
 }
 
@@ -125,7 +125,7 @@
 }
 
 // State returns the state of the directory when it was opened.
-func (f *Directory) State() admit.DirectoryState { return f.state }
+func (f *Directory) State() rejoin.DirectoryState { return f.state }
 
 // Empty reports whether raft never wrote anything to the directory.
 func (f *Directory) Empty() bool { return f.state.LastIndex == 0 && f.state.Term == 0 }
@@ -135,7 +135,7 @@
 func (f *Directory) IsVoter() bool { return f.voter }
 
 // RecordJoin records that the replica joined a cluster as a non-voter, as of a log index.
-func (f *Directory) RecordJoin(m admit.DirectoryState) error {
+func (f *Directory) RecordJoin(m rejoin.DirectoryState) error {
 	err := f.storeValues(map[string][]byte{joinIndexKey: encodeUint64(m.JoinIndex), clusterGenerationKey: encodeUint64(m.ClusterGeneration), clusterNameKey: []byte(m.ClusterName)})
 	if err != nil {
 		return err
@@ -179,7 +179,7 @@
 func (f *Directory) RecordVoter() error { return f.storeUint64(voterKey, 1) }
 
 // PeerDirectories reads the recorded directory states of other replicas.
-func (f *Directory) PeerDirectories() (map[string]admit.DirectoryState, error) {
+func (f *Directory) PeerDirectories() (map[string]rejoin.DirectoryState, error) {
 	b, err := f.readValue(peerDirectoriesKey)
 	if errors.Is(err, ErrNotFound) {
 		return nil, nil
@@ -187,12 +187,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var m map[string]admit.DirectoryState
+	var m map[string]rejoin.DirectoryState
 	return m, json.Unmarshal(b, &m)
 }
 
 // RecordPeerDirectories records the directory states of other replicas.
-func (f *Directory) RecordPeerDirectories(m map[string]admit.DirectoryState) error {
+func (f *Directory) RecordPeerDirectories(m map[string]rejoin.DirectoryState) error {
 	b, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -267,14 +267,14 @@
 // Report describes the contents of a data directory, for operators.
 type Report struct {
 	LogSummary
-	Dir             string                          `json:"dir"`
-	Format          int                             `json:"format"`
-	Directory       admit.DirectoryState            `json:"mark"`
-	Voter           bool                            `json:"votes"`
-	Snapshots       []Snapshot                      `json:"snapshots"`
-	PeerDirectories map[string]admit.DirectoryState `json:"remembers"` // directory states of other replicas
-	Quarantined     []string                        `json:"aside,omitempty"`
-	Corruption      string                          `json:"damage,omitempty"`
+	Dir             string                           `json:"dir"`
+	Format          int                              `json:"format"`
+	Directory       rejoin.DirectoryState            `json:"mark"`
+	Voter           bool                             `json:"votes"`
+	Snapshots       []Snapshot                       `json:"snapshots"`
+	PeerDirectories map[string]rejoin.DirectoryState `json:"remembers"` // directory states of other replicas
+	Quarantined     []string                         `json:"aside,omitempty"`
+	Corruption      string                           `json:"damage,omitempty"`
 }
 
 // Snapshot describes one snapshot in a data directory.
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -7,7 +7,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"puffinsaddle/internal/admit"
+	"puffinsaddle/internal/rejoin"
 	"puffinsaddle/internal/state"
 )
 
@@ -19,7 +19,7 @@
 	changed     chan struct{}
 	onApply     func(index, term uint64, c state.Command, r state.Result) // optional; called for each entry, in log order
 	injectedBug string
-	digest      admit.Digest
+	digest      rejoin.Digest
 }
 
 func newStateMachine() *stateMachine {
@@ -38,7 +38,7 @@
 	} else {
 		r = m.state.Apply(c, l.Term)
 		if c.Op == state.OpCompareDigests {
-			m.digest = admit.Digest{Index: l.Index, Partition: c.Seq, Sum: r.Value}
+			m.digest = rejoin.Digest{Index: l.Index, Partition: c.Seq, Sum: r.Value}
 		}
 	}
 	m.index = l.Index
@@ -50,7 +50,7 @@
 }
 
 // latestDigest returns the digest computed by the latest Compare command.
-func (m *stateMachine) latestDigest() admit.Digest {
+func (m *stateMachine) latestDigest() rejoin.Digest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.digest
@@ -60,7 +60,7 @@
 func (m *stateMachine) reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.state, m.index, m.digest = state.New(), 0, admit.Digest{}
+	m.state, m.index, m.digest = state.New(), 0, rejoin.Digest{}
 	m.state.InjectedBug = m.injectedBug
 	m.notifyChanged()
 }
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -11,8 +11,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"puffinsaddle/internal/admit"
 	"puffinsaddle/internal/frame"
+	"puffinsaddle/internal/rejoin"
 	"puffinsaddle/internal/state"
 	"puffinsaddle/internal/store/disk"
 )
@@ -101,7 +101,7 @@
 		if frame.Send(conn, c, maxClaimBytes) != nil {
 			return
 		}
-		var response admit.Response
+		var response rejoin.Response
 		if r.Next(&response) != nil || response.From != id {
 			return
 		}
@@ -123,7 +123,7 @@
 }
 
 // currentClaim returns the node's current claim. The caller holds s.mu.
-func (s *Store) currentClaim() admit.Claim {
+func (s *Store) currentClaim() rejoin.Claim {
 	if r := s.active.Load(); r != nil {
 		// The term is read first: an index reported with an earlier term already existed in that term.
 		s.joiner.Term, s.joiner.LastIndex = r.raft.CurrentTerm(), r.raft.LastIndex()
@@ -156,7 +156,7 @@
 	s.joiner.WaitElapsed = s.o.Steady.Now() > s.verificationStartMS+allPeersWaitMS
 	d, reason := s.joiner.Decide()
 	joinState := s.joiner.JoinedState()
-	if phase == PhaseVerifying && d == admit.DecisionWait && s.phaseReason != reason {
+	if phase == PhaseVerifying && d == rejoin.DecisionWait && s.phaseReason != reason {
 		s.setPhase(PhaseVerifying, reason)
 	}
 	s.mu.Unlock()
@@ -166,17 +166,17 @@
 	running := phase == PhaseRunning
 	var err error
 	switch {
-	case d == admit.DecisionStop:
+	case d == rejoin.DecisionStop:
 		err = errors.Join(errors.New(reason), s.stopParticipating(false))
-	case d == admit.DecisionRequestRejoin:
+	case d == rejoin.DecisionRequestRejoin:
 		if err = s.stopParticipating(false); err == nil {
 			s.requestRejoin(reason)
 		}
-	case d == admit.DecisionResetDirectory:
+	case d == rejoin.DecisionResetDirectory:
 		err = s.replaceDirectory(joinState)
-	case d == admit.DecisionStart && !running:
+	case d == rejoin.DecisionStart && !running:
 		err = s.participate(nil)
-	case d == admit.DecisionBootstrap && !running:
+	case d == rejoin.DecisionBootstrap && !running:
 		s.mu.Lock()
 		s.verifier.RememberDirectories(s.joiner.PeerDirectories())
 		f, name := s.directory, s.joiner.NewClusterName()
@@ -206,7 +206,7 @@
 }
 
 // replaceDirectory quarantines the data directory and continues with an empty one, as a non-voter.
-func (s *Store) replaceDirectory(joinState admit.DirectoryState) error {
+func (s *Store) replaceDirectory(joinState rejoin.DirectoryState) error {
 	s.mu.Lock()
 	f := s.directory
 	s.mu.Unlock()
@@ -268,7 +268,7 @@
 	nowMS := s.o.Steady.Now()
 	s.mu.Lock()
 	ownDigest, voters := s.fsm.latestDigest(), 0
-	digests, lagging := map[string]admit.Digest{s.o.ID: ownDigest}, false
+	digests, lagging := map[string]rejoin.Digest{s.o.ID: ownDigest}, false
 	for _, m := range r.raft.GetConfiguration().Configuration().Servers {
 		if m.Suffrage != raft.Voter {
 			continue
@@ -282,7 +282,7 @@
 			lagging = lagging || c.Digest.Index != ownDigest.Index
 		}
 	}
-	divergent, split := admit.FindDivergent(ownDigest.Index, digests, voters)
+	divergent, split := rejoin.FindDivergent(ownDigest.Index, digests, voters)
 	for _, id := range divergent {
 		s.verifier.MarkDivergent(id)
 	}
@@ -351,7 +351,7 @@
 	}()
 	r := frame.NewReader(conn, claimIdleTimeout, maxClaimBytes)
 	for s.ctx.Err() == nil {
-		var c admit.Claim
+		var c rejoin.Claim
 		if err := r.Next(&c); err != nil {
 			return
 		}
@@ -369,17 +369,17 @@
 }
 
 // handleClaim verifies a claim and, on the leader, tracks how far a non-voter has caught up.
-func (s *Store) handleClaim(connID uint64, c admit.Claim) (admit.Response, error) {
+func (s *Store) handleClaim(connID uint64, c rejoin.Claim) (rejoin.Response, error) {
 	v, m, r := s.clusterView(c.ID)
 	_, isLeader := s.Leadership()
 	s.mu.Lock()
 	w, persist := s.verifier.HandleClaim(s.o.Steady.Now(), connID, c, v)
 	s.peersChanged = s.peersChanged || !persist
-	isLearner := isLeader && v.Members[c.ID] != (admit.Member{}) && !m.Voter && w.Verdict != admit.VerdictOtherAddress && w.Verdict != admit.VerdictOtherCluster
-	if isLearner && w.Verdict == admit.VerdictAccepted && c.RejoinReason == "" {
+	isLearner := isLeader && v.Members[c.ID] != (rejoin.Member{}) && !m.Voter && w.Verdict != rejoin.VerdictOtherAddress && w.Verdict != rejoin.VerdictOtherCluster
+	if isLearner && w.Verdict == rejoin.VerdictAccepted && c.RejoinReason == "" {
 		l := s.learners[c.ID]
 		if l == nil {
-			l = &admit.Learner{}
+			l = &rejoin.Learner{}
 			s.learners[c.ID] = l
 		}
 		if l.Report(c, v.LastIndex) {
@@ -406,19 +406,19 @@
 }
 
 // clusterView returns what this node knows of the cluster, and of the member with the given id.
-func (s *Store) clusterView(id string) (v admit.View, m admit.Member, r *participation) {
+func (s *Store) clusterView(id string) (v rejoin.View, m rejoin.Member, r *participation) {
 	r = s.active.Load()
 	if r == nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return admit.View{Bootstrapped: s.directory == nil || !s.joiner.Fresh || s.joiner.JoinIndex > 0, LastIndex: s.joiner.LastIndex, DirectoryID: s.joiner.DirectoryID, ClusterGeneration: s.joiner.ClusterGeneration, ClusterName: s.joiner.ClusterName}, m, nil
+		return rejoin.View{Bootstrapped: s.directory == nil || !s.joiner.Fresh || s.joiner.JoinIndex > 0, LastIndex: s.joiner.LastIndex, DirectoryID: s.joiner.DirectoryID, ClusterGeneration: s.joiner.ClusterGeneration, ClusterName: s.joiner.ClusterName}, m, nil
 	}
 	directory := r.directory.State()
 	v.DirectoryID, v.ClusterGeneration, v.ClusterName = directory.DirectoryID, directory.ClusterGeneration, directory.ClusterName
 	v.LastIndex = r.raft.LastIndex() // read before the configuration: any later promotion to voter has a higher index
-	v.Bootstrapped, v.Members = v.LastIndex > 0, map[string]admit.Member{}
+	v.Bootstrapped, v.Members = v.LastIndex > 0, map[string]rejoin.Member{}
 	for _, c := range r.raft.GetConfiguration().Configuration().Servers {
-		v.Members[string(c.ID)] = admit.Member{Addr: string(c.Address), Voter: c.Suffrage == raft.Voter}
+		v.Members[string(c.ID)] = rejoin.Member{Addr: string(c.Address), Voter: c.Suffrage == raft.Voter}
 	}
 	return v, v.Members[id], r
 }
@@ -449,17 +449,17 @@
 
 // Status describes a replica.
 type Status struct {
-	ID        string               `json:"id"`
-	Addr      string               `json:"addr"`
-	Phase     string               `json:"phase"`
-	Reason    string               `json:"why,omitempty"`
-	Leader    string               `json:"leader,omitempty"` // as this replica knows it
-	IsLeader  bool                 `json:"leads"`
-	Voter     bool                 `json:"votes"`
-	Applied   uint64               `json:"applied"`
-	Halted    bool                 `json:"halted,omitempty"` // replicas differ and no state has a majority: no effect is begun
-	Directory admit.DirectoryState `json:"mark"`
-	Members   []Member             `json:"members,omitempty"`
+	ID        string                `json:"id"`
+	Addr      string                `json:"addr"`
+	Phase     string                `json:"phase"`
+	Reason    string                `json:"why,omitempty"`
+	Leader    string                `json:"leader,omitempty"` // as this replica knows it
+	IsLeader  bool                  `json:"leads"`
+	Voter     bool                  `json:"votes"`
+	Applied   uint64                `json:"applied"`
+	Halted    bool                  `json:"halted,omitempty"` // replicas differ and no state has a majority: no effect is begun
+	Directory rejoin.DirectoryState `json:"mark"`
+	Members   []Member              `json:"members,omitempty"`
 }
 
 // Member is what a replica knows of one member of its cluster.
@@ -488,7 +488,7 @@
 	for _, id := range slices.Sorted(maps.Keys(v.Members)) {
 		m := Member{ID: id, Addr: v.Members[id].Addr, Votes: v.Members[id].Voter, Alive: id == s.o.ID, Last: v.LastIndex}
 		if id != s.o.ID {
-			var c admit.Claim
+			var c rejoin.Claim
 			c, m.Alive = s.verifier.LatestClaim(id, nowMS)
 			m.Last = c.LastIndex
 			m.Lag = max(v.LastIndex, c.LastIndex) - c.LastIndex
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -20,8 +20,8 @@
 	"github.com/hashicorp/raft"
 	"github.com/rs/zerolog"
 
-	"puffinsaddle/internal/admit"
 	"puffinsaddle/internal/clock"
+	"puffinsaddle/internal/rejoin"
 	"puffinsaddle/internal/state"
 	"puffinsaddle/internal/store/disk"
 )
@@ -48,7 +48,7 @@
 	Dir              string
 	Peers            map[string]string // addresses by node id, this one included; empty: Start sets the members, and no claims are sent
 	AddressOverrides map[string]string // by peer address: the address at which this node reaches it, if it is another one
-	Strict           bool              // more peers have to respond before this node participates: admit.Joiner
+	Strict           bool              // more peers have to respond before this node participates: rejoin.Joiner
 	Log              io.Writer         // raft's log output
 	Events           zerolog.Logger
 	Steady           *clock.Clock // nil: the system's steady clock
@@ -90,9 +90,9 @@
 
 	mu                  sync.Mutex
 	directory           *disk.Directory // nil: its contents are corrupt
-	joiner              admit.Joiner
-	verifier            *admit.Verifier
-	learners            map[string]*admit.Learner
+	joiner              rejoin.Joiner
+	verifier            *rejoin.Verifier
+	learners            map[string]*rejoin.Learner
 	caughtUp            map[string]bool // by id of non-voter
 	phase               string
 	phaseReason         string
@@ -137,12 +137,12 @@
 			return nil, fmt.Errorf("store: %w", err)
 		}
 	}
-	s := &Store{o: o, processID: processID, fsm: newStateMachine(), decisionDue: make(chan struct{}, 1), learners: map[string]*admit.Learner{},
+	s := &Store{o: o, processID: processID, fsm: newStateMachine(), decisionDue: make(chan struct{}, 1), learners: map[string]*rejoin.Learner{},
 		caughtUp: map[string]bool{}, phase: PhaseVerifying, phaseChanged: make(chan struct{})}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.fsm.onApply, s.fsm.injectedBug, s.fsm.state.InjectedBug = o.OnApply, o.InjectedBug, o.InjectedBug
 	s.mux = newMultiplexer(ln, map[byte]func(net.Conn){purposeWrites: s.serveWrite, purposeClaims: s.serveClaims, purposeStatus: s.serveStatus, purposeBackup: s.serveBackup}, o.AddressOverrides)
-	corruption, err := s.openDirectory(admit.DirectoryState{})
+	corruption, err := s.openDirectory(rejoin.DirectoryState{})
 	if err == nil && corruption != nil && len(o.Peers) < 2 {
 		err = corruption // no peer to rebuild it from
 	}
@@ -167,7 +167,7 @@
 }
 
 // openDirectory opens the data directory. Corruption is returned apart from err: the node requests to rejoin then.
-func (s *Store) openDirectory(joinState admit.DirectoryState) (corruption error, err error) {
+func (s *Store) openDirectory(joinState rejoin.DirectoryState) (corruption error, err error) {
 	f, err := disk.OpenDirectory(s.o.Dir, s.processID, s.o.Log, disk.Options{OnFailure: s.diskFailed})
 	if corrupt := (*disk.CorruptionError)(nil); errors.As(err, &corrupt) {
 		corruption, err = corrupt, nil
@@ -175,7 +175,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var peers map[string]admit.DirectoryState
+	var peers map[string]rejoin.DirectoryState
 	if f != nil {
 		if joinState.JoinIndex > 0 {
 			err = f.RecordJoin(joinState)
@@ -192,11 +192,11 @@
 	defer s.mu.Unlock()
 	s.directory = f
 	if s.verifier == nil || len(peers) > 0 {
-		s.verifier = admit.NewVerifier(s.o.ID, peers)
+		s.verifier = rejoin.NewVerifier(s.o.ID, peers)
 	} else {
 		s.peersChanged = true // the known peers have to be saved in the new directory
 	}
-	s.joiner = admit.Joiner{Strict: s.o.Strict, InjectedBug: s.o.InjectedBug}
+	s.joiner = rejoin.Joiner{Strict: s.o.Strict, InjectedBug: s.o.InjectedBug}
 	s.joiner.ID, s.joiner.Addr = s.o.ID, s.o.Peers[s.o.ID]
 	for id := range s.o.Peers {
 		if id != s.o.ID {
