--- a/policy/api.go
+++ b/policy/api.go
@@ -63,7 +63,7 @@
 	ColdSpeedShare    float64       // initial speed of a cold instance relative to a warm one
 	MaxRunningPerCore float64       // mean running requests per core above which a warm instance collapses
 	MaxRunningPeriod  time.Duration // period of that mean
-	AnswerSlack       time.Duration // how long after its deadline an answer still counts
+	AnswerSlack       time.Duration // how long after the deadline an answer still counts
 	DrainGrace        time.Duration // requests that arrive later than this after DrainNotice never run
 	Tick              time.Duration // minimum interval between calls of Handle
 	PassesDeadline    bool          // callers send Arrived.TimeLeft
@@ -78,7 +78,7 @@
 	MaxRetryAfter     time.Duration // longest Refuse.RetryAfter that callers respect; 0: they ignore it
 	OverShareWorth    float64       // worth of a request beyond its tenant's share, relative to its class
 	WorthByWork       bool          // Class.Worth is per unit of work, not per request
-	BusyGauge         int           // index of each gauge in TimerFired.Gauges; -1: absent
+	BusyGauge         int           // index of each of these gauges in TimerFired.Gauges; -1: absent
 	RunnableGauge     int
 	MemoryGauge       int
 	ConnectionGauge   int
@@ -166,7 +166,7 @@
 // Start runs a queued request.
 type Start struct{ ID ID }
 
-// ShareResult answers a request with the result of the one that it repeats.
+// ShareResult answers a request with the result of the request that it repeats.
 type ShareResult struct{ ID ID }
 
 // Refuse rejects a request that never ran.
@@ -197,16 +197,16 @@
 // SkipCall resumes a request without its downstream call.
 type SkipCall struct{ ID ID }
 
-// Health sets the answer to health checks from now on.
+// Health sets the answer to future health checks.
 type Health struct {
 	Shallow bool // answer from this setting alone, without running a request
 	Healthy bool // the answer
 }
 
-// SetHint sets the hint sent with every answer from now on; Settings.Hint says how callers interpret it.
+// SetHint sets the hint sent with every future answer; Settings.Hint says how callers interpret it.
 type SetHint struct{ Value float64 }
 
-// CloseIdle closes connections that have been idle for this long, from now on.
+// CloseIdle sets the time after which idle connections are closed.
 type CloseIdle struct{ After time.Duration }
 
 // SetTimer requests a TimerFired event.
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -34,7 +34,7 @@
 			case policy.Fail:
 				fmt.Println("fail", a.ID)
 			case policy.SetTimer:
-				// Set a timer that calls n.Handle(a.At, []policy.Event{policy.Woke{Token: a.Token, Gauges: gauges}}).
+				// Set a timer that calls n.Handle(a.At, []policy.Event{policy.TimerFired{Token: a.Token, Gauges: gauges}}).
 			}
 		}
 	}
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -457,38 +457,38 @@
 
 func TestDownstreamCallsStayWithinShare(t *testing.T) {
 	// Guards against overload of a slow downstream tier by concurrent calls up to the concurrency limit of each server.
-	slows := func(now time.Duration) time.Duration {
+	slowFor20s := func(now time.Duration) time.Duration {
 		if now > 1010*time.Second && now < 1030*time.Second {
 			return 700 * ms
 		}
 		return 40 * ms
 	}
-	silent := func(time.Duration) time.Duration { return time.Hour }
-	highest, served := maxConcurrentCalls(t, limitedCalls, slows)
+	noReply := func(time.Duration) time.Duration { return time.Hour }
+	highest, served := maxConcurrentCalls(t, limitedCalls, slowFor20s)
 	if highest > 0.5 || served < 150 {
 		t.Errorf("slow for 20 s: %.2f concurrent calls, %d of 600 requests served", highest, served)
 	}
-	if highest, _ = maxConcurrentCalls(t, limitedCalls, silent); highest > 0.5 {
+	if highest, _ = maxConcurrentCalls(t, limitedCalls, noReply); highest > 0.5 {
 		t.Errorf("no replies: %.2f concurrent calls", highest)
 	}
-	tiny := func(s *Settings) { limitedCalls(s); s.DownstreamShare = 0.1 }
-	if highest, served = maxConcurrentCalls(t, tiny, slows); highest > 0.1 || served < 8 {
+	smallShare := func(s *Settings) { limitedCalls(s); s.DownstreamShare = 0.1 }
+	if highest, served = maxConcurrentCalls(t, smallShare, slowFor20s); highest > 0.1 || served < 8 {
 		t.Errorf("share of 0.1: %.3f concurrent calls, %d requests served", highest, served)
 	}
 }
 
-func TestRunIsNotStartedWithoutRoomForItsCall(t *testing.T) {
+func TestRunIsNotStartedWithoutCapacityForItsCall(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { limitedCalls(s); s.DownstreamShare, s.Classes[0].Calls = 0.3, false })
 	r.handle(keyedRequest(1))
 	r.handle(CallNeeded{1})
-	r.after(900 * ms) // the call takes all the time that the share allows
+	r.after(900 * ms) // the call uses up the call time that the share allows
 	r.want(starts(r.handle(keyedRequest(2), safeRequest(3))), "Start 3")
 	r.after(10*ms, CallReturned{ID: 1, Outcome: TimedOut, Duration: 900 * ms}, Finished{ID: 1, Outcome: Cancelled})
 	r.want(starts(r.after(8*time.Second, keyedRequest(4))), "Start 4")
 }
 
 // Guards against runs that wait for a slow downstream tier though their calls are optional.
-func TestOptionalCallIsSkippedWithoutRoom(t *testing.T) {
+func TestOptionalCallIsSkippedWithoutCapacity(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { limitedCalls(s); s.DownstreamShare, s.Classes[1].SkipWorth = 0.3, 0.3 })
 	for i := range r.n.set.Classes {
 		if c := r.n.classes[i]; c.Name == "safe" {
@@ -513,7 +513,7 @@
 
 // While the downstream tier is slow, optional calls could fill the whole period of the call limit, so that requests
 // with required calls would fail for seconds.
-func TestOptionalCallsLeaveRoomForRequiredCalls(t *testing.T) {
+func TestOptionalCallsLeaveCapacityForRequiredCalls(t *testing.T) {
 	r := newHarness(t, limitedOptionalCalls)
 	id, optionalCalls := ID(0), 0
 	runWithCall := func(a Arrived) bool {
@@ -535,7 +535,7 @@
 			}
 		}
 		if !runWithCall(keyedRequest(0)) {
-			t.Fatalf("at %v: no room for a required call", r.now)
+			t.Fatalf("at %v: no capacity for a required call", r.now)
 		}
 	}
 	if optionalCalls < 10 {
@@ -624,7 +624,7 @@
 	}
 }
 
-// newBlockedHarness returns a server without room for the calls of class "keyed", which are required.
+// newBlockedHarness returns a server without capacity for the calls of class "keyed", which are required.
 func newBlockedHarness(t *testing.T) *harness {
 	r := newHarness(t, func(s *Settings) {
 		limitedCalls(s)
@@ -637,7 +637,7 @@
 }
 
 // While the downstream tier is slow, requests that must call it could fill the queue, so that all others are refused.
-func TestClassWithoutRoomForCallsDoesNotFillQueueOfOthers(t *testing.T) {
+func TestClassWithoutCallCapacityDoesNotFillQueueOfOthers(t *testing.T) {
 	r := newBlockedHarness(t)
 	r.want(starts(r.handle(safeRequest(2), safeRequest(3), gauges(1, 3, 0))), "Start 2", "Start 3")
 	var got []string
@@ -687,7 +687,8 @@
 	r.want(starts(r.after(ms, keyedRequest(2))), "Start 2")
 }
 
-// An exponentially decaying count of calls would leave half of the share unused and skip calls that have room.
+// An exponentially decaying count of calls would leave half of the share unused, and calls would be skipped although there
+// is capacity for them.
 func TestSteadyCallsUseMostOfShare(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.DownstreamShare, s.CallPeriod, s.AbandonedCallTime = 1, 5*time.Second, 200*ms })
 	for id := ID(1); id <= 200; id++ { // 0.6 concurrent calls for 20 s
@@ -742,9 +743,9 @@
 
 // A share smaller than the time for which an abandoned call keeps running must still allow calls.
 func TestShareBelowAbandonedCallTimeAllowsCalls(t *testing.T) {
-	tiny := func(s *Settings) { limitedCalls(s); s.DownstreamShare = 0.05 }
-	quick := func(time.Duration) time.Duration { return 10 * ms }
-	if highest, served := maxConcurrentCalls(t, tiny, quick); highest > 0.05 || served < 8 {
+	smallShare := func(s *Settings) { limitedCalls(s); s.DownstreamShare = 0.05 }
+	fast := func(time.Duration) time.Duration { return 10 * ms }
+	if highest, served := maxConcurrentCalls(t, smallShare, fast); highest > 0.05 || served < 8 {
 		t.Errorf("%.3f concurrent calls, %d requests served in a minute", highest, served)
 	}
 }
--- a/policy/heap.go
+++ b/policy/heap.go
@@ -1,6 +1,6 @@
 package policy
 
-// orderedHeap is a binary heap whose first item is the least by less.
+// orderedHeap is a binary heap whose first item comes before all others by less.
 type orderedHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -44,9 +44,9 @@
 	maxShedShare      = 0.65                  // some traffic must arrive, or nothing would be learned
 	firstWaitShare    = 0.95                  // a wait below this part of the longest is that of a retry
 	highRetryShare    = 0.2                   // share of retries that shows an overloaded fleet
-	maxRetryShare     = 0.4                   // and, if much is shed here too, no capacity for retries
+	maxRetryShare     = 0.4                   // above this, and if much is shed, retries find no capacity
 	trafficDecay      = 0.7                   // weight of earlier traffic, per window
-	highReadShare     = 0.2                   // share of reading in request time: refusals are costly
+	highReadShare     = 0.2                   // share of reading in request time that makes refusals costly
 	maxCallerGap      = 5 * time.Second       // mean gap of a caller that justifies an open connection
 	minIdleTimeout    = time.Second           // shortest idle timeout; busier callers stay connected
 	breakerOpenTime   = time.Second           // how long the breaker is open before one call probes it
@@ -104,8 +104,8 @@
 	for _, spec := range set.Classes {
 		c := previous[spec.Name]
 		if existing := c; existing == nil || existing.Class != spec {
-			guess := float64(n.minAim) / firstRunDivisor
-			c = &classState{Class: spec, meanRun: guess, meanSize: guess,
+			initial := float64(n.minAim) / firstRunDivisor
+			c = &classState{Class: spec, meanRun: initial, meanSize: initial,
 				queue: orderedHeap[*request]{less: runsBefore}}
 			if existing != nil { // what was learned of the work stays valid
 				c.meanRun, c.meanSize, c.samples = existing.meanRun, existing.meanSize, existing.samples
@@ -267,65 +267,66 @@
 	return n.draining && (r.reachedAt > n.drainStart+n.set.DrainGrace || n.now >= n.stopAt)
 }
 
-// resolveRepeat handles a repeat of an earlier request; false: it is to be enqueued like any other.
+// resolveRepeat handles a repeat of an earlier request. It returns false if the repeat is to be enqueued like
+// any other request.
 func (n *Instance) resolveRepeat(r *request) bool {
-	o := r.original
-	for o != nil && o != r && o.successor != nil {
-		o = o.successor // an earlier one of this batch replaced it
+	prior := r.original
+	for prior != nil && prior != r && prior.successor != nil {
+		prior = prior.successor // an earlier request of this batch replaced it
 	}
-	if o == r {
-		o = nil
+	if prior == r {
+		prior = nil
 	}
 	if r.class.Safety == Safe {
-		return n.resolveSharedRead(r, o)
+		return n.resolveSharedRead(r, prior)
 	}
 	// A repeat must not cause a second effect. An attempt that is still queued is replaced by the newer one,
 	// since its caller has moved on. A request that ran, or of which nothing is known, is not run again, and
 	// its repeat is not refused, because a refusal says that nothing ran.
-	r.repeatsRun = o == nil || o.repeatsRun || o.ran
+	r.repeatsRun = prior == nil || prior.repeatsRun || prior.ran
 	switch {
-	case o != nil && o.repeatsRun && o.primary != nil:
-		n.coalesce(r, o.primary)
-	case o != nil && (o.state == running || o.state == calling):
-		n.coalesce(r, o)
-	case o == nil || o.ran && o.succeeded || o.repeatsRun && o.state != ended:
+	case prior != nil && prior.repeatsRun && prior.primary != nil:
+		n.coalesce(r, prior.primary)
+	case prior != nil && (prior.state == running || prior.state == calling):
+		n.coalesce(r, prior)
+	case prior == nil || prior.ran && prior.succeeded || prior.repeatsRun && prior.state != ended:
 		n.shareResult(r)
 	case r.repeatsRun:
 		n.reject(r)
-	case o.state == ended:
+	case prior.state == ended:
 		return false
-	case o.seq > r.seq:
+	case prior.seq > r.seq:
 		n.reject(r)
 	default:
-		n.reject(o)
-		o.successor = r
+		n.reject(prior)
+		prior.successor = r
 		return false
 	}
 	return true
 }
 
 // resolveSharedRead coalesces a safe request with an equal one or shares the fresh result of that.
-func (n *Instance) resolveSharedRead(r, o *request) bool {
-	if o == nil || n.tooLateToStart(r) {
+func (n *Instance) resolveSharedRead(r, prior *request) bool {
+	if prior == nil || n.tooLateToStart(r) {
 		return false
 	}
-	if o.primary != nil {
-		o = o.primary
+	if prior.primary != nil {
+		prior = prior.primary
 	}
 	switch {
-	case o.state == queued || o.state == running || o.state == calling:
-		n.coalesce(r, o)
+	case prior.state == queued || prior.state == running || prior.state == calling:
+		n.coalesce(r, prior)
 		return true
-	case o.state == ended && o.succeeded && n.now-o.endedAt <= n.set.SharedResultTTL:
+	case prior.state == ended && prior.succeeded && n.now-prior.endedAt <= n.set.SharedResultTTL:
 		n.shareResult(r)
 		return true
 	}
 	return false
 }
 
-func (n *Instance) coalesce(r, o *request) {
-	r.state, r.primary = coalesced, o
-	o.waiters = append(o.waiters, r)
+func (n *Instance) coalesce(r, primary *request) {
+	r.state, r.primary = coalesced, primary
+	primary.waiters = append(primary.waiters, r)
 	n.scheduleCheck(r)
 }
 
@@ -351,7 +352,7 @@
 	r.keyStored = true
 	n.memory += n.set.EntryKB
 	n.emit(StoreKey{ID: r.ID, TTL: ttl})
-	n.schedule(scheduledCheck{at: n.now + ttl, r: r, isExpiry: true})
+	n.schedule(scheduledCheck{at: n.now + ttl, request: r, isExpiry: true})
 }
 
 func (n *Instance) deleteKey(r *request, notify bool) {
@@ -366,7 +367,8 @@
 	n.prune(r)
 }
 
-// reject answers a request that does not run or does not end in time: Fail if it may have run, else Refuse.
+// reject answers a request that does not run or does not end in time. It sends Fail if the request may have
+// run, and Refuse otherwise.
 func (n *Instance) reject(r *request) {
 	if r.answered {
 		return
@@ -390,8 +392,8 @@
 	n.finalize(r)
 }
 
-// retryAfter is the wait that a refusal advises; unlike hints it reaches clients. Every refusal has one: else
-// clients retry at once, while the queue is still full.
+// retryAfter is the wait that a refusal advises; unlike hints it reaches clients. Without it clients would
+// retry at once, while the queue is still full.
 func (n *Instance) retryAfter() time.Duration {
 	return min(max(time.Duration(n.shed*retryAfterShare*float64(n.set.MaxRetryAfter)), minRetryAfter),
 		n.set.MaxRetryAfter)
@@ -420,7 +422,7 @@
 	if !r.ran || (r.class.Safety == Safe && !r.succeeded) {
 		n.deleteKey(r, true)
 	} else if r.keyStored && r.class.Safety == Safe {
-		n.schedule(scheduledCheck{at: n.now + n.set.SharedResultTTL, r: r, isExpiry: true})
+		n.schedule(scheduledCheck{at: n.now + n.set.SharedResultTTL, request: r, isExpiry: true})
 	}
 	n.completeWaiters(r)
 	n.prune(r)
@@ -430,23 +432,23 @@
 	waiters := r.waiters
 	r.waiters = nil
 	var primary *request
-	for _, f := range waiters {
-		if f.state != coalesced {
+	for _, waiter := range waiters {
+		if waiter.state != coalesced {
 			continue
 		}
-		f.primary = nil
+		waiter.primary = nil
 		switch {
 		case r.succeeded:
-			n.shareResult(f)
-		case f.repeatsRun:
-			n.reject(f)
+			n.shareResult(waiter)
+		case waiter.repeatsRun:
+			n.reject(waiter)
 		case primary == nil:
-			n.enqueue(f)
-			if f.state == queued {
-				primary = f
+			n.enqueue(waiter)
+			if waiter.state == queued {
+				primary = waiter
 			}
 		default:
-			n.coalesce(f, primary)
+			n.coalesce(waiter, primary)
 		}
 	}
 }
@@ -475,7 +477,7 @@
 	c := r.class
 	c.successfulRuns++
 	if c.samples++; c.samples > 1/learnRate {
-		took = min(took, maxOutlier*c.meanRun) // one long run is no slow server; several in a row are
+		took = min(took, maxOutlier*c.meanRun) // one long run shows no slow server; several do
 	}
 	n.recent.runTime += took
 	rate := max(learnRate, 1/float64(c.samples))
@@ -549,22 +551,24 @@
 	return due
 }
 
-func (n *Instance) scheduleCheck(r *request) { n.schedule(scheduledCheck{at: n.nextCheck(r), r: r}) }
+func (n *Instance) scheduleCheck(r *request) {
+	n.schedule(scheduledCheck{at: n.nextCheck(r), request: r})
+}
 
-func (n *Instance) schedule(m scheduledCheck) {
+func (n *Instance) schedule(check scheduledCheck) {
 	n.seq++
-	m.seq = n.seq
-	n.timeline.push(m)
+	check.seq = n.seq
+	n.timeline.push(check)
 }
 
 func (n *Instance) runChecks() {
 	for n.timeline.len() > 0 && n.timeline.first().at <= n.now {
-		m := n.timeline.pop()
-		if m.isExpiry {
-			n.deleteKey(m.r, m.r.class.Safety == Safe)
+		check := n.timeline.pop()
+		if check.isExpiry {
+			n.deleteKey(check.request, check.request.class.Safety == Safe)
 			continue
 		}
-		r := m.r
+		r := check.request
 		if r.answered {
 			continue
 		}
@@ -581,7 +585,7 @@
 }
 
 func (n *Instance) endWindow() {
-	n.classes = slices.DeleteFunc(n.classes, // removed classes without queued requests
+	n.classes = slices.DeleteFunc(n.classes, // removed from the settings, and without queued requests
 		func(c *classState) bool { return c != n.byName[c.Name] && c.queue.len() == 0 })
 	n.adjustAllowances()
 	arrived, refused := 0, 0
@@ -595,7 +599,9 @@
 		}
 		c.arrived, c.refused, c.refusedForCalls, c.successfulRuns = 0, 0, 0, 0
 	}
-	if n.skippedCalls > n.timedCalls { // skips never correct the mean; a wait stays at least one backoff
+	// Skipped calls can't correct the mean, so it decays. It stays high enough that the time limit of an
+	// optional call is at least one backoff.
+	if n.skippedCalls > n.timedCalls {
 		n.meanCallTime = max(n.meanCallTime*estimateDecay,
 			min(n.meanCallTime, float64(callBackoff/optionalCallTimes)))
 	}
@@ -613,7 +619,7 @@
 
 // updateHealth fails health checks while requests wait unread for much of the tightest aim on a slow server:
 // unread requests can't be refused, and hints reach few of hundreds of callers. While retries are many, the
-// whole fleet is overloaded and health stays. Limits differ, so that servers do not leave all at once.
+// entire fleet is overloaded, so health checks succeed. Limits differ, so that not all servers leave at once.
 func (n *Instance) updateHealth(unread float64, arrived int) {
 	late := unread > n.unreadLimit || n.unhealthy && unread > n.unreadLimit/4
 	unhealthy := late && arrived > 0 && n.retryShare < maxRetryShare
@@ -646,7 +652,7 @@
 }
 
 // updateHint asks callers to shed what would be read only to be refused: the shed share follows the refused
-// share of the remaining traffic. Else reading, and retries of refused requests, take the cores from runs.
+// share of the remaining traffic. Otherwise reading and retries of refused requests take the cores from runs.
 // This does harm where a few callers send all requests of high worth.
 func (n *Instance) updateHint(refusedShare float64) {
 	shed := n.shed
@@ -655,7 +661,7 @@
 	} else {
 		shed = max(shed-shedRecovery, 0)
 		if n.queued == 0 && n.running < n.set.Cores {
-			shed /= 2 // else callers avoid idle cores for seconds after a burst
+			shed /= 2 // otherwise callers avoid idle cores for seconds after a burst
 		}
 	}
 	if shed == n.shed {
@@ -752,7 +758,7 @@
 }
 
 // mayStartRun says whether one more run may start: below the concurrency limit, and either below the minimum
-// per core, or with a low busy gauge and few starts in this window, which the gauge shows late.
+// per core, or with a low busy gauge and few starts in this window, since the gauge shows starts late.
 func (n *Instance) mayStartRun() bool {
 	if n.running >= n.maxConcurrency() {
 		return false
@@ -861,7 +867,8 @@
 // limitQueues allows three queued requests for two cores. Longer queues refuse too late for another server to
 // help (skewed balancing, a slow machine, a burst); shorter ones refuse in bursts of 500 ms that reach all
 // servers, when no other has capacity. While the fleet is overloaded, early refusals would only be read
-// elsewhere, so there is no limit. Classes without room for calls have their own, lest they fill the queue.
+// elsewhere, so there is no limit. Classes without call capacity have a limit of their own, so that they
+// do not fill the queue.
 func (n *Instance) limitQueues() {
 	if n.fleetOverloaded() {
 		return
@@ -903,12 +910,12 @@
 	}
 	left := n.profitEnd(r) - n.now
 	if left <= n.set.Tick {
-		n.reject(r) // as in the paper: a request that earns nothing is dropped
+		n.reject(r) // as in the paper, a request that earns nothing is dropped
 		return
 	}
 	maxWait := n.callTimeLeft(c)
 	if c.SkipWorth > 0 && (maxWait == 0 || n.now < max(n.breakerEnd, n.requiredEnd) || r.callAttempts > 1) {
-		n.skippedCalls++ // a part of the worth now instead of a wait for room
+		n.skippedCalls++ // earns a part of the worth now instead of waiting for capacity
 		n.skipCall(r)
 		return
 	}
@@ -935,7 +942,7 @@
 // servers are cold, or under load. Calls count by their time within the period, those in flight as if they
 // took their full time limit, so that the used part of the share is never exceeded. This does harm where
 // other servers leave their shares unused. Optional calls leave the time that required calls are likely to
-// need: else, while downstream is slow, they fill the period, and requests with required calls fail.
+// need. Otherwise they fill the period while downstream is slow, and requests with required calls fail.
 func (n *Instance) callTimeLeft(c *classState) time.Duration {
 	period := float64(n.set.CallPeriod)
 	if n.set.DownstreamShare <= 0 || period <= 0 {
@@ -993,7 +1000,8 @@
 	n.callsInFlight--
 }
 
-// callsAllowed says whether a run of the class could make its calls now, not merely hold memory and a slot.
+// callsAllowed says whether a run of the class could make its calls now. A run that can't would only take
+// memory and count towards the concurrency limit.
 func (n *Instance) callsAllowed(c *classState) bool {
 	return !c.Calls || c.SkipWorth > 0 || n.now >= n.breakerEnd && n.callTimeLeft(c) > 0
 }
@@ -1044,7 +1052,7 @@
 		r.retryAt = n.now + wait
 		n.scheduleCheck(r)
 		if e.Outcome == Full {
-			n.requiredEnd = n.now + 2*wait // optional calls leave it the capacity
+			n.requiredEnd = n.now + 2*wait // optional calls leave the capacity to it
 		}
 	case r.class.SkipWorth > 0:
 		n.skipCall(r)
@@ -1065,7 +1073,7 @@
 		at = min(at, n.stopAt)
 	}
 	// A host with a coarser clock may fire a timer slightly early or not at all. A timer whose token came or
-	// whose time has passed is therefore replaced, or no further event would come.
+	// whose time has passed is therefore replaced, otherwise no further event would come.
 	if n.timerPending && n.timerAt <= at && n.now < n.timerAt {
 		return
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -146,23 +146,23 @@
 
 func TestRoundGivesEachClassItsAllowance(t *testing.T) {
 	r := newHarness(t, func(s *Settings) {
-		s.Cores = 16 // the queue takes one for each
+		s.Cores = 16 // the queue takes all requests sent below
 		for i := range s.Classes {
 			s.Classes[i].Deadline = 100 * time.Second
 		}
 		s.Classes[0].Aim, s.Classes[1].Aim = 40*time.Second, 40*time.Second
 	})
-	patient := func(a Arrived) Arrived {
+	withoutTimeout := func(a Arrived) Arrived {
 		a.TimeLeft = 0
 		return a
 	}
 	for id := ID(1000); id < 1016; id++ {
-		r.handle(patient(safeRequest(id)), gauges(1, 16, 0))
+		r.handle(withoutTimeout(safeRequest(id)), gauges(1, 16, 0))
 	}
 	for id := ID(10); id < 34; id += 2 {
-		r.handle(patient(keyedRequest(id)))
+		r.handle(withoutTimeout(keyedRequest(id)))
 	}
-	r.handle(patient(safeRequest(11)), patient(safeRequest(13)), patient(safeRequest(15)))
+	r.handle(withoutTimeout(safeRequest(11)), withoutTimeout(safeRequest(13)), withoutTimeout(safeRequest(15)))
 	var order []string
 	for id := ID(1000); id < 1015; id++ {
 		got := starts(r.after(ms, done(id), gauges(1, 16, 0)))
@@ -173,7 +173,7 @@
 		fmt.Sscanf(got[0], "Start %d", &next)
 		order = append(order, map[bool]string{true: "s", false: "k"}[next%2 == 1])
 	}
-	// Worths of 5 and 1 give allowances of 5 and 1; the run before used the start of class "safe" in the first
+	// Worths of 5 and 1 give allowances of 5 and 1; an earlier run used the start of class "safe" in the first
 	// round. A class with an empty queue leaves its starts to the other.
 	if got := strings.Join(order, ""); got != "kkkkk"+"kkkkks"+"kks"+"s" {
 		t.Errorf("classes started in order %s", got)
@@ -261,9 +261,9 @@
 			a.IsRetry = retries
 			r.now += 20 * ms
 			for _, act := range r.n.Handle(r.now, []Event{a, gauges(1, 2, 0)}) {
-				if ref, ok := act.(Refuse); ok {
+				if refusal, ok := act.(Refuse); ok {
 					refused++
-					if ref.NoRetry {
+					if refusal.NoRetry {
 						noRetry++
 					}
 				}
@@ -320,15 +320,15 @@
 	}
 }
 
-// flood sends more requests than can be served, each after an unread wait; every each-th is a retry. It returns the
-// number of refused first attempts, those refused within 100 ms, those advised against a retry, and the number of
-// retries that were not refused at once.
-func flood(r *harness, waited time.Duration, every ID) (refused, early, noRetry, kept int) {
+// flood sends more requests than can be served, each after an unread wait, and one in requestsPerRetry as a retry. It
+// returns the number of refused first attempts, those refused within 100 ms, those advised against a retry, and the
+// number of retries that were not refused at once.
+func flood(r *harness, waited time.Duration, requestsPerRetry ID) (refused, early, noRetry, kept int) {
 	arrivedAt := map[ID]time.Duration{}
 	running := []ID{1, 2}
 	for id := ID(10); id < 400; id++ {
 		a := safeRequest(id)
-		a.IsRetry, a.Waited = id%every == 0, waited
+		a.IsRetry, a.Waited = id%requestsPerRetry == 0, waited
 		r.now += 15 * ms
 		arrivedAt[id] = r.now
 		events := []Event{a, gauges(1, 2, 0)}
@@ -345,7 +345,7 @@
 			if ok && refusal.ID == id {
 				refusedAtOnce++
 			}
-			if ok && refusal.ID%every != 0 && id > 200 { // after a few windows
+			if ok && refusal.ID%requestsPerRetry != 0 && id > 200 { // after a few windows
 				refused++
 				if r.now-arrivedAt[refusal.ID] < 100*ms {
 					early++
@@ -355,7 +355,7 @@
 				}
 			}
 		}
-		if id%every == 0 && id > 200 && refusedAtOnce == 0 {
+		if id%requestsPerRetry == 0 && id > 200 && refusedAtOnce == 0 {
 			kept++
 		}
 	}
@@ -447,8 +447,8 @@
 		{2, ms, 0.3, 0, 0}, // the timeout of the callers stays
 		{2, 100 * ms, 1, 0, 0},
 		{1000, ms, 1, ms, 3 * time.Second},
-		{1000, 100 * ms, 1, 10 * time.Second, 30 * time.Second}, // a full table keeps out requests that are costly to read
-		{1000, 100 * ms, 0.3, ms, 3 * time.Second},              // but must not keep them from idle cores
+		{1000, 100 * ms, 1, 10 * time.Second, 30 * time.Second}, // a full table keeps out connections whose requests are costly to read
+		{1000, 100 * ms, 0.3, ms, 3 * time.Second},              // a full table must not keep requests from idle cores
 	} {
 		r := newHarness(t, func(s *Settings) { s.Callers, s.IdleTimeout = c.callers, 30*time.Second })
 		after := time.Duration(0)
@@ -457,7 +457,7 @@
 			a := safeRequest(10 + i)
 			a.Waited = c.waited
 			if i > 550 && c.waited > ms {
-				a.Waited = 40 * ms // shorter but not yet short: the timeout stays
+				a.Waited = 40 * ms // a shorter wait that is still too long to change the timeout
 			}
 			events := []Event{a, gauges(c.busy, 0, 0)}
 			if i > 1 {
@@ -483,8 +483,8 @@
 		for i := ID(0); i < 150; i++ {
 			r.now += 20 * ms
 			for _, a := range r.n.Handle(r.now, []Event{safeRequest(10 + i), gauges(1, 2, 0)}) {
-				if ref, ok := a.(Refuse); ok {
-					longest = max(longest, ref.RetryAfter)
+				if refusal, ok := a.(Refuse); ok {
+					longest = max(longest, refusal.RetryAfter)
 				}
 			}
 		}
@@ -537,18 +537,18 @@
 func TestEveryRefusalAdvisesAWait(t *testing.T) {
 	for _, c := range []struct{ maxRetryAfter, want time.Duration }{{time.Second, minRetryAfter}, {5 * ms, 5 * ms}, {0, 0}} {
 		r := newHarness(t, func(s *Settings) { s.MaxRetryAfter = c.maxRetryAfter })
-		n := 0
-		for i := ID(1); i <= 100; i++ {
-			for _, a := range r.n.Handle(r.now, []Event{safeRequest(i)}) {
-				if f, ok := a.(Refuse); ok {
-					n++
-					if f.RetryAfter != c.want {
-						t.Errorf("maximum %v: wait of %v advised, want %v", c.maxRetryAfter, f.RetryAfter, c.want)
+		refused := 0
+		for id := ID(1); id <= 100; id++ {
+			for _, a := range r.n.Handle(r.now, []Event{safeRequest(id)}) {
+				if refusal, ok := a.(Refuse); ok {
+					refused++
+					if refusal.RetryAfter != c.want {
+						t.Errorf("maximum %v: wait of %v advised, want %v", c.maxRetryAfter, refusal.RetryAfter, c.want)
 					}
 				}
 			}
 		}
-		if n == 0 {
+		if refused == 0 {
 			t.Error("nothing was refused")
 		}
 	}
@@ -663,7 +663,7 @@
 }
 
 // adjustedAllowances returns the allowances of the classes in order after one window with the given refusals.
-func adjustedAllowances(classes []Class, allow []int, seen, refused []int) []int {
+func adjustedAllowances(classes []Class, allowances []int, arrived, refused []int) []int {
 	set := testSettings()
 	set.Classes = classes
 	n, err := New(set, 1)
@@ -672,7 +672,7 @@
 	}
 	var out []int
 	for i, c := range n.classes {
-		c.allowance, c.arrived, c.refused = allow[i], seen[i], refused[i]
+		c.allowance, c.arrived, c.refused = allowances[i], arrived[i], refused[i]
 	}
 	n.adjustAllowances()
 	for _, c := range n.classes {
@@ -688,13 +688,13 @@
 		{Name: "c", Aim: 1000, Deadline: 2000, Worth: 1},
 	}
 	one := three[:1]
-	// d is 1/2 for both pairs: the target is that a drops half as often as b, and b half as often as c.
+	// d is 1/2 for both pairs. The target is that a drops half as often as b, and b half as often as c.
 	for _, c := range []struct {
-		name          string
-		classes       []Class
-		allow         []int
-		seen, refused []int
-		want          []int
+		name             string
+		classes          []Class
+		allowances       []int
+		arrived, refused []int
+		want             []int
 	}{
 		{"no refusals: no change", three, []int{4, 2, 1}, []int{9, 9, 9}, []int{0, 0, 0}, []int{4, 2, 1}},
 		{"on target: no change", three, []int{4, 2, 1}, []int{100, 100, 100}, []int{10, 20, 40}, []int{4, 2, 1}},
@@ -709,7 +709,7 @@
 		{"growth is bounded", three, []int{maxAllowance, 1, 1}, []int{9, 9, 9}, []int{9, 0, 0}, []int{maxAllowance, 1, 1}},
 		{"one class", one, []int{7}, []int{9}, []int{9}, []int{1}},
 	} {
-		got := adjustedAllowances(c.classes, c.allow, c.seen, c.refused)
+		got := adjustedAllowances(c.classes, c.allowances, c.arrived, c.refused)
 		if fmt.Sprint(got) != fmt.Sprint(c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Restarted reports that the machine has just restarted and is cold. The host reports the end of what it ran by events.
+// Restarted reports that the machine has just restarted and is cold. The host sends Finished for what it ran.
 func (n *Instance) Restarted(now time.Duration) { n.set.JustStarted, n.coldSince = true, now }
 
 // DownstreamTime returns the time of downstream calls in flight, summed over the period of the call limit, and the length
--- a/policy/state.go
+++ b/policy/state.go
@@ -17,7 +17,7 @@
 	running                       // uses a core or waits for a disk
 	calling                       // waits for a downstream call
 	sharing                       // its shared result is being sent
-	ended                         // ended; its memory is released
+	ended                         // its memory is released
 )
 
 // request is the state of a request.
@@ -29,18 +29,18 @@
 	reachedAt    time.Duration // when it reached the machine
 	due          time.Duration // its deadline
 	aim          time.Duration // until when an answer earns the full worth
-	size         float64       // R of the paper: its Size, else the learned mean, in nanoseconds
-	ran          bool          // it was started, so it is neither refused nor started again
-	repeatsRun   bool          // it repeats one that ran, so it is neither refused nor started
+	size         float64       // its Size, or the learned mean if that is unknown, in nanoseconds; R of the paper
+	ran          bool          // it was started, so it must not be refused or started again
+	repeatsRun   bool          // it repeats a request that ran, so it must not be refused or started
 	answered     bool          // it needs no further answer
 	keyStored    bool          // it is in the key table
 	succeeded    bool          // its run succeeded
 	likelyRetry  bool          // a retry, either marked or inferred from its short wait
 	endedAt      time.Duration
-	original     *request      // the one that it repeats; nil: unknown
+	original     *request      // the request that it repeats; nil: unknown
 	successor    *request      // the newer attempt that replaced it
 	primary      *request      // the request that it is coalesced with
-	waiters      []*request    // the requests that are coalesced with it
+	waiters      []*request    // the requests that are coalesced with this one
 	callAttempts int           // attempts of the current downstream call
 	callInFlight bool          // its downstream call is in flight
 	callDeadline time.Duration // when that call is abandoned, since the start of the instance
@@ -51,7 +51,7 @@
 type scheduledCheck struct {
 	at       time.Duration
 	seq      uint64
-	r        *request
+	request  *request
 	isExpiry bool // the entry in the key table expires
 }
 
@@ -63,7 +63,7 @@
 	usedAllowance     int           // starts of this round
 	arrived           int           // requests that arrived in this window
 	refused           int           // requests refused in this window
-	refusedForCalls   int           // of the refused, those without room for a downstream call
+	refusedForCalls   int           // of the refused, those without capacity for a downstream call
 	successfulRuns    int           // runs that succeeded in this window
 	meanRun           float64       // learned mean duration of a run, waits and calls included, in nanoseconds
 	meanSize          float64       // learned mean size, in nanoseconds
@@ -129,10 +129,10 @@
 
 	callsInFlight   int                  // downstream calls in flight
 	meanCallTime    float64              // learned mean duration of a call, in nanoseconds
-	callDeadlines   time.Duration        // sum of the times when these are abandoned, since the start of the instance
-	callTime        float64              // time of calls in flight over the period of the call limit, in nanoseconds
-	callTimeAt      time.Duration        // when that was computed
-	callTimeBuckets [callBuckets]float64 // that time, by parts of the period
+	callDeadlines   time.Duration        // sum of the callDeadline of calls in flight
+	callTime        float64              // time of calls within the period of the call limit, in nanoseconds
+	callTimeAt      time.Duration        // when callTime was computed
+	callTimeBuckets [callBuckets]float64 // callTime by parts of the period
 
 	callFailures int           // consecutive failed calls
 	breakerEnd   time.Duration // until when the breaker is open
