--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -25,7 +25,7 @@
 
 // Front receives requests from callers and sends the answers.
 type Front interface {
-	Drain()         // requests callers to send no new requests
+	Drain()         // asks callers to send no new requests
 	StopAccepting() // stops accepting connections once the listen queue is empty
 	Yield()         // stops accepting at once, leaves the shared listen queue to the successor and drains callers
 	Flushed() bool  // reports whether all output is written
@@ -33,7 +33,7 @@
 }
 
 // Shutdown drains the process after a notice that arrived at noticedAt, stopMS before the process is stopped: it notifies
-// the module, requests callers to send no new requests, and returns once all requests that were read or waited in a
+// the module, asks callers to send no new requests, and returns once all requests that were read or waited in a
 // listen queue have their answers, or shortly before the stop.
 func (c *Core) Shutdown(noticedAt, stopMS float64, fronts ...Front) {
 	stopAt := noticedAt + stopMS
@@ -73,8 +73,8 @@
 }
 
 // waitUntilQuiescent waits until no request has been open and no output unwritten for quiescentMS. It does not return
-// before notBefore for that reason, and returns at the deadline in any case. Requests that were sent before callers
-// received the drain notice arrive in that interval.
+// before notBefore for that reason, and returns at the deadline in any case. The interval covers requests that were sent
+// before callers received the drain notice.
 func (c *Core) waitUntilQuiescent(deadline, notBefore float64, fronts []Front) {
 	quietSince := c.clock.Now()
 	for now := quietSince; now < deadline; now = c.clock.Now() {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -17,7 +17,7 @@
 	ArrivedAt      float64 // when it reached the machine, in Unix milliseconds
 	WaitMS         float64 // how long its caller waits from ArrivedAt, in milliseconds; 0 if unknown
 	Caller         int64   // the number of the caller
-	Retry          bool    // known to be a retry
+	Retry          bool    // marked as a retry by its caller
 	KB             float64 // memory accounted for while it is queued, in kilobytes
 	Rank           float64
 	Key            string  // the subject of a read; empty if unknown
@@ -38,9 +38,9 @@
 	maxClockAheadMS         = 1e3    // milliseconds that ArrivedAt may be ahead; caller and server share the machine's clock
 )
 
-// Check returns an error that names the first field with an invalid value. Valid requests enter the module's statistics,
-// which must stay sound: a request that claims to be an hour old would make the server look slow to itself, and one whose
-// time never runs out would stay queued for good.
+// Check returns an error that names the first field with an invalid value. Valid requests enter the module's statistics.
+// A request with a false age of an hour would make the module take the server for slow, and one without an end to its
+// wait would stay queued forever.
 func (q *Request) Check(now float64) error {
 	within := func(x, lowest, highest float64) bool { return x >= lowest && x <= highest } // false for NaN
 	switch {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Verdict tells the caller how a request ended.
+// Verdict says how a request ended.
 type Verdict int
 
 // The verdicts. Refused promises that this attempt never ran.
@@ -98,13 +98,13 @@
 
 // Notice is a message from a Runner about an attempt. The last one for each attempt has Ended set, and no other has.
 type Notice struct {
-	Ended          bool           // if false, the attempt waits at a downstream call
+	Ended          bool           // if false, the attempt waits for a downstream call
 	Number         uint64         // number of the notice
 	Outcome        policy.Outcome // how it ended
 	TookMS         float64        // running time in milliseconds
 	MadeAt         float64        // when the result was made, in Unix milliseconds; never later than the true time
 	UnknownRequest bool           // nothing ran: the executor does not know the request
-	ReplyLost      bool           // it is unknown whether the reply to its call arrived, so it may wait at the call for good
+	ReplyLost      bool           // the reply to its call may not have arrived, so the attempt may wait for the call forever
 	Body           []byte         // the result, or the body of the call; owned by the handler that receives the notice
 }
 
@@ -112,15 +112,15 @@
 type Runner interface {
 	Start(*Attempt)
 	Return(*Attempt, uint64, []byte)   // delivers the reply to the call of that notice; the bytes are copied
-	Skip(*Attempt, uint64)             // lets the attempt go on without the call of that notice
+	Skip(*Attempt, uint64)             // lets the attempt continue without the call of that notice
 	Abandon(*Attempt)                  // reports that the caller no longer waits for the attempt
 	ReadGauges(func(gauges []float64)) // reads the gauges and calls back, or never calls back
-	Diagnose(func(good bool)) bool     // starts a deep health check; false if none is possible at present
+	Diagnose(func(healthy bool)) bool  // starts a deep health check; false if none is possible at present
 }
 
 // Downstream carries out downstream calls. Call is cancelled when its context ends.
 type Downstream interface {
-	Call(ctx context.Context, id string, maxMS float64, body []byte) (policy.Outcome, []byte)
+	Call(ctx context.Context, id string, timeoutMS float64, body []byte) (policy.Outcome, []byte)
 }
 
 // EffectLog records the IDs of effects that were started, so that none starts twice.
