--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock is the program's only source of time, in milliseconds as a floating-point number: Unix time, or the time
-// since the machine's start.
+// Package clock is the program's only source of time. Times are milliseconds as floating-point numbers, counted from the
+// Unix epoch or from the machine's start.
 package clock
 
 import (
@@ -27,7 +27,7 @@
 
 // Timer is a pending call.
 type Timer struct {
-	c     *Clock
+	clock *Clock
 	at    float64
 	call  func()
 	timer *time.Timer
@@ -40,7 +40,7 @@
 // It is for durations that other processes rely on, which a wall clock that is set back would lengthen.
 func Monotonic() *Clock { return &Clock{monotonic: true} }
 
-// SetRate makes a clock run at a rate from now on, where 1 is its normal rate, and returns it. For fault injection.
+// SetRate makes a clock run at a rate from now on, where 1 is its normal rate, and returns it. It is for fault injection.
 func (c *Clock) SetRate(rate float64) *Clock {
 	if !c.manual && rate > 0 && rate != 1 {
 		c.rateSetAt = c.unadjusted()
@@ -49,7 +49,7 @@
 	return c
 }
 
-// Jump sets a clock ahead, or back if ms is negative. For fault injection.
+// Jump sets a clock ahead, or back if ms is negative. It is for fault injection.
 func (c *Clock) Jump(ms float64) {
 	c.jumpMS.Store(math.Float64bits(math.Float64frombits(c.jumpMS.Load()) + ms))
 }
@@ -97,7 +97,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := &Timer{c: c, at: c.now + ms, call: call}
+	t := &Timer{clock: c, at: c.now + ms, call: call}
 	c.timers = append(c.timers, t)
 	return t
 }
@@ -108,11 +108,11 @@
 		t.timer.Stop()
 		return
 	}
-	t.c.mu.Lock()
-	defer t.c.mu.Unlock()
-	for i, o := range t.c.timers {
+	t.clock.mu.Lock()
+	defer t.clock.mu.Unlock()
+	for i, o := range t.clock.timers {
 		if o == t {
-			t.c.timers = append(t.c.timers[:i], t.c.timers[i+1:]...)
+			t.clock.timers = append(t.clock.timers[:i], t.clock.timers[i+1:]...)
 			return
 		}
 	}
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,12 +1,12 @@
-// Package mailbox has a message queue for one receiving goroutine, on which senders never block.
+// Package mailbox provides a message queue for one receiving goroutine, on which senders never block.
 package mailbox
 
 import "sync"
 
 // Box is a message queue without a limit of its own. Its users bound it: a request's handler receives a few messages for
-// each downstream call, the goroutine of an event loop a few events for each open request or session.
+// each downstream call, and an event loop receives a few events for each open request or session.
 type Box[T any] struct {
-	Ready chan struct{} // receives a value after Put and Poke; holds one value at most
+	Ready chan struct{} // receives a value after Put and Wake; holds one value at most
 
 	mu    sync.Mutex
 	items []T
