--- a/internal/net/executor/executor.go
+++ b/internal/net/executor/executor.go
@@ -35,8 +35,8 @@
 
 // Link is the connection to the executor. It is re-established whenever it breaks.
 type Link struct {
-	// ReadTimeout bounds the silence of the executor after its WELCOME; a link that receives nothing for this long is
-	// reconnected. It must be set before Run.
+	// ReadTimeout is the time without input after which the link is reconnected. It applies from the WELCOME on, and must
+	// be set before Run.
 	ReadTimeout time.Duration
 
 	log       zerolog.Logger
@@ -48,7 +48,7 @@
 	disconnect     func() // cancels the current connection, or the dial in progress
 	conn           net.Conn
 	ready          bool                       // the barrier has passed: commands are sent as they are submitted
-	barrierTag     string                     // tag of the METER whose answer follows all notices from the time without a link
+	barrierTag     string                     // tag of the METER whose answer follows all notices sent while there was no link
 	sendBuffer     []byte                     // commands queued for the writer
 	lastNotice     uint64                     // number of the last notice read
 	lastWelcome    time.Time                  // time of the last WELCOME
@@ -80,7 +80,7 @@
 }
 
 // SetAddress reconnects the link to a new address of the same executor. Attempts and the numbering of notices continue;
-// what was in transit on the old connection is recovered as after any break.
+// what was in transit on the old connection is recovered as after any reconnect.
 func (l *Link) SetAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -252,7 +252,7 @@
 	l.submit(a.Request.ID, 0, fmt.Appendf(nil, "BYPASS %s %d\r\n", a.Request.ID, notice))
 }
 
-// Abandon does nothing: the executor detects by itself that a caller disconnected or got its answer.
+// Abandon does nothing, since the executor detects by itself that a caller disconnected or got its answer.
 func (l *Link) Abandon(*core.Attempt) {}
 
 // ReadGauges requests the gauges.
@@ -286,7 +286,7 @@
 func (l *Link) readLoop(conn net.Conn) error {
 	r, welcomed := bufio.NewReaderSize(conn, 64<<10), false
 	for {
-		if welcomed { // detects a peer that vanished without closing the connection; one that boots may stay silent
+		if welcomed { // detects a peer that vanished without closing the connection; one that boots may send nothing
 			if err := conn.SetReadDeadline(time.Now().Add(l.ReadTimeout)); err != nil {
 				return err
 			}
@@ -379,7 +379,7 @@
 		l.barrierTag = "f" + strconv.FormatUint(l.seq, 10)
 		l.enqueue([]byte("METER " + l.barrierTag + "\r\n"))
 	case words[0] == "EXIT" && len(words) == 6:
-		n, err := strconv.ParseUint(words[1], 10, 64)
+		number, err := strconv.ParseUint(words[1], 10, 64)
 		ms, err2 := strconv.ParseFloat(words[4], 64)
 		if err != nil || err2 != nil {
 			return errMalformed
@@ -389,13 +389,13 @@
 		if !ok {
 			return errMalformed
 		}
-		l.deliver(n, words[2], core.Notice{Ended: true, Number: n, Outcome: outcome, TookMS: ms, Body: body})
+		l.deliver(number, words[2], core.Notice{Ended: true, Number: number, Outcome: outcome, TookMS: ms, Body: body})
 	case words[0] == "CALLOUT" && len(words) == 4:
-		n, err := strconv.ParseUint(words[1], 10, 64)
+		number, err := strconv.ParseUint(words[1], 10, 64)
 		if err != nil {
 			return errMalformed
 		}
-		l.deliver(n, words[2], core.Notice{Number: n, Body: body})
+		l.deliver(number, words[2], core.Notice{Number: number, Body: body})
 	case words[0] == "METERS" && len(words) >= 2:
 		l.handleMeters(words[1], words[2:])
 	case words[0] == "DIAGNOSED" && len(words) == 3:
@@ -406,7 +406,7 @@
 		if words[1] == "EXEC" { // the request never ran, and no EXIT will follow
 			l.deliver(0, words[2], core.Notice{Ended: true, Outcome: policy.NotRun, UnknownRequest: true})
 		}
-		if words[1] == "METER" { // a site may have no gauges; the answer serves as barrier and acknowledgement all the same
+		if words[1] == "METER" { // a site may have no gauges; this answer, too, serves as barrier and acknowledgement
 			l.handleMeters(words[2], nil)
 		}
 		if words[1] == "DIAG" {
@@ -414,8 +414,8 @@
 		}
 	case words[0] == "BAD":
 	case words[0] == "LOG" && len(words) >= 2:
-		if n, err := strconv.ParseUint(words[1], 10, 64); err == nil {
-			l.deliver(n, "", core.Notice{})
+		if number, err := strconv.ParseUint(words[1], 10, 64); err == nil {
+			l.deliver(number, "", core.Notice{})
 		}
 		l.log.Debug().Strs("notice", words).Msg("executor")
 	default:
@@ -425,15 +425,15 @@
 }
 
 // deliver delivers a notice to its attempt once; after a reconnect, the executor may repeat notices.
-func (l *Link) deliver(n uint64, id string, notice core.Notice) {
+func (l *Link) deliver(number uint64, id string, notice core.Notice) {
 	l.mu.Lock()
-	if n > 0 {
-		if n <= l.lastNotice {
+	if number > 0 {
+		if number <= l.lastNotice {
 			l.mu.Unlock()
 			pool.Put(notice.Body)
 			return
 		}
-		l.lastNotice = n
+		l.lastNotice = number
 	}
 	r := l.runs[id]
 	if r != nil {
--- a/internal/net/respfront/codec.go
+++ b/internal/net/respfront/codec.go
@@ -14,7 +14,7 @@
 
 const (
 	maxBodyBytes    = 2 << 10 // by the protocol
-	maxExactInteger = 1 << 53 // up to here a float64 represents every integer
+	maxExactInteger = 1 << 53 // a float64 represents every integer up to this one
 )
 
 // errInvalidValue marks a well-formed request with an invalid value.
@@ -39,7 +39,7 @@
 	return f, nil
 }
 
-// number parses a required number from 0 to below maxExactInteger.
+// number parses a required number from 0 to below maxExactInteger. It sets err if the number is invalid and err is nil.
 func (f fields) number(key string, err *error) float64 {
 	x, e := strconv.ParseFloat(f[key], 64)
 	if !(e == nil && x >= 0 && x < maxExactInteger) && *err == nil { // written so that it also rejects NaN
--- a/internal/net/respfront/front.go
+++ b/internal/net/respfront/front.go
@@ -32,7 +32,7 @@
 	maxOpenRequests       = 32        // on a connection, by the protocol
 	maxSendBufferBytes    = 512 << 10 // of queued answers; the connection of a slower reader is closed
 	sweepIntervalMS       = 500       // between two searches for idle connections
-	idleTimeoutMS         = 5000      // after this, an idle connection is asked to close, also if the platform sets a longer time
+	idleTimeoutMS         = 5000      // until an idle connection is asked to close, even if the platform sets a longer time
 	closeGraceMS          = 1000      // from the closing message until the front closes the connection; some routers ignore it
 	maxInvalidRequests    = 8         // on a connection; the next one ends it
 	invalidRequestDelayMS = 50.0      // reading stops for this long after each invalid request
@@ -63,7 +63,7 @@
 // Addr returns the address that the front listens on.
 func (f *Front) Addr() net.Addr { return f.ln.Addr() }
 
-// Serve accepts connections until the front is shut.
+// Serve accepts connections until the front is closed.
 func (f *Front) Serve() {
 	f.clock.After(sweepIntervalMS, f.sweepIdle)
 	f.ln.Serve(f.addConn)
@@ -81,7 +81,7 @@
 	f.mu.Lock()
 	if len(f.conns) >= f.maxConns && !f.evictIdle() {
 		f.mu.Unlock()
-		nc.Close() // nothing was read; routers keep to fewer connections
+		nc.Close() // nothing was read from it; routers open fewer connections than the limit
 		return
 	}
 	f.conns[c] = true
@@ -93,10 +93,10 @@
 	go c.readLoop()
 }
 
-// evictIdle closes one idle connection and reports whether it did. Connections that never sent a command go first, the
-// oldest before the others so that a router that has just connected has time to send one; then the one that was idle for
-// longest. This guards against clients that open connections and send nothing, or nothing more. The caller holds the
-// front's lock.
+// evictIdle closes one idle connection and reports whether it did. It prefers connections that never sent a command, the
+// oldest first, so that a router that has just connected has time to send one. Otherwise it closes the connection that has
+// been idle for longest. This guards against clients that open connections and send nothing, or nothing more. The caller
+// holds the front's lock.
 func (f *Front) evictIdle() bool {
 	var victim *conn
 	for c := range f.conns {
@@ -133,7 +133,7 @@
 	c.broken = true
 	if c.receivedCommand && !c.closingSent {
 		c.closingSent = true
-		c.raw.Write(func(fd uintptr) bool { // nothing is queued before it, so the socket buffer has room; otherwise it is omitted
+		c.raw.Write(func(fd uintptr) bool { // nothing is queued, so the socket buffer has space; otherwise the message is omitted
 			syscall.Write(int(fd), appendClosing(nil))
 			return true
 		})
@@ -496,7 +496,7 @@
 	return nil
 }
 
-// sendAnswer sends a request its only answer.
+// sendAnswer sends the only answer to a request.
 func (c *conn) sendAnswer(tag uint64, o core.Outcome) {
 	hint, hasHint := c.front.core.Hint()
 	c.enqueue(func(b []byte) []byte {
--- a/internal/net/uwsgi/codec.go
+++ b/internal/net/uwsgi/codec.go
@@ -21,7 +21,7 @@
 	varClass          = "ORDER_CLASS"  // the class; default: from the path, such as /book-delivery
 	varID             = "ORDER_ID"     // 16 hexadecimal digits; default: random
 	varArrival        = "ORDER_AT"     // arrival at the machine, in Unix milliseconds; default: now
-	varWait           = "ORDER_WAIT"   // how long the caller waits from then on, in milliseconds; default: the deadline of the class
+	varWait           = "ORDER_WAIT"   // how long the caller waits from its arrival, in milliseconds; default: the deadline of the class
 	varCaller         = "ORDER_FROM"   // the number of the caller
 	varRetry          = "ORDER_RETRY"  // 1: a retry
 	varKey            = "ORDER_KEY"    // the subject of a read
--- a/internal/net/vault/vault.go
+++ b/internal/net/vault/vault.go
@@ -1,7 +1,7 @@
 // Package vault makes calls to the vault over HTTP/1.1, each on its own connection. A call is cancelled by closing its
 // connection. The package never retries a call: retries are decided by the policy module.
 //
-// Connections are not reused. Stray bytes after a valid reply (a duplicate, garbage) can arrive at any later time, so no
+// Connections are not reused. Further bytes after a valid reply (a duplicate, garbage) can arrive at any later time, so no
 // check of an idle connection proves that the next reply read from it belongs to the next call. A connection that the
 // vault has dropped without notice would also fail the call that reuses it.
 package vault
@@ -90,7 +90,7 @@
 	if err != nil {
 		return policy.InvalidReply, nil
 	}
-	reply, err := readBody(resp) // never closed: closing a body of 3 GB would read it to its end
+	reply, err := readBody(resp) // not closed, since closing a body of 3 GB would read it to its end
 	if err != nil {
 		pool.Put(reply)
 		return policy.InvalidReply, nil
