--- a/internal/net/configwatch/configwatch_test.go
+++ b/internal/net/configwatch/configwatch_test.go
@@ -164,7 +164,7 @@
 	waitUntil(t, "one snapshot is counted", func() bool { return w.client.Metrics().Snapshots == 1 })
 }
 
-// A watcher receives each commit once and in order, also when its feed ends: it continues at another feed from its own revision.
+// A watcher receives each commit once and in order, even if its feed fails: it continues at another feed from its own revision.
 func TestWatchContinuesAtAnotherFeed(t *testing.T) {
 	a, b := startFeed(t, distribution.DefaultLimits), startFeed(t, distribution.DefaultLimits)
 	commitBoth := func(names ...string) {
@@ -216,8 +216,8 @@
 	}
 	w = startWatcher(t, path, relaysOf(f))
 	w.waitUntilCurrent(t, f)
-	if n := w.client.Metrics(); n.Snapshots != 0 || len(w.commits) != 20 {
-		t.Errorf("%d snapshots and %d commits for a server that missed 20 commits", n.Snapshots, len(w.commits))
+	if metrics := w.client.Metrics(); metrics.Snapshots != 0 || len(w.commits) != 20 {
+		t.Errorf("%d snapshots and %d commits for a server that missed 20 commits", metrics.Snapshots, len(w.commits))
 	}
 	w.stop()
 	b, err := os.ReadFile(path)
@@ -259,7 +259,8 @@
 	w.waitForSnapshot(t)
 }
 
-// The same if the feed's snapshot is older than the watcher's revision: the watcher must not end up without records.
+// Divergent records are also replaced if the feed's snapshot is older than the watcher's revision; the watcher must not end up
+// without records.
 func TestDivergentRecordsAreReplacedByOlderSnapshot(t *testing.T) {
 	limits := distribution.Limits{Commits: 10, Bytes: 1 << 20, Watchers: 10, Snapshots: 2}
 	a, b := startFeed(t, distribution.DefaultLimits), startFeed(t, limits)
@@ -313,8 +314,8 @@
 	large := strings.Repeat("n", 128)
 	waitUntil(t, "the slow watcher is disconnected", func() bool {
 		f.commit(large, large[:100], large[:99], large[:98])
-		if held := f.server.Metrics().RetainedBytes; held > limits.Bytes {
-			t.Fatalf("%d bytes retained, limit %d", held, limits.Bytes)
+		if retained := f.server.Metrics().RetainedBytes; retained > limits.Bytes {
+			t.Fatalf("%d bytes retained, limit %d", retained, limits.Bytes)
 		}
 		w.waitUntilCurrent(t, f) // the other watcher is still served
 		return f.server.Metrics().Watchers == 1
--- a/internal/net/session/wire.go
+++ b/internal/net/session/wire.go
@@ -29,7 +29,7 @@
 )
 
 // clientMessage is a message from an order server to a store replica. Exactly one of Heartbeat, Command and Query is set. The JSON
-// names are those of earlier builds, with whose servers and replicas this build interoperates.
+// names must not change: servers and replicas of earlier builds use them.
 type clientMessage struct {
 	Heartbeat *duty.Heartbeat `json:"beat,omitempty"`
 	ShareAck  uint64          `json:"ack,omitempty"`  // with a heartbeat: version of the capacity share in use
@@ -87,7 +87,7 @@
 // DutyStatus is the result of ReadDuties: the leases, and what each process reported about published versions.
 type DutyStatus struct {
 	Table            *duty.Table       `json:"table"`
-	Marks            map[string]uint64 `json:"marks"`
+	Marks            map[string]uint64 `json:"marks"` // counters, by duty
 	StaleCommands    map[string]uint64 `json:"stale"` // commands refused for a stale epoch, by duty
 	Acknowledgements map[string]string `json:"words"` // by process: whether it accepted the latest version that it checked
 	Term             uint64            `json:"term"`
