--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -153,7 +153,7 @@
 		s.Served()
 		totalWaitMS += s.Failed()
 		s.Next(1)
-		s.Failed() // the relay of the own zone stays down
+		s.Failed() // the relay of zone z0 stays down
 		r, _, _ = s.Next(2)
 		if r.Region != "r0" {
 			t.Fatalf("second choice: got %+v, want a relay of region r0", r)
--- a/internal/distribution/feed.go
+++ b/internal/distribution/feed.go
@@ -67,8 +67,8 @@
 	digestAfter records.Digest
 }
 
-// Feed serves watchers from a window of the latest commits. Its limits bound its memory however slowly its watchers read: a
-// watcher that falls behind the window must watch again from its revision.
+// Feed serves watchers from a window of the latest commits. Its limits bound its memory even if watchers read slowly: a watcher
+// that falls behind the window must send a new watch request with its revision.
 type Feed struct {
 	limits Limits
 	rng    *rand.Rand
--- a/internal/distribution/selector.go
+++ b/internal/distribution/selector.go
@@ -47,10 +47,10 @@
 	maxBackoffMS      = 4000.0
 	maxStoreBackoffMS = 1000.0  // of a relay that looks for the store leader
 	maxRefusalDelayMS = 60000.0 // upper bound of the retry delay that a relay may ask for
-	minRemoteStayMS   = 30000.0 // minimum time on a more distant relay before selecting anew; jittered up to twice that
+	minRemoteStayMS   = 30000.0 // minimum time on a more distant relay before selecting again; jittered up to twice that
 )
 
-// Selector chooses the relay to watch: relays of the own zone first, then of the own region, then all others. The order among
+// Selector chooses the relay to watch: relays in its own zone first, then those in its own region, then all others. The order among
 // equals is random for each selector, so that the watchers of a failed relay spread over the others. Between attempts it waits
 // with jittered exponential backoff, so that they do not all reconnect at once.
 type Selector struct {
@@ -83,7 +83,7 @@
 	return s
 }
 
-// distance returns 0 for the own zone, 1 for the own region and 2 for the rest.
+// distance returns 0 for a relay in the selector's zone, 1 for one in its region and 2 for any other.
 func (s *Selector) distance(r Relay) int {
 	switch {
 	case r.Zone == s.locality.Zone:
@@ -135,7 +135,7 @@
 	return s.Failed()
 }
 
-// Served records that the relay serves. If a nearer relay exists, it returns the milliseconds after which to select anew; else it
+// Served records that the relay serves. If a nearer relay exists, it returns the milliseconds after which to select again; else it
 // returns 0, and the watcher stays connected.
 func (s *Selector) Served() (reselectAfterMS float64) {
 	s.nextIndex = 0
--- a/internal/recordfile/file.go
+++ b/internal/recordfile/file.go
@@ -207,14 +207,14 @@
 	w.WriteString(magic)
 	w.WriteByte(formatVersion)
 	w.Write(appendBlock(nil, blockSnapshotHeader, header))
-	for _, p := range s.Chunks {
-		w.Write(appendBlock(nil, blockChunk, p.Data))
+	for _, chunk := range s.Chunks {
+		w.Write(appendBlock(nil, blockChunk, chunk.Data))
 	}
 	w.Write(appendBlock(nil, blockSnapshotEnd, nil))
 	return w.Flush()
 }
 
-// Reopen opens a file that was read for appending, and truncates it after its last complete block.
+// Reopen opens for appending a file that was read as c, and truncates it after its last complete block.
 func Reopen(path string, c *Content) (*File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
--- a/internal/records/record.go
+++ b/internal/records/record.go
@@ -113,7 +113,7 @@
 	Deletes []Key  `json:"deletes,omitempty"`
 }
 
-// Commit is a change that has been agreed on.
+// Commit is a change that the store has committed.
 type Commit struct {
 	Revision uint64 `json:"revision"` // one more than that of the previous commit
 	Before   Digest `json:"before"`   // of all records before the commit
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -16,43 +16,49 @@
 
 // StoreReplica is the store replica whose records an Origin serves.
 type StoreReplica interface {
-	Leadership() (term uint64, leads bool)
+	// Leadership returns the current term, and whether the replica believes that it is the leader in it.
+	Leadership() (term uint64, isLeader bool)
+	// Leader returns the ID of the leader as known to the replica; "": unknown.
 	Leader() string
+	// Changed returns a channel that is closed when the replica applies the next log entry.
 	Changed() <-chan struct{}
-	View(look func(st *state.State, index uint64))
+	// View calls read with the state, which must not be modified or retained, and with a log index up to which the state includes
+	// all entries.
+	View(read func(st *state.State, index uint64))
 }
 
-// originLimits are the limits of an Origin. It serves relays only, so its watchers grow with the zones, not with the servers.
+// originLimits are the limits of an Origin. It serves relays only, so the number of its watchers grows with the
+// number of zones, not of servers.
 var originLimits = distribution.Limits{Commits: 8192, Bytes: 16 << 20, Watchers: 256, Snapshots: 4}
 
 const (
 	leadershipPollMS = 200.0 // interval at which leadership is checked
-	refusalRetryMS   = 200.0 // retry delay asked for by a replica that does not lead and by a relay without configuration
+	refusalRetryMS   = 200.0 // retry delay sent by a replica that is not the leader and by a relay without configuration
 )
 
-// Origin serves relays at a store replica, as long as that replica leads.
+// Origin serves relays at a store replica while that replica is the leader.
 type Origin struct {
 	store  StoreReplica
 	steady *clock.Clock
 	log    zerolog.Logger
 	server *configwatch.Server
-	// OnCommit is called for each commit that reaches this replica; may be nil.
+	// OnCommit is called for each commit that this replica has applied, before it is published; may be nil.
 	OnCommit func(records.Commit)
 }
 
 // NewOrigin returns an Origin for a store replica; Run must be called for it to serve.
-func NewOrigin(c StoreReplica, steady *clock.Clock, log zerolog.Logger, injectedBug string) *Origin {
-	o := &Origin{store: c, steady: steady, log: log}
+func NewOrigin(storeReplica StoreReplica, steady *clock.Clock, log zerolog.Logger, injectedBug string) *Origin {
+	o := &Origin{store: storeReplica, steady: steady, log: log}
 	o.server = configwatch.NewServer(configwatch.ServerOptions{Limits: originLimits, Source: o, CheckWatch: o.checkWatch, Steady: steady, Log: log, Seed: 1, InjectedBug: injectedBug})
 	return o
 }
 
-// checkWatch refuses watchers that are not relays, and relays while this replica does not lead.
+// checkWatch refuses watchers that are not relays, and all relays while this replica is not the leader.
 func (o *Origin) checkWatch(w configwatch.Watch) *configwatch.Refusal {
 	if !w.IsRelay {
 		return &configwatch.Refusal{RetryMS: 10 * refusalRetryMS, Reason: "copies of the store serve relays alone"}
 	}
-	if _, leads := o.store.Leadership(); leads {
+	if _, isLeader := o.store.Leadership(); isLeader {
 		return nil
 	}
 	r := &configwatch.Refusal{RetryMS: refusalRetryMS, Reason: "this copy does not lead"}
@@ -107,19 +113,19 @@
 	var commits []records.Commit
 	var resetTo *distribution.Position
 	o.store.View(func(st *state.State, _ uint64) {
-		at := o.server.Position()
-		since, err := st.Records.CommitsSince(at.Revision)
-		if err == nil && (len(since) > 0 && since[0].Before != at.Digest || len(since) == 0 && st.Records.Digest() != at.Digest) {
+		position := o.server.Position()
+		newCommits, err := st.Records.CommitsSince(position.Revision)
+		if err == nil && (len(newCommits) > 0 && newCommits[0].Before != position.Digest || len(newCommits) == 0 && st.Records.Digest() != position.Digest) {
 			err = records.ErrCompacted // the records already published were never committed
 		}
 		if err != nil { // the replica installed a snapshot
-			since, _ = st.Records.CommitsSince(st.Records.OldestRevision())
+			newCommits, _ = st.Records.CommitsSince(st.Records.OldestRevision())
 			resetTo = &distribution.Position{Revision: st.Records.Revision(), Digest: st.Records.Digest()}
-			if len(since) > 0 {
-				resetTo = &distribution.Position{Revision: st.Records.OldestRevision(), Digest: since[0].Before}
+			if len(newCommits) > 0 {
+				resetTo = &distribution.Position{Revision: st.Records.OldestRevision(), Digest: newCommits[0].Before}
 			}
 		}
-		commits = slices.Clone(since)
+		commits = slices.Clone(newCommits)
 	})
 	if resetTo != nil {
 		o.server.Reset(*resetTo)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -98,7 +98,7 @@
 	return r, nil
 }
 
-// checkWatch refuses watchers as long as the relay has no configuration at all.
+// checkWatch refuses watchers while the relay has no configuration.
 func (r *Relay) checkWatch(configwatch.Watch) *configwatch.Refusal {
 	if r.replica.Position().Revision > 0 || r.client.Metrics().Connections > 0 {
 		return nil
@@ -129,7 +129,8 @@
 // Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Metrics are the metrics of a relay.
+// Metrics are the metrics of a relay: those of its server, those of its client, the number of records and the sum of the
+// watchers' reports.
 type Metrics struct {
 	Serving  configwatch.Metrics       `json:"serving"`
 	Watching configwatch.ClientMetrics `json:"watching"`
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -28,9 +28,9 @@
 type Options struct {
 	Name   string
 	Path   string         // of the file on disk; "": not stored
-	Limits records.Limits // of the retained commits, from which relays serve their watchers
+	Limits records.Limits // of the retained commits, with which a relay fills its feed after a restart
 
-	// CheckRecord returns an error for a record that cannot be applied; nil: all can.
+	// CheckRecord returns an error for a record that cannot be applied. If CheckRecord is nil, all records are applied.
 	CheckRecord func(records.Put) error
 	// ApplySettings applies changed settings by name, with a nil value for a deleted one. If it returns an error, the settings
 	// applied before must stay in effect, and the error is reported until a later change applies. May be nil.
