--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// largeFleetEnlistLine returns a line that enlists a small server in a large fleet, with an idle timeout.
+// largeFleetEnlistLine returns a line that enlists a server with few cores in a large fleet, with an idle timeout.
 func largeFleetEnlistLine() string {
 	return strings.NewReplacer(`"callers":3`, `"callers":950,"idle":25000000000,"heardFor":1000000000`, `"nCores":6`, `"nCores":2`,
 		`"runMemFactor":4.0`, `"runMemFactor":15.0`, `"say":"none"`, `"say":"level"`, `"servers":12`, `"servers":280`).Replace(enlistLine)
@@ -189,11 +189,11 @@
 	f.Add([]byte(enlistLine), []byte(`{"simTime":3,"parts":[{"i":"a-1","events":[{"retireSoon":{"left":0}},{"lapsed":{"rid":5}},{"exit":{}}]}]}`))
 	f.Add([]byte(`{"simTime":1,"parts":[]}`), []byte(`{`))
 	f.Fuzz(func(t *testing.T, a, b []byte) {
-		l := newAdapter(io.Discard)
-		if _, err := l.handleBatch(a); err != nil {
+		ad := newAdapter(io.Discard)
+		if _, err := ad.handleBatch(a); err != nil {
 			return
 		}
-		reply, err := l.handleBatch(b)
+		reply, err := ad.handleBatch(b)
 		if err == nil && (len(reply) == 0 || reply[len(reply)-1] != '\n') {
 			t.Errorf("no reply line to %q", b)
 		}
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -8,7 +8,7 @@
 	"puffinsaddle/internal/distribution"
 )
 
-// Distribution configures how an order server watches the records. It is disabled without relays.
+// Distribution configures how an order server watches the records. Without relays, the server watches no records.
 type Distribution struct {
 	Zone        string               `yaml:"zone"`
 	Region      string               `yaml:"region"`
@@ -32,7 +32,7 @@
 
 var defaultRelay = Relay{MaxWatchers: distribution.DefaultLimits.Watchers, MaxSnapshots: distribution.DefaultLimits.Snapshots}
 
-const watcherLimit = 1 << 16
+const watcherLimit = 1 << 16 // upper bound of relay.watchers
 
 func (d Distribution) check(o Operator) error {
 	if len(d.Relays) == 0 {
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -37,8 +37,8 @@
 	TTLMS float64 `yaml:"ttl_ms"`
 }
 
-// Allocation configures the allotter, whose duty must be on the list. Without Total, the policy settings
-// determine each server's downstream share.
+// Allocation configures the duty allotter, which divides the downstream capacity among the servers and must be in Duties.List.
+// Without Total, the policy settings determine each server's downstream share.
 type Allocation struct {
 	Total             float64 `yaml:"whole"`   // downstream calls in flight, over all servers
 	ReservePerProcess float64 `yaml:"alone"`   // calls that a server may have in flight without a share
@@ -46,18 +46,18 @@
 	IntervalMS        float64 `yaml:"every_ms"`
 }
 
-// Capacity returns the same limits in units of allocation.UnitsPerCall to one call.
+// Capacity returns the same limits in capacity units, of which allocation.UnitsPerCall make up one call.
 func (a Allocation) Capacity() allocation.Capacity {
 	return allocation.Capacity{Total: int64(a.Total * allocation.UnitsPerCall), ReservePerProcess: int64(a.ReservePerProcess * allocation.UnitsPerCall), MaxProcesses: a.MaxProcesses}
 }
 
-// Publish configures the publisher.
+// Publish configures the duty publisher, which publishes the files of a manifest as a new version.
 type Publish struct {
 	Manifest   string  `yaml:"manifest"` // a file in sha256sum's format; the files that it lists are published
 	IntervalMS float64 `yaml:"every_ms"`
 }
 
-// Resolution configures the settler, which resolves orphaned effects.
+// Resolution configures the duty settler, which resolves orphaned effects.
 type Resolution struct {
 	RetentionMS float64 `yaml:"keep_ms"` // minimum retention period of effects
 	IntervalMS  float64 `yaml:"every_ms"`
@@ -87,7 +87,7 @@
 	settlerDuty          = "settler"
 	maxReplicas          = 7
 	maxDuties            = 64
-	minEffectRetentionMS = 60e3 // callers wait for less time, so no attempt can arrive under a deleted id
+	minEffectRetentionMS = 60e3 // longer than callers wait, so that no attempt arrives for an effect that was already deleted
 )
 
 // Enabled reports whether duties are configured.
@@ -99,14 +99,14 @@
 		ClockBounds:     duty.ClockBounds{MaxDrift: d.MaxDrift, MarginMS: d.MarginMS},
 		RenewIntervalMS: d.RenewIntervalMS, CooldownMS: d.CooldownMS, ColdWaitMS: d.ColdWaitMS, PresenceTTLMS: d.PresenceTTLMS,
 	}
-	for _, t := range d.List {
-		r.Duties = append(r.Duties, duty.DutyRule{Name: t.Name, TTLMS: t.TTLMS})
+	for _, listed := range d.List {
+		r.Duties = append(r.Duties, duty.DutyRule{Name: listed.Name, TTLMS: listed.TTLMS})
 	}
 	return r
 }
 
 func (d Duties) hasDuty(name string) bool {
-	return slices.ContainsFunc(d.List, func(t Duty) bool { return t.Name == name })
+	return slices.ContainsFunc(d.List, func(listed Duty) bool { return listed.Name == name })
 }
 
 func (d Duties) check(st Store) error {
@@ -215,7 +215,7 @@
 	return nil
 }
 
-// checkAddresses checks addresses by id: each must have a port and be unique.
+// checkAddresses checks the addresses of replicas by id: each must have a port and be unique.
 func checkAddresses(key string, byID map[string]string) error {
 	idByAddress := map[string]string{}
 	for _, id := range slices.Sorted(maps.Keys(byID)) {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -10,7 +10,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Operator is the content of an operator's file, as in deploy/. On the platform there is none, and all of it is disabled.
+// Operator is the content of an operator's file, as in deploy/. The platform provides no such file; everything that it configures
+// is then disabled.
 type Operator struct {
 	UWSGI     UWSGI     `yaml:"uwsgi"`
 	Store     Store     `yaml:"store"`
@@ -24,7 +25,7 @@
 	Text []byte `yaml:"-"` // the file's content, which is kept in the store
 }
 
-// Store configures the replicated store. Without it no state is kept on disk and the effect log is in memory.
+// Store configures the replicated store. Without a store, no state is kept on disk and the effect log is in memory.
 type Store struct {
 	ID                string            `yaml:"id"`          // empty: the server's name
 	Listen            string            `yaml:"listen"`      // address; empty: no store
@@ -33,14 +34,14 @@
 	AddressOverrides  map[string]string `yaml:"via"`         // by id: address at which this replica reaches that one instead
 	CompareIntervalMS float64           `yaml:"compare_ms"`  // interval between comparisons of parts of the state among replicas
 	ElectionTimeoutMS float64           `yaml:"election_ms"` // time without the leader, or up to twice it, until an election
-	Strict            bool              `yaml:"strict"`      // more of the other replicas must respond before this one takes part
+	Strict            bool              `yaml:"strict"`      // require responses from more of the other replicas before this one takes part
 }
 
 // Inventory configures the list of the site's hosts.
 type Inventory struct {
 	Path        string `yaml:"path"`  // a .csv, .yml or .yaml file; empty: none
 	Group       string `yaml:"group"` // hosts of this group join uwsgi.servers
-	DefaultPort int    `yaml:"port"`  // of hosts without a port of their own
+	DefaultPort int    `yaml:"port"`  // for hosts without a port of their own
 }
 
 // UWSGI configures the uwsgi front and the runner that forwards requests to uwsgi servers.
--- a/internal/inventory/csv.go
+++ b/internal/inventory/csv.go
@@ -43,7 +43,7 @@
 			return newInventory(hosts), nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", path, err) // err contains the line
+			return nil, fmt.Errorf("%s: %w", path, err) // err contains the line number
 		}
 		line, _ := r.FieldPos(0)
 		h, err := parseRow(header, row)
--- a/internal/inventory/yaml.go
+++ b/internal/inventory/yaml.go
@@ -56,8 +56,8 @@
 	value *yaml.Node
 }
 
-// pairs returns the members of a mapping. A duplicate key is an error.
-func (p *parser) pairs(n *yaml.Node, what string) ([]pair, error) {
+// pairs returns the members of a mapping. A duplicate key is an error. subject is the name of the mapping in errors.
+func (p *parser) pairs(n *yaml.Node, subject string) ([]pair, error) {
 	if n.Kind == yaml.AliasNode {
 		n = n.Alias
 	}
@@ -65,14 +65,14 @@
 		return nil, nil
 	}
 	if n.Kind != yaml.MappingNode {
-		return nil, fmt.Errorf("%s:%d: %s must be a mapping", p.path, n.Line, what)
+		return nil, fmt.Errorf("%s:%d: %s must be a mapping", p.path, n.Line, subject)
 	}
 	var members []pair
 	seen := map[string]int{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k := n.Content[i]
 		if first, duplicate := seen[k.Value]; duplicate {
-			return nil, fmt.Errorf("%s:%d: duplicate %q in %s, first in line %d", p.path, k.Line, k.Value, what, first)
+			return nil, fmt.Errorf("%s:%d: duplicate %q in %s, first in line %d", p.path, k.Line, k.Value, subject, first)
 		}
 		seen[k.Value] = k.Line
 		members = append(members, pair{k, n.Content[i+1]})
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// host reads one host of the innermost of groups. vars are the variables of these groups.
+// host reads one host. groups are the groups that contain it, the innermost last, and vars their variables.
 func (p *parser) host(m pair, groups []string, vars map[string]string) error {
 	name := m.key.Value
 	own, err := p.vars(m.value, fmt.Sprintf("host %q", name))
@@ -166,9 +166,9 @@
 	return nil
 }
 
-// vars reads variables. A value that is not a scalar is kept as YAML text.
-func (p *parser) vars(n *yaml.Node, what string) (map[string]string, error) {
-	members, err := p.pairs(n, what)
+// vars reads variables. A value that is not a scalar is kept as YAML text. subject is the name of the mapping in errors.
+func (p *parser) vars(n *yaml.Node, subject string) (map[string]string, error) {
+	members, err := p.pairs(n, subject)
 	if err != nil {
 		return nil, err
 	}
