--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -218,7 +218,7 @@
 	f := newFleet(t, "a", "b")
 	f.run(1000)
 	h := f.holder("allotter")
-	for range 60 { // the holder is not run either: only its clock can tell it that the lease has ended
+	for range 60 { // the holder is not run either: only its own clock shows that the lease has ended
 		f.run(50, h)
 		if o := f.holder("allotter"); o != "" && o != h {
 			if _, still := f.machines[h].ActiveGrant(f.now, "allotter"); still {
@@ -251,7 +251,7 @@
 	}
 }
 
-// A server whose heartbeats arrive but which receives no replies loses its lease, and does not hold for good a lease that was
+// A server whose heartbeats arrive but which receives no replies loses its lease, and does not keep forever a lease that was
 // granted to it without its knowledge.
 func TestServerWithoutRepliesKeepsNoLease(t *testing.T) {
 	f := newFleet(t, "a", "b")
--- a/internal/duty/grantor.go
+++ b/internal/duty/grantor.go
@@ -28,7 +28,7 @@
 }
 
 // HeartbeatReply is the reply to a heartbeat. It is sent only after a log entry that was written after the heartbeat arrived is
-// committed: that alone proves that no other replica was the leader by then.
+// committed. Only this proves that no other replica had become the leader by the time the heartbeat arrived.
 type HeartbeatReply struct {
 	Seq        uint64      `json:"no"`    // sequence number of the heartbeat
 	LogIndex   uint64      `json:"index"` // log index as of which the reply is valid
@@ -108,31 +108,31 @@
 
 // HandleHeartbeat records a heartbeat and returns the releases to write to the log. The reply
 // is made later by Reply, once the leadership is proven.
-func (g *Grantor) HandleHeartbeat(now float64, b Heartbeat, t *Table) []Order {
+func (g *Grantor) HandleHeartbeat(now float64, heartbeat Heartbeat, t *Table) []Order {
 	var out []Order
-	for _, r := range b.Releases {
-		if l := t.Leases[r.Name]; l != nil && l.Holder == b.From && l.Epoch == r.Epoch {
+	for _, r := range heartbeat.Releases {
+		if l := t.Leases[r.Name]; l != nil && l.Holder == heartbeat.From && l.Epoch == r.Epoch {
 			out = append(out, Order{Kind: Release, Name: r.Name, Epoch: r.Epoch, Term: g.term})
 			g.pendingOrders[r.Name] = true
 		}
 	}
-	g.removeCandidacies(b.From)
-	for _, name := range b.Candidacies {
-		if !g.HasDuty(name) && name != PresenceName(b.From) {
+	g.removeCandidacies(heartbeat.From)
+	for _, name := range heartbeat.Candidacies {
+		if !g.HasDuty(name) && name != PresenceName(heartbeat.From) {
 			continue
 		}
 		if g.candidates[name] == nil {
 			g.candidates[name] = map[string]candidacy{}
 		}
-		g.candidates[name][b.From] = candidacy{at: now, cold: b.Cold}
+		g.candidates[name][heartbeat.From] = candidacy{at: now, cold: heartbeat.Cold}
 	}
 	// A held lease that the heartbeat does not renew counts as renewed for a while after its grant: the reply will name it, and
 	// then the holder measures its lease from this heartbeat. After that it is neither renewed nor named in replies. Otherwise a
 	// server whose heartbeats arrive but which receives no replies would keep forever a lease that it does not know of.
-	for _, name := range t.LeasesHeldBy(b.From) {
+	for _, name := range t.LeasesHeldBy(heartbeat.From) {
 		l := t.Leases[name]
 		switch {
-		case slices.Contains(b.Renewals, Ref{name, l.Epoch}), now <= g.grantedAt(name, l.Epoch)+g.GrantorWaitMS(l.TTLMS):
+		case slices.Contains(heartbeat.Renewals, Ref{name, l.Epoch}), now <= g.grantedAt(name, l.Epoch)+g.GrantorWaitMS(l.TTLMS):
 			g.recordRenewal(name, l.Epoch, now)
 			delete(g.unknownToHolder, name)
 		default:
@@ -159,8 +159,9 @@
 	return g.leaderSince
 }
 
+// recordRenewal records a renewal, unless a later one is recorded already.
 func (g *Grantor) recordRenewal(name string, epoch uint64, now float64) {
-	if h := g.lastRenewals[name]; h.epoch < epoch || h.epoch == epoch && h.at < now {
+	if last := g.lastRenewals[name]; last.epoch < epoch || last.epoch == epoch && last.at < now {
 		g.lastRenewals[name] = epochTime{epoch, now}
 	}
 }
@@ -256,8 +257,8 @@
 
 // lastRenewalAt returns the time of the last heartbeat that renewed a lease, or the start of the term if there was none since.
 func (g *Grantor) lastRenewalAt(name string, epoch uint64) float64 {
-	if h := g.lastRenewals[name]; h.epoch == epoch {
-		return h.at
+	if last := g.lastRenewals[name]; last.epoch == epoch {
+		return last.at
 	}
 	if g.InjectedBug == BugHastyLeader {
 		return g.leaderSince - g.GrantorWaitMS(g.ttlMS(name))
@@ -279,7 +280,7 @@
 
 // chooseHolder returns the candidate with the fewest duties, or "". Ties are broken by a hash that depends on the duty but not on
 // the leader. A cold server is chosen only if there is no warm candidate and the duty has had no holder for ColdWaitMS. This
-// spreads the duties, and prevents that after an outage the server whose heartbeat comes first gets all of them.
+// spreads the duties: otherwise the server whose heartbeat comes first after an outage would get all of them.
 func (g *Grantor) chooseHolder(name string, now float64, dutyCount func(process string) int) string {
 	if _, seen := g.vacantSince[name]; !seen {
 		g.vacantSince[name] = now
--- a/internal/duty/machine.go
+++ b/internal/duty/machine.go
@@ -111,8 +111,8 @@
 // NextTick returns the time by which Tick has to be called again.
 func (m *Machine) NextTick() float64 {
 	at := m.nextHeartbeatAt
-	for _, h := range m.leases {
-		at = min(at, h.until)
+	for _, lease := range m.leases {
+		at = min(at, lease.until)
 	}
 	return at
 }
@@ -122,8 +122,8 @@
 
 func (m *Machine) expireLeases(now float64) (out []Action) {
 	for _, name := range slices.Sorted(maps.Keys(m.leases)) {
-		if h := m.leases[name]; now >= h.until {
-			out = append(out, m.endLease(now, h, CauseExpired))
+		if lease := m.leases[name]; now >= lease.until {
+			out = append(out, m.endLease(now, lease, CauseExpired))
 		}
 	}
 	return out
@@ -131,19 +131,19 @@
 
 // endLease removes a lease. It also releases it: if the store still has this process as the holder, others need not wait for the
 // expiry.
-func (m *Machine) endLease(now float64, h *localLease, cause string) Action {
-	name := h.ref.Name
-	if h.yieldCause != "" {
-		cause = h.yieldCause
+func (m *Machine) endLease(now float64, lease *localLease, cause string) Action {
+	name := lease.ref.Name
+	if lease.yieldCause != "" {
+		cause = lease.yieldCause
 	}
 	delete(m.leases, name)
-	m.endedEpochs[name] = max(m.endedEpochs[name], h.ref.Epoch)
-	m.pendingReleases[name] = h.ref
+	m.endedEpochs[name] = max(m.endedEpochs[name], lease.ref.Epoch)
+	m.pendingReleases[name] = lease.ref
 	if PresenceProcess(name) == "" {
 		m.cooldownUntil[name] = now + m.CooldownMS
 	}
 	m.nextHeartbeatAt = now
-	return LeaseEnded{h.ref, cause}
+	return LeaseEnded{lease.ref, cause}
 }
 
 func (m *Machine) newHeartbeat(now float64) Action {
@@ -152,81 +152,81 @@
 	m.heartbeatSeq++
 	m.sentHeartbeats[m.heartbeatSeq%heartbeatHistorySize].seq, m.sentHeartbeats[m.heartbeatSeq%heartbeatHistorySize].at =
 		m.heartbeatSeq, now
-	b := Heartbeat{From: m.ProcessID, Seq: m.heartbeatSeq, SeenIndex: m.seenIndex, Cold: m.mode == Cold}
+	heartbeat := Heartbeat{From: m.ProcessID, Seq: m.heartbeatSeq, SeenIndex: m.seenIndex, Cold: m.mode == Cold}
 	for _, name := range slices.Sorted(maps.Keys(m.leases)) {
-		b.Renewals = append(b.Renewals, m.leases[name].ref)
+		heartbeat.Renewals = append(heartbeat.Renewals, m.leases[name].ref)
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.pendingReleases)) {
-		b.Releases = append(b.Releases, m.pendingReleases[name])
+		heartbeat.Releases = append(heartbeat.Releases, m.pendingReleases[name])
 	}
 	if m.mode == Warm || m.mode == Cold {
 		for _, d := range m.Duties {
 			if m.leases[d.Name] == nil && now >= m.cooldownUntil[d.Name] {
-				b.Candidacies = append(b.Candidacies, d.Name)
+				heartbeat.Candidacies = append(heartbeat.Candidacies, d.Name)
 			}
 		}
 	}
 	if p := PresenceName(m.ProcessID); m.PresenceTTLMS > 0 && m.leases[p] == nil && !m.leaving {
-		b.Candidacies = append(b.Candidacies, p)
+		heartbeat.Candidacies = append(heartbeat.Candidacies, p)
 	}
-	return SendHeartbeat{b}
+	return SendHeartbeat{heartbeat}
 }
 
 // HandleReply processes a reply: it renews, gains and ends leases accordingly.
-func (m *Machine) HandleReply(now float64, t HeartbeatReply) []Action {
+func (m *Machine) HandleReply(now float64, reply HeartbeatReply) []Action {
 	out := m.expireLeases(now)
-	if t.LogIndex < m.seenIndex {
-		// Old state must not be taken for new: another replica has already reported a later one.
-		return append(out, StaleReply{t.LogIndex, m.seenIndex})
+	if reply.LogIndex < m.seenIndex {
+		// Another replica has already reported a later state, which this older one must not replace.
+		return append(out, StaleReply{reply.LogIndex, m.seenIndex})
 	}
-	m.seenIndex = t.LogIndex
-	s := m.sentHeartbeats[t.Seq%heartbeatHistorySize]
-	if s.seq != t.Seq || t.Seq == 0 {
-		return out // an old heartbeat, whose sending time is not known any more
+	m.seenIndex = reply.LogIndex
+	sent := m.sentHeartbeats[reply.Seq%heartbeatHistorySize]
+	if sent.seq != reply.Seq || reply.Seq == 0 {
+		return out // a heartbeat so old that its sending time is no longer stored
 	}
-	sentAt := s.at
+	sentAt := sent.at
 	if m.InjectedBug == BugDeadlineFromReply {
 		sentAt = now
 	}
 	heldByName := map[string]HeldLease{}
-	for _, g := range t.HeldLeases {
-		heldByName[g.Name] = g
+	for _, held := range reply.HeldLeases {
+		heldByName[held.Name] = held
 	}
 	for name, r := range m.pendingReleases {
-		if g, there := heldByName[name]; !there || g.Epoch != r.Epoch {
+		if held, there := heldByName[name]; !there || held.Epoch != r.Epoch {
 			delete(m.pendingReleases, name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.leases)) {
-		h := m.leases[name]
-		if g, there := heldByName[name]; !there || g.Epoch != h.ref.Epoch {
-			out = append(out, m.endLease(now, h, CauseLost))
+		lease := m.leases[name]
+		if held, there := heldByName[name]; !there || held.Epoch != lease.ref.Epoch {
+			out = append(out, m.endLease(now, lease, CauseLost))
 			delete(m.pendingReleases, name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(heldByName)) {
-		g := heldByName[name]
-		until := sentAt + m.HolderLeaseMS(g.TTLMS)
-		h := m.leases[name]
+		held := heldByName[name]
+		until := sentAt + m.HolderLeaseMS(held.TTLMS)
+		lease := m.leases[name]
 		switch {
-		case h != nil:
-			if until > h.until {
-				late := h.until-now < m.HolderLeaseMS(g.TTLMS)/2
-				h.until = until
-				out = append(out, LeaseRenewed{h.ref, until, late})
+		case lease != nil:
+			if until > lease.until {
+				late := lease.until-now < m.HolderLeaseMS(held.TTLMS)/2
+				lease.until = until
+				out = append(out, LeaseRenewed{lease.ref, until, late})
 			}
-			if g.Yield {
-				out = append(out, m.startYield(h, CauseYield)...)
+			if held.Yield {
+				out = append(out, m.startYield(lease, CauseYield)...)
 			}
-		case !m.acceptsGrant(name, now) || g.Epoch <= m.endedEpochs[name]:
-			m.pendingReleases[name] = g.Ref
+		case !m.acceptsGrant(name, now) || held.Epoch <= m.endedEpochs[name]:
+			m.pendingReleases[name] = held.Ref
 			m.nextHeartbeatAt = now
 		case until > now:
-			h = &localLease{ref: g.Ref, until: until}
-			m.leases[name] = h
-			out = append(out, LeaseGained{g.Ref, until})
-			if g.Yield {
-				out = append(out, m.startYield(h, CauseYield)...)
+			lease = &localLease{ref: held.Ref, until: until}
+			m.leases[name] = lease
+			out = append(out, LeaseGained{held.Ref, until})
+			if held.Yield {
+				out = append(out, m.startYield(lease, CauseYield)...)
 			}
 		}
 	}
@@ -241,21 +241,21 @@
 	return m.HasDuty(name) && (m.mode == Warm || m.mode == Cold) && now >= m.cooldownUntil[name]
 }
 
-func (m *Machine) startYield(h *localLease, cause string) []Action {
-	if h.yieldCause != "" {
+func (m *Machine) startYield(lease *localLease, cause string) []Action {
+	if lease.yieldCause != "" {
 		return nil
 	}
-	h.yieldCause = cause
-	return []Action{YieldRequested{h.ref, cause}}
+	lease.yieldCause = cause
+	return []Action{YieldRequested{lease.ref, cause}}
 }
 
 // Quiesced reports that no act is under way any more under a grant after YieldRequested; it is released with the next heartbeat.
 func (m *Machine) Quiesced(now float64, r Ref) []Action {
-	h := m.leases[r.Name]
-	if h == nil || h.ref != r || h.yieldCause == "" {
+	lease := m.leases[r.Name]
+	if lease == nil || lease.ref != r || lease.yieldCause == "" {
 		return nil
 	}
-	return []Action{m.endLease(now, h, h.yieldCause)}
+	return []Action{m.endLease(now, lease, lease.yieldCause)}
 }
 
 // SetMode sets the mode of the server. In all modes but Warm and Cold it releases all duties; it keeps its presence lease.
@@ -291,11 +291,11 @@
 
 // ActiveGrant reports whether an act under a duty may begin now, and under which grant.
 func (m *Machine) ActiveGrant(now float64, name string) (Ref, bool) {
-	h := m.leases[name]
-	if h == nil || h.yieldCause != "" || now >= h.until {
+	lease := m.leases[name]
+	if lease == nil || lease.yieldCause != "" || now >= lease.until {
 		return Ref{}, false
 	}
-	return h.ref, true
+	return lease.ref, true
 }
 
 // SeenIndex returns the highest log index of the replies so far.
@@ -303,9 +303,9 @@
 
 // LeaseEnd returns the end of a held lease on the server's own clock, also while it is being released.
 func (m *Machine) LeaseEnd(name string) (Ref, float64, bool) {
-	h := m.leases[name]
-	if h == nil {
+	lease := m.leases[name]
+	if lease == nil {
 		return Ref{}, 0, false
 	}
-	return h.ref, h.until, true
+	return lease.ref, lease.until, true
 }
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Errors of Table. They are permanent: to repeat the same order fails again.
+// Errors of Table. They are permanent: the same order would be refused again.
 var (
 	ErrStale     = errors.New("duty: stale epoch") // the epoch is not the current one, or the lease has no holder
 	ErrHeld      = errors.New("duty: already held")
@@ -76,7 +76,7 @@
 )
 
 // Order is an operation on a lease that the grantor writes to the log. Term is the raft term in which it was decided. An order
-// that is applied in another term is refused, because the waiting times on which it rests are those of the former leader.
+// that is applied in another term is refused, because it is based on the waiting times of the former leader.
 type Order struct {
 	Kind   string  `json:"k"`
 	Name   string  `json:"n"`
--- a/internal/duty/terms.go
+++ b/internal/duty/terms.go
@@ -11,13 +11,13 @@
 	"math"
 )
 
-// ClockBounds are the assumptions about clocks on which leases rest.
+// ClockBounds are the assumptions about clocks on which the safety of leases depends.
 type ClockBounds struct {
-	MaxDrift float64 // largest drift of a monotonic clock: it runs at 1-MaxDrift to 1+MaxDrift of true time
+	MaxDrift float64 // maximum drift of a monotonic clock, which runs at 1-MaxDrift to 1+MaxDrift times true time
 	MarginMS float64 // ms on the holder's clock by which it stops before its lease ends
 }
 
-// DutyRule sets up the lease of one duty.
+// DutyRule configures the lease of one duty.
 type DutyRule struct {
 	Name  string
 	TTLMS float64 // ms of true time for which a grant or renewal is valid, from its receipt
@@ -26,7 +26,7 @@
 // Rules are the settings that Grantor and Machine must have in common.
 type Rules struct {
 	ClockBounds
-	RenewIntervalMS float64 // ms; longest interval between two heartbeats of an order server
+	RenewIntervalMS float64 // maximum interval in ms between two heartbeats of an order server
 	CooldownMS      float64 // ms for which a server is no candidate for a duty that it released or lost
 	ColdWaitMS      float64 // ms for which a duty stays without a holder if all candidates are cold
 	Duties          []DutyRule
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// HasDuty reports whether a duty of this name is set up.
+// HasDuty reports whether a duty of this name is configured.
 func (r Rules) HasDuty(name string) bool { return r.ttlMS(name) > 0 }
 
 func (r Rules) ttlMS(name string) float64 {
--- a/internal/dutywork/keeper.go
+++ b/internal/dutywork/keeper.go
@@ -19,7 +19,7 @@
 	"puffinsaddle/internal/trace"
 )
 
-// Names of the duties with specific work. The holder of any other duty on the list only increments a counter.
+// Names of the duties with specific work. The holder of any other configured duty only increments a counter.
 const (
 	Allotter  = "allotter"
 	Publisher = "publisher"
@@ -63,106 +63,106 @@
 }
 
 // Start runs the client. The option On of the client must be HandleEvent.
-func (k *Runner) Start(ctx context.Context, processID string, c *session.Client) {
-	k.ctx, k.processID, k.client, k.workLoops = ctx, processID, c, map[string]workLoop{}
+func (r *Runner) Start(ctx context.Context, processID string, c *session.Client) {
+	r.ctx, r.processID, r.client, r.workLoops = ctx, processID, c, map[string]workLoop{}
 	go c.Run(ctx)
 }
 
 // HandleEvent handles the client's events. The client calls it for one event at a time.
-func (k *Runner) HandleEvent(e any) {
-	presence := duty.PresenceName(k.processID)
+func (r *Runner) HandleEvent(e any) {
+	presence := duty.PresenceName(r.processID)
 	switch e := e.(type) {
 	case duty.LeaseGained:
-		k.Trace.Add(trace.Event{What: trace.LeaseGained, Duty: e.Name, Epoch: e.Epoch}, e.Until)
+		r.Trace.Add(trace.Event{What: trace.LeaseGained, Duty: e.Name, Epoch: e.Epoch}, e.Until)
 		if e.Name == presence {
-			k.Log.Info().Uint64("epoch", e.Epoch).Msg("present")
+			r.Log.Info().Uint64("epoch", e.Epoch).Msg("present")
 			return
 		}
-		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("gained")
-		k.startWork(e.Ref)
+		r.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("gained")
+		r.startWork(e.Ref)
 	case duty.LeaseRenewed:
-		k.Trace.Add(trace.Event{What: trace.LeaseRenewed, Duty: e.Name, Epoch: e.Epoch}, e.Until)
+		r.Trace.Add(trace.Event{What: trace.LeaseRenewed, Duty: e.Name, Epoch: e.Epoch}, e.Until)
 		if e.Late {
-			k.Log.Warn().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("lease renewed late")
+			r.Log.Warn().Str("duty", e.Name).Uint64("epoch", e.Epoch).Msg("lease renewed late")
 		}
 		if e.Name == presence {
-			k.traceShare(e.Until)
+			r.traceShare(e.Until)
 		}
 	case duty.YieldRequested:
-		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg("yielding duty")
-		if l, ok := k.workLoops[e.Name]; ok && l.ref == e.Ref {
-			l.stopOnce.Do(func() { close(l.stopping) }) // the goroutine of the work calls Quiet when it ends
+		r.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg("yielding duty")
+		if l, ok := r.workLoops[e.Name]; ok && l.ref == e.Ref {
+			l.stopOnce.Do(func() { close(l.stopping) }) // the goroutine of the work calls Quiesced when it ends
 		} else {
-			k.client.Quiesced(e.Ref)
+			r.client.Quiesced(e.Ref)
 		}
 	case duty.LeaseEnded:
-		k.Trace.Add(trace.Event{What: trace.LeaseEnded, Duty: e.Name, Epoch: e.Epoch, Cause: e.Cause}, 0)
+		r.Trace.Add(trace.Event{What: trace.LeaseEnded, Duty: e.Name, Epoch: e.Epoch, Cause: e.Cause}, 0)
 		outcome := "given up"
 		if e.Cause == duty.CauseYield || e.Cause == duty.CauseDrain {
 			outcome = "handed on"
 		}
-		k.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg(outcome)
-		if l, ok := k.workLoops[e.Name]; ok && l.ref == e.Ref {
+		r.Log.Info().Str("duty", e.Name).Uint64("epoch", e.Epoch).Str("cause", e.Cause).Msg(outcome)
+		if l, ok := r.workLoops[e.Name]; ok && l.ref == e.Ref {
 			l.stopOnce.Do(func() { close(l.stopping) })
 			l.cancel()
-			delete(k.workLoops, e.Name)
+			delete(r.workLoops, e.Name)
 		}
-		if e.Name == presence && k.ApplyShare != nil {
-			k.ApplyShare(0, func() {})
+		if e.Name == presence && r.ApplyShare != nil {
+			r.ApplyShare(0, func() {})
 		}
 	case duty.StaleReply:
-		k.Log.Error().Uint64("index", e.LogIndex).Uint64("seen", e.SeenIndex).
+		r.Log.Error().Uint64("index", e.LogIndex).Uint64("seen", e.SeenIndex).
 			Msg("reply ignored: its log index is lower than one seen before")
 	case session.ShareChanged:
-		if k.ApplyShare == nil {
-			k.client.AcknowledgeShare(e.Version)
+		if r.ApplyShare == nil {
+			r.client.AcknowledgeShare(e.Version)
 			return
 		}
-		k.ApplyShare(e.Amount, func() {
-			if _, until, here := k.client.Presence(); here {
-				k.Trace.Add(trace.Event{What: trace.ShareInForce, Amount: e.Amount}, until)
+		r.ApplyShare(e.Amount, func() {
+			if _, until, here := r.client.Presence(); here {
+				r.Trace.Add(trace.Event{What: trace.ShareInForce, Amount: e.Amount}, until)
 			}
-			k.client.AcknowledgeShare(e.Version)
+			r.client.AcknowledgeShare(e.Version)
 		})
 	case session.VersionPublished, session.SessionEstablished:
-		go k.applyLatestVersion() // on a new session too: a notification may have been lost
+		go r.applyLatestVersion() // on a new session too: a notification may have been lost
 	}
 }
 
 // traceShare traces that the share stays in force until the renewed presence lease ends.
-func (k *Runner) traceShare(until float64) {
-	if k.Trace != nil {
-		k.Trace.Add(trace.Event{What: trace.ShareInForce, Amount: k.client.Share()}, until)
+func (r *Runner) traceShare(until float64) {
+	if r.Trace != nil {
+		r.Trace.Add(trace.Event{What: trace.ShareInForce, Amount: r.client.Share()}, until)
 	}
 }
 
 // startWork runs the work of a duty in a goroutine until its lease ends.
-func (k *Runner) startWork(ref duty.Ref) {
-	w, ok := k.WorkByDuty[ref.Name]
+func (r *Runner) startWork(ref duty.Ref) {
+	w, ok := r.WorkByDuty[ref.Name]
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithCancel(k.ctx)
+	ctx, cancel := context.WithCancel(r.ctx)
 	l := workLoop{ref, cancel, make(chan struct{}), &sync.Once{}}
-	k.workLoops[ref.Name] = l
+	r.workLoops[ref.Name] = l
 	go func() {
-		defer k.client.Quiesced(ref)
+		defer r.client.Quiesced(ref)
 		defer cancel()
 		run := w.New()
 		for {
 			// Checked before each call: the lease may have ended while this process was stalled or disconnected.
-			if current, active := k.client.ActiveGrant(ref.Name); !active || current != ref {
+			if current, active := r.client.ActiveGrant(ref.Name); !active || current != ref {
 				return
 			}
 			err := run(ctx, ref)
 			switch {
 			case errors.Is(err, session.ErrStaleEpoch):
-				k.Log.Warn().Str("duty", ref.Name).Uint64("epoch", ref.Epoch).Err(err).Msg("fenced")
+				r.Log.Warn().Str("duty", ref.Name).Uint64("epoch", ref.Epoch).Err(err).Msg("fenced")
 			case err != nil && ctx.Err() == nil:
-				k.Log.Warn().Str("duty", ref.Name).Err(err).Msg("duty work failed")
+				r.Log.Warn().Str("duty", ref.Name).Err(err).Msg("duty work failed")
 			}
 			next := make(chan struct{})
-			t := k.Steady.After(w.IntervalMS, func() { close(next) })
+			t := r.Steady.After(w.IntervalMS, func() { close(next) })
 			select {
 			case <-next:
 			case <-l.stopping:
@@ -177,26 +177,26 @@
 }
 
 // Act sends a fenced command under a grant and traces the outcome.
-func (k *Runner) Act(ctx context.Context, grant duty.Ref, commands ...state.Command) (state.Result, error) {
-	event := trace.Event{Duty: grant.Name, Epoch: grant.Epoch, What: trace.CommandExecuted, Began: machineNow(k.Trace)}
+func (r *Runner) Act(ctx context.Context, grant duty.Ref, commands ...state.Command) (state.Result, error) {
+	event := trace.Event{Duty: grant.Name, Epoch: grant.Epoch, What: trace.CommandExecuted, Began: machineNow(r.Trace)}
 	event.Text = commands[0].Op
 	sent := event
 	sent.What = trace.CommandSent // traced before it is sent, since this process may be killed before the reply arrives
-	k.Trace.Add(sent, 0)
-	r, err := k.client.DoFenced(ctx, grant, commands...)
-	event.N = r.Value
+	r.Trace.Add(sent, 0)
+	result, err := r.client.DoFenced(ctx, grant, commands...)
+	event.N = result.Value
 	switch {
 	case errors.Is(err, session.ErrStaleEpoch):
 		event.What = trace.CommandRefused
 	case errors.Is(err, session.ErrNotExecuted):
-		return r, err
-	case err != nil && r.Error == "":
+		return result, err
+	case err != nil && result.Error == "":
 		event.What = trace.CommandUnconfirmed
 	case err != nil:
-		return r, err // refused for its content, not for its epoch
+		return result, err // refused for its content, not for its epoch
 	}
-	k.Trace.Add(event, 0)
-	return r, err
+	r.Trace.Add(event, 0)
+	return result, err
 }
 
 // machineNow returns the time of the machine's clock, or 0 if there is no trace.
@@ -211,32 +211,32 @@
 var machineClock = clock.Monotonic()
 
 // applyLatestVersion fetches the latest published version, applies or rejects it as a unit, and acknowledges it with the outcome.
-func (k *Runner) applyLatestVersion() {
-	k.applyMu.Lock()
-	defer k.applyMu.Unlock()
-	v, err := k.client.LatestVersion(k.ctx)
-	if err != nil || k.CheckVersion == nil {
+func (r *Runner) applyLatestVersion() {
+	r.applyMu.Lock()
+	defer r.applyMu.Unlock()
+	v, err := r.client.LatestVersion(r.ctx)
+	if err != nil || r.CheckVersion == nil {
 		return // retried with the next version or session
 	}
-	before := k.versions
-	ack, isNew := k.versions.Offer(v, k.CheckVersion)
+	before := r.versions
+	ack, isNew := r.versions.Offer(v, r.CheckVersion)
 	if !isNew {
 		return
 	}
 	if ack.Reason == "" {
-		k.Log.Info().Uint64("version", ack.No).Msg("configuration version applied")
-		k.ApplyVersion(v)
-		k.versionInForce.Store(ack.No)
+		r.Log.Info().Uint64("version", ack.No).Msg("configuration version applied")
+		r.ApplyVersion(v)
+		r.versionInForce.Store(ack.No)
 	} else {
-		k.Log.Error().Uint64("version", ack.No).Str("reason", ack.Reason).Uint64("in_force", k.versions.InForce).
+		r.Log.Error().Uint64("version", ack.No).Str("reason", ack.Reason).Uint64("in_force", r.versions.InForce).
 			Msg("configuration version rejected")
 	}
-	k.Trace.Add(trace.Event{What: trace.VersionTaken, N: ack.No, Cause: ack.Reason}, 0)
-	if _, err := k.client.Do(k.ctx, state.Command{Op: state.OpAcknowledgeVersion, Process: k.processID, Acknowledgement: &ack}); err != nil {
-		k.Log.Warn().Err(err).Msg("acknowledgement of configuration version not confirmed")
-		k.versions.LastChecked = before.LastChecked // the version is checked and acknowledged again
+	r.Trace.Add(trace.Event{What: trace.VersionTaken, N: ack.No, Cause: ack.Reason}, 0)
+	if _, err := r.client.Do(r.ctx, state.Command{Op: state.OpAcknowledgeVersion, Process: r.processID, Acknowledgement: &ack}); err != nil {
+		r.Log.Warn().Err(err).Msg("acknowledgement of configuration version not confirmed")
+		r.versions.LastChecked = before.LastChecked // the version is checked and acknowledged again
 	}
 }
 
 // VersionInForce returns the number of the configuration version in force, or 0 if there is none.
-func (k *Runner) VersionInForce() uint64 { return k.versionInForce.Load() }
+func (r *Runner) VersionInForce() uint64 { return r.versionInForce.Load() }
--- a/internal/dutywork/works.go
+++ b/internal/dutywork/works.go
@@ -16,10 +16,10 @@
 )
 
 // CounterWork returns the work of a duty without specific work: it increments a counter, which shows that the holder is active.
-func (k *Runner) CounterWork(intervalMS float64) Work {
+func (r *Runner) CounterWork(intervalMS float64) Work {
 	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
 		return func(ctx context.Context, grant duty.Ref) error {
-			_, err := k.Act(ctx, grant, state.Command{Op: state.OpIncrementCounter})
+			_, err := r.Act(ctx, grant, state.Command{Op: state.OpIncrementCounter})
 			return err
 		}
 	}}
@@ -28,24 +28,24 @@
 // AllotterWork returns the work of the allotter: it divides the downstream capacity among the order servers. Each step is
 // checked when it is applied and refused if the shares in force would exceed the pool, so a plan made from old state does no
 // harm.
-func (k *Runner) AllotterWork(intervalMS float64, capacity allocation.Capacity, injectedBug string) Work {
+func (r *Runner) AllotterWork(intervalMS float64, capacity allocation.Capacity, injectedBug string) Work {
 	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
 		return func(ctx context.Context, grant duty.Ref) error {
-			var f session.CapacityStatus
-			if err := k.client.Read(ctx, session.ReadCapacity, &f); err != nil {
+			var status session.CapacityStatus
+			if err := r.client.Read(ctx, session.ReadCapacity, &status); err != nil {
 				return err
 			}
 			var steps []state.Command
-			if f.Pool != capacity.Pool() {
+			if status.Pool != capacity.Pool() {
 				steps = append(steps, state.Command{Op: state.OpSetPool, Amount: capacity.Pool()})
 			}
-			for _, c := range allocation.Plan(capacity.Pool(), f.Servers, injectedBug == duty.BugEarlyGrowth) {
+			for _, c := range allocation.Plan(capacity.Pool(), status.Servers, injectedBug == duty.BugEarlyGrowth) {
 				steps = append(steps, state.Command{Op: state.OpSetAllocation, Process: c.Who, Amount: c.Amount})
 			}
 			if len(steps) == 0 {
 				return nil
 			}
-			_, err := k.Act(ctx, grant, steps...)
+			_, err := r.Act(ctx, grant, steps...)
 			return err
 		}
 	}}
@@ -54,7 +54,7 @@
 // PublisherWork returns the work of the publisher: it publishes the files of a manifest as a new version whenever they match the
 // manifest and differ from the latest version. check is the check that the servers make, so that no version is published that
 // all of them would reject.
-func (k *Runner) PublisherWork(intervalMS float64, manifest string, check func([]publish.File) error) Work {
+func (r *Runner) PublisherWork(intervalMS float64, manifest string, check func([]publish.File) error) Work {
 	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
 		lastError := ""
 		return func(ctx context.Context, grant duty.Ref) error {
@@ -70,13 +70,13 @@
 				return fmt.Errorf("configuration not published: %w", err)
 			}
 			lastError = ""
-			v, err := k.client.LatestVersion(ctx)
+			v, err := r.client.LatestVersion(ctx)
 			if err != nil || v.No > 0 && publish.Digest(v.Files) == publish.Digest(files) {
 				return err
 			}
-			r, err := k.Act(ctx, grant, state.Command{Op: state.OpPublishVersion, Files: files, Seq: v.No})
+			result, err := r.Act(ctx, grant, state.Command{Op: state.OpPublishVersion, Files: files, Seq: v.No})
 			if err == nil {
-				k.Log.Info().Uint64("version", r.Value).Int("files", len(files)).Msg("published")
+				r.Log.Info().Uint64("version", result.Value).Int("files", len(files)).Msg("published")
 			}
 			return err
 		}
@@ -113,12 +113,12 @@
 
 // SettlerWork returns the work of the settler: it resolves orphaned effects as of unknown outcome, and removes effects that have
 // ended and are older than retentionMS.
-func (k *Runner) SettlerWork(intervalMS, retentionMS, maxDrift float64, steady *clock.Clock) Work {
+func (r *Runner) SettlerWork(intervalMS, retentionMS, maxDrift float64, steady *clock.Clock) Work {
 	return Work{intervalMS, func() func(context.Context, duty.Ref) error {
 		var ages effectlog.AgeTracker
 		return func(ctx context.Context, grant duty.Ref) error {
 			var e session.EffectStatus
-			if err := k.client.Read(ctx, session.ReadEffects, &e); err != nil {
+			if err := r.client.Read(ctx, session.ReadEffects, &e); err != nil {
 				return err
 			}
 			var commands []state.Command
@@ -134,9 +134,9 @@
 			if len(commands) == 0 {
 				return nil
 			}
-			r, err := k.Act(ctx, grant, commands...)
+			result, err := r.Act(ctx, grant, commands...)
 			if err == nil {
-				k.Log.Info().Int("orphans", len(e.Orphans)).Uint64("up_to", pruneUpTo).Uint64("n", r.Value).Msg("settled")
+				r.Log.Info().Int("orphans", len(e.Orphans)).Uint64("up_to", pruneUpTo).Uint64("n", result.Value).Msg("settled")
 			}
 			return err
 		}
