--- a/internal/allocation/allocation.go
+++ b/internal/allocation/allocation.go
@@ -28,20 +28,20 @@
 }
 
 // Pool returns the amount to be divided into shares.
-func (r Capacity) Pool() int64 { return r.Total - r.ReservePerProcess*int64(r.MaxProcesses) }
+func (c Capacity) Pool() int64 { return c.Total - c.ReservePerProcess*int64(c.MaxProcesses) }
 
 // Check reports the first invalid value, by its key under duties.allot in the operator's file.
-func (r Capacity) Check() error {
+func (c Capacity) Check() error {
 	switch {
-	case r.Total <= 0:
-		return fmt.Errorf("whole must be above 0, not %v", float64(r.Total)/UnitsPerCall)
-	case r.ReservePerProcess < 0:
-		return fmt.Errorf("alone must be 0 or more, not %v", float64(r.ReservePerProcess)/UnitsPerCall)
-	case r.MaxProcesses < 1:
-		return fmt.Errorf("servers must be 1 or more, not %d", r.MaxProcesses)
-	case r.Pool() < 0:
+	case c.Total <= 0:
+		return fmt.Errorf("whole must be above 0, not %v", float64(c.Total)/UnitsPerCall)
+	case c.ReservePerProcess < 0:
+		return fmt.Errorf("alone must be 0 or more, not %v", float64(c.ReservePerProcess)/UnitsPerCall)
+	case c.MaxProcesses < 1:
+		return fmt.Errorf("servers must be 1 or more, not %d", c.MaxProcesses)
+	case c.Pool() < 0:
 		return fmt.Errorf("alone: %v for each of %d servers is over the whole of %v",
-			float64(r.ReservePerProcess)/UnitsPerCall, r.MaxProcesses, float64(r.Total)/UnitsPerCall)
+			float64(c.ReservePerProcess)/UnitsPerCall, c.MaxProcesses, float64(c.Total)/UnitsPerCall)
 	}
 	return nil
 }
@@ -68,63 +68,63 @@
 func NewAllocations() *Allocations { return &Allocations{Shares: map[string]*Share{}} }
 
 // Clone returns a deep copy.
-func (b *Allocations) Clone() *Allocations {
-	c := &Allocations{Pool: b.Pool, Version: b.Version, Shares: make(map[string]*Share, len(b.Shares))}
-	for process, s := range b.Shares {
+func (a *Allocations) Clone() *Allocations {
+	clone := &Allocations{Pool: a.Pool, Version: a.Version, Shares: make(map[string]*Share, len(a.Shares))}
+	for process, s := range a.Shares {
 		v := *s
-		c.Shares[process] = &v
+		clone.Shares[process] = &v
 	}
-	return c
+	return clone
 }
 
 // TotalCap returns the total of Cap over all shares: the upper bound of what can be in use now.
-func (b *Allocations) TotalCap() int64 {
-	if b.capSumValid {
-		return b.capSum
+func (a *Allocations) TotalCap() int64 {
+	if a.capSumValid {
+		return a.capSum
 	}
-	b.capSum, b.capSumValid = 0, true
-	for _, s := range b.Shares {
-		b.capSum += s.Cap
+	a.capSum, a.capSumValid = 0, true
+	for _, s := range a.Shares {
+		a.capSum += s.Cap
 	}
-	return b.capSum
+	return a.capSum
 }
 
 // setCap changes the cap of one share and keeps the total up to date.
-func (b *Allocations) setCap(s *Share, newCap int64) {
-	b.capSum = b.TotalCap() + newCap - s.Cap
+func (a *Allocations) setCap(s *Share, newCap int64) {
+	a.capSum = a.TotalCap() + newCap - s.Cap
 	s.Cap = newCap
 }
 
 // SetPool changes the size of the pool. It refuses a size below the sum of shares in force.
-func (b *Allocations) SetPool(pool int64) error {
-	if pool < b.TotalCap() {
-		return fmt.Errorf("%w: pool of %d with %d in force", ErrOverPool, pool, b.TotalCap())
+func (a *Allocations) SetPool(pool int64) error {
+	if pool < a.TotalCap() {
+		return fmt.Errorf("%w: pool of %d with %d in force", ErrOverPool, pool, a.TotalCap())
 	}
-	b.Pool = pool
+	a.Pool = pool
 	return nil
 }
 
 // AddProcess adds a process with a share of 0. It does nothing if the process has an entry.
-func (b *Allocations) AddProcess(process string) {
-	if b.Shares[process] == nil {
-		b.Version++
-		b.Shares[process] = &Share{Version: b.Version}
+func (a *Allocations) AddProcess(process string) {
+	if a.Shares[process] == nil {
+		a.Version++
+		a.Shares[process] = &Share{Version: a.Version}
 	}
 }
 
 // RemoveProcess removes a process whose presence lease has ended, and returns its share to the pool.
-func (b *Allocations) RemoveProcess(process string) {
-	if s := b.Shares[process]; s != nil {
-		b.setCap(s, 0)
-		delete(b.Shares, process)
+func (a *Allocations) RemoveProcess(process string) {
+	if s := a.Shares[process]; s != nil {
+		a.setCap(s, 0)
+		delete(a.Shares, process)
 	}
 }
 
 // SetTarget changes the target of a process. An increase counts at once, and is refused if the pool has too little left. A
 // reduction counts only once the process has acknowledged it: until then its old amount may be in use and is not given to
 // another process. unchecked skips the check against the pool (an injected bug).
-func (b *Allocations) SetTarget(process string, amount int64, unchecked bool) error {
-	s := b.Shares[process]
+func (a *Allocations) SetTarget(process string, amount int64, unchecked bool) error {
+	s := a.Shares[process]
 	switch {
 	case s == nil:
 		return fmt.Errorf("allocation: no entry for process %s", process)
@@ -132,19 +132,19 @@
 		return fmt.Errorf("allocation: negative share of %d for %s", amount, process)
 	case amount == s.Target:
 		return nil
-	case amount > s.Cap && !unchecked && b.TotalCap()-s.Cap+amount > b.Pool:
-		return fmt.Errorf("%w: %d for %s with %d of %d in force", ErrOverPool, amount, process, b.TotalCap(), b.Pool)
+	case amount > s.Cap && !unchecked && a.TotalCap()-s.Cap+amount > a.Pool:
+		return fmt.Errorf("%w: %d for %s with %d of %d in force", ErrOverPool, amount, process, a.TotalCap(), a.Pool)
 	}
-	b.Version++
-	s.Target, s.Version = amount, b.Version
-	b.setCap(s, max(s.Cap, amount))
+	a.Version++
+	s.Target, s.Version = amount, a.Version
+	a.setCap(s, max(s.Cap, amount))
 	return nil
 }
 
 // Acknowledge records that a process uses no more than its target as of a version. Acknowledgements of other versions are ignored.
-func (b *Allocations) Acknowledge(process string, version uint64) {
-	if s := b.Shares[process]; s != nil && s.Version == version {
-		b.setCap(s, s.Target)
+func (a *Allocations) Acknowledge(process string, version uint64) {
+	if s := a.Shares[process]; s != nil && s.Version == version {
+		a.setCap(s, s.Target)
 	}
 }
 
@@ -245,21 +245,21 @@
 
 // Apply applies a share that a store replica sent, unless it is older than the present one. It reports whether the amount
 // changed; the new amount must be in use before the version is acknowledged.
-func (m *LocalShare) Apply(s Share) (changed bool) {
-	if s.Version <= m.Version {
+func (l *LocalShare) Apply(share Share) (changed bool) {
+	if share.Version <= l.Version {
 		return false
 	}
-	changed = s.Target != m.Amount
-	m.Amount, m.Version = s.Target, s.Version
+	changed = share.Target != l.Amount
+	l.Amount, l.Version = share.Target, share.Version
 	return changed
 }
 
 // Clear clears the share after the process's presence lease has ended. It reports whether the amount changed.
-func (m *LocalShare) Clear() (changed bool) {
-	changed = m.Amount != 0
-	*m = LocalShare{}
+func (l *LocalShare) Clear() (changed bool) {
+	changed = l.Amount != 0
+	*l = LocalShare{}
 	return changed
 }
 
 // Processes returns the processes with an entry, sorted.
-func (b *Allocations) Processes() []string { return slices.Sorted(maps.Keys(b.Shares)) }
+func (a *Allocations) Processes() []string { return slices.Sorted(maps.Keys(a.Shares)) }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -272,46 +272,46 @@
 
 // ReadSnapshot decodes a snapshot, in the present format or that of earlier versions.
 func ReadSnapshot(b []byte) (*State, error) {
-	var k Snapshot
-	if err := json.Unmarshal(b, &k); err != nil {
+	var snapshot Snapshot
+	if err := json.Unmarshal(b, &snapshot); err != nil {
 		return nil, err
 	}
 	s := New()
-	for key, v := range k.Values {
+	for key, v := range snapshot.Values {
 		if !strings.HasPrefix(key, legacyEffectPrefix) {
 			s.Values[key] = v
 		}
 	}
-	if k.Duties != nil && k.Duties.Leases != nil {
-		s.Duties = k.Duties
+	if snapshot.Duties != nil && snapshot.Duties.Leases != nil {
+		s.Duties = snapshot.Duties
 		if s.Duties.Frozen == nil {
 			s.Duties.Frozen = map[string]bool{}
 		}
 	}
-	if k.Allocations != nil && k.Allocations.Shares != nil {
-		s.Allocations = k.Allocations
+	if snapshot.Allocations != nil && snapshot.Allocations.Shares != nil {
+		s.Allocations = snapshot.Allocations
 	}
-	if k.Config != nil {
-		s.Config = k.Config
+	if snapshot.Config != nil {
+		s.Config = snapshot.Config
 		if s.Config.Acknowledgements == nil {
 			s.Config.Acknowledgements = map[string]publish.Acknowledgement{}
 		}
 	}
-	if k.Records != nil {
-		s.Records = k.Records.Restore(records.DefaultLimits)
+	if snapshot.Records != nil {
+		s.Records = snapshot.Records.Restore(records.DefaultLimits)
 	}
-	if k.Effects != nil {
-		s.Effects = k.Effects
+	if snapshot.Effects != nil {
+		s.Effects = snapshot.Effects
 		s.Effects.RebuildIndexes(maxEffects)
 	}
-	for _, key := range k.EffectOrder {
+	for _, key := range snapshot.EffectOrder {
 		s.Effects.Begin(strings.TrimPrefix(key, legacyEffectPrefix), "", 0, false)
 	}
-	if k.Counters != nil {
-		s.Counters = k.Counters
+	if snapshot.Counters != nil {
+		s.Counters = snapshot.Counters
 	}
-	if k.StaleRefusals != nil {
-		s.StaleRefusals = k.StaleRefusals
+	if snapshot.StaleRefusals != nil {
+		s.StaleRefusals = snapshot.StaleRefusals
 	}
 	return s, nil
 }
