--- a/internal/rejoin/rejoin.go
+++ b/internal/rejoin/rejoin.go
@@ -3,8 +3,8 @@
 // A replica that votes after it has lost log entries can undo committed ones. Each replica therefore sends a Claim to its peers
 // before it takes part, and repeatedly while it runs; each peer, as a verifier, remembers the latest claim. With that memory a
 // plain restart is distinguished from a data directory that is older than the remembered one, an empty directory under a known id
-// and a second process under the same id. A replica that is contradicted has to rejoin: as a non-voter that replicates from the
-// others until it has caught up.
+// and a second process under the same id. A replica whose claim is contradicted has to rejoin as a non-voter, which
+// replicates from the others until it has caught up.
 package rejoin
 
 import (
@@ -21,13 +21,13 @@
 	Term              uint64 `json:"term"`   // the latest raft term known to the replica
 	LastIndex         uint64 `json:"last"`   // log index of the last entry
 	JoinIndex         uint64 `json:"joined"` // log index as of which it joined as a non-voter; 0: in use since bootstrap
-	ClusterGeneration uint64 `json:"set"`    // how often operators have re-created the cluster
+	ClusterGeneration uint64 `json:"set"`    // how often operators have recovered the cluster
 	ClusterName       string `json:"name"`   // the cluster's name; "": not known to this directory yet
 }
 
 // behind reports whether the directory lacks entries or terms that a later state of the same directory had.
-func (m DirectoryState) behind(later DirectoryState) bool {
-	return m.Term < later.Term || m.Term == later.Term && m.LastIndex < later.LastIndex
+func (s DirectoryState) behind(later DirectoryState) bool {
+	return s.Term < later.Term || s.Term == later.Term && s.LastIndex < later.LastIndex
 }
 
 // Claim is what a replica reports about itself.
@@ -117,7 +117,7 @@
 	Members           map[string]Member // the latest configuration of the cluster, by id; nil: not known
 	LastIndex         uint64            // log index of the replica's last entry
 	DirectoryID       string            // id of its directory
-	ClusterGeneration uint64            // how often operators have re-created the cluster
+	ClusterGeneration uint64            // how often operators have recovered the cluster
 	ClusterName       string            // name of its cluster
 }
 
@@ -162,100 +162,100 @@
 // HandleClaim judges a claim that arrived on a connection. persist reports that the claim is from another directory, process or
 // opening than the remembered one: it must be on disk before the response is sent. Later terms and indexes may be persisted
 // afterwards.
-func (w *Verifier) HandleClaim(nowMS float64, conn uint64, c Claim, v View) (response Response, persist bool) {
-	response = Response{From: w.ID, Verdict: VerdictAccepted, Bootstrapped: v.Bootstrapped, LastIndex: v.LastIndex,
-		DirectoryID: v.DirectoryID, ClusterGeneration: v.ClusterGeneration, ClusterName: v.ClusterName}
+func (v *Verifier) HandleClaim(nowMS float64, conn uint64, c Claim, view View) (response Response, persist bool) {
+	response = Response{From: v.ID, Verdict: VerdictAccepted, Bootstrapped: view.Bootstrapped, LastIndex: view.LastIndex,
+		DirectoryID: view.DirectoryID, ClusterGeneration: view.ClusterGeneration, ClusterName: view.ClusterName}
 	reject := func(verdict Verdict, format string, a ...any) (Response, bool) {
 		response.Verdict, response.Reason = verdict, fmt.Sprintf(format, a...)
 		return response, false
 	}
-	current := w.live[c.ID]
+	current := v.live[c.ID]
 	switch {
 	case current.processID == "" || current.processID == c.ProcessID:
 	case current.predecessor == c.ProcessID:
 		return reject(VerdictProcessReplaced, "process %s has replaced process %s", current.processID, c.ProcessID)
 	case nowMS < current.claimedMS+AliveTimeoutMS:
-		return reject(VerdictDuplicateProcess, "process %s of %s is alive", current.processID, c.ID)
+		return reject(VerdictDuplicateProcess, "process %s of replica %s is alive", current.processID, c.ID)
 	}
-	m, listed := v.Members[c.ID]
+	m, listed := view.Members[c.ID]
 	switch {
-	case c.ClusterName != "" && v.ClusterName != "" && c.ClusterName != v.ClusterName:
-		return reject(VerdictOtherCluster, "the folder of %s belongs to set %s, and this is %s", c.ID, c.ClusterName, v.ClusterName)
-	case len(v.Members) > 0 && !listed:
+	case c.ClusterName != "" && view.ClusterName != "" && c.ClusterName != view.ClusterName:
+		return reject(VerdictOtherCluster, "the data directory of %s belongs to cluster %s, not to %s", c.ID, c.ClusterName, view.ClusterName)
+	case len(view.Members) > 0 && !listed:
 		return reject(VerdictNotMember, "the cluster has no replica %s", c.ID)
 	case listed && m.Addr != c.Addr:
-		return reject(VerdictOtherAddress, "%s is at %s, not at %s", c.ID, m.Addr, c.Addr)
+		return reject(VerdictOtherAddress, "the address of %s is %s, not %s", c.ID, m.Addr, c.Addr)
 	}
 	next := liveProcess{processID: c.ProcessID, claim: c, predecessor: current.predecessor, claimedMS: nowMS, conn: conn}
 	if current.processID != "" && current.processID != c.ProcessID {
 		next.predecessor = current.processID
 	}
-	w.live[c.ID] = next
-	delete(w.rejoinRequests, c.ID)
-	previous, remembered := w.Directories[c.ID]
+	v.live[c.ID] = next
+	delete(v.rejoinRequests, c.ID)
+	previous, remembered := v.Directories[c.ID]
 	response.KnowsDirectory = remembered && previous.DirectoryID == c.DirectoryID
 	if c.RejoinReason != "" {
-		w.rejoinRequests[c.ID] = rejoinRequest{c, nowMS}
+		v.rejoinRequests[c.ID] = rejoinRequest{c, nowMS}
 	}
 	voter := m.Voter || !listed
 	switch {
-	case c.ClusterGeneration < v.ClusterGeneration:
-		return reject(VerdictOtherDirectory, "operators re-created the cluster (generation %d); this data directory is older",
-			v.ClusterGeneration)
-	case c.ClusterGeneration > v.ClusterGeneration:
-		// This verifier does not know of the re-created cluster yet, so it cannot contradict the claim.
+	case c.ClusterGeneration < view.ClusterGeneration:
+		return reject(VerdictOtherDirectory, "operators recovered the cluster (generation %d); this data directory is older",
+			view.ClusterGeneration)
+	case c.ClusterGeneration > view.ClusterGeneration:
+		// This verifier does not know of the recovered cluster yet, so it cannot contradict the claim.
 	case remembered && previous.DirectoryID != c.DirectoryID && c.JoinIndex <= previous.JoinIndex &&
 		c.ClusterGeneration == previous.ClusterGeneration,
-		!remembered && c.Fresh && c.JoinIndex == 0 && v.Bootstrapped && voter:
+		!remembered && c.Fresh && c.JoinIndex == 0 && view.Bootstrapped && voter:
 		return reject(VerdictOtherDirectory, "%s took part with another data directory", c.ID)
 	case remembered && previous.DirectoryID == c.DirectoryID && previous.ProcessID != c.ProcessID &&
 		c.OpenCount <= previous.OpenCount:
-		return reject(VerdictOutdated, "the folder of %s was opened %d times, and this is the %d. of it",
+		return reject(VerdictOutdated, "the data directory of %s was opened %d times before, and this claim is of opening %d",
 			c.ID, previous.OpenCount, c.OpenCount)
 	case remembered && previous.DirectoryID == c.DirectoryID && previous.ProcessID != c.ProcessID && c.behind(previous):
-		return reject(VerdictOutdated, "the folder of %s had entry %d in term %d, and this one has %d in %d",
+		return reject(VerdictOutdated, "the data directory of %s had entry %d in term %d, and now ends at entry %d in term %d",
 			c.ID, previous.LastIndex, previous.Term, c.LastIndex, c.Term)
-	case w.divergent[c.ID] == c.DirectoryID && c.DirectoryID != "":
+	case v.divergent[c.ID] == c.DirectoryID && c.DirectoryID != "":
 		return reject(VerdictStateDiverged, "the state of %s differs from that of a majority", c.ID)
 	case c.RejoinReason != "":
 		return response, false
 	}
-	w.Directories[c.ID] = c.DirectoryState
+	v.Directories[c.ID] = c.DirectoryState
 	return response, !remembered || previous.DirectoryID != c.DirectoryID || previous.OpenCount != c.OpenCount ||
 		previous.ProcessID != c.ProcessID
 }
 
 // RememberDirectories records the directories with which a cluster is about to be bootstrapped, so that none of them is later
 // mistaken for one that was emptied.
-func (w *Verifier) RememberDirectories(directories map[string]string) {
+func (v *Verifier) RememberDirectories(directories map[string]string) {
 	for id, directory := range directories {
-		if _, remembered := w.Directories[id]; !remembered {
-			w.Directories[id] = DirectoryState{DirectoryID: directory}
+		if _, remembered := v.Directories[id]; !remembered {
+			v.Directories[id] = DirectoryState{DirectoryID: directory}
 		}
 	}
 }
 
 // ConnectionClosed records that a connection has ended. The kernel closes the connections of a process that ends, so the process
 // counts as ended too.
-func (w *Verifier) ConnectionClosed(id string, conn uint64) {
-	if a := w.live[id]; a.conn == conn {
-		delete(w.live, id)
-		delete(w.rejoinRequests, id)
+func (v *Verifier) ConnectionClosed(id string, conn uint64) {
+	if process := v.live[id]; process.conn == conn {
+		delete(v.live, id)
+		delete(v.rejoinRequests, id)
 	}
 }
 
 // MarkDivergent records that a replica's state differs from that of a majority. Its claims are rejected until it has rejoined with
 // another directory.
-func (w *Verifier) MarkDivergent(id string) {
-	if m, remembered := w.Directories[id]; remembered {
-		w.divergent[id] = m.DirectoryID
+func (v *Verifier) MarkDivergent(id string) {
+	if m, remembered := v.Directories[id]; remembered {
+		v.divergent[id] = m.DirectoryID
 	}
 }
 
 // RejoinRequests returns the ids of live replicas that have asked to rejoin. They may still be voters, but must not vote.
-func (w *Verifier) RejoinRequests(nowMS float64) (ids []string) {
-	for _, id := range slices.Sorted(maps.Keys(w.rejoinRequests)) {
-		if nowMS < w.rejoinRequests[id].receivedMS+AliveTimeoutMS {
+func (v *Verifier) RejoinRequests(nowMS float64) (ids []string) {
+	for _, id := range slices.Sorted(maps.Keys(v.rejoinRequests)) {
+		if nowMS < v.rejoinRequests[id].receivedMS+AliveTimeoutMS {
 			ids = append(ids, id)
 		}
 	}
@@ -284,7 +284,7 @@
 	Claim
 	Peers       []string // ids of the other replicas
 	WaitElapsed bool     // every reachable peer has had time to respond
-	SoleVoter   bool     // operators re-created the cluster from this directory, and no other replica has become a voter since
+	SoleVoter   bool     // operators recovered the cluster from this directory, and no other replica has become a voter since
 	Strict      bool     // require more responses, as described at RequiredResponses
 	InjectedBug string   // an injected bug; "": none
 
@@ -298,89 +298,89 @@
 var InjectedBugs = []string{BugAnyDirectory}
 
 // AddResponse records a response. Responses of replicas that are not peers are ignored.
-func (s *Joiner) AddResponse(w Response) {
-	if !slices.Contains(s.Peers, w.From) {
+func (j *Joiner) AddResponse(response Response) {
+	if !slices.Contains(j.Peers, response.From) {
 		return
 	}
-	if s.responses == nil {
-		s.responses = map[string]Response{}
+	if j.responses == nil {
+		j.responses = map[string]Response{}
 	}
-	s.responses[w.From] = w
+	j.responses[response.From] = response
 }
 
 // ClearResponses discards all responses. It is called when the claim changes, since they apply to the previous one.
-func (s *Joiner) ClearResponses() { s.responses = nil }
+func (j *Joiner) ClearResponses() { j.responses = nil }
 
 // RequiredResponses returns how many peers have to accept the claim. Together with the replica itself they are a majority, so one
 // of them remembers this replica's latest claim that a majority knew of. Strict requires enough of them that one holds every entry
 // that was committed with this replica's vote. That reduces availability: a second replica that is down keeps this one out.
-func (s *Joiner) RequiredResponses() int {
-	n := len(s.Peers)
-	if s.SoleVoter {
+func (j *Joiner) RequiredResponses() int {
+	n := len(j.Peers)
+	if j.SoleVoter {
 		return 0
 	}
-	if s.Strict && n > 0 {
+	if j.Strict && n > 0 {
 		return (n + 2) / 2
 	}
 	return (n + 1) / 2
 }
 
 // Decide returns the next step and the reason for it.
-func (s *Joiner) Decide() (Decision, string) {
-	if s.InjectedBug == BugAnyDirectory {
-		if s.Fresh && s.LastIndex == 0 {
+func (j *Joiner) Decide() (Decision, string) {
+	if j.InjectedBug == BugAnyDirectory {
+		if j.Fresh && j.LastIndex == 0 {
 			return DecisionBootstrap, "planted"
 		}
 		return DecisionStart, "planted"
 	}
 	accepted, contradiction, bootstrapped, otherCluster, obstacle := 0, "", "", "", ""
-	joinIndex, fresh := uint64(0), s.Fresh && s.JoinIndex == 0
-	for _, id := range slices.Sorted(maps.Keys(s.responses)) {
-		w := s.responses[id]
-		if w.Bootstrapped && !w.KnowsDirectory && bootstrapped == "" {
+	joinIndex, fresh := uint64(0), j.Fresh && j.JoinIndex == 0
+	for _, id := range slices.Sorted(maps.Keys(j.responses)) {
+		response := j.responses[id]
+		if response.Bootstrapped && !response.KnowsDirectory && bootstrapped == "" {
 			bootstrapped = id
 		}
-		joinIndex = max(joinIndex, w.JoinIndex)
-		switch w.Verdict {
+		joinIndex = max(joinIndex, response.JoinIndex)
+		switch response.Verdict {
 		case VerdictAccepted:
-			if s.ClusterName == "" || w.ClusterName == s.ClusterName { // a verifier that belongs to no cluster yet remembers nothing
+			if j.ClusterName == "" || response.ClusterName == j.ClusterName { // a verifier that belongs to no cluster yet remembers nothing
 				accepted++
 			}
 		case VerdictOutdated, VerdictOtherDirectory, VerdictStateDiverged:
 			// A verifier whose log ends before JoinIndex does not know yet that this replica rejoined with another directory.
-			if contradiction == "" && (w.Verdict != VerdictOtherDirectory || w.LastIndex >= s.JoinIndex) {
-				contradiction = id + ": " + w.Reason
+			if contradiction == "" && (response.Verdict != VerdictOtherDirectory || response.LastIndex >= j.JoinIndex) {
+				contradiction = id + ": " + response.Reason
 			}
 		case VerdictOtherCluster: // counts neither for nor against the claim
-			otherCluster = id + ": " + w.Reason
+			otherCluster = id + ": " + response.Reason
 		case VerdictProcessReplaced:
-			return DecisionStop, id + ": " + w.Reason
+			return DecisionStop, id + ": " + response.Reason
 		default:
-			obstacle = id + ": " + w.Reason
+			obstacle = id + ": " + response.Reason
 		}
 	}
 	switch {
-	case s.RejoinReason != "" && joinIndex > 0: // the leader's response decides, whatever the other peers respond
-		return DecisionResetDirectory, s.RejoinReason
+	case j.RejoinReason != "" && joinIndex > 0: // the leader's response decides, whatever the other peers respond
+		return DecisionResetDirectory, j.RejoinReason
 	case obstacle != "":
 		return DecisionWait, obstacle
-	case s.RejoinReason != "":
-		return DecisionWait, "requests to rejoin: " + s.RejoinReason
+	case j.RejoinReason != "":
+		return DecisionWait, "requests to rejoin: " + j.RejoinReason
 	case contradiction != "":
 		return DecisionRequestRejoin, contradiction
 	case fresh && bootstrapped != "":
 		return DecisionRequestRejoin, "the data directory is empty, and " + bootstrapped + " belongs to a bootstrapped cluster"
-	case fresh && accepted == len(s.Peers):
+	case fresh && accepted == len(j.Peers):
 		return DecisionBootstrap, "all replicas have responded, and none belongs to a cluster"
 	case fresh:
-		return DecisionWait, fmt.Sprintf("a new set begins once all other copies are heard; %d of %d are", accepted, len(s.Peers))
-	case otherCluster != "" && accepted < s.RequiredResponses():
+		return DecisionWait, fmt.Sprintf("waits to bootstrap a new cluster until all other replicas accept the claim; %d of %d do", accepted, len(j.Peers))
+	case otherCluster != "" && accepted < j.RequiredResponses():
 		return DecisionWait, otherCluster
-	case accepted >= s.RequiredResponses() && (accepted == len(s.Peers) || s.WaitElapsed):
-		return DecisionStart, fmt.Sprintf("%d of %d other replicas accept the claim", accepted, len(s.Peers))
+	case accepted >= j.RequiredResponses() && (accepted == len(j.Peers) || j.WaitElapsed):
+		return DecisionStart, fmt.Sprintf("%d of %d other replicas accept the claim", accepted, len(j.Peers))
 	}
 	return DecisionWait, fmt.Sprintf("%d other replicas accept the claim; %d are required, and all of them during the initial wait",
-		accepted, s.RequiredResponses())
+		accepted, j.RequiredResponses())
 }
 
 // caughtUpReports is the number of consecutive reports at which a non-voter must have all entries that the leader had at the
@@ -414,37 +414,37 @@
 }
 
 // LatestClaim returns the latest claim of the live process with the given id, if there is one.
-func (w *Verifier) LatestClaim(id string, nowMS float64) (Claim, bool) {
-	a := w.live[id]
-	return a.claim, a.processID != "" && nowMS < a.claimedMS+AliveTimeoutMS
+func (v *Verifier) LatestClaim(id string, nowMS float64) (Claim, bool) {
+	process := v.live[id]
+	return process.claim, process.processID != "" && nowMS < process.claimedMS+AliveTimeoutMS
 }
 
 // PeerDirectories returns the directory ids that the peers sent, by peer.
-func (s *Joiner) PeerDirectories() map[string]string {
+func (j *Joiner) PeerDirectories() map[string]string {
 	directories := map[string]string{}
-	for id, w := range s.responses {
-		directories[id] = w.DirectoryID
+	for id, response := range j.responses {
+		directories[id] = response.DirectoryID
 	}
 	return directories
 }
 
 // JoinedState returns what the new directory of a rejoining replica has to record: the log index as of which a leader states that
 // the replica is a non-voter, and the leader's cluster.
-func (s *Joiner) JoinedState() (m DirectoryState) {
-	for _, w := range s.responses {
-		if w.JoinIndex > m.JoinIndex {
-			m = DirectoryState{JoinIndex: w.JoinIndex, ClusterGeneration: w.ClusterGeneration, ClusterName: w.ClusterName}
+func (j *Joiner) JoinedState() (joined DirectoryState) {
+	for _, response := range j.responses {
+		if response.JoinIndex > joined.JoinIndex {
+			joined = DirectoryState{JoinIndex: response.JoinIndex, ClusterGeneration: response.ClusterGeneration, ClusterName: response.ClusterName}
 		}
 	}
-	return m
+	return joined
 }
 
 // NewClusterName returns the name of the cluster that is about to be bootstrapped: the lowest directory id, so that all replicas
 // derive the same name.
-func (s *Joiner) NewClusterName() string {
-	name := s.DirectoryID
-	for _, w := range s.responses {
-		name = min(name, w.DirectoryID)
+func (j *Joiner) NewClusterName() string {
+	name := j.DirectoryID
+	for _, response := range j.responses {
+		name = min(name, response.DirectoryID)
 	}
 	return name
 }
--- a/internal/rejoin/rejoin_test.go
+++ b/internal/rejoin/rejoin_test.go
@@ -42,12 +42,12 @@
 		"same process, emptied disk":              {func() Claim { c := before; c.DirectoryID = "g"; return c }(), VerdictOtherDirectory},
 		"valid directory that requests to rejoin": {changed(func(c *Claim) { c.RejoinReason = "damaged" }), VerdictAccepted},
 	} {
-		w := NewVerifier("a", nil)
-		if response, persist := w.HandleClaim(0, 1, before, threeVoters); response.Verdict != VerdictAccepted || !persist {
+		verifier := NewVerifier("a", nil)
+		if response, persist := verifier.HandleClaim(0, 1, before, threeVoters); response.Verdict != VerdictAccepted || !persist {
 			t.Fatalf("first claim: %+v, persist %v", response, persist)
 		}
-		w.ConnectionClosed("c", 1)
-		if response, _ := w.HandleClaim(10, 2, tc.c, threeVoters); response.Verdict != tc.want {
+		verifier.ConnectionClosed("c", 1)
+		if response, _ := verifier.HandleClaim(10, 2, tc.c, threeVoters); response.Verdict != tc.want {
 			t.Errorf("%s: %+v, want %s", name, response, tc.want)
 		}
 	}
@@ -55,42 +55,42 @@
 
 // A remembered directory state that contradicts a claim is not overwritten by that claim, since the claim may be repeated.
 func TestRejectedClaimsAreNotRemembered(t *testing.T) {
-	w := NewVerifier("a", map[string]DirectoryState{"c": newClaim("c", "f", 3, 7, 40).DirectoryState})
+	verifier := NewVerifier("a", map[string]DirectoryState{"c": newClaim("c", "f", 3, 7, 40).DirectoryState})
 	old := newClaim("c", "f", 3, 6, 20)
 	old.ProcessID = "old"
 	for range 3 {
-		if response, persist := w.HandleClaim(0, 1, old, threeVoters); response.Verdict != VerdictOutdated || persist {
+		if response, persist := verifier.HandleClaim(0, 1, old, threeVoters); response.Verdict != VerdictOutdated || persist {
 			t.Errorf("%+v %v", response, persist)
 		}
 	}
-	if w.Directories["c"].LastIndex != 40 {
-		t.Errorf("%+v", w.Directories["c"])
+	if verifier.Directories["c"].LastIndex != 40 {
+		t.Errorf("%+v", verifier.Directories["c"])
 	}
 	unconfigured := View{}
-	if response, _ := w.HandleClaim(0, 1, old, unconfigured); response.Verdict != VerdictOutdated {
+	if response, _ := verifier.HandleClaim(0, 1, old, unconfigured); response.Verdict != VerdictOutdated {
 		t.Errorf("verifier without a configuration: %+v", response)
 	}
 }
 
 func TestOnlyOneProcessPerIDIsAccepted(t *testing.T) {
-	w := NewVerifier("a", nil)
+	verifier := NewVerifier("a", nil)
 	first, second := newClaim("c", "f", 1, 1, 5), newClaim("c", "g", 1, 1, 5)
-	w.HandleClaim(0, 1, first, threeVoters)
-	if response, _ := w.HandleClaim(AliveTimeoutMS-1, 2, second, threeVoters); response.Verdict != VerdictDuplicateProcess {
+	verifier.HandleClaim(0, 1, first, threeVoters)
+	if response, _ := verifier.HandleClaim(AliveTimeoutMS-1, 2, second, threeVoters); response.Verdict != VerdictDuplicateProcess {
 		t.Errorf("second process while the first is alive: %+v", response)
 	}
-	w.ConnectionClosed("c", 2)
-	if response, _ := w.HandleClaim(AliveTimeoutMS-1, 3, second, threeVoters); response.Verdict != VerdictDuplicateProcess {
+	verifier.ConnectionClosed("c", 2)
+	if response, _ := verifier.HandleClaim(AliveTimeoutMS-1, 3, second, threeVoters); response.Verdict != VerdictDuplicateProcess {
 		t.Errorf("second process after its own connection ended: %+v", response)
 	}
-	if response, _ := w.HandleClaim(AliveTimeoutMS, 3, second, threeVoters); response.Verdict != VerdictOtherDirectory {
+	if response, _ := verifier.HandleClaim(AliveTimeoutMS, 3, second, threeVoters); response.Verdict != VerdictOtherDirectory {
 		t.Errorf("second process after the first has timed out: %+v", response)
 	}
-	if response, _ := w.HandleClaim(AliveTimeoutMS+1, 1, first, threeVoters); response.Verdict != VerdictProcessReplaced {
+	if response, _ := verifier.HandleClaim(AliveTimeoutMS+1, 1, first, threeVoters); response.Verdict != VerdictProcessReplaced {
 		t.Errorf("first process, resumed: %+v", response)
 	}
-	w.ConnectionClosed("c", 3)
-	if response, _ := w.HandleClaim(AliveTimeoutMS+2, 1, first, threeVoters); response.Verdict != VerdictAccepted {
+	verifier.ConnectionClosed("c", 3)
+	if response, _ := verifier.HandleClaim(AliveTimeoutMS+2, 1, first, threeVoters); response.Verdict != VerdictAccepted {
 		t.Errorf("first process after the second has ended: %+v", response)
 	}
 }
@@ -342,8 +342,8 @@
 var stepKinds = []string{"write", "keep", "kill", "old", "empty", "start", "promote"}
 
 // runSteps executes steps and returns the violated invariant, and whether the last step was applicable. A replica is only killed,
-// restored or emptied while a majority of voters besides it runs: what no running replica remembers cannot be detected, a limit
-// that the page on the store documents.
+// restored or emptied while a majority of voters besides it runs. A loss that no running replica remembers cannot be
+// detected, which is a documented limit.
 func runSteps(n int, steps []string, injectedBug string) (violation string, applicable bool) {
 	w := newClusterModel(n, injectedBug)
 	for at, s := range steps {
@@ -473,15 +473,15 @@
 			t.Errorf("%s: %q, %v", name, divergent, split)
 		}
 	}
-	w := NewVerifier("a", nil)
+	verifier := NewVerifier("a", nil)
 	c := newClaim("c", "f", 1, 1, 5)
-	w.HandleClaim(0, 1, c, threeVoters)
-	w.MarkDivergent("c")
-	if response, _ := w.HandleClaim(1, 1, c, threeVoters); response.Verdict != VerdictStateDiverged {
+	verifier.HandleClaim(0, 1, c, threeVoters)
+	verifier.MarkDivergent("c")
+	if response, _ := verifier.HandleClaim(1, 1, c, threeVoters); response.Verdict != VerdictStateDiverged {
 		t.Errorf("%+v", response)
 	}
 	c.DirectoryID, c.JoinIndex = "g", 30
-	if response, _ := w.HandleClaim(2, 1, c, threeVoters); response.Verdict != VerdictAccepted {
+	if response, _ := verifier.HandleClaim(2, 1, c, threeVoters); response.Verdict != VerdictAccepted {
 		t.Errorf("after it rejoined: %+v", response)
 	}
 }
--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -29,8 +29,8 @@
 	backupKind     = "puffinsaddle backup"
 	backupFormat   = 1
 	maxHeaderBytes = 4 << 10
-	maxStateBytes  = 4 << 30          // of the uncompressed state
-	chunkTimeout   = 10 * time.Second // for one read or write of the compressed state
+	maxStateBytes  = 4 << 30          // maximum size of the uncompressed state
+	chunkTimeout   = 10 * time.Second // timeout for one read or write of the compressed state
 )
 
 // ErrInvalidBackup reports a backup that is truncated, corrupt or of an unsupported format.
@@ -40,13 +40,13 @@
 type Backup struct {
 	Kind              string `json:"kind"`
 	Format            int    `json:"format"`
-	ClusterName       string `json:"set"`   // of the cluster that was backed up
+	ClusterName       string `json:"set"`   // name of the cluster that was backed up
 	ClusterGeneration uint64 `json:"times"` // how often operators had recovered that cluster
-	SourceID          string `json:"from"`  // id of the node that served it
+	SourceID          string `json:"from"`  // id of the replica that served it
 	Index             uint64 `json:"index"`
 	Term              uint64 `json:"term"`
-	Bytes             int64  `json:"bytes"`  // of the state
-	SHA256            string `json:"sha256"` // of the state, in hex
+	Bytes             int64  `json:"bytes"`  // size of the state
+	SHA256            string `json:"sha256"` // digest of the state, in hex
 	Error             string `json:"error,omitempty"`
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// deadlineConn sets a deadline for each read and write. Guards against a stalled peer.
+// deadlineConn sets a deadline for each read and write, so that a stalled peer does not block forever.
 type deadlineConn struct{ net.Conn }
 
 func (d deadlineConn) Write(b []byte) (int, error) {
@@ -84,7 +84,7 @@
 	return d.Conn.Read(b)
 }
 
-// openBackupSnapshot takes a snapshot and opens it; only the leader does so.
+// openBackupSnapshot takes a snapshot and opens it. It fails on a replica that is not the leader.
 func (s *Store) openBackupSnapshot() (h Backup, content io.ReadCloser, err error) {
 	r := s.active.Load()
 	if _, isLeader := s.Leadership(); r == nil || !isLeader {
@@ -104,29 +104,29 @@
 		return h, nil, errors.New("store: there is nothing to back up: no entry is committed yet")
 	}
 	sum, n := sha256.New(), int64(0)
-	m, content, err := r.directory.Snapshots.Open(snapshots[0].ID)
+	meta, content, err := r.directory.Snapshots.Open(snapshots[0].ID)
 	if err == nil {
 		n, err = io.Copy(sum, content)
 		content.Close()
 	}
 	if err == nil {
-		_, content, err = r.directory.Snapshots.Open(m.ID)
+		_, content, err = r.directory.Snapshots.Open(meta.ID)
 	}
 	if err != nil {
 		return h, nil, err
 	}
 	directory := r.directory.State()
-	return Backup{Kind: backupKind, Format: backupFormat, ClusterName: directory.ClusterName, ClusterGeneration: directory.ClusterGeneration, SourceID: s.o.ID, Index: m.Index, Term: m.Term,
+	return Backup{Kind: backupKind, Format: backupFormat, ClusterName: directory.ClusterName, ClusterGeneration: directory.ClusterGeneration, SourceID: s.o.ID, Index: meta.Index, Term: meta.Term,
 		Bytes: n, SHA256: hex.EncodeToString(sum.Sum(nil))}, content, nil
 }
 
-// SaveBackup requests a backup from the nodes at these addresses and writes it to a file. The file appears at path only after
+// SaveBackup requests a backup from the replicas at these addresses and writes it to a file. The file appears at path only after
 // the backup was received completely and verified.
 func SaveBackup(ctx context.Context, peers map[string]string, path string) (h Backup, err error) {
 	if _, err := os.Stat(path); err == nil {
 		return h, fmt.Errorf("store: %s exists already", path)
 	}
-	lastErr := errors.New("store: no node is given")
+	lastErr := errors.New("store: no replica is given")
 	for _, id := range slices.Sorted(maps.Keys(peers)) {
 		if h, err = saveBackupFrom(ctx, peers[id], path); err == nil {
 			return h, nil
@@ -220,9 +220,9 @@
 	return h, nil
 }
 
-// RestoreBackup creates a node's data directory from a backup. The directory starts a new cluster with a unique name, so replicas
-// of the cluster that was backed up are not accepted as members; the other nodes join with empty directories. Nothing is created
-// if the backup is invalid.
+// RestoreBackup creates a replica's data directory from a backup. The directory starts a new cluster with a unique name, so
+// replicas of the cluster that was backed up are not accepted as members; the other replicas join with empty directories. Nothing
+// is created if the backup is invalid.
 func RestoreBackup(o Options, backup io.Reader) (h Backup, err error) {
 	if o.Log == nil {
 		o.Log = io.Discard
@@ -248,13 +248,13 @@
 	if err != nil {
 		return h, err
 	}
-	f, err := disk.OpenDirectory(o.Dir, processID, o.Log, disk.Options{})
+	directory, err := disk.OpenDirectory(o.Dir, processID, o.Log, disk.Options{})
 	if err != nil {
 		return h, err
 	}
-	defer f.Close()
+	defer directory.Close()
 	_, trans := raft.NewInmemTransport(raft.ServerAddress(o.Peers[o.ID]))
-	sink, err := f.Snapshots.Create(1, h.Index, h.Term, o.soleVoterConfiguration(), h.Index, trans)
+	sink, err := directory.Snapshots.Create(1, h.Index, h.Term, o.soleVoterConfiguration(), h.Index, trans)
 	if err != nil {
 		return h, err
 	}
@@ -265,8 +265,8 @@
 	if err := sink.Close(); err != nil {
 		return h, err
 	}
-	if err := f.SetUint64([]byte("CurrentTerm"), h.Term); err != nil {
+	if err := directory.SetUint64([]byte("CurrentTerm"), h.Term); err != nil {
 		return h, err
 	}
-	return h, f.RecordNewCluster(clusterName)
+	return h, directory.RecordNewCluster(clusterName)
 }
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -83,7 +83,7 @@
 	return crc32.Update(c, checksumTable, data)
 }
 
-// appendChecksum returns a record with its checksum appended.
+// appendChecksum returns the record data with its checksum appended.
 func appendChecksum(bucket, key, data []byte) []byte {
 	b := append(make([]byte, 0, len(data)+trailerSize), data...)
 	return binary.BigEndian.AppendUint32(append(b, checksumMagic...), checksum(bucket, key, data))
@@ -232,16 +232,16 @@
 	err = l.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(bucketName)
 		type record struct{ key, data []byte }
-		var unsealed []record
+		var unmigrated []record
 		c := bucket.Cursor()
 		k, v := c.Seek(startKey)
-		for ; k != nil && len(unsealed) < migrationBatchSize; k, v = c.Next() {
+		for ; k != nil && len(unmigrated) < migrationBatchSize; k, v = c.Next() {
 			if _, err := l.verifyChecksum(bucketName, k, v); err != nil { // not migrated yet
-				unsealed = append(unsealed, record{bytes.Clone(k), appendChecksum(bucketName, k, v)})
+				unmigrated = append(unmigrated, record{bytes.Clone(k), appendChecksum(bucketName, k, v)})
 			}
 		}
 		nextKey = bytes.Clone(k)
-		for _, r := range unsealed {
+		for _, r := range unmigrated {
 			if err := bucket.Put(r.key, r.data); err != nil {
 				return err
 			}
@@ -381,7 +381,7 @@
 	return binary.BigEndian.Uint64(v), nil
 }
 
-// SetRaftRunning notes that raft uses the log: from now on a raft goroutine that would panic over an error exits instead.
+// SetRaftRunning records that raft uses the log. From now on a raft goroutine exits where it would panic over an error.
 func (l *Log) SetRaftRunning() { l.raftRunning.Store(true) }
 
 // StopReason returns the error that stopped the log, or nil.
--- a/internal/store/disk/folder.go
+++ b/internal/store/disk/folder.go
@@ -20,7 +20,7 @@
 	"puffinsaddle/internal/rejoin"
 )
 
-// Keys of what a data directory records of itself and of its peers.
+// Keys of the values in which a data directory describes itself and the directories of its peers.
 const (
 	directoryIDKey       = "folder" // random id, drawn when the directory was created
 	openCountKey         = "life"   // how often the directory was opened
@@ -34,7 +34,7 @@
 
 const (
 	quarantinePrefix = "aside-" // prefix of the quarantine directories
-	maxQuarantined   = 2        // quarantine directories
+	maxQuarantined   = 2        // maximum number of quarantine directories
 	snapshotsDir     = "snapshots"
 )
 
@@ -45,7 +45,7 @@
 	return hex.EncodeToString(b[:]), err
 }
 
-// Directory is a replica's data directory: its log, its snapshots and what it records of itself.
+// Directory is a replica's data directory: its log, its snapshots and the values that describe it.
 type Directory struct {
 	*Log
 	Path      string
@@ -56,7 +56,7 @@
 }
 
 // OpenDirectory opens a replica's data directory, or creates it; processID is the random id of the process. If a record or a
-// snapshot is corrupt, the error is a CorruptionError, and the evidence in the directory is unchanged.
+// snapshot is corrupt, the error is a CorruptionError, and the corrupt data is left unchanged for inspection.
 func OpenDirectory(dir, processID string, log io.Writer, o Options) (*Directory, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
@@ -69,118 +69,118 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Directory{Log: l, Path: dir, Snapshots: snapshots}
-	if err := f.load(processID); err != nil {
+	d := &Directory{Log: l, Path: dir, Snapshots: snapshots}
+	if err := d.load(processID); err != nil {
 		l.db.Close()
 		return nil, err
 	}
-	return f, nil
+	return d, nil
 }
 
-const maxSnapshots = 2 // per data directory
+const maxSnapshots = 2 // maximum number of snapshots in a data directory
 
-// load loads what the directory records of itself, and increments its open count.
-func (f *Directory) load(processID string) error {
-	snapshotIndex, err := checkSnapshots(f.Path, f.Snapshots)
+// load reads the values that describe the directory, and increments its open count.
+func (d *Directory) load(processID string) error {
+	snapshotIndex, err := checkSnapshots(d.Path, d.Snapshots)
 	if err != nil {
 		return err
 	}
-	f.state.ProcessID = processID
-	name, err := f.readValue(directoryIDKey)
+	d.state.ProcessID = processID
+	name, err := d.readValue(directoryIDKey)
 	if errors.Is(err, ErrNotFound) {
 		var id string
 		if id, err = NewRandomID(); err == nil {
-			name, err = []byte(id), f.storeValue(directoryIDKey, []byte(id))
+			name, err = []byte(id), d.storeValue(directoryIDKey, []byte(id))
 		}
 	}
 	if err != nil {
 		return err
 	}
-	f.state.DirectoryID = string(name)
-	if name, err = f.readValue(clusterNameKey); err != nil && !errors.Is(err, ErrNotFound) {
+	d.state.DirectoryID = string(name)
+	if name, err = d.readValue(clusterNameKey); err != nil && !errors.Is(err, ErrNotFound) {
 		return err
 	}
-	f.state.ClusterName = string(name)
-	for key, target := range map[string]*uint64{openCountKey: &f.state.OpenCount, joinIndexKey: &f.state.JoinIndex, clusterGenerationKey: &f.state.ClusterGeneration, "CurrentTerm": &f.state.Term} {
-		if *target, err = f.readUint64(key); err != nil {
+	d.state.ClusterName = string(name)
+	for key, target := range map[string]*uint64{openCountKey: &d.state.OpenCount, joinIndexKey: &d.state.JoinIndex, clusterGenerationKey: &d.state.ClusterGeneration, "CurrentTerm": &d.state.Term} {
+		if *target, err = d.readUint64(key); err != nil {
 			return err
 		}
 	}
-	voter, err := f.readUint64(voterKey)
+	voter, err := d.readUint64(voterKey)
 	if err != nil {
 		return err
 	}
-	soleVoter, err := f.readUint64(soleVoterKey)
+	soleVoter, err := d.readUint64(soleVoterKey)
 	if err != nil {
 		return err
 	}
-	f.soleVoter = soleVoter == 1
-	f.voter = f.state.JoinIndex == 0 || voter == 1
-	if f.state.LastIndex, err = f.LastIndex(); err != nil {
+	d.soleVoter = soleVoter == 1
+	d.voter = d.state.JoinIndex == 0 || voter == 1
+	if d.state.LastIndex, err = d.LastIndex(); err != nil {
 		return err
 	}
-	f.state.LastIndex = max(f.state.LastIndex, snapshotIndex)
-	f.state.OpenCount++
-	return f.storeUint64(openCountKey, f.state.OpenCount)
+	d.state.LastIndex = max(d.state.LastIndex, snapshotIndex)
+	d.state.OpenCount++
+	return d.storeUint64(openCountKey, d.state.OpenCount)
 }
 
 // State returns the state of the directory when it was opened.
-func (f *Directory) State() rejoin.DirectoryState { return f.state }
+func (d *Directory) State() rejoin.DirectoryState { return d.state }
 
 // Empty reports whether raft never wrote anything to the directory.
-func (f *Directory) Empty() bool { return f.state.LastIndex == 0 && f.state.Term == 0 }
+func (d *Directory) Empty() bool { return d.state.LastIndex == 0 && d.state.Term == 0 }
 
-// IsVoter reports whether the replica may vote with this directory: it was there when the cluster was bootstrapped, or has become
+// IsVoter reports whether the replica may vote with this directory: it took part when the cluster was bootstrapped, or has become
 // a voter since it joined.
-func (f *Directory) IsVoter() bool { return f.voter }
+func (d *Directory) IsVoter() bool { return d.voter }
 
 // RecordJoin records that the replica joined a cluster as a non-voter, as of a log index.
-func (f *Directory) RecordJoin(m rejoin.DirectoryState) error {
-	err := f.storeValues(map[string][]byte{joinIndexKey: encodeUint64(m.JoinIndex), clusterGenerationKey: encodeUint64(m.ClusterGeneration), clusterNameKey: []byte(m.ClusterName)})
+func (d *Directory) RecordJoin(m rejoin.DirectoryState) error {
+	err := d.storeValues(map[string][]byte{joinIndexKey: encodeUint64(m.JoinIndex), clusterGenerationKey: encodeUint64(m.ClusterGeneration), clusterNameKey: []byte(m.ClusterName)})
 	if err != nil {
 		return err
 	}
-	f.state.JoinIndex, f.state.ClusterGeneration, f.state.ClusterName, f.voter = m.JoinIndex, m.ClusterGeneration, m.ClusterName, false
+	d.state.JoinIndex, d.state.ClusterGeneration, d.state.ClusterName, d.voter = m.JoinIndex, m.ClusterGeneration, m.ClusterName, false
 	return nil
 }
 
 // RecordClusterName records the name of the cluster that is about to be bootstrapped.
-func (f *Directory) RecordClusterName(name string) error {
-	f.state.ClusterName = name
-	return f.storeValue(clusterNameKey, []byte(name))
+func (d *Directory) RecordClusterName(name string) error {
+	d.state.ClusterName = name
+	return d.storeValue(clusterNameKey, []byte(name))
 }
 
 // SoleVoter reports whether operators recovered the cluster with this directory and its replica is still the only voter.
-func (f *Directory) SoleVoter() bool { return f.soleVoter }
+func (d *Directory) SoleVoter() bool { return d.soleVoter }
 
 // RecordNewCluster records that operators start a cluster from this directory: they recover its own, or create one with a new
 // name.
-func (f *Directory) RecordNewCluster(name string) error {
-	err := f.storeValues(map[string][]byte{clusterGenerationKey: encodeUint64(f.state.ClusterGeneration + 1), soleVoterKey: encodeUint64(1), voterKey: encodeUint64(1), clusterNameKey: []byte(name)})
+func (d *Directory) RecordNewCluster(name string) error {
+	err := d.storeValues(map[string][]byte{clusterGenerationKey: encodeUint64(d.state.ClusterGeneration + 1), soleVoterKey: encodeUint64(1), voterKey: encodeUint64(1), clusterNameKey: []byte(name)})
 	if err != nil {
 		return err
 	}
-	f.state.ClusterGeneration++
-	f.state.ClusterName = name
-	f.soleVoter, f.voter = true, true
+	d.state.ClusterGeneration++
+	d.state.ClusterName = name
+	d.soleVoter, d.voter = true, true
 	return nil
 }
 
 // RecordSecondVoter records that another replica is about to become a voter.
-func (f *Directory) RecordSecondVoter() error {
-	if !f.soleVoter {
+func (d *Directory) RecordSecondVoter() error {
+	if !d.soleVoter {
 		return nil
 	}
-	f.soleVoter = false
-	return f.storeUint64(soleVoterKey, 0)
+	d.soleVoter = false
+	return d.storeUint64(soleVoterKey, 0)
 }
 
 // RecordVoter records that the replica has become a voter.
-func (f *Directory) RecordVoter() error { return f.storeUint64(voterKey, 1) }
+func (d *Directory) RecordVoter() error { return d.storeUint64(voterKey, 1) }
 
 // PeerDirectories reads the recorded directory states of other replicas.
-func (f *Directory) PeerDirectories() (map[string]rejoin.DirectoryState, error) {
-	b, err := f.readValue(peerDirectoriesKey)
+func (d *Directory) PeerDirectories() (map[string]rejoin.DirectoryState, error) {
+	b, err := d.readValue(peerDirectoriesKey)
 	if errors.Is(err, ErrNotFound) {
 		return nil, nil
 	}
@@ -192,12 +192,12 @@
 }
 
 // RecordPeerDirectories records the directory states of other replicas.
-func (f *Directory) RecordPeerDirectories(m map[string]rejoin.DirectoryState) error {
+func (d *Directory) RecordPeerDirectories(m map[string]rejoin.DirectoryState) error {
 	b, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return f.storeValue(peerDirectoriesKey, b)
+	return d.storeValue(peerDirectoriesKey, b)
 }
 
 // checkSnapshots opens every snapshot, whereupon the raft library verifies its checksum, and returns the index of the latest.
@@ -222,7 +222,7 @@
 	for _, n := range names { // a snapshot with unreadable metadata is not listed
 		if n.IsDir() && !strings.HasSuffix(n.Name(), ".tmp") && !slices.ContainsFunc(listed, func(m *raft.SnapshotMeta) bool { return m.ID == n.Name() }) &&
 			len(listed) < maxSnapshots {
-			return 0, &CorruptionError{filepath.Join(dir, snapshotsDir, n.Name()), "the snapshot", "its metadata can't be read"}
+			return 0, &CorruptionError{filepath.Join(dir, snapshotsDir, n.Name()), "the snapshot", "its metadata cannot be read"}
 		}
 	}
 	return lastIndex, nil
@@ -316,7 +316,7 @@
 	if r.LogSummary, err = l.verifyRecords(); err != nil {
 		return corrupt(err)
 	}
-	f := &Directory{Log: l}
+	directory := &Directory{Log: l}
 	if name, err := l.readValue(directoryIDKey); err == nil {
 		r.Directory.DirectoryID = string(name)
 	}
@@ -328,7 +328,7 @@
 	}
 	voter, _ := l.readUint64(voterKey)
 	r.Directory.Term, r.Directory.LastIndex, r.Voter = r.LogSummary.Term, r.LogSummary.LastIndex, r.Directory.JoinIndex == 0 || voter == 1
-	if r.PeerDirectories, err = f.PeerDirectories(); err != nil {
+	if r.PeerDirectories, err = directory.PeerDirectories(); err != nil {
 		return corrupt(err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, snapshotsDir)); err != nil {
--- a/internal/store/disk/pages.go
+++ b/internal/store/disk/pages.go
@@ -11,7 +11,7 @@
 )
 
 // Layout of a bolt file, as far as needed to validate every page in use; sizes are in bytes. The library itself trusts its pages:
-// an invalid one causes a panic, partly on its own goroutines where it can't be recovered, or a memory fault. Numbers are in the
+// an invalid one causes a panic, partly on its own goroutines where it cannot be recovered, or a memory fault. Numbers are in the
 // machine's native byte order, as the library writes them.
 const (
 	pageHeaderSize = 16 // id, flags, count and overflow
@@ -23,8 +23,8 @@
 	leafPage       = 0x02
 	metaPage       = 0x04
 	bucketLeaf     = 0x01
-	maxPageDepth   = 64 // levels of nested pages and buckets
-	maxPageSize    = 1 << 16
+	maxPageDepth   = 64      // levels of nested pages and buckets
+	maxPageSize    = 1 << 16 // bytes
 )
 
 var nativeOrder = binary.NativeEndian
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -15,7 +15,7 @@
 type stateMachine struct {
 	mu          sync.Mutex
 	state       *state.State
-	index       uint64 // of the last applied entry
+	index       uint64 // log index of the last applied entry
 	changed     chan struct{}
 	onApply     func(index, term uint64, c state.Command, r state.Result) // optional; called for each entry, in log order
 	injectedBug string
@@ -49,7 +49,7 @@
 	return r
 }
 
-// latestDigest returns the digest computed by the latest Compare command.
+// latestDigest returns the digest computed by the latest OpCompareDigests command.
 func (m *stateMachine) latestDigest() rejoin.Digest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -100,8 +100,8 @@
 }
 
 // Persist writes the snapshot to sink as JSON.
-func (k persistedState) Persist(sink raft.SnapshotSink) error {
-	if err := json.NewEncoder(sink).Encode(k.Snapshot); err != nil {
+func (s persistedState) Persist(sink raft.SnapshotSink) error {
+	if err := json.NewEncoder(sink).Encode(s.Snapshot); err != nil {
 		sink.Cancel()
 		return err
 	}
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -21,25 +21,25 @@
 }
 
 func newVoteFilter(t *raft.NetworkTransport, isVoter func() bool) *voteFilter {
-	g := &voteFilter{NetworkTransport: t, isVoter: isVoter, rpcs: make(chan raft.RPC), done: make(chan struct{})}
-	go g.run()
-	return g
+	f := &voteFilter{NetworkTransport: t, isVoter: isVoter, rpcs: make(chan raft.RPC), done: make(chan struct{})}
+	go f.run()
+	return f
 }
 
-func (g *voteFilter) run() {
+func (f *voteFilter) run() {
 	for {
 		select {
-		case rpc := <-g.NetworkTransport.Consumer():
-			if response := emptyVotingResponse(rpc.Command); response != nil && !g.isVoter() {
+		case rpc := <-f.NetworkTransport.Consumer():
+			if response := emptyVotingResponse(rpc.Command); response != nil && !f.isVoter() {
 				rpc.Respond(response, errNotVoter)
 				continue
 			}
 			select {
-			case g.rpcs <- rpc:
-			case <-g.done:
+			case f.rpcs <- rpc:
+			case <-f.done:
 				return
 			}
-		case <-g.done:
+		case <-f.done:
 			return
 		}
 	}
@@ -61,26 +61,26 @@
 }
 
 // Consumer returns the channel of incoming RPCs that passed the filter.
-func (g *voteFilter) Consumer() <-chan raft.RPC { return g.rpcs }
+func (f *voteFilter) Consumer() <-chan raft.RPC { return f.rpcs }
 
 // RequestVote requests a vote from a peer. A non-voter sends no such request, so it never takes part in an election.
-func (g *voteFilter) RequestVote(id raft.ServerID, address raft.ServerAddress, in *raft.RequestVoteRequest, out *raft.RequestVoteResponse) error {
-	if !g.isVoter() {
+func (f *voteFilter) RequestVote(id raft.ServerID, address raft.ServerAddress, in *raft.RequestVoteRequest, out *raft.RequestVoteResponse) error {
+	if !f.isVoter() {
 		return errNotVoter
 	}
-	return g.NetworkTransport.RequestVote(id, address, in, out)
+	return f.NetworkTransport.RequestVote(id, address, in, out)
 }
 
 // RequestPreVote asks a peer whether it would grant a vote; a non-voter sends no such request.
-func (g *voteFilter) RequestPreVote(id raft.ServerID, address raft.ServerAddress, in *raft.RequestPreVoteRequest, out *raft.RequestPreVoteResponse) error {
-	if !g.isVoter() {
+func (f *voteFilter) RequestPreVote(id raft.ServerID, address raft.ServerAddress, in *raft.RequestPreVoteRequest, out *raft.RequestPreVoteResponse) error {
+	if !f.isVoter() {
 		return errNotVoter
 	}
-	return g.NetworkTransport.RequestPreVote(id, address, in, out)
+	return f.NetworkTransport.RequestPreVote(id, address, in, out)
 }
 
 // Close closes the transport and its stream layer.
-func (g *voteFilter) Close() error {
-	g.closeOnce.Do(func() { close(g.done) })
-	return g.NetworkTransport.Close()
+func (f *voteFilter) Close() error {
+	f.closeOnce.Do(func() { close(f.done) })
+	return f.NetworkTransport.Close()
 }
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	claimIntervalMS          = 250.0           // between two claims to each peer, and between two passes of the decision loop
-	responseTimeout          = 3 * time.Second // for the response to a claim; a leader first confirms its leadership
+	claimIntervalMS          = 250.0           // ms between two claims to each peer, and between two passes of the decision loop
+	responseTimeout          = 3 * time.Second // timeout for the response to a claim; a leader first confirms its leadership
 	claimIdleTimeout         = 5 * time.Second // an idle claim connection is closed after this
 	maxClaimBytes            = 4 << 10
 	maxClaimConnections      = 64 // claim connections served at once
 	maxStatusBytes           = 64 << 10
-	membershipChangeTimeout  = 2 * time.Second // for a membership change to be written
-	allPeersWaitMS           = 500.0           // for responses of all peers, before fewer suffice
-	defaultCompareIntervalMS = 1000.0          // of Options.CompareIntervalMS
-	compareGraceMS           = 2000.0          // longer, for a replica that has not reported its digest
+	membershipChangeTimeout  = 2 * time.Second // timeout for writing a membership change
+	allPeersWaitMS           = 500.0           // ms to wait for responses of all peers before fewer suffice
+	defaultCompareIntervalMS = 1000.0          // ms; default of Options.CompareIntervalMS
+	compareGraceMS           = 2000.0          // additional ms to wait for a replica that has not reported its digest
 )
 
-// Phases of a node, as they appear in Status.
+// Phases of a replica, as they appear in Status.
 const (
 	PhaseVerifying = "seeks"   // waits for its peers to accept its data directory
 	PhaseRejoining = "asks"    // requests to rejoin
@@ -65,7 +65,7 @@
 	go s.runDecisionLoop()
 }
 
-// waitMS waits for ms milliseconds on the steady clock, until changed is closed or receives, or until the node is closed.
+// waitMS waits for ms milliseconds on the steady clock, until changed is closed or receives, or until the replica is closed.
 func (s *Store) waitMS(ms float64, changed <-chan struct{}) {
 	elapsed := make(chan struct{})
 	t := s.o.Steady.After(ms, func() { close(elapsed) })
@@ -77,7 +77,7 @@
 	}
 }
 
-// sendClaims sends claims to one peer until the node is closed.
+// sendClaims sends claims to one peer until the replica is closed.
 func (s *Store) sendClaims(id, address string) {
 	for s.ctx.Err() == nil {
 		if conn, err := s.mux.dial(address, purposeClaims, writeTimeout); err == nil {
@@ -122,7 +122,7 @@
 	}
 }
 
-// currentClaim returns the node's current claim. The caller holds s.mu.
+// currentClaim returns the replica's current claim. The caller holds s.mu.
 func (s *Store) currentClaim() rejoin.Claim {
 	if r := s.active.Load(); r != nil {
 		// The term is read first: an index reported with an earlier term already existed in that term.
@@ -132,7 +132,7 @@
 	return s.joiner.Claim
 }
 
-// runDecisionLoop starts or stops the node's participation according to its peers' responses. On the leader it also manages
+// runDecisionLoop starts or stops the replica's participation according to its peers' responses. On the leader it also manages
 // which replicas are voters, and compares their state.
 func (s *Store) runDecisionLoop() {
 	for s.ctx.Err() == nil {
@@ -179,11 +179,11 @@
 	case d == rejoin.DecisionBootstrap && !running:
 		s.mu.Lock()
 		s.verifier.RememberDirectories(s.joiner.PeerDirectories())
-		f, name := s.directory, s.joiner.NewClusterName()
+		directory, name := s.directory, s.joiner.NewClusterName()
 		s.joiner.ClusterName = name
 		s.mu.Unlock()
 		if err = s.savePeers(); err == nil {
-			err = f.RecordClusterName(name)
+			err = directory.RecordClusterName(name)
 		}
 		if err == nil {
 			err = s.participate(s.o.Peers)
@@ -196,7 +196,7 @@
 	}
 }
 
-// requestRejoin makes the node request to rejoin.
+// requestRejoin makes the replica request to rejoin.
 func (s *Store) requestRejoin(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,10 +208,10 @@
 // replaceDirectory quarantines the data directory and continues with an empty one, as a non-voter.
 func (s *Store) replaceDirectory(joinState rejoin.DirectoryState) error {
 	s.mu.Lock()
-	f := s.directory
+	directory := s.directory
 	s.mu.Unlock()
-	if f != nil {
-		if err := f.Close(); err != nil {
+	if directory != nil {
+		if err := directory.Close(); err != nil {
 			return err
 		}
 	}
@@ -231,7 +231,7 @@
 	return nil
 }
 
-// diskFailed is called when the disk log stops after an error. After corruption a node with peers requests to rejoin; after any
+// diskFailed is called when the disk log stops after an error. After corruption a replica with peers requests to rejoin; after any
 // other error it stops.
 func (s *Store) diskFailed(cause error) {
 	err := s.stopParticipating(false)
@@ -247,7 +247,7 @@
 	s.setPhase(PhaseStopped, errors.Join(cause, err).Error())
 }
 
-// recordRegainedVote records that the node has become a voter again: it has applied all entries up to its join index, and its
+// recordRegainedVote records that the replica has become a voter again: it has applied all entries up to its join index, and its
 // latest configuration lists it as a voter, so that configuration was written after it joined.
 func (s *Store) recordRegainedVote(r *participation) {
 	joinIndex := r.directory.State().JoinIndex
@@ -359,7 +359,7 @@
 			id = c.ID
 		}
 		if c.ID != id || s.o.Peers[c.ID] == "" || c.ID == s.o.ID || len(c.DirectoryID)+len(c.ProcessID)+len(c.ClusterName) > 96 {
-			return // not one of this node's peers
+			return // not one of this replica's peers
 		}
 		response, err := s.handleClaim(connID, c)
 		if err != nil || frame.Send(conn, response, maxClaimBytes) != nil {
@@ -373,10 +373,10 @@
 	v, m, r := s.clusterView(c.ID)
 	_, isLeader := s.Leadership()
 	s.mu.Lock()
-	w, persist := s.verifier.HandleClaim(s.o.Steady.Now(), connID, c, v)
+	response, persist := s.verifier.HandleClaim(s.o.Steady.Now(), connID, c, v)
 	s.peersChanged = s.peersChanged || !persist
-	isLearner := isLeader && v.Members[c.ID] != (rejoin.Member{}) && !m.Voter && w.Verdict != rejoin.VerdictOtherAddress && w.Verdict != rejoin.VerdictOtherCluster
-	if isLearner && w.Verdict == rejoin.VerdictAccepted && c.RejoinReason == "" {
+	isLearner := isLeader && v.Members[c.ID] != (rejoin.Member{}) && !m.Voter && response.Verdict != rejoin.VerdictOtherAddress && response.Verdict != rejoin.VerdictOtherCluster
+	if isLearner && response.Verdict == rejoin.VerdictAccepted && c.RejoinReason == "" {
 		l := s.learners[c.ID]
 		if l == nil {
 			l = &rejoin.Learner{}
@@ -392,20 +392,20 @@
 	s.mu.Unlock()
 	if persist {
 		if err := s.savePeers(); err != nil {
-			return w, err
+			return response, err
 		}
 	}
 	s.wakeDecisionLoop()
 	if isLearner && c.RejoinReason != "" {
 		// Only committed changes count: a later committed entry proves that the demotion is committed.
 		if err := r.raft.Barrier(writeTimeout).Error(); err == nil {
-			w.JoinIndex = v.LastIndex
+			response.JoinIndex = v.LastIndex
 		}
 	}
-	return w, nil
+	return response, nil
 }
 
-// clusterView returns what this node knows of the cluster, and of the member with the given id.
+// clusterView returns what this replica knows of the cluster, and of the member with the given id.
 func (s *Store) clusterView(id string) (v rejoin.View, m rejoin.Member, r *participation) {
 	r = s.active.Load()
 	if r == nil {
@@ -438,13 +438,13 @@
 	s.savePeersMu.Lock()
 	defer s.savePeersMu.Unlock()
 	s.mu.Lock()
-	f, peers := s.directory, maps.Clone(s.verifier.Directories)
+	directory, peers := s.directory, maps.Clone(s.verifier.Directories)
 	s.peersChanged = false
 	s.mu.Unlock()
-	if f == nil {
-		return nil // not a voter, and its responses do not count without a directory that records them
+	if directory == nil {
+		return nil // this replica is not a voter, and without a directory that records the peers its responses do not count
 	}
-	return f.RecordPeerDirectories(peers)
+	return directory.RecordPeerDirectories(peers)
 }
 
 // Status describes a replica.
@@ -457,7 +457,7 @@
 	IsLeader  bool                  `json:"leads"`
 	Voter     bool                  `json:"votes"`
 	Applied   uint64                `json:"applied"`
-	Halted    bool                  `json:"halted,omitempty"` // replicas differ and no state has a majority: no effect is begun
+	Halted    bool                  `json:"halted,omitempty"` // replicas differ and no state has a majority, so no effect is begun
 	Directory rejoin.DirectoryState `json:"mark"`
 	Members   []Member              `json:"members,omitempty"`
 }
@@ -472,7 +472,7 @@
 	Lag   uint64 `json:"behind,omitempty"` // entries of this replica that it lacks
 }
 
-// Status returns the node's current status.
+// Status returns the replica's current status.
 func (s *Store) Status() Status {
 	v, _, r := s.clusterView(s.o.ID)
 	term, isLeader := s.Leadership()
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -20,12 +20,12 @@
 	"puffinsaddle/internal/store/disk"
 )
 
-// testCluster is a cluster of nodes on free ports.
+// testCluster is a cluster of replicas on free ports.
 type testCluster struct {
-	t     *testing.T
-	peers map[string]string
-	dirs  map[string]string
-	nodes map[string]*Store
+	t        *testing.T
+	peers    map[string]string
+	dirs     map[string]string
+	replicas map[string]*Store
 
 	compareIntervalMS float64
 }
@@ -33,8 +33,8 @@
 var testClusters atomic.Int32
 
 func newTestCluster(t *testing.T, ids ...string) *testCluster {
-	s := &testCluster{t: t, peers: map[string]string{}, dirs: map[string]string{}, nodes: map[string]*Store{}}
-	// Each cluster has a loopback address of its own: a port that a stopped node releases must not be taken by another connection.
+	c := &testCluster{t: t, peers: map[string]string{}, dirs: map[string]string{}, replicas: map[string]*Store{}}
+	// Each cluster has a loopback address of its own: a port that a stopped replica releases must not be taken by another connection.
 	host := fmt.Sprintf("127.%d.%d.%d", 32+os.Getpid()%64, os.Getpid()/64%250+1, testClusters.Add(1))
 	var listeners []net.Listener
 	for _, id := range ids {
@@ -43,54 +43,54 @@
 			t.Fatal(err)
 		}
 		listeners = append(listeners, ln)
-		s.peers[id], s.dirs[id] = ln.Addr().String(), t.TempDir()
+		c.peers[id], c.dirs[id] = ln.Addr().String(), t.TempDir()
 	}
 	for _, ln := range listeners {
 		ln.Close()
 	}
 	t.Cleanup(func() {
-		for _, n := range s.nodes {
+		for _, n := range c.replicas {
 			n.Close()
 		}
 	})
-	return s
+	return c
 }
 
-func (s *testCluster) start(ids ...string) {
-	s.t.Helper()
+func (c *testCluster) start(ids ...string) {
+	c.t.Helper()
 	for _, id := range ids {
-		n, err := Open(Options{ID: id, Listen: s.peers[id], Dir: s.dirs[id], Peers: maps.Clone(s.peers), CompareIntervalMS: s.compareIntervalMS})
+		n, err := Open(Options{ID: id, Listen: c.peers[id], Dir: c.dirs[id], Peers: maps.Clone(c.peers), CompareIntervalMS: c.compareIntervalMS})
 		if err != nil {
-			s.t.Fatal(err)
+			c.t.Fatal(err)
 		}
-		s.nodes[id] = n
+		c.replicas[id] = n
 	}
 }
 
-func (s *testCluster) stop(ids ...string) {
-	s.t.Helper()
+func (c *testCluster) stop(ids ...string) {
+	c.t.Helper()
 	for _, id := range ids {
-		if err := s.nodes[id].Close(); err != nil {
-			s.t.Fatal(err)
+		if err := c.replicas[id].Close(); err != nil {
+			c.t.Fatal(err)
 		}
-		delete(s.nodes, id)
+		delete(c.replicas, id)
 	}
 }
 
-// waitStatus waits until a node's status satisfies want.
-func (s *testCluster) waitStatus(id, what string, want func(Status) bool) Status {
-	s.t.Helper()
+// waitStatus waits until a replica's status satisfies want.
+func (c *testCluster) waitStatus(id, what string, want func(Status) bool) Status {
+	c.t.Helper()
 	deadline := time.Now().Add(testTimeout)
 	for {
-		st := s.nodes[id].Status()
+		st := c.replicas[id].Status()
 		if want(st) {
 			return st
 		}
 		if time.Now().After(deadline) {
-			for other, n := range s.nodes {
-				s.t.Logf("%s: %+v", other, n.Status())
+			for other, n := range c.replicas {
+				c.t.Logf("%s: %+v", other, n.Status())
 			}
-			s.t.Fatalf("%s: %+v; %s", id, st, what)
+			c.t.Fatalf("%s: %+v; %s", id, st, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -98,76 +98,76 @@
 
 func isVoter(st Status) bool { return st.Phase == PhaseRunning && st.Voter && st.Leader != "" }
 
-// waitVoters waits until all of these nodes are voters.
-func (s *testCluster) waitVoters(ids ...string) {
-	s.t.Helper()
+// waitVoters waits until all of these replicas are voters.
+func (c *testCluster) waitVoters(ids ...string) {
+	c.t.Helper()
 	for _, id := range ids {
-		s.waitStatus(id, "want it to be a voter", isVoter)
+		c.waitStatus(id, "want it to be a voter", isVoter)
 	}
 }
 
-func (s *testCluster) write(id, key string) {
-	s.t.Helper()
-	setValue(s.t, s.nodes[id], key, "v")
+func (c *testCluster) write(id, key string) {
+	c.t.Helper()
+	setValue(c.t, c.replicas[id], key, "v")
 }
 
-// waitValues waits until a node has all of these keys.
-func (s *testCluster) waitValues(id string, keys ...string) {
-	s.t.Helper()
+// waitValues waits until a replica has all of these keys.
+func (c *testCluster) waitValues(id string, keys ...string) {
+	c.t.Helper()
 	for _, k := range keys {
-		waitValue(s.t, s.nodes[id], k, "v")
+		waitValue(c.t, c.replicas[id], k, "v")
 	}
 }
 
-// copyDirectory copies a node's data directory.
-func (s *testCluster) copyDirectory(id, to string) {
-	s.t.Helper()
-	if err := os.CopyFS(to, os.DirFS(s.dirs[id])); err != nil {
-		s.t.Fatal(err)
+// copyDirectory copies a replica's data directory.
+func (c *testCluster) copyDirectory(id, to string) {
+	c.t.Helper()
+	if err := os.CopyFS(to, os.DirFS(c.dirs[id])); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-// replaceDirectory replaces a node's data directory by a copy of another.
-func (s *testCluster) replaceDirectory(id, from string) {
-	s.t.Helper()
-	if err := os.RemoveAll(s.dirs[id]); err != nil {
-		s.t.Fatal(err)
+// replaceDirectory replaces a replica's data directory by a copy of another.
+func (c *testCluster) replaceDirectory(id, from string) {
+	c.t.Helper()
+	if err := os.RemoveAll(c.dirs[id]); err != nil {
+		c.t.Fatal(err)
 	}
-	if err := os.CopyFS(s.dirs[id], os.DirFS(from)); err != nil {
-		s.t.Fatal(err)
+	if err := os.CopyFS(c.dirs[id], os.DirFS(from)); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-// quarantined lists a node's quarantine directories.
-func (s *testCluster) quarantined(id string) []string {
-	got, _ := filepath.Glob(filepath.Join(s.dirs[id], "aside-*"))
+// quarantined lists a replica's quarantine directories.
+func (c *testCluster) quarantined(id string) []string {
+	got, _ := filepath.Glob(filepath.Join(c.dirs[id], "aside-*"))
 	return got
 }
 
 func TestClusterBootstrapsOnceAllPeersRespond(t *testing.T) {
-	s := newTestCluster(t, "a", "b", "c")
-	s.start("a", "b")
-	s.waitStatus("a", "want it to wait for c", func(st Status) bool { return strings.Contains(st.Reason, "1 of 2") && st.Phase == PhaseVerifying })
-	if err := s.nodes["a"].Set("k", nil); !errors.Is(err, ErrNoQuorum) {
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.start("a", "b")
+	cluster.waitStatus("a", "want it to wait for c", func(st Status) bool { return strings.Contains(st.Reason, "1 of 2") && st.Phase == PhaseVerifying })
+	if err := cluster.replicas["a"].Set("k", nil); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("write before the cluster is bootstrapped: %v", err)
 	}
-	s.start("c")
-	s.waitVoters("a", "b", "c")
-	s.write("a", "k")
+	cluster.start("c")
+	cluster.waitVoters("a", "b", "c")
+	cluster.write("a", "k")
 	for _, id := range []string{"a", "b", "c"} {
-		s.waitValues(id, "k")
-		if st := s.nodes[id].Status(); st.Directory.JoinIndex != 0 || len(s.quarantined(id)) > 0 {
+		cluster.waitValues(id, "k")
+		if st := cluster.replicas[id].Status(); st.Directory.JoinIndex != 0 || len(cluster.quarantined(id)) > 0 {
 			t.Errorf("%s rejoined: %+v", id, st)
 		}
 	}
-	st, err := QueryStatus(t.Context(), s.peers["b"])
+	st, err := QueryStatus(t.Context(), cluster.peers["b"])
 	if err != nil || st.ID != "b" || len(st.Members) != 3 || !st.Members[0].Alive {
 		t.Errorf("%+v %v", st, err)
 	}
-	s.stop("b")
-	s.start("b") // an ordinary restart
-	s.waitVoters("b")
-	if got := s.quarantined("b"); len(got) > 0 {
+	cluster.stop("b")
+	cluster.start("b") // an ordinary restart
+	cluster.waitVoters("b")
+	if got := cluster.quarantined("b"); len(got) > 0 {
 		t.Errorf("quarantined after an ordinary restart: %q", got)
 	}
 }
@@ -175,16 +175,16 @@
 // A replica whose data directory has lost state in any way must not vote until it has caught up again, and its old directory must
 // be quarantined.
 func TestReplicaWithLostStateRejoins(t *testing.T) {
-	for name, loseState := range map[string]func(t *testing.T, s *testCluster, outdated string){
-		"older":   func(_ *testing.T, s *testCluster, outdated string) { s.replaceDirectory("c", outdated) },
-		"emptied": func(_ *testing.T, s *testCluster, _ string) { s.replaceDirectory("c", t.TempDir()) },
-		"of another replica": func(_ *testing.T, s *testCluster, _ string) {
-			s.stop("b")
-			s.replaceDirectory("c", s.dirs["b"])
-			s.start("b")
+	for name, loseState := range map[string]func(t *testing.T, cluster *testCluster, outdated string){
+		"older":   func(_ *testing.T, cluster *testCluster, outdated string) { cluster.replaceDirectory("c", outdated) },
+		"emptied": func(_ *testing.T, cluster *testCluster, _ string) { cluster.replaceDirectory("c", t.TempDir()) },
+		"of another replica": func(_ *testing.T, cluster *testCluster, _ string) {
+			cluster.stop("b")
+			cluster.replaceDirectory("c", cluster.dirs["b"])
+			cluster.start("b")
 		},
-		"corrupt": func(t *testing.T, s *testCluster, _ string) {
-			path := filepath.Join(s.dirs["c"], disk.FileName)
+		"corrupt": func(t *testing.T, cluster *testCluster, _ string) {
+			path := filepath.Join(cluster.dirs["c"], disk.FileName)
 			b, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
@@ -195,127 +195,127 @@
 				t.Fatal(err)
 			}
 		},
-		"truncated": func(t *testing.T, s *testCluster, _ string) {
-			if err := os.Truncate(filepath.Join(s.dirs["c"], disk.FileName), 9000); err != nil {
+		"truncated": func(t *testing.T, cluster *testCluster, _ string) {
+			if err := os.Truncate(filepath.Join(cluster.dirs["c"], disk.FileName), 9000); err != nil {
 				t.Fatal(err)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newTestCluster(t, "a", "b", "c")
-			s.start("a", "b", "c")
-			s.waitVoters("a", "b", "c")
-			s.write("a", "before")
-			s.waitValues("c", "before")
+			cluster := newTestCluster(t, "a", "b", "c")
+			cluster.start("a", "b", "c")
+			cluster.waitVoters("a", "b", "c")
+			cluster.write("a", "before")
+			cluster.waitValues("c", "before")
 			outdated := filepath.Join(t.TempDir(), "old")
-			s.stop("c")
-			s.copyDirectory("c", outdated)
-			s.start("c")
-			s.waitVoters("c")
+			cluster.stop("c")
+			cluster.copyDirectory("c", outdated)
+			cluster.start("c")
+			cluster.waitVoters("c")
 			var keys []string
 			for i := range 5 {
 				keys = append(keys, fmt.Sprint("after-", i))
-				s.write("a", keys[i])
+				cluster.write("a", keys[i])
 			}
-			s.waitValues("c", keys...)
-			s.stop("c")
-			loseState(t, s, outdated)
-			s.start("c")
-			st := s.waitStatus("c", "want it to be a voter again", func(st Status) bool { return isVoter(st) && st.Directory.JoinIndex > 0 })
-			if st.Directory.OpenCount != 1 || len(s.quarantined("c")) == 0 {
-				t.Errorf("%+v, quarantined %q", st, s.quarantined("c"))
+			cluster.waitValues("c", keys...)
+			cluster.stop("c")
+			loseState(t, cluster, outdated)
+			cluster.start("c")
+			st := cluster.waitStatus("c", "want it to be a voter again", func(st Status) bool { return isVoter(st) && st.Directory.JoinIndex > 0 })
+			if st.Directory.OpenCount != 1 || len(cluster.quarantined("c")) == 0 {
+				t.Errorf("%+v, quarantined %q", st, cluster.quarantined("c"))
 			}
-			s.waitValues("c", append(keys, "before")...)
-			s.stop("a") // c is needed for a majority now, and is a voter
-			s.write("c", "with c")
-			s.waitValues("b", "with c")
-			s.stop("c")
-			s.start("c") // an ordinary restart of a replica that has rejoined once
-			s.waitVoters("c")
-			s.write("c", "again")
+			cluster.waitValues("c", append(keys, "before")...)
+			cluster.stop("a") // c is needed for a majority now, and is a voter
+			cluster.write("c", "with c")
+			cluster.waitValues("b", "with c")
+			cluster.stop("c")
+			cluster.start("c") // an ordinary restart of a replica that has rejoined once
+			cluster.waitVoters("c")
+			cluster.write("c", "again")
 		})
 	}
 }
 
 // All replicas restart at once, one of them with an outdated directory: committed writes that it lacks must not be lost.
 func TestRestartWithOutdatedDirectoryKeepsCommittedWrites(t *testing.T) {
-	s := newTestCluster(t, "a", "b", "c")
-	s.start("a", "b", "c")
-	s.waitVoters("a", "b", "c")
-	s.stop("c")
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.start("a", "b", "c")
+	cluster.waitVoters("a", "b", "c")
+	cluster.stop("c")
 	outdated := filepath.Join(t.TempDir(), "old")
-	s.copyDirectory("c", outdated)
-	s.start("c")
-	s.waitVoters("c")
-	s.write("a", "k")
-	s.waitValues("c", "k")
-	s.stop("a", "b", "c")
-	s.replaceDirectory("c", outdated)
-	s.start("c", "a") // without b: a and c are a majority, but c has lost a committed write
-	s.waitStatus("c", "want it to request to rejoin", func(st Status) bool {
-		return st.Phase == PhaseRejoining && strings.Contains(st.Reason, "a: the folder of c")
+	cluster.copyDirectory("c", outdated)
+	cluster.start("c")
+	cluster.waitVoters("c")
+	cluster.write("a", "k")
+	cluster.waitValues("c", "k")
+	cluster.stop("a", "b", "c")
+	cluster.replaceDirectory("c", outdated)
+	cluster.start("c", "a") // without b: a and c are a majority, but c has lost a committed write
+	cluster.waitStatus("c", "want it to request to rejoin", func(st Status) bool {
+		return st.Phase == PhaseRejoining && strings.Contains(st.Reason, "a: the data directory of c")
 	})
-	if st := s.nodes["c"].Status(); st.Voter {
+	if st := cluster.replicas["c"].Status(); st.Voter {
 		t.Errorf("%+v", st)
 	}
-	s.start("b")
-	s.waitStatus("c", "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.JoinIndex > 0 })
-	s.waitValues("c", "k")
+	cluster.start("b")
+	cluster.waitStatus("c", "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.JoinIndex > 0 })
+	cluster.waitValues("c", "k")
 }
 
 // Two of three replicas are permanently lost and operators recover the cluster from the third. When the others return, they have
 // to rejoin, whether their logs are longer or not.
 func TestRecoverClusterAfterLostMajority(t *testing.T) {
-	s := newTestCluster(t, "a", "b", "c")
-	s.start("a", "b", "c")
-	s.waitVoters("a", "b", "c")
-	s.write("a", "k")
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.start("a", "b", "c")
+	cluster.waitVoters("a", "b", "c")
+	cluster.write("a", "k")
 	for _, id := range []string{"a", "b", "c"} {
-		s.waitValues(id, "k")
+		cluster.waitValues(id, "k")
 	}
-	s.stop("a")
-	s.write("b", "only b and c")
-	s.waitValues("c", "only b and c")
-	s.stop("b", "c")
-	o := Options{ID: "a", Dir: s.dirs["a"], Peers: maps.Clone(s.peers)}
+	cluster.stop("a")
+	cluster.write("b", "only b and c")
+	cluster.waitValues("c", "only b and c")
+	cluster.stop("b", "c")
+	o := Options{ID: "a", Dir: cluster.dirs["a"], Peers: maps.Clone(cluster.peers)}
 	r, err := RecoverCluster(o)
 	if err != nil || r.Directory.ClusterGeneration != 1 {
 		t.Fatalf("%+v %v", r, err)
 	}
-	s.start("a")
-	s.waitVoters("a") // alone
-	s.write("a", "anew")
-	s.start("b", "c") // they have more entries, and were a majority of the old cluster
+	cluster.start("a")
+	cluster.waitVoters("a") // the only voter
+	cluster.write("a", "anew")
+	cluster.start("b", "c") // they have more entries, and were a majority of the old cluster
 	for _, id := range []string{"b", "c"} {
-		s.waitStatus(id, "want it to be a voter again after rejoining", func(st Status) bool {
+		cluster.waitStatus(id, "want it to be a voter again after rejoining", func(st Status) bool {
 			return isVoter(st) && st.Directory.JoinIndex > 0 && st.Directory.ClusterGeneration == 1
 		})
-		s.waitValues(id, "k", "anew")
-		if _, there := s.nodes[id].Get("only b and c"); there {
+		cluster.waitValues(id, "k", "anew")
+		if _, there := cluster.replicas[id].Get("only b and c"); there {
 			t.Errorf("%s has an entry that the recovery discarded", id)
 		}
 	}
-	s.stop("b")
-	s.stop("a")
-	s.start("b") // an ordinary cluster again, in which a single replica has no quorum
-	s.waitVoters("b")
-	s.stop("c")
-	if err := s.nodes["b"].Set("x", nil); !errors.Is(err, ErrNoQuorum) {
+	cluster.stop("b")
+	cluster.stop("a")
+	cluster.start("b") // an ordinary cluster again, in which a single replica has no quorum
+	cluster.waitVoters("b")
+	cluster.stop("c")
+	if err := cluster.replicas["b"].Set("x", nil); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("write on one of three: %v", err)
 	}
-	s.start("a")
-	s.waitVoters("a")
-	s.write("a", "y")
-	s.waitValues("b", "y")
-	s.stop("a", "b")
+	cluster.start("a")
+	cluster.waitVoters("a")
+	cluster.write("a", "y")
+	cluster.waitValues("b", "y")
+	cluster.stop("a", "b")
 	for want, o := range map[string]Options{
-		"not among":       {ID: "z", Dir: s.dirs["a"], Peers: s.peers},
-		"no such file":    {ID: "a", Dir: t.TempDir(), Peers: s.peers},
-		"open in another": {ID: "c", Dir: s.dirs["c"], Peers: s.peers},
+		"not among":       {ID: "z", Dir: cluster.dirs["a"], Peers: cluster.peers},
+		"no such file":    {ID: "a", Dir: t.TempDir(), Peers: cluster.peers},
+		"open in another": {ID: "c", Dir: cluster.dirs["c"], Peers: cluster.peers},
 	} {
 		if want == "open in another" {
-			s.start("c")
+			cluster.start("c")
 		}
 		if _, err := RecoverCluster(o); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -323,20 +323,20 @@
 	}
 }
 
-// A backup holds the state at one log index. A cluster restored from it is separate from the old one: a node with a directory of
+// A backup holds the state at one log index. A cluster restored from it is separate from the old one: a replica with a directory of
 // the old cluster must not join it.
 func TestRestoredBackupFormsSeparateCluster(t *testing.T) {
-	s := newTestCluster(t, "a", "b", "c")
-	s.start("a", "b", "c")
-	s.waitVoters("a", "b", "c")
-	s.write("a", "before")
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.start("a", "b", "c")
+	cluster.waitVoters("a", "b", "c")
+	cluster.write("a", "before")
 	path := filepath.Join(t.TempDir(), "backup")
-	h, err := SaveBackup(t.Context(), s.peers, path)
+	h, err := SaveBackup(t.Context(), cluster.peers, path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.write("a", "after")
-	if _, err := SaveBackup(t.Context(), s.peers, path); err == nil || !strings.Contains(err.Error(), "exists already") {
+	cluster.write("a", "after")
+	if _, err := SaveBackup(t.Context(), cluster.peers, path); err == nil || !strings.Contains(err.Error(), "exists already") {
 		t.Errorf("existing backup overwritten: %v", err)
 	}
 	restored := newTestCluster(t, "a", "b", "c")
@@ -365,19 +365,19 @@
 	if _, err := RestoreBackup(o, bytes.NewReader(backup)); err == nil || !strings.Contains(err.Error(), "holds a replica already") {
 		t.Errorf("restored over an existing replica: %v", err)
 	}
-	s.stop("c")
-	restored.replaceDirectory("c", s.dirs["c"]) // of the old cluster
+	cluster.stop("c")
+	restored.replaceDirectory("c", cluster.dirs["c"]) // of the old cluster
 	restored.start("a", "b", "c")
 	restored.waitVoters("a", "b")
 	restored.waitValues("b", "before")
-	if _, there := restored.nodes["b"].Get("after"); there {
+	if _, there := restored.replicas["b"].Get("after"); there {
 		t.Error("the restored cluster has a write made after the backup")
 	}
-	st := restored.waitStatus("c", "want it to be rejected", func(st Status) bool { return strings.Contains(st.Reason, "belongs to set "+h.ClusterName) })
+	st := restored.waitStatus("c", "want it to be rejected", func(st Status) bool { return strings.Contains(st.Reason, "belongs to cluster "+h.ClusterName) })
 	if st.Phase != PhaseVerifying || len(restored.quarantined("c")) > 0 {
 		t.Errorf("%+v", st)
 	}
-	if a, b := restored.nodes["a"].Status().Directory.ClusterName, restored.nodes["b"].Status().Directory.ClusterName; a != b || a == h.ClusterName {
+	if a, b := restored.replicas["a"].Status().Directory.ClusterName, restored.replicas["b"].Status().Directory.ClusterName; a != b || a == h.ClusterName {
 		t.Errorf("clusters %q, %q; the old one is %q", a, b, h.ClusterName)
 	}
 	restored.write("b", "anew")
@@ -387,13 +387,13 @@
 // A bit flips in the memory of a replica, once of a follower and once of the leader. The comparison of digests must identify that
 // replica, and it is rebuilt from the others.
 func TestDivergedReplicaIsRebuilt(t *testing.T) {
-	s := newTestCluster(t, "a", "b", "c")
-	s.compareIntervalMS = 1
-	s.start("a", "b", "c")
-	s.waitVoters("a", "b", "c")
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.compareIntervalMS = 1
+	cluster.start("a", "b", "c")
+	cluster.waitVoters("a", "b", "c")
 	for i := range 40 {
 		for {
-			fresh, err := s.nodes["a"].Begin(fmt.Sprint("e", i))
+			fresh, err := cluster.replicas["a"].Begin(fmt.Sprint("e", i))
 			if err == nil && !fresh {
 				t.Fatal("the effect is already begun")
 			}
@@ -405,13 +405,13 @@
 			}
 		}
 	}
-	s.write("a", "k")
+	cluster.write("a", "k")
 	for _, id := range []string{"a", "b", "c"} {
-		s.waitValues(id, "k")
+		cluster.waitValues(id, "k")
 	}
 	for round, leads := range []bool{false, true} {
 		target := ""
-		for id, n := range s.nodes {
+		for id, n := range cluster.replicas {
 			if n.Status().IsLeader == leads {
 				target = id
 			}
@@ -419,15 +419,15 @@
 		if target == "" {
 			t.Fatal("no replica with the wanted role")
 		}
-		before := s.nodes[target].Status().Directory.JoinIndex
-		if s.nodes[target].CorruptMemory(uint64(round+3)) == "" {
+		before := cluster.replicas[target].Status().Directory.JoinIndex
+		if cluster.replicas[target].CorruptMemory(uint64(round+3)) == "" {
 			t.Fatal("no effect to corrupt")
 		}
-		s.waitStatus(target, "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.JoinIndex > before })
-		s.waitValues(target, "k")
-		s.waitVoters("a", "b", "c")
+		cluster.waitStatus(target, "want it to be a voter again after rejoining", func(st Status) bool { return isVoter(st) && st.Directory.JoinIndex > before })
+		cluster.waitValues(target, "k")
+		cluster.waitVoters("a", "b", "c")
 	}
-	for id, n := range s.nodes {
+	for id, n := range cluster.replicas {
 		if fresh, err := n.Begin("e7"); fresh || err != nil {
 			t.Errorf("%s: effect begun twice: %v %v", id, fresh, err)
 		}
@@ -439,28 +439,28 @@
 
 // Three replicas have three different states, so the correct one can't be determined: no effect may begin, other writes continue.
 func TestNoEffectBeginsWithoutMajorityState(t *testing.T) {
-	s := newTestCluster(t, "a", "b", "c")
-	s.compareIntervalMS = 1
-	s.start("a", "b", "c")
-	s.waitVoters("a", "b", "c")
-	s.write("a", "k")
-	leader := s.nodes[s.nodes["a"].Status().Leader]
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.compareIntervalMS = 1
+	cluster.start("a", "b", "c")
+	cluster.waitVoters("a", "b", "c")
+	cluster.write("a", "k")
+	leader := cluster.replicas[cluster.replicas["a"].Status().Leader]
 	if _, err := leader.Begin("e"); err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		s.waitValues(id, "k")
+		cluster.waitValues(id, "k")
 	}
-	for _, n := range s.nodes { // locked, so that no digest is computed until all states differ
+	for _, n := range cluster.replicas { // locked, so that no digest is computed until all states differ
 		n.fsm.mu.Lock()
 	}
 	for i, id := range []string{"a", "b", "c"} {
-		s.nodes[id].fsm.state.Values["k"] = []byte{byte(i)}
+		cluster.replicas[id].fsm.state.Values["k"] = []byte{byte(i)}
 	}
-	for _, n := range s.nodes {
+	for _, n := range cluster.replicas {
 		n.fsm.mu.Unlock()
 	}
-	s.waitStatus(leader.o.ID, "want it to halt effects", func(st Status) bool { return st.Halted })
+	cluster.waitStatus(leader.o.ID, "want it to halt effects", func(st Status) bool { return st.Halted })
 	if _, err := leader.Begin("f"); !errors.Is(err, ErrReplicasDiverged) {
 		t.Errorf("effect begun without a majority state: %v", err)
 	}
@@ -471,60 +471,60 @@
 
 // A failed disk must stop only its own replica; acknowledged writes are kept by the others.
 func TestFullDiskStopsOnlyItsReplica(t *testing.T) {
-	s := newTestCluster(t, "a", "b", "c")
-	s.start("a", "b", "c")
-	s.waitVoters("a", "b", "c")
-	s.write("a", "k")
-	leader := s.nodes["a"].Status().Leader
-	s.nodes[leader].diskFailed(errors.New("no space left on device"))
-	st := s.waitStatus(leader, "want it to stop", func(st Status) bool { return st.Phase == PhaseStopped })
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.start("a", "b", "c")
+	cluster.waitVoters("a", "b", "c")
+	cluster.write("a", "k")
+	leader := cluster.replicas["a"].Status().Leader
+	cluster.replicas[leader].diskFailed(errors.New("no space left on device"))
+	st := cluster.waitStatus(leader, "want it to stop", func(st Status) bool { return st.Phase == PhaseStopped })
 	if !strings.Contains(st.Reason, "no space left") {
 		t.Errorf("%+v", st)
 	}
-	for id := range s.peers {
+	for id := range cluster.peers {
 		if id != leader {
-			s.write(id, "after "+id)
-			s.waitValues(id, "k")
+			cluster.write(id, "after "+id)
+			cluster.waitValues(id, "k")
 		}
 	}
-	if err := s.nodes[leader].Set("x", nil); !errors.Is(err, ErrNoQuorum) {
+	if err := cluster.replicas[leader].Set("x", nil); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("write on the stopped replica: %v", err)
 	}
 }
 
 // A second process with the id of a live replica must wait, whatever its directory, and must not participate.
 func TestDuplicateProcessWaits(t *testing.T) {
-	s := newTestCluster(t, "a", "b", "c")
-	s.start("a", "b", "c")
-	s.waitVoters("a", "b", "c")
-	s.write("a", "k")
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.start("a", "b", "c")
+	cluster.waitVoters("a", "b", "c")
+	cluster.write("a", "k")
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	peers := maps.Clone(s.peers)
+	peers := maps.Clone(cluster.peers)
 	peers["c"] = ln.Addr().String()
 	duplicate, err := Open(Options{ID: "c", Listener: ln, Dir: t.TempDir(), Peers: peers})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer duplicate.Close()
-	s.nodes["duplicate"] = duplicate
-	s.waitStatus("duplicate", "want it to be rejected as a duplicate", func(st Status) bool {
-		return strings.Contains(st.Reason, "of c is alive") && st.Phase == PhaseVerifying
+	cluster.replicas["duplicate"] = duplicate
+	cluster.waitStatus("duplicate", "want it to be rejected as a duplicate", func(st Status) bool {
+		return strings.Contains(st.Reason, "of replica c is alive") && st.Phase == PhaseVerifying
 	})
-	delete(s.nodes, "duplicate")
-	s.stop("c")
-	s.nodes["duplicate"] = duplicate
-	s.waitStatus("duplicate", "want it to be rejected for its address", func(st Status) bool { return strings.Contains(st.Reason, "c is at") })
-	delete(s.nodes, "duplicate")
-	s.start("c")
-	s.waitVoters("c")
+	delete(cluster.replicas, "duplicate")
+	cluster.stop("c")
+	cluster.replicas["duplicate"] = duplicate
+	cluster.waitStatus("duplicate", "want it to be rejected for its address", func(st Status) bool { return strings.Contains(st.Reason, "the address of c is") })
+	delete(cluster.replicas, "duplicate")
+	cluster.start("c")
+	cluster.waitVoters("c")
 }
 
 // A non-voter must neither grant nor request votes, and entries of another cluster must not reach it.
 func TestVoteFilterBlocksVotingRPCs(t *testing.T) {
-	node := func(clusterName string, voter bool) (*voteFilter, *raftLayer) {
+	startTransport := func(clusterName string, voter bool) (*voteFilter, *raftLayer) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -536,9 +536,9 @@
 		t.Cleanup(func() { g.Close(); l.Close() })
 		return g, n
 	}
-	voter, _ := node("cluster", true)
-	otherCluster, _ := node("another cluster", true)
-	learner, raftLayer := node("cluster", false)
+	voter, _ := startTransport("cluster", true)
+	otherCluster, _ := startTransport("another cluster", true)
+	learner, raftLayer := startTransport("cluster", false)
 	address := raft.ServerAddress(raftLayer.Addr().String())
 	if err := voter.RequestVote("l", address, &raft.RequestVoteRequest{Term: 1}, &raft.RequestVoteResponse{}); err == nil || !strings.Contains(err.Error(), errNotVoter.Error()) {
 		t.Errorf("vote request to a non-voter: %v", err)
@@ -564,9 +564,9 @@
 
 // Claims that no replica of this cluster would send must close their connection and must not be recorded.
 func TestMalformedClaimsAreRejected(t *testing.T) {
-	s := newTestCluster(t, "a", "b", "c")
-	s.start("a", "b", "c")
-	s.waitVoters("a", "b", "c")
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.start("a", "b", "c")
+	cluster.waitVoters("a", "b", "c")
 	message := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
@@ -581,7 +581,7 @@
 		"unknown purpose":           nil,
 		"two ids on one connection": append(message(`{"id":"b","addr":"x","folder":"f","proc":"p"}`), message(`{"id":"c","addr":"x","folder":"f","proc":"p"}`)...),
 	} {
-		conn, err := net.Dial("tcp", s.peers["a"])
+		conn, err := net.Dial("tcp", cluster.peers["a"])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -597,7 +597,7 @@
 		}
 		conn.Close()
 	}
-	n := s.nodes["a"]
+	n := cluster.replicas["a"]
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.verifier.Directories) != 2 || n.verifier.Directories["b"].DirectoryID == "f" || n.verifier.Directories["c"].DirectoryID == "f" {
@@ -607,13 +607,13 @@
 
 // Connections that stall before or while they state their purpose must be closed.
 func TestStalledConnectionsAreClosed(t *testing.T) {
-	s := newTestCluster(t, "a", "b", "c")
-	s.start("a", "b", "c")
-	s.waitVoters("a", "b", "c")
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.start("a", "b", "c")
+	cluster.waitVoters("a", "b", "c")
 	for name, b := range map[string][]byte{"no purpose": nil, "raft, within the cluster name": {purposeRaft, 16, 'x'}, "claim, within its length": {purposeClaims, 0, 0}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			conn, err := net.Dial("tcp", s.peers["a"])
+			conn, err := net.Dial("tcp", cluster.peers["a"])
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/store/layer.go
+++ b/internal/store/layer.go
@@ -27,7 +27,7 @@
 // purposeTimeout is the time in which a new connection has to state its purpose.
 const purposeTimeout = 2 * time.Second
 
-// multiplexer shares one listening socket between raft's connections and all others, so that a node has a single address.
+// multiplexer shares one listening socket between raft's connections and all others, so that a replica has a single address.
 type multiplexer struct {
 	net.Listener
 	handlers         map[byte]func(net.Conn) // by purpose; each handler closes its connection
@@ -45,7 +45,7 @@
 	return &multiplexer{Listener: ln, handlers: handlers, addressOverrides: addressOverrides, done: make(chan struct{})}
 }
 
-// raftLayer is raft's stream layer over the shared socket; each raft instance of the process gets a new one.
+// raftLayer is raft's stream layer over the shared socket. Each raft instance of the process gets a new one.
 type raftLayer struct {
 	*multiplexer
 	clusterName   string
@@ -55,107 +55,107 @@
 }
 
 // openRaftLayer creates the stream layer for a raft instance that is about to start.
-func (l *multiplexer) openRaftLayer(clusterName string) *raftLayer {
-	n := &raftLayer{multiplexer: l, clusterName: clusterName, conns: make(chan net.Conn), closed: make(chan struct{})}
-	l.raftLayer.Store(n)
-	return n
+func (m *multiplexer) openRaftLayer(clusterName string) *raftLayer {
+	layer := &raftLayer{multiplexer: m, clusterName: clusterName, conns: make(chan net.Conn), closed: make(chan struct{})}
+	m.raftLayer.Store(layer)
+	return layer
 }
 
 // Accept returns the next incoming raft connection.
-func (n *raftLayer) Accept() (net.Conn, error) {
+func (l *raftLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-n.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-n.closed:
-	case <-n.done:
+	case <-l.closed:
+	case <-l.done:
 	}
 	return nil, net.ErrClosed
 }
 
 // Close stops accepting raft connections; the shared socket stays open.
-func (n *raftLayer) Close() error {
-	n.closeRaftOnce.Do(func() { close(n.closed) })
-	n.multiplexer.raftLayer.CompareAndSwap(n, nil)
+func (l *raftLayer) Close() error {
+	l.closeRaftOnce.Do(func() { close(l.closed) })
+	l.multiplexer.raftLayer.CompareAndSwap(l, nil)
 	return nil
 }
 
 // Dial opens a raft connection and sends the cluster name.
-func (n *raftLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	conn, err := n.dial(string(address), purposeRaft, timeout)
+func (l *raftLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	conn, err := l.dial(string(address), purposeRaft, timeout)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := conn.Write(append([]byte{byte(len(n.clusterName))}, n.clusterName...)); err != nil {
+	if _, err := conn.Write(append([]byte{byte(len(l.clusterName))}, l.clusterName...)); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	return conn, nil
 }
 
-// sameCluster reads the cluster name at the start of a raft connection and compares it. Guards against entries from another
-// cluster whose nodes were configured with the same addresses: raft itself would accept them.
-func (n *raftLayer) sameCluster(conn net.Conn) bool {
+// sameCluster reads the cluster name at the start of a raft connection and compares it. Raft itself
+// would accept entries from another cluster whose replicas were configured with the same addresses.
+func (l *raftLayer) sameCluster(conn net.Conn) bool {
 	b := make([]byte, 256)
 	if _, err := io.ReadFull(conn, b[:1]); err != nil {
 		return false
 	}
 	name := b[1 : 1+int(b[0])]
 	_, err := io.ReadFull(conn, name)
-	return err == nil && (n.clusterName == "" || len(name) == 0 || string(name) == n.clusterName)
+	return err == nil && (l.clusterName == "" || len(name) == 0 || string(name) == l.clusterName)
 }
 
-func (l *multiplexer) sessionHandler() func(net.Conn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.sessions
+func (m *multiplexer) sessionHandler() func(net.Conn) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.sessions
 }
 
-func (l *multiplexer) watchHandler() func(net.Conn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.watches
+func (m *multiplexer) watchHandler() func(net.Conn) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.watches
 }
 
-func (l *multiplexer) run() {
+func (m *multiplexer) run() {
 	for {
-		conn, err := l.Listener.Accept()
+		conn, err := m.Listener.Accept()
 		if err != nil {
-			l.Close()
+			m.Close()
 			return
 		}
-		go l.dispatch(conn)
+		go m.dispatch(conn)
 	}
 }
 
-func (l *multiplexer) dispatch(conn net.Conn) {
+func (m *multiplexer) dispatch(conn net.Conn) {
 	var b [1]byte
 	conn.SetReadDeadline(time.Now().Add(purposeTimeout))
 	if _, err := conn.Read(b[:]); err != nil {
 		conn.Close()
 		return
 	}
-	n := l.raftLayer.Load()
-	if b[0] == purposeRaft && n != nil && !n.sameCluster(conn) {
-		n = nil
+	layer := m.raftLayer.Load()
+	if b[0] == purposeRaft && layer != nil && !layer.sameCluster(conn) {
+		layer = nil
 	}
 	conn.SetReadDeadline(time.Time{})
-	switch handler := l.handlers[b[0]]; {
+	switch handler := m.handlers[b[0]]; {
 	case b[0] == purposeRaft:
-		if n != nil {
+		if layer != nil {
 			select {
-			case n.conns <- conn:
+			case layer.conns <- conn:
 				return
-			case <-n.closed:
-			case <-l.done:
+			case <-layer.closed:
+			case <-m.done:
 			}
 		}
 	case b[0] == PurposeSessions:
-		if handler := l.sessionHandler(); handler != nil {
+		if handler := m.sessionHandler(); handler != nil {
 			handler(conn)
 			return
 		}
 	case b[0] == PurposeWatches:
-		if handler := l.watchHandler(); handler != nil {
+		if handler := m.watchHandler(); handler != nil {
 			handler(conn)
 			return
 		}
@@ -167,13 +167,13 @@
 }
 
 // Close closes the listening socket.
-func (l *multiplexer) Close() error {
-	l.closeOnce.Do(func() { close(l.done) })
-	return l.Listener.Close()
+func (m *multiplexer) Close() error {
+	m.closeOnce.Do(func() { close(m.done) })
+	return m.Listener.Close()
 }
 
-func (l *multiplexer) dial(address string, purpose byte, timeout time.Duration) (net.Conn, error) {
-	if override := l.addressOverrides[address]; override != "" {
+func (m *multiplexer) dial(address string, purpose byte, timeout time.Duration) (net.Conn, error) {
+	if override := m.addressOverrides[address]; override != "" {
 		address = override
 	}
 	conn, err := net.DialTimeout("tcp", address, timeout)
--- a/internal/store/rates_test.go
+++ b/internal/store/rates_test.go
@@ -23,7 +23,7 @@
 func startThreeReplicas(b *testing.B) *Store {
 	b.Helper()
 	peers := map[string]string{}
-	var nodes []*Store
+	var replicas []*Store
 	for _, id := range []string{"a", "b", "c"} {
 		s, err := Open(Options{ID: id, Listen: "127.0.0.1:0", Dir: b.TempDir()})
 		if err != nil {
@@ -31,15 +31,15 @@
 		}
 		b.Cleanup(func() { s.Close() })
 		peers[id] = s.Addr()
-		nodes = append(nodes, s)
+		replicas = append(replicas, s)
 	}
-	for _, s := range nodes {
+	for _, s := range replicas {
 		if err := s.Start(peers); err != nil {
 			b.Fatal(err)
 		}
 	}
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		for _, s := range nodes {
+		for _, s := range replicas {
 			if _, isLeader := s.Leadership(); isLeader {
 				return s
 			}
--- a/internal/store/resolve.go
+++ b/internal/store/resolve.go
@@ -12,10 +12,10 @@
 	"puffinsaddle/internal/store/disk"
 )
 
-// RecoverCluster recovers a cluster whose majority is permanently lost, from the data directory of one node. The node's process
-// must not be running. The node becomes the only voter; the others discard any entries beyond its log when they return, since
-// each has to rejoin, and become voters again once they have caught up. Whether the discarded entries were committed cannot be
-// determined, so the decision is left to operators.
+// RecoverCluster recovers a cluster whose majority is permanently lost, from the data directory of one replica. The process of
+// this replica must not be running. The replica becomes the only voter; the others discard any entries beyond its log when they
+// return, since each has to rejoin, and become voters again once they have caught up. Whether the discarded entries were committed
+// cannot be determined, so the decision is left to operators.
 func RecoverCluster(o Options) (disk.Report, error) {
 	if o.Log == nil {
 		o.Log = io.Discard
@@ -38,25 +38,25 @@
 	if err != nil {
 		return report, err
 	}
-	f, err := disk.OpenDirectory(o.Dir, processID, o.Log, disk.Options{})
+	directory, err := disk.OpenDirectory(o.Dir, processID, o.Log, disk.Options{})
 	if err != nil {
 		return report, err
 	}
-	defer f.Close()
+	defer directory.Close()
 	_, trans := raft.NewInmemTransport(raft.ServerAddress(o.Peers[o.ID]))
-	if err := raft.RecoverCluster(o.raftConfig(), newStateMachine(), f, f, f.Snapshots, trans, o.soleVoterConfiguration()); err != nil {
+	if err := raft.RecoverCluster(o.raftConfig(), newStateMachine(), directory, directory, directory.Snapshots, trans, o.soleVoterConfiguration()); err != nil {
 		return report, fmt.Errorf("store: %w", err)
 	}
 	// This comes last: if recovery is interrupted, the directory still belongs to the old cluster and recovery can be
 	// repeated.
-	if err := f.RecordNewCluster(report.Directory.ClusterName); err != nil {
+	if err := directory.RecordNewCluster(report.Directory.ClusterName); err != nil {
 		return report, err
 	}
-	report.Directory = f.State()
+	report.Directory = directory.State()
 	return report, nil
 }
 
-// soleVoterConfiguration returns a configuration in which this node is the only voter.
+// soleVoterConfiguration returns a configuration in which this replica is the only voter.
 func (o Options) soleVoterConfiguration() (c raft.Configuration) {
 	for _, id := range slices.Sorted(maps.Keys(o.Peers)) {
 		member := raft.Server{ID: raft.ServerID(id), Address: raft.ServerAddress(o.Peers[id]), Suffrage: raft.Nonvoter}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store is a small replicated key-value store that holds configuration, inventory, drain marks and the ids of effects
-// begun. It runs hashicorp/raft over one port per node and keeps the log in a bolt file. Any node accepts reads and writes; a
-// write is forwarded to the leader and returns once a majority has it.
+// Package store replicates the state of package state: keys and values, duties, capacity allocations, effects, published
+// configuration versions and records. It runs hashicorp/raft over one port per replica and keeps the log in a bolt file. Any
+// replica accepts reads and writes; a write is forwarded to the leader and returns once a majority has it.
 package store
 
 import (
@@ -27,35 +27,35 @@
 )
 
 // ErrNoQuorum reports a write that was not confirmed by a majority. It may still be applied later.
-var ErrNoQuorum = errors.New("store: no quorum: the write was not confirmed by a majority of the nodes")
+var ErrNoQuorum = errors.New("store: no quorum: the write was not confirmed by a majority of the replicas")
 
 // ErrReplicasDiverged refuses effects while the replicas' states differ and no state has a majority.
 var ErrReplicasDiverged = errors.New("store: replicas differ and no state has a majority: no effect is begun until operators resolve it")
 
 const (
 	writeTimeout             = 2 * time.Second // for a write to be committed, and for a dial
-	maxWriteBytes            = 1 << 20         // of one write
+	maxWriteBytes            = 1 << 20         // maximum size of one write
 	shutdownTimeout          = time.Second     // for raft to shut down
 	defaultElectionTimeoutMS = 500.0
 	snapshotThreshold        = 8192 // log entries
 )
 
-// Options configure one node.
+// Options configure one replica of the store.
 type Options struct {
 	ID               string
 	Listen           string
 	Listener         net.Listener // in place of Listen; nil: none
 	Dir              string
-	Peers            map[string]string // addresses by node id, this one included; empty: Start sets the members, and no claims are sent
-	AddressOverrides map[string]string // by peer address: the address at which this node reaches it, if it is another one
-	Strict           bool              // more peers have to respond before this node participates: rejoin.Joiner
+	Peers            map[string]string // addresses by replica id, this one included; empty: Start sets the members, and no claims are sent
+	AddressOverrides map[string]string // by peer address: the address to dial in its place
+	Strict           bool              // require more accepting peers before this replica participates: rejoin.Joiner.Strict
 	Log              io.Writer         // raft's log output
 	Events           zerolog.Logger
 	Steady           *clock.Clock // nil: the system's steady clock
 
-	ElectionTimeoutMS float64                    // a leader without contact for one to two of these is replaced; 0: 500
-	CompareIntervalMS float64                    // between two comparisons of the replicas' state; 0: 1000
-	OnPhaseChange     func(phase, reason string) // optional; called at each change of the node's phase; must not block
+	ElectionTimeoutMS float64                    // ms; followers elect another leader after one to two of these without contact; 0: 500
+	CompareIntervalMS float64                    // ms between two comparisons of the replicas' state; 0: 1000
+	OnPhaseChange     func(phase, reason string) // optional; called at each change of the replica's phase; must not block
 
 	OnApply     func(index, term uint64, c state.Command, r state.Result) // optional; called for each applied entry, in log order; must not block
 	InjectedBug string                                                    // a bug injected by the lab; "": none
@@ -72,7 +72,7 @@
 	return conf
 }
 
-// Store is one node of the replicated store.
+// Store is one replica of the replicated store.
 type Store struct {
 	o           Options
 	processID   string // random, unique to this process
@@ -82,7 +82,7 @@
 	cancel      context.CancelFunc
 	savePeersMu sync.Mutex // serializes saves of the known peers
 
-	active           atomic.Pointer[participation] // nil while this node does not participate
+	active           atomic.Pointer[participation] // nil while this replica does not participate
 	decisionDue      chan struct{}                 // signals a change that decisions depend on
 	claimConnIDs     atomic.Uint64
 	claimConnections atomic.Int64 // claim connections being served
@@ -96,14 +96,14 @@
 	caughtUp            map[string]bool // by id of non-voter
 	phase               string
 	phaseReason         string
-	verificationStartMS float64       // when it began to send claims
+	verificationStartMS float64       // when this replica began to send claims
 	nextCompareMS       float64       // when the next partition of the state is compared
 	partition           uint64        // number of the latest partition to compare; wraps over the partitions of the state
 	peersChanged        bool          // the known peers changed since they were last saved
 	phaseChanged        chan struct{} // closed and replaced at each change of the phase
 }
 
-// participation holds what a node has only while it participates.
+// participation holds the raft instance of a replica and what belongs to it, while the replica participates.
 type participation struct {
 	raft       *raft.Raft
 	transport  *raft.NetworkTransport
@@ -112,7 +112,7 @@
 	voter      atomic.Bool
 }
 
-// Open starts a node from its data directory. The node participates once its peers accept the directory. Without peers in the
+// Open starts a replica from its data directory. The replica participates once its peers accept the directory. Without peers in the
 // options, Start bootstraps the cluster.
 func Open(o Options) (*Store, error) {
 	if o.Log == nil {
@@ -166,9 +166,9 @@
 	return s, nil
 }
 
-// openDirectory opens the data directory. Corruption is returned apart from err: the node requests to rejoin then.
+// openDirectory opens the data directory. Corruption is returned apart from err: the replica requests to rejoin then.
 func (s *Store) openDirectory(joinState rejoin.DirectoryState) (corruption error, err error) {
-	f, err := disk.OpenDirectory(s.o.Dir, s.processID, s.o.Log, disk.Options{OnFailure: s.diskFailed})
+	directory, err := disk.OpenDirectory(s.o.Dir, s.processID, s.o.Log, disk.Options{OnFailure: s.diskFailed})
 	if corrupt := (*disk.CorruptionError)(nil); errors.As(err, &corrupt) {
 		corruption, err = corrupt, nil
 	}
@@ -176,21 +176,21 @@
 		return nil, err
 	}
 	var peers map[string]rejoin.DirectoryState
-	if f != nil {
+	if directory != nil {
 		if joinState.JoinIndex > 0 {
-			err = f.RecordJoin(joinState)
+			err = directory.RecordJoin(joinState)
 		}
 		if err == nil {
-			peers, err = f.PeerDirectories()
+			peers, err = directory.PeerDirectories()
 		}
 		if err != nil {
-			f.Close()
+			directory.Close()
 			return nil, err
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.directory = f
+	s.directory = directory
 	if s.verifier == nil || len(peers) > 0 {
 		s.verifier = rejoin.NewVerifier(s.o.ID, peers)
 	} else {
@@ -203,8 +203,8 @@
 			s.joiner.Peers = append(s.joiner.Peers, id)
 		}
 	}
-	if f != nil {
-		s.joiner.DirectoryState, s.joiner.Fresh, s.joiner.SoleVoter = f.State(), f.Empty(), f.SoleVoter()
+	if directory != nil {
+		s.joiner.DirectoryState, s.joiner.Fresh, s.joiner.SoleVoter = directory.State(), directory.Empty(), directory.SoleVoter()
 	} else {
 		s.joiner.ProcessID, s.joiner.RejoinReason = s.processID, corruption.Error()
 		s.setPhase(PhaseRejoining, corruption.Error())
@@ -212,24 +212,24 @@
 	return corruption, nil
 }
 
-// participate makes the node participate. If its directory is empty and peers are given, it bootstraps a new cluster of them.
+// participate makes the replica participate. If its directory is empty and peers are given, it bootstraps a new cluster of them.
 func (s *Store) participate(peers map[string]string) error {
 	s.mu.Lock()
-	f := s.directory
+	directory := s.directory
 	s.mu.Unlock()
-	r := &participation{directory: f}
-	r.voter.Store(f.IsVoter())
-	raftLayer := s.mux.openRaftLayer(f.State().ClusterName)
+	r := &participation{directory: directory}
+	r.voter.Store(directory.IsVoter())
+	raftLayer := s.mux.openRaftLayer(directory.State().ClusterName)
 	r.transport = raft.NewNetworkTransport(raftLayer, 3, writeTimeout, s.o.Log)
 	r.voteFilter = newVoteFilter(r.transport, r.voter.Load)
-	empty := f.Empty() && f.State().JoinIndex == 0
+	empty := directory.Empty() && directory.State().JoinIndex == 0
 	var err error
-	if r.raft, err = raft.NewRaft(s.o.raftConfig(), s.fsm, f, f, f.Snapshots, r.voteFilter); err != nil {
+	if r.raft, err = raft.NewRaft(s.o.raftConfig(), s.fsm, directory, directory, directory.Snapshots, r.voteFilter); err != nil {
 		r.voteFilter.Close()
 		raftLayer.Close()
 		return err
 	}
-	f.SetRaftRunning()
+	directory.SetRaftRunning()
 	s.active.Store(r)
 	if empty && len(peers) > 0 {
 		if err := s.Start(peers); err != nil {
@@ -244,7 +244,7 @@
 	return nil
 }
 
-// Start bootstraps a new cluster of these nodes. It does nothing on a node that already has raft state.
+// Start bootstraps a new cluster of these replicas. It does nothing on a replica that already has raft state.
 func (s *Store) Start(peers map[string]string) error {
 	r := s.active.Load()
 	if r == nil {
@@ -260,10 +260,10 @@
 	return nil
 }
 
-// Addr returns the address on which the node listens.
+// Addr returns the address on which the replica listens.
 func (s *Store) Addr() string { return s.mux.Addr().String() }
 
-// Ready waits until the node participates and knows a leader.
+// Ready waits until the replica participates and knows a leader.
 func (s *Store) Ready(ctx context.Context) error {
 	for {
 		s.mu.Lock()
@@ -297,7 +297,7 @@
 	}
 }
 
-// Get reads a key from this node's state, which may lag the leader's.
+// Get reads a key from this replica's state, which may lag the leader's.
 func (s *Store) Get(key string) ([]byte, bool) {
 	s.fsm.mu.Lock()
 	defer s.fsm.mu.Unlock()
@@ -305,7 +305,7 @@
 	return v, ok
 }
 
-// Changed returns a channel that is closed when the next entry is applied on this node.
+// Changed returns a channel that is closed when the next entry is applied on this replica.
 func (s *Store) Changed() <-chan struct{} {
 	s.fsm.mu.Lock()
 	defer s.fsm.mu.Unlock()
@@ -329,7 +329,7 @@
 	return s.write(state.Command{Op: state.OpBeginEffect, Key: id})
 }
 
-// Snapshot writes a snapshot of the state to the node's data directory.
+// Snapshot writes a snapshot of the state to the replica's data directory.
 func (s *Store) Snapshot() error {
 	r := s.active.Load()
 	if r == nil {
@@ -345,7 +345,7 @@
 	Error   string `json:"error,omitempty"`   // not confirmed
 }
 
-// write passes a command to the leader, on this node or another. It is sent only once: a command without a response may have
+// write passes a command to the leader, on this replica or another. It is sent only once: a command without a response may have
 // been committed.
 func (s *Store) write(c state.Command) (bool, error) {
 	var r state.Result
@@ -388,7 +388,7 @@
 
 func (s *Store) apply(c state.Command) (state.Result, error) { return s.Propose(c)() }
 
-// Propose appends a command to the log of this node, which has to be the leader; the returned function waits for the result.
+// Propose appends a command to the log of this replica, which has to be the leader; the returned function waits for the result.
 // After an error the command may or may not be applied. Commands proposed by one goroutine are applied in that order.
 func (s *Store) Propose(c state.Command) func() (state.Result, error) {
 	b, err := json.Marshal(c)
@@ -412,9 +412,9 @@
 	}
 }
 
-// ConfirmLeadership appends a barrier entry; the returned function waits until a majority has it, which proves that this node was
-// the leader and had all committed entries at some time after the call. raft's own VerifyLeader does not prove that: it also
-// counts responses to heartbeats sent before the call, so a node that was paused for a while and then reads one would still
+// ConfirmLeadership appends a barrier entry; the returned function waits until a majority has it, which proves that this replica
+// was the leader and had all committed entries at some time after the call. raft's own VerifyLeader does not prove that: it also
+// counts responses to heartbeats sent before the call, so a replica that was paused and then reads such a response would still
 // consider itself the leader.
 func (s *Store) ConfirmLeadership() func() error {
 	r := s.active.Load()
@@ -424,7 +424,7 @@
 	return r.raft.Barrier(writeTimeout).Error
 }
 
-// Leadership returns the current term and whether this node believes that it is the leader in it.
+// Leadership returns the current term and whether this replica believes that it is the leader in it.
 func (s *Store) Leadership() (term uint64, isLeader bool) {
 	r := s.active.Load()
 	if r == nil {
@@ -435,7 +435,7 @@
 	return term, isLeader && term == r.raft.CurrentTerm()
 }
 
-// Leader returns the id of the leader as this node knows it; "": none.
+// Leader returns the id of the leader as this replica knows it; "": none.
 func (s *Store) Leader() string {
 	r := s.active.Load()
 	if r == nil {
@@ -485,7 +485,7 @@
 	s.mux.watches = serve
 }
 
-// serveWrite applies one write forwarded by another node.
+// serveWrite applies one write forwarded by another replica.
 func (s *Store) serveWrite(conn net.Conn) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(2 * writeTimeout))
@@ -504,8 +504,8 @@
 // ErrShutdownTimeout reports that raft did not shut down in time.
 var ErrShutdownTimeout = errors.New("store: raft did not shut down in time")
 
-// waitFor waits up to d for shutDown to return. Guards against raft's pipelined replication: it can block forever on sending to a
-// peer whose connection hangs with a full pipeline, and raft's shutdown waits for it. A draining process must not.
+// waitFor waits up to d for shutDown to return. Raft's pipelined replication can block forever on sending to a peer whose
+// connection hangs with a full pipeline, and raft's shutdown waits for it. A draining process must not wait that long.
 func waitFor(d time.Duration, shutDown func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- shutDown() }()
@@ -519,7 +519,7 @@
 	}
 }
 
-// Close stops the node. A leader first transfers its leadership, so that writes need not wait for an election. If raft does not
+// Close stops the replica. A leader first transfers its leadership, so that writes need not wait for an election. If raft does not
 // shut down, its log stays open, since raft may still write to it; the process should exit.
 func (s *Store) Close() error {
 	s.cancel()
@@ -529,22 +529,22 @@
 		return err
 	}
 	s.mu.Lock()
-	f := s.directory
+	directory := s.directory
 	s.mu.Unlock()
-	if f != nil {
-		err = errors.Join(err, f.Close())
+	if directory != nil {
+		err = errors.Join(err, directory.Close())
 	}
 	return err
 }
 
-// stopParticipating ends the node's participation. With transferLeadership, a leader first hands over its leadership.
+// stopParticipating ends the replica's participation. With transferLeadership, a leader first hands over its leadership.
 func (s *Store) stopParticipating(transferLeadership bool) error {
 	r := s.active.Swap(nil)
 	if r == nil {
 		return nil
 	}
 	if transferLeadership && r.raft.State() == raft.Leader {
-		r.raft.LeadershipTransfer().Error() // if no node can take over, an election follows
+		r.raft.LeadershipTransfer().Error() // if no replica can take over, an election follows
 	}
 	err := waitFor(shutdownTimeout, r.raft.Shutdown().Error)
 	r.voteFilter.Close()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,7 +13,7 @@
 
 const testTimeout = 60 * time.Second
 
-func openNode(t *testing.T, id, listen, dir string) *Store {
+func openReplica(t *testing.T, id, listen, dir string) *Store {
 	t.Helper()
 	s, err := Open(Options{ID: id, Listen: listen, Dir: dir})
 	if err != nil {
@@ -22,18 +22,18 @@
 	return s
 }
 
-func waitReady(t *testing.T, nodes ...*Store) {
+func waitReady(t *testing.T, replicas ...*Store) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	for _, s := range nodes {
+	for _, s := range replicas {
 		if err := s.Ready(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// setValue writes a key on a node, and retries while there is no leader.
+// setValue writes a key on a replica, and retries while there is no leader.
 func setValue(t *testing.T, s *Store, key, value string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -70,7 +70,7 @@
 
 func TestSnapshotAndRestart(t *testing.T) {
 	dir := t.TempDir()
-	s := openNode(t, "a", "127.0.0.1:0", dir)
+	s := openReplica(t, "a", "127.0.0.1:0", dir)
 	address := s.Addr()
 	if err := s.Start(map[string]string{"a": address}); err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s = openNode(t, "a", address, dir)
+	s = openReplica(t, "a", address, dir)
 	defer s.Close()
 	waitReady(t, s)
 	waitValue(t, s, "config", "one")
@@ -105,43 +105,43 @@
 	}
 }
 
-func TestWritesAfterNodeAndQuorumLoss(t *testing.T) {
+func TestWritesAfterReplicaAndQuorumLoss(t *testing.T) {
 	peers := map[string]string{}
-	var nodes []*Store
+	var replicas []*Store
 	for _, id := range []string{"a", "b", "c"} {
-		s := openNode(t, id, "127.0.0.1:0", t.TempDir())
+		s := openReplica(t, id, "127.0.0.1:0", t.TempDir())
 		peers[id] = s.Addr()
-		nodes = append(nodes, s)
+		replicas = append(replicas, s)
 	}
-	for _, s := range nodes {
+	for _, s := range replicas {
 		if err := s.Start(peers); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitReady(t, nodes...)
-	for i, s := range nodes { // two of these are followers, which forward the write
+	waitReady(t, replicas...)
+	for i, s := range replicas { // two of these are followers, which forward the write
 		setValue(t, s, fmt.Sprint("k", i), "v")
 	}
-	for _, s := range nodes {
-		for i := range nodes {
+	for _, s := range replicas {
+		for i := range replicas {
 			waitValue(t, s, fmt.Sprint("k", i), "v")
 		}
 	}
-	if err := nodes[0].Close(); err != nil {
+	if err := replicas[0].Close(); err != nil {
 		t.Fatal(err)
 	}
-	setValue(t, nodes[1], "after", "one lost")
-	waitValue(t, nodes[2], "after", "one lost")
-	if err := nodes[1].Close(); err != nil {
+	setValue(t, replicas[1], "after", "one lost")
+	waitValue(t, replicas[2], "after", "one lost")
+	if err := replicas[1].Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := nodes[2].Set("after", []byte("two lost")); !errors.Is(err, ErrNoQuorum) {
+	if err := replicas[2].Set("after", []byte("two lost")); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("write without a quorum: %v, want %v", err, ErrNoQuorum)
 	}
-	if fresh, err := nodes[2].Begin("e"); fresh || !errors.Is(err, ErrNoQuorum) {
+	if fresh, err := replicas[2].Begin("e"); fresh || !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("effect without a quorum: %v %v", fresh, err)
 	}
-	nodes[2].Close()
+	replicas[2].Close()
 }
 
 func TestCloseDoesNotWaitForBlockedRaft(t *testing.T) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// BenchmarkBegins measures the latency of recording an effect, and its rate, with three nodes on one machine's disk and several
+// BenchmarkBegins measures the latency of recording an effect, and its rate, with three replicas on one machine's disk and several
 // concurrent writers.
 func BenchmarkBegins(b *testing.B) {
 	for _, writers := range []int{1, 16, 64} {
