--- a/internal/allocation/allocation_test.go
+++ b/internal/allocation/allocation_test.go
@@ -38,8 +38,8 @@
 func TestSharesInForceStayWithinThePool(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		b, pool := NewAllocations(), int64(20000)
-		if err := b.SetPool(pool); err != nil {
+		allocations, pool := NewAllocations(), int64(20000)
+		if err := allocations.SetPool(pool); err != nil {
 			t.Fatal(err)
 		}
 		inUse := map[string]*LocalShare{}
@@ -48,43 +48,43 @@
 			switch rng.IntN(6) {
 			case 0:
 				if inUse[process] == nil {
-					b.AddProcess(process)
+					allocations.AddProcess(process)
 					inUse[process] = &LocalShare{}
 				} else if rng.IntN(4) == 0 {
 					delete(inUse, process) // its presence ended: it stops using the share before its entry is removed
-					b.RemoveProcess(process)
+					allocations.RemoveProcess(process)
 				}
 			case 1, 2: // a plan that is carried out in part: each change is checked on its own
 				var needs []ProcessNeed
-				for _, w := range b.Processes() {
-					needs = append(needs, ProcessNeed{w, rng.Int64N(8000), *b.Shares[w]})
+				for _, id := range allocations.Processes() {
+					needs = append(needs, ProcessNeed{id, rng.Int64N(8000), *allocations.Shares[id]})
 				}
 				for _, c := range Plan(pool, needs, false) {
 					if rng.IntN(5) > 0 {
-						if err := b.SetTarget(c.Who, c.Amount, false); err != nil && !errors.Is(err, ErrOverPool) {
+						if err := allocations.SetTarget(c.Who, c.Amount, false); err != nil && !errors.Is(err, ErrOverPool) {
 							t.Fatal(err)
 						}
 					}
 				}
 			case 3, 4: // the process applies its share and acknowledges it, not always
 				if m := inUse[process]; m != nil {
-					m.Apply(*b.Shares[process])
+					m.Apply(*allocations.Shares[process])
 					if rng.IntN(3) > 0 {
-						b.Acknowledge(process, m.Version)
+						allocations.Acknowledge(process, m.Version)
 					}
 				}
 			case 5:
 				if m := inUse[process]; m != nil {
-					b.Acknowledge(process, m.Version)
-					b.Acknowledge(process, m.Version-1)
+					allocations.Acknowledge(process, m.Version)
+					allocations.Acknowledge(process, m.Version-1)
 				}
 			}
 			sum := int64(0)
 			for _, m := range inUse {
 				sum += m.Amount
 			}
-			if sum > pool || b.TotalCap() > pool {
-				t.Fatalf("seed %d, step %d: %d in use and %d counted of a pool of %d", seed, step, sum, b.TotalCap(), pool)
+			if sum > pool || allocations.TotalCap() > pool {
+				t.Fatalf("seed %d, step %d: %d in use and %d counted of a pool of %d", seed, step, sum, allocations.TotalCap(), pool)
 			}
 		}
 	}
@@ -94,60 +94,60 @@
 // in use exceed the pool.
 func TestIncreaseBeforeReductionIsAcknowledgedIsRefused(t *testing.T) {
 	for _, unchecked := range []bool{false, true} {
-		b := NewAllocations()
-		b.SetPool(100)
-		b.AddProcess("a")
-		b.AddProcess("b")
-		if err := b.SetTarget("a", 100, false); err != nil {
+		allocations := NewAllocations()
+		allocations.SetPool(100)
+		allocations.AddProcess("a")
+		allocations.AddProcess("b")
+		if err := allocations.SetTarget("a", 100, false); err != nil {
 			t.Fatal(err)
 		}
-		inUse := b.Shares["a"].Target
-		if err := b.SetTarget("a", 20, false); err != nil {
+		inUse := allocations.Shares["a"].Target
+		if err := allocations.SetTarget("a", 20, false); err != nil {
 			t.Fatal(err)
 		}
-		err := b.SetTarget("b", 80, unchecked)
-		over := inUse+b.Shares["b"].Target > 100
+		err := allocations.SetTarget("b", 80, unchecked)
+		over := inUse+allocations.Shares["b"].Target > 100
 		if unchecked != over || unchecked != (err == nil) {
 			t.Errorf("unchecked %v: over %v, %v", unchecked, over, err)
 		}
-		b.Acknowledge("a", b.Shares["a"].Version)
-		if err := b.SetTarget("b", 80, false); err != nil {
+		allocations.Acknowledge("a", allocations.Shares["a"].Version)
+		if err := allocations.SetTarget("b", 80, false); err != nil {
 			t.Errorf("after the reduction is acknowledged: %v", err)
 		}
 	}
 }
 
 func TestPlanConverges(t *testing.T) {
-	b := NewAllocations()
-	b.SetPool(10000)
+	allocations := NewAllocations()
+	allocations.SetPool(10000)
 	needs := map[string]int64{"a": 500, "b": 9000, "c": 100}
-	for w := range needs {
-		b.AddProcess(w)
+	for process := range needs {
+		allocations.AddProcess(process)
 	}
 	steps := 0
 	for range 20 {
 		var current []ProcessNeed
-		for _, w := range b.Processes() {
-			current = append(current, ProcessNeed{w, needs[w], *b.Shares[w]})
+		for _, process := range allocations.Processes() {
+			current = append(current, ProcessNeed{process, needs[process], *allocations.Shares[process]})
 		}
 		plan := Plan(10000, current, false)
 		for _, c := range plan {
-			if err := b.SetTarget(c.Who, c.Amount, false); err != nil {
+			if err := allocations.SetTarget(c.Who, c.Amount, false); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for _, w := range b.Processes() {
-			b.Acknowledge(w, b.Shares[w].Version)
+		for _, process := range allocations.Processes() {
+			allocations.Acknowledge(process, allocations.Shares[process].Version)
 		}
 		steps = len(plan)
 	}
 	if steps != 0 {
 		t.Errorf("%d changes in the last round though the needs are constant", steps)
 	}
-	if b.Shares["b"].Target < 8000 || b.TotalCap() > 10000 {
-		t.Errorf("b has a target of %d with a need of 9000; sum of shares %d", b.Shares["b"].Target, b.TotalCap())
+	if allocations.Shares["b"].Target < 8000 || allocations.TotalCap() > 10000 {
+		t.Errorf("b has a target of %d with a need of 9000; sum of shares %d", allocations.Shares["b"].Target, allocations.TotalCap())
 	}
-	if err := b.SetPool(5000); !errors.Is(err, ErrOverPool) {
+	if err := allocations.SetPool(5000); !errors.Is(err, ErrOverPool) {
 		t.Errorf("pool below the sum in force: %v, want ErrOverPool", err)
 	}
 }
--- a/internal/duty/explore_test.go
+++ b/internal/duty/explore_test.go
@@ -51,46 +51,46 @@
 var candidateIDs = [2]string{"a#1", "b#1"}
 
 func newModel(rates [4]float64, injectedBug string) *model {
-	w := &model{clockRates: rates, table: NewTable(), injectedBug: injectedBug, trueTime: 10000, maxMessages: maxPrefixMessages}
-	for i := range w.machines {
-		w.machines[i] = NewMachine(exploreRules, candidateIDs[i], 1)
-		w.machines[i].jitter = func() float64 { return 1 }
-		w.machines[i].InjectedBug = injectedBug
+	m := &model{clockRates: rates, table: NewTable(), injectedBug: injectedBug, trueTime: 10000, maxMessages: maxPrefixMessages}
+	for i := range m.machines {
+		m.machines[i] = NewMachine(exploreRules, candidateIDs[i], 1)
+		m.machines[i].jitter = func() float64 { return 1 }
+		m.machines[i].InjectedBug = injectedBug
 	}
-	w.grantor = &Grantor{Rules: exploreRules, Seed: 1, InjectedBug: injectedBug}
-	w.grantor.StartTerm(1, w.clock(2)-exploreRules.RenewIntervalMS*2)
-	return w
+	m.grantor = &Grantor{Rules: exploreRules, Seed: 1, InjectedBug: injectedBug}
+	m.grantor.StartTerm(1, m.clock(2)-exploreRules.RenewIntervalMS*2)
+	return m
 }
 
 // takePrefix takes the steps that precede a search.
-func (w *model) takePrefix(prefix []string) {
+func (m *model) takePrefix(prefix []string) {
 	for _, s := range prefix {
-		w.step(s)
+		m.step(s)
 	}
-	w.maxMessages = maxSearchMessages
-	w.messages = w.messages[max(len(w.messages)-w.maxMessages, 0):]
+	m.maxMessages = maxSearchMessages
+	m.messages = m.messages[max(len(m.messages)-m.maxMessages, 0):]
 }
 
-func (w *model) clock(participant int) float64 { return w.trueTime * w.clockRates[participant] }
+func (m *model) clock(participant int) float64 { return m.trueTime * m.clockRates[participant] }
 
-func (w *model) clone() *model {
-	c := *w
-	for i, m := range w.machines {
-		n := *m
+func (m *model) clone() *model {
+	c := *m
+	for i, machine := range m.machines {
+		n := *machine
 		n.leases = map[string]*localLease{}
-		for k, h := range m.leases {
+		for k, h := range machine.leases {
 			v := *h
 			n.leases[k] = &v
 		}
-		n.endedEpochs, n.pendingReleases, n.cooldownUntil = maps.Clone(m.endedEpochs), maps.Clone(m.pendingReleases),
-			maps.Clone(m.cooldownUntil)
+		n.endedEpochs, n.pendingReleases, n.cooldownUntil = maps.Clone(machine.endedEpochs), maps.Clone(machine.pendingReleases),
+			maps.Clone(machine.cooldownUntil)
 		c.machines[i] = &n
 	}
-	c.grantor, c.table = w.grantor.clone(), w.table.Clone()
-	if w.formerGrantor != nil {
-		c.formerGrantor, c.formerTable = w.formerGrantor.clone(), w.formerTable.Clone()
+	c.grantor, c.table = m.grantor.clone(), m.table.Clone()
+	if m.formerGrantor != nil {
+		c.formerGrantor, c.formerTable = m.formerGrantor.clone(), m.formerTable.Clone()
 	}
-	c.messages = slices.Clone(w.messages)
+	c.messages = slices.Clone(m.messages)
 	return &c
 }
 
@@ -105,33 +105,33 @@
 	return &n
 }
 
-func (w *model) send(m message) {
-	w.messages = append(w.messages, m)
-	w.messages = slices.Clone(w.messages[max(len(w.messages)-w.maxMessages, 0):])
+func (m *model) send(msg message) {
+	m.messages = append(m.messages, msg)
+	m.messages = slices.Clone(m.messages[max(len(m.messages)-m.maxMessages, 0):])
 }
 
 // handleActions carries out the actions of a machine. A holder that is asked to yield has no act under way and releases at once.
-func (w *model) handleActions(i int, actions []Action) {
+func (m *model) handleActions(i int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SendHeartbeat:
-			w.send(message{to: -1, heartbeat: a.Heartbeat})
+			m.send(message{to: -1, heartbeat: a.Heartbeat})
 		case YieldRequested:
-			w.handleActions(i, w.machines[i].Quiesced(w.clock(i), a.Ref))
+			m.handleActions(i, m.machines[i].Quiesced(m.clock(i), a.Ref))
 		}
 	}
 }
 
 // applyOrders applies orders as the log does, and sends replies to the processes that were granted a lease.
-func (w *model) applyOrders(orders []Order) {
+func (m *model) applyOrders(orders []Order) {
 	for _, o := range orders {
-		w.logIndex++
-		err := w.table.Apply(o, w.grantor.term)
-		w.grantor.HandleOrderResult(w.clock(2), o, w.table)
+		m.logIndex++
+		err := m.table.Apply(o, m.grantor.term)
+		m.grantor.HandleOrderResult(m.clock(2), o, m.table)
 		if err == nil && o.Kind == Grant {
 			for i := range candidateIDs {
-				if candidateIDs[i] == o.Holder && w.handledSeq[i] > 0 {
-					w.send(message{to: i, reply: w.grantor.Reply(candidateIDs[i], w.handledSeq[i], w.logIndex, w.table)})
+				if candidateIDs[i] == o.Holder && m.handledSeq[i] > 0 {
+					m.send(message{to: i, reply: m.grantor.Reply(candidateIDs[i], m.handledSeq[i], m.logIndex, m.table)})
 				}
 			}
 		}
@@ -141,77 +141,77 @@
 var deliverSteps = [maxPrefixMessages]string{"deliver 0", "deliver 1", "deliver 2", "deliver 3", "deliver 4"}
 
 // steps returns the steps that are possible now.
-func (w *model) steps() []string {
+func (m *model) steps() []string {
 	s := []string{"time", "run 0", "run 1", "turn", "lead"}
-	for i, l := range w.messages {
-		if l.to >= 0 && l.reply.LogIndex < w.machines[l.to].seenIndex {
+	for i, l := range m.messages {
+		if l.to >= 0 && l.reply.LogIndex < m.machines[l.to].seenIndex {
 			continue // a reply with a lower log index is ignored
 		}
 		s = append(s, deliverSteps[i])
-		if w.formerGrantor != nil && w.injectedBug == BugUnproven && w.messages[i].to < 0 {
+		if m.formerGrantor != nil && m.injectedBug == BugUnproven && m.messages[i].to < 0 {
 			s = append(s, fmt.Sprintf("deliver-old %d", i))
 		}
 	}
-	if l := w.table.Leases["d"]; l != nil && l.Holder != "" && !l.Yield {
+	if l := m.table.Leases["d"]; l != nil && l.Holder != "" && !l.Yield {
 		s = append(s, "ask")
 	}
 	return s
 }
 
-func (w *model) step(s string) {
+func (m *model) step(s string) {
 	name, arg, _ := strings.Cut(s, " ")
 	n := 0
 	fmt.Sscan(arg, &n)
 	switch name {
 	case "time":
-		w.trueTime += timeStepMS
+		m.trueTime += timeStepMS
 	case "run": // a stalled process is one that does not take this step
-		w.machines[n].ExpediteHeartbeat()
-		w.handleActions(n, w.machines[n].Tick(w.clock(n)))
+		m.machines[n].ExpediteHeartbeat()
+		m.handleActions(n, m.machines[n].Tick(m.clock(n)))
 	case "turn":
-		w.applyOrders(w.grantor.Tick(w.clock(2), w.table))
-		w.applyOrders(w.grantor.Tick(w.clock(2), w.table))
+		m.applyOrders(m.grantor.Tick(m.clock(2), m.table))
+		m.applyOrders(m.grantor.Tick(m.clock(2), m.table))
 	case "lead": // another replica becomes the leader, with another clock
-		term := w.grantor.term
-		if w.injectedBug == BugUnproven { // without the bug, the replies of a former leader are not sent
-			w.formerGrantor, w.formerTable, w.formerLogIndex = w.grantor, w.table.Clone(), w.logIndex
+		term := m.grantor.term
+		if m.injectedBug == BugUnproven { // without the bug, the replies of a former leader are not sent
+			m.formerGrantor, m.formerTable, m.formerLogIndex = m.grantor, m.table.Clone(), m.logIndex
 		}
-		w.clockRates[2], w.clockRates[3] = w.clockRates[3], w.clockRates[2]
-		g := &Grantor{Rules: exploreRules, Seed: 1, InjectedBug: w.injectedBug}
-		w.logIndex++
-		g.StartTerm(term+1, w.clock(2))
-		w.grantor, w.handledSeq = g, [2]uint64{}
+		m.clockRates[2], m.clockRates[3] = m.clockRates[3], m.clockRates[2]
+		g := &Grantor{Rules: exploreRules, Seed: 1, InjectedBug: m.injectedBug}
+		m.logIndex++
+		g.StartTerm(term+1, m.clock(2))
+		m.grantor, m.handledSeq = g, [2]uint64{}
 	case "ask":
-		w.logIndex++
-		w.table.RequestYield("d")
+		m.logIndex++
+		m.table.RequestYield("d")
 	case "deliver", "deliver-old": // the message stays, so it may be delivered again
-		m := w.messages[n]
-		if m.to >= 0 {
-			w.handleActions(m.to, w.machines[m.to].HandleReply(w.clock(m.to), m.reply))
+		msg := m.messages[n]
+		if msg.to >= 0 {
+			m.handleActions(msg.to, m.machines[msg.to].HandleReply(m.clock(msg.to), msg.reply))
 			return
 		}
-		i := slices.Index(candidateIDs[:], m.heartbeat.From)
+		i := slices.Index(candidateIDs[:], msg.heartbeat.From)
 		if name == "deliver-old" { // only with the bug does a former leader reply
-			w.formerGrantor.HandleHeartbeat(w.clock(3), m.heartbeat, w.formerTable)
-			w.send(message{to: i, reply: w.formerGrantor.Reply(m.heartbeat.From, m.heartbeat.Seq, w.formerLogIndex, w.formerTable)})
+			m.formerGrantor.HandleHeartbeat(m.clock(3), msg.heartbeat, m.formerTable)
+			m.send(message{to: i, reply: m.formerGrantor.Reply(msg.heartbeat.From, msg.heartbeat.Seq, m.formerLogIndex, m.formerTable)})
 			return
 		}
-		w.handledSeq[i] = max(w.handledSeq[i], m.heartbeat.Seq)
-		w.applyOrders(w.grantor.HandleHeartbeat(w.clock(2), m.heartbeat, w.table))
-		w.logIndex++ // the log entry that proves the leadership
-		w.send(message{to: i, reply: w.grantor.Reply(m.heartbeat.From, m.heartbeat.Seq, w.logIndex, w.table)})
+		m.handledSeq[i] = max(m.handledSeq[i], msg.heartbeat.Seq)
+		m.applyOrders(m.grantor.HandleHeartbeat(m.clock(2), msg.heartbeat, m.table))
+		m.logIndex++ // the log entry that proves the leadership
+		m.send(message{to: i, reply: m.grantor.Reply(msg.heartbeat.From, msg.heartbeat.Seq, m.logIndex, m.table)})
 	}
 }
 
 // violation returns a description of a violated invariant, or "".
-func (w *model) violation() string {
-	a, hasA := w.machines[0].ActiveGrant(w.clock(0), "d")
-	b, hasB := w.machines[1].ActiveGrant(w.clock(1), "d")
+func (m *model) violation() string {
+	a, hasA := m.machines[0].ActiveGrant(m.clock(0), "d")
+	b, hasB := m.machines[1].ActiveGrant(m.clock(1), "d")
 	if hasA && hasB {
 		return fmt.Sprintf("two holders: a of epoch %d and b of epoch %d", a.Epoch, b.Epoch)
 	}
 	for i, r := range []Ref{a, b} {
-		if has := []bool{hasA, hasB}[i]; has && w.table.LastEpoch < r.Epoch {
+		if has := []bool{hasA, hasB}[i]; has && m.table.LastEpoch < r.Epoch {
 			return fmt.Sprintf("candidate holds epoch %d, which was never granted", r.Epoch)
 		}
 	}
@@ -219,7 +219,7 @@
 }
 
 // stateHash returns a hash of everything in the state that can affect later steps.
-func (w *model) stateHash() uint64 {
+func (m *model) stateHash() uint64 {
 	b := make([]byte, 0, 1024)
 	num := func(v uint64) { b = binary.LittleEndian.AppendUint64(b, v) }
 	flo := func(v float64) { num(math.Float64bits(math.Round(v * 8))) }
@@ -237,25 +237,25 @@
 			num(r.Epoch)
 		}
 	}
-	for i, m := range w.machines {
-		now := w.clock(i)
-		num(m.heartbeatSeq)
-		num(m.seenIndex)
-		for _, l := range w.messages { // sending times of heartbeats to which a reply can still arrive
+	for i, machine := range m.machines {
+		now := m.clock(i)
+		num(machine.heartbeatSeq)
+		num(machine.seenIndex)
+		for _, l := range m.messages { // sending times of heartbeats to which a reply can still arrive
 			for _, seq := range []uint64{l.heartbeat.Seq, l.reply.Seq} {
-				if at := m.sentHeartbeats[seq%heartbeatHistorySize]; seq > 0 && at.seq == seq {
+				if at := machine.sentHeartbeats[seq%heartbeatHistorySize]; seq > 0 && at.seq == seq {
 					flo(max(now-at.at, -1))
 				}
 			}
 		}
-		if hd := m.leases["d"]; hd != nil {
+		if hd := machine.leases["d"]; hd != nil {
 			num(hd.ref.Epoch)
 			flo(max(hd.until-now, 0))
 			str(hd.yieldCause)
 		}
-		num(m.endedEpochs["d"])
-		num(m.pendingReleases["d"].Epoch)
-		flag(now >= m.cooldownUntil["d"])
+		num(machine.endedEpochs["d"])
+		num(machine.pendingReleases["d"].Epoch)
+		flag(now >= machine.cooldownUntil["d"])
 	}
 	table := func(t *Table) {
 		num(t.LastEpoch)
@@ -282,25 +282,25 @@
 			}
 		}
 	}
-	table(w.table)
-	grantor(w.grantor, w.clock(2))
-	num(w.logIndex)
-	num(w.handledSeq[0])
-	num(w.handledSeq[1])
-	if w.formerGrantor != nil && w.injectedBug == BugUnproven {
-		table(w.formerTable)
-		num(w.formerLogIndex)
+	table(m.table)
+	grantor(m.grantor, m.clock(2))
+	num(m.logIndex)
+	num(m.handledSeq[0])
+	num(m.handledSeq[1])
+	if m.formerGrantor != nil && m.injectedBug == BugUnproven {
+		table(m.formerTable)
+		num(m.formerLogIndex)
 	}
-	for _, m := range w.messages {
-		num(uint64(m.to + 1))
-		num(m.heartbeat.Seq)
-		str(m.heartbeat.From)
-		refs(m.heartbeat.Renewals)
-		refs(m.heartbeat.Releases)
-		num(uint64(len(m.heartbeat.Candidacies)))
-		num(m.reply.Seq)
-		num(m.reply.LogIndex)
-		for _, g := range m.reply.HeldLeases {
+	for _, msg := range m.messages {
+		num(uint64(msg.to + 1))
+		num(msg.heartbeat.Seq)
+		str(msg.heartbeat.From)
+		refs(msg.heartbeat.Renewals)
+		refs(msg.heartbeat.Releases)
+		num(uint64(len(msg.heartbeat.Candidacies)))
+		num(msg.reply.Seq)
+		num(msg.reply.LogIndex)
+		for _, g := range msg.reply.HeldLeases {
 			num(g.Epoch)
 			flag(g.Yield)
 		}
@@ -312,20 +312,20 @@
 
 // explore searches every order of steps up to a depth. It returns the steps to a violation and its description, if there is one,
 // and the number of states seen. A state is not expanded again if it was reached before with as many steps left.
-func explore(w *model, depth int) (path []string, violation string, states int) {
+func explore(m *model, depth int) (path []string, violation string, states int) {
 	stepsLeft := map[uint64]int8{}
-	var search func(w *model, left int) string
-	search = func(w *model, left int) string {
-		if violation := w.violation(); violation != "" {
+	var search func(m *model, left int) string
+	search = func(m *model, left int) string {
+		if violation := m.violation(); violation != "" {
 			return violation
 		}
-		k := w.stateHash()
+		k := m.stateHash()
 		if had, known := stepsLeft[k]; left == 0 || known && int(had) >= left {
 			return ""
 		}
 		stepsLeft[k] = int8(left)
-		for _, s := range w.steps() {
-			c := w.clone()
+		for _, s := range m.steps() {
+			c := m.clone()
 			c.step(s)
 			if violation := search(c, left-1); violation != "" {
 				path = append(path, s)
@@ -334,7 +334,7 @@
 		}
 		return ""
 	}
-	violation = search(w, depth)
+	violation = search(m, depth)
 	slices.Reverse(path)
 	return path, violation, len(stepsLeft)
 }
@@ -357,9 +357,9 @@
 		for _, rates := range extremeClockRates[:2] {
 			t.Run(fmt.Sprint(name, rates), func(t *testing.T) {
 				t.Parallel()
-				w := newModel(rates, "")
-				w.takePrefix(prefix)
-				path, violation, states := explore(w, exploreDepth)
+				m := newModel(rates, "")
+				m.takePrefix(prefix)
+				path, violation, states := explore(m, exploreDepth)
 				if violation != "" {
 					t.Fatalf("%s after the prefix %q and the steps %q", violation, prefix, path)
 				}
@@ -374,13 +374,13 @@
 	for injectedBug, start := range map[string]string{BugDeadlineFromReply: "late", BugHastyLeader: "held", BugUnproven: "led"} {
 		t.Run(injectedBug, func(t *testing.T) {
 			t.Parallel()
-			w := newModel(extremeClockRates[0], injectedBug)
-			w.takePrefix(startingSteps[start])
+			m := newModel(extremeClockRates[0], injectedBug)
+			m.takePrefix(startingSteps[start])
 			var path []string
 			var violation string
 			states := 0
 			for depth := 4; depth <= 8 && violation == ""; depth++ { // increasing depth, so that the steps found are few
-				path, violation, states = explore(w, depth)
+				path, violation, states = explore(m, depth)
 			}
 			if violation == "" {
 				t.Fatalf("not found in %d states", states)
@@ -395,25 +395,25 @@
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		rates := extremeClockRates[seed%uint64(len(extremeClockRates))]
-		w := newModel(rates, "")
+		m := newModel(rates, "")
 		var path []string
 		epochs, last := 0, uint64(0)
 		for range 150 {
-			steps := w.steps()
+			steps := m.steps()
 			s := steps[rng.IntN(len(steps))]
 			if s == "lead" && rng.IntN(4) > 0 {
 				s = "turn"
 			}
-			w.step(s)
+			m.step(s)
 			path = append(path, s)
-			if violation := w.violation(); violation != "" {
+			if violation := m.violation(); violation != "" {
 				t.Fatalf("seed %d: %s after the steps %q", seed, violation, path)
 			}
-			if w.table.LastEpoch < last {
-				t.Fatalf("seed %d: the latest epoch decreased from %d to %d", seed, last, w.table.LastEpoch)
+			if m.table.LastEpoch < last {
+				t.Fatalf("seed %d: the latest epoch decreased from %d to %d", seed, last, m.table.LastEpoch)
 			}
-			if w.table.LastEpoch > last {
-				epochs, last = epochs+1, w.table.LastEpoch
+			if m.table.LastEpoch > last {
+				epochs, last = epochs+1, m.table.LastEpoch
 			}
 		}
 		if seed == 0 && epochs == 0 {
--- a/internal/rejoin/rejoin_test.go
+++ b/internal/rejoin/rejoin_test.go
@@ -140,11 +140,11 @@
 		"rejoined, not known to one peer yet":         {rejoined, false, []Response{accepts("a"), {From: "b", Verdict: VerdictOtherDirectory, Bootstrapped: true, LastIndex: 44}}, DecisionStart},
 		"rejoined, contradicted by a peer that knows": {rejoined, false, []Response{accepts("a"), rejects("b", VerdictOtherDirectory)}, DecisionRequestRejoin},
 	} {
-		s := Joiner{Claim: tc.c, Peers: []string{"a", "b"}, Strict: tc.strict, WaitElapsed: true}
-		for _, w := range tc.responses {
-			s.AddResponse(w)
+		joiner := Joiner{Claim: tc.c, Peers: []string{"a", "b"}, Strict: tc.strict, WaitElapsed: true}
+		for _, response := range tc.responses {
+			joiner.AddResponse(response)
 		}
-		if d, why := s.Decide(); d != tc.want || why == "" {
+		if d, why := joiner.Decide(); d != tc.want || why == "" {
 			t.Errorf("%s: %s (%s), want %s", name, d, why, tc.want)
 		}
 	}
@@ -158,10 +158,10 @@
 		t.Errorf("all peers accept before the wait has elapsed: %s", d)
 	}
 	for n, want := range map[int][2]int{0: {0, 0}, 2: {1, 2}, 4: {2, 3}, 6: {3, 4}} {
-		s := Joiner{Peers: make([]string, n)}
-		plain := s.RequiredResponses()
-		s.Strict = true
-		if strict := s.RequiredResponses(); plain != want[0] || strict != want[1] {
+		joiner := Joiner{Peers: make([]string, n)}
+		plain := joiner.RequiredResponses()
+		joiner.Strict = true
+		if strict := joiner.RequiredResponses(); plain != want[0] || strict != want[1] {
 			t.Errorf("%d peers: %d required, %d if strict, want %v", n, plain, strict, want)
 		}
 	}
@@ -185,37 +185,37 @@
 }
 
 func newClusterModel(n int, injectedBug string) *clusterModel {
-	w := &clusterModel{size: n, directories: make([]Claim, n), backups: make([]*Claim, n), latestAsVoter: make([]DirectoryState, n),
+	m := &clusterModel{size: n, directories: make([]Claim, n), backups: make([]*Claim, n), latestAsVoter: make([]DirectoryState, n),
 		running: make([]bool, n), verifiers: make([]*Verifier, n),
 		voters: make([]bool, n), lastIndex: 10, injectedBug: injectedBug}
 	for i := range n {
-		w.verifiers[i] = NewVerifier(replicaID(i), nil)
-		w.voters[i], w.running[i] = true, true
-		w.directories[i] = Claim{ID: replicaID(i), Addr: "at-" + replicaID(i),
+		m.verifiers[i] = NewVerifier(replicaID(i), nil)
+		m.voters[i], m.running[i] = true, true
+		m.directories[i] = Claim{ID: replicaID(i), Addr: "at-" + replicaID(i),
 			DirectoryState: DirectoryState{DirectoryID: fmt.Sprint("f", i), OpenCount: 1, ProcessID: fmt.Sprint("p", i), Term: 1, LastIndex: 10}}
-		w.latestAsVoter[i] = w.directories[i].DirectoryState
+		m.latestAsVoter[i] = m.directories[i].DirectoryState
 	}
 	for i := range n {
-		w.sendClaims(i)
+		m.sendClaims(i)
 	}
-	return w
+	return m
 }
 
 func replicaID(i int) string { return string(rune('a' + i)) }
 
-func (w *clusterModel) view(i int) View {
-	v := View{Bootstrapped: true, LastIndex: w.directories[i].LastIndex, Members: map[string]Member{}}
-	for k := range w.size {
-		v.Members[replicaID(k)] = Member{"at-" + replicaID(k), w.voters[k]}
+func (m *clusterModel) view(i int) View {
+	v := View{Bootstrapped: true, LastIndex: m.directories[i].LastIndex, Members: map[string]Member{}}
+	for k := range m.size {
+		v.Members[replicaID(k)] = Member{"at-" + replicaID(k), m.voters[k]}
 	}
 	return v
 }
 
 // sendClaims sends the claim of a replica to all running ones and returns their responses.
-func (w *clusterModel) sendClaims(i int) (responses []Response) {
-	for k := range w.size {
-		if k != i && w.running[k] {
-			response, _ := w.verifiers[k].HandleClaim(w.nowMS, uint64(i), w.directories[i], w.view(k))
+func (m *clusterModel) sendClaims(i int) (responses []Response) {
+	for k := range m.size {
+		if k != i && m.running[k] {
+			response, _ := m.verifiers[k].HandleClaim(m.nowMS, uint64(i), m.directories[i], m.view(k))
 			responses = append(responses, response)
 		}
 	}
@@ -223,102 +223,102 @@
 }
 
 // execute executes one step and reports whether it was applicable.
-func (w *clusterModel) execute(kind string, i int) bool {
-	w.nowMS += 100
-	d := &w.directories[i]
+func (m *clusterModel) execute(kind string, i int) bool {
+	m.nowMS += 100
+	d := &m.directories[i]
 	switch {
-	case (kind == "kill" || kind == "promote") && !w.running[i], (kind == "old" || kind == "empty" || kind == "start") && w.running[i],
-		kind == "old" && w.backups[i] == nil, kind == "keep" && w.backups[i] != nil && *w.backups[i] == *d,
-		kind == "promote" && (w.voters[i] || d.LastIndex != w.lastIndex):
+	case (kind == "kill" || kind == "promote") && !m.running[i], (kind == "old" || kind == "empty" || kind == "start") && m.running[i],
+		kind == "old" && m.backups[i] == nil, kind == "keep" && m.backups[i] != nil && *m.backups[i] == *d,
+		kind == "promote" && (m.voters[i] || d.LastIndex != m.lastIndex):
 		return false
 	}
 	switch kind {
 	case "write": // all running replicas append an entry and send claims
-		w.lastIndex++
-		for k := range w.size {
-			if w.running[k] {
-				w.directories[k].LastIndex, w.directories[k].Fresh = w.lastIndex, false
-				if w.voters[k] {
-					w.latestAsVoter[k] = w.directories[k].DirectoryState
+		m.lastIndex++
+		for k := range m.size {
+			if m.running[k] {
+				m.directories[k].LastIndex, m.directories[k].Fresh = m.lastIndex, false
+				if m.voters[k] {
+					m.latestAsVoter[k] = m.directories[k].DirectoryState
 				}
 			}
 		}
-		for k := range w.size {
-			if w.running[k] {
-				w.sendClaims(k)
+		for k := range m.size {
+			if m.running[k] {
+				m.sendClaims(k)
 			}
 		}
 	case "keep":
 		c := *d
-		w.backups[i] = &c
+		m.backups[i] = &c
 	case "kill":
-		w.running[i] = false
-		for k := range w.size {
-			w.verifiers[k].ConnectionClosed(replicaID(i), uint64(i))
+		m.running[i] = false
+		for k := range m.size {
+			m.verifiers[k].ConnectionClosed(replicaID(i), uint64(i))
 		}
 	case "old":
-		*d = *w.backups[i]
+		*d = *m.backups[i]
 	case "empty":
 		*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true, DirectoryState: DirectoryState{DirectoryID: fmt.Sprint(d.DirectoryID, "+")}}
 	case "start":
-		w.startReplica(i)
+		m.startReplica(i)
 	case "promote":
-		w.voters[i] = true
-		w.latestAsVoter[i] = d.DirectoryState
+		m.voters[i] = true
+		m.latestAsVoter[i] = d.DirectoryState
 	}
 	return true
 }
 
-func (w *clusterModel) startReplica(i int) {
-	d := &w.directories[i]
-	w.processCount++
+func (m *clusterModel) startReplica(i int) {
+	d := &m.directories[i]
+	m.processCount++
 	d.OpenCount++
-	d.ProcessID = fmt.Sprint("q", w.processCount)
+	d.ProcessID = fmt.Sprint("q", m.processCount)
 	d.RejoinReason, d.Running = "", false
-	plainRestart := d.DirectoryID == w.latestAsVoter[i].DirectoryID && !d.behind(w.latestAsVoter[i]) &&
-		d.OpenCount == w.latestAsVoter[i].OpenCount+1
-	s := Joiner{Claim: *d, InjectedBug: w.injectedBug, WaitElapsed: true}
-	for k := range w.size {
+	plainRestart := d.DirectoryID == m.latestAsVoter[i].DirectoryID && !d.behind(m.latestAsVoter[i]) &&
+		d.OpenCount == m.latestAsVoter[i].OpenCount+1
+	joiner := Joiner{Claim: *d, InjectedBug: m.injectedBug, WaitElapsed: true}
+	for k := range m.size {
 		if k != i {
-			s.Peers = append(s.Peers, replicaID(k))
+			joiner.Peers = append(joiner.Peers, replicaID(k))
 		}
 	}
 	demoted := false
 	for range 4 {
-		responses := w.sendClaims(i)
+		responses := m.sendClaims(i)
 		for _, response := range responses {
-			if demoted && s.RejoinReason != "" {
-				response.JoinIndex = w.lastIndex
+			if demoted && joiner.RejoinReason != "" {
+				response.JoinIndex = m.lastIndex
 			}
-			s.AddResponse(response)
+			joiner.AddResponse(response)
 		}
-		decision, _ := s.Decide()
+		decision, _ := joiner.Decide()
 		switch decision {
 		case DecisionRequestRejoin:
-			s.RejoinReason = "contradicted"
-			d.RejoinReason = s.RejoinReason
+			joiner.RejoinReason = "contradicted"
+			d.RejoinReason = joiner.RejoinReason
 			runningVoters := 0
-			for k := range w.size {
-				if w.running[k] && w.voters[k] {
+			for k := range m.size {
+				if m.running[k] && m.voters[k] {
 					runningVoters++
 				}
 			}
-			if 2*runningVoters > w.size { // a leader makes the replica a non-voter
-				w.lastIndex++
-				w.voters[i] = false
+			if 2*runningVoters > m.size { // a leader makes the replica a non-voter
+				m.lastIndex++
+				m.voters[i] = false
 				demoted = true
 			}
 		case DecisionResetDirectory:
 			*d = Claim{ID: d.ID, Addr: d.Addr, Fresh: true,
-				DirectoryState: DirectoryState{DirectoryID: fmt.Sprint(d.DirectoryID, "'", w.processCount), OpenCount: 1, ProcessID: d.ProcessID, JoinIndex: w.lastIndex}}
-			s.Claim = *d
-			s.ClearResponses()
+				DirectoryState: DirectoryState{DirectoryID: fmt.Sprint(d.DirectoryID, "'", m.processCount), OpenCount: 1, ProcessID: d.ProcessID, JoinIndex: m.lastIndex}}
+			joiner.Claim = *d
+			joiner.ClearResponses()
 		case DecisionStart, DecisionBootstrap:
-			w.running[i] = true
+			m.running[i] = true
 			return
 		case DecisionWait, DecisionStop:
-			if plainRestart && w.voters[i] && len(responses) == w.size-1 {
-				w.rejectedRestarts++
+			if plainRestart && m.voters[i] && len(responses) == m.size-1 {
+				m.rejectedRestarts++
 			}
 			return
 		}
@@ -327,13 +327,13 @@
 
 // violation describes a violated invariant, or returns "": a voter takes part without entries that it had as a voter, or a plain
 // restart was rejected.
-func (w *clusterModel) violation() string {
-	for i := range w.size {
-		if d := w.directories[i]; w.running[i] && w.voters[i] && d.behind(w.latestAsVoter[i]) {
-			return fmt.Sprintf("%s votes with last entry %d, it had %d", d.ID, d.LastIndex, w.latestAsVoter[i].LastIndex)
+func (m *clusterModel) violation() string {
+	for i := range m.size {
+		if d := m.directories[i]; m.running[i] && m.voters[i] && d.behind(m.latestAsVoter[i]) {
+			return fmt.Sprintf("%s votes with last entry %d, it had %d", d.ID, d.LastIndex, m.latestAsVoter[i].LastIndex)
 		}
 	}
-	if w.rejectedRestarts > 0 {
+	if m.rejectedRestarts > 0 {
 		return "a plain restart was rejected although all peers responded"
 	}
 	return ""
@@ -345,7 +345,7 @@
 // restored or emptied while a majority of voters besides it runs. A loss that no running replica remembers cannot be
 // detected, which is a documented limit.
 func runSteps(n int, steps []string, injectedBug string) (violation string, applicable bool) {
-	w := newClusterModel(n, injectedBug)
+	m := newClusterModel(n, injectedBug)
 	for at, s := range steps {
 		applicable = false
 		kind, replica, _ := strings.Cut(s, " ")
@@ -353,7 +353,7 @@
 		if kind == "old" || kind == "empty" || kind == "kill" {
 			otherVoters := 0
 			for k := range n {
-				if k != i && w.running[k] && w.voters[k] {
+				if k != i && m.running[k] && m.voters[k] {
 					otherVoters++
 				}
 			}
@@ -361,8 +361,8 @@
 				continue
 			}
 		}
-		applicable = w.execute(kind, i)
-		if violation := w.violation(); violation != "" {
+		applicable = m.execute(kind, i)
+		if violation := m.violation(); violation != "" {
 			return fmt.Sprintf("%s after %q", violation, steps[:at+1]), applicable
 		}
 	}
