--- a/cmd/adapter/decode.go
+++ b/cmd/adapter/decode.go
@@ -27,11 +27,11 @@
 }
 
 // handleBatch handles one line of events and returns the line of the reply, which is valid until the next call.
-func (l *adapter) handleBatch(line []byte) ([]byte, error) {
+func (ad *adapter) handleBatch(line []byte) ([]byte, error) {
 	if err := fastjson.ValidateBytes(line); err != nil {
 		return nil, fmt.Errorf("malformed JSON: %w", err)
 	}
-	v, err := l.parser.ParseBytes(line)
+	v, err := ad.parser.ParseBytes(line)
 	if err != nil {
 		return nil, fmt.Errorf("malformed JSON: %w", err)
 	}
@@ -46,23 +46,23 @@
 	if f.Err != nil {
 		return nil, f.Err
 	}
-	l.buf = append(l.buf[:0], `{"parts":[`...)
+	ad.buf = append(ad.buf[:0], `{"parts":[`...)
 	first := true
 	for _, p := range parts {
 		if p.Type() != fastjson.TypeObject {
 			return nil, errors.New("batch: a part is not an object")
 		}
-		if first, err = l.handlePart(now, &config.Fields{Value: p, Name: "part"}, first); err != nil {
+		if first, err = ad.handlePart(now, &config.Fields{Value: p, Name: "part"}, first); err != nil {
 			return nil, err
 		}
 	}
-	l.buf = append(l.buf, "]}\n"...)
-	return l.buf, nil
+	ad.buf = append(ad.buf, "]}\n"...)
+	return ad.buf, nil
 }
 
 // handlePart handles one instance's part of a batch and appends its actions to the reply. first tells whether
 // the reply has no part yet; the new value is returned.
-func (l *adapter) handlePart(now time.Duration, f *config.Fields, first bool) (bool, error) {
+func (ad *adapter) handlePart(now time.Duration, f *config.Fields, first bool) (bool, error) {
 	f.Require("i")
 	f.Require("events")
 	name := f.Text("i")
@@ -70,75 +70,75 @@
 	if f.Err != nil {
 		return first, f.Err
 	}
-	l.events = l.events[:0]
-	known := false
+	ad.events = ad.events[:0]
+	hasEvents := false
 	for _, v := range events {
-		o, err := v.Object()
-		if err != nil || o.Len() != 1 {
+		object, err := v.Object()
+		if err != nil || object.Len() != 1 {
 			return first, fmt.Errorf("%s: an event is not an object with one key", name)
 		}
 		var kind string
 		var body *fastjson.Value
-		o.Visit(func(k []byte, v *fastjson.Value) { kind, body = string(k), v })
+		object.Visit(func(k []byte, v *fastjson.Value) { kind, body = string(k), v })
 		if body.Type() != fastjson.TypeObject {
 			return first, fmt.Errorf("%s: %s is not an object", name, kind)
 		}
-		e := &config.Fields{Value: body, Name: kind}
+		fields := &config.Fields{Value: body, Name: kind}
 		switch kind {
 		case "enlist":
-			e.Require("prng")
-			seed := e.Seed("prng")
-			settings := config.ParseSettings(e.Object("settings"), e)
-			if e.Err != nil {
-				return first, e.Err
+			fields.Require("prng")
+			seed := fields.Seed("prng")
+			settings := config.ParseSettings(fields.Object("settings"), fields)
+			if fields.Err != nil {
+				return first, fields.Err
 			}
-			n, err := policy.New(settings, seed)
+			instance, err := policy.New(settings, seed)
 			if err != nil {
 				return first, fmt.Errorf("enlist: %w", err)
 			}
-			l.instances[name] = n
-			l.events = l.events[:0]
-			known = true
+			ad.instances[name] = instance
+			ad.events = ad.events[:0]
+			hasEvents = true
 			continue
 		case "exit":
-			delete(l.instances, name)
-			l.events = l.events[:0]
-			known = true
+			delete(ad.instances, name)
+			ad.events = ad.events[:0]
+			hasEvents = true
 			continue
 		}
-		if l.instances[name] == nil {
+		if ad.instances[name] == nil {
 			return first, fmt.Errorf("%s: %s for an instance that was not enlisted", name, kind)
 		}
-		known = true
-		ev := l.decodeEvent(kind, e)
-		if e.Err != nil {
-			return first, e.Err
+		hasEvents = true
+		event := ad.decodeEvent(kind, fields)
+		if fields.Err != nil {
+			return first, fields.Err
 		}
-		if ev != nil {
-			l.events = append(l.events, ev)
+		if event != nil {
+			ad.events = append(ad.events, event)
 		}
 	}
-	n := l.instances[name]
-	if n == nil || !known {
+	instance := ad.instances[name]
+	if instance == nil || !hasEvents {
 		return first, nil
 	}
-	actions := n.Handle(now, l.events)
+	actions := instance.Handle(now, ad.events)
 	if len(actions) == 0 {
 		return first, nil
 	}
 	if !first {
-		l.buf = append(l.buf, ',')
+		ad.buf = append(ad.buf, ',')
 	}
-	l.buf = append(l.buf, `{"i":`...)
-	l.buf = appendText(l.buf, name)
-	l.buf = append(l.buf, `,"output":[`...)
+	ad.buf = append(ad.buf, `{"i":`...)
+	ad.buf = appendText(ad.buf, name)
+	ad.buf = append(ad.buf, `,"output":[`...)
 	for i, a := range actions {
 		if i > 0 {
-			l.buf = append(l.buf, ',')
+			ad.buf = append(ad.buf, ',')
 		}
-		l.buf = appendAction(l.buf, a)
+		ad.buf = appendAction(ad.buf, a)
 	}
-	l.buf = append(l.buf, "]}"...)
+	ad.buf = append(ad.buf, "]}"...)
 	return false, nil
 }
 
@@ -157,7 +157,7 @@
 	policy.Unreachable, policy.InvalidReply, policy.Cancelled, policy.NotRun}
 
 // decodeEvent converts one event. It returns nil for an unknown kind; the first 100 of these are logged, once each.
-func (l *adapter) decodeEvent(kind string, f *config.Fields) policy.Event {
+func (ad *adapter) decodeEvent(kind string, f *config.Fields) policy.Event {
 	switch kind {
 	case "req":
 		f.Require("rid")
@@ -194,9 +194,9 @@
 		}
 		return policy.TimerFired{Token: f.Seed("ref"), Gauges: gauges}
 	}
-	if !l.unknownKinds[kind] && len(l.unknownKinds) < 100 {
-		l.unknownKinds[kind] = true
-		fmt.Fprintf(l.log, "adapter: unknown event %q is skipped\n", kind)
+	if !ad.unknownKinds[kind] && len(ad.unknownKinds) < 100 {
+		ad.unknownKinds[kind] = true
+		fmt.Fprintf(ad.log, "adapter: unknown event %q is skipped\n", kind)
 	}
 	return nil
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -21,7 +21,7 @@
 func run(in io.Reader, out, log io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<16)
 	w := bufio.NewWriterSize(out, 1<<16)
-	l := newAdapter(log)
+	ad := newAdapter(log)
 	for n := 1; ; n++ {
 		line, err := readLine(r)
 		if errors.Is(err, io.EOF) && len(line) == 0 {
@@ -30,7 +30,7 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("reading line %d: %w", n, err)
 		}
-		reply, err := l.handleBatch(line)
+		reply, err := ad.handleBatch(line)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -189,11 +189,11 @@
 	f.Add([]byte(enlistLine), []byte(`{"simTime":3,"parts":[{"i":"a-1","events":[{"retireSoon":{"left":0}},{"lapsed":{"rid":5}},{"exit":{}}]}]}`))
 	f.Add([]byte(`{"simTime":1,"parts":[]}`), []byte(`{`))
 	f.Fuzz(func(t *testing.T, a, b []byte) {
-		l := newAdapter(io.Discard)
-		if _, err := l.handleBatch(a); err != nil {
+		ad := newAdapter(io.Discard)
+		if _, err := ad.handleBatch(a); err != nil {
 			return
 		}
-		reply, err := l.handleBatch(b)
+		reply, err := ad.handleBatch(b)
 		if err == nil && (len(reply) == 0 || reply[len(reply)-1] != '\n') {
 			t.Errorf("no reply line to %q", b)
 		}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -27,7 +27,7 @@
 
 // Timer is a pending call.
 type Timer struct {
-	c     *Clock
+	clock *Clock
 	at    float64
 	call  func()
 	timer *time.Timer
@@ -97,7 +97,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := &Timer{c: c, at: c.now + ms, call: call}
+	t := &Timer{clock: c, at: c.now + ms, call: call}
 	c.timers = append(c.timers, t)
 	return t
 }
@@ -108,11 +108,11 @@
 		t.timer.Stop()
 		return
 	}
-	t.c.mu.Lock()
-	defer t.c.mu.Unlock()
-	for i, o := range t.c.timers {
+	t.clock.mu.Lock()
+	defer t.clock.mu.Unlock()
+	for i, o := range t.clock.timers {
 		if o == t {
-			t.c.timers = append(t.c.timers[:i], t.c.timers[i+1:]...)
+			t.clock.timers = append(t.clock.timers[:i], t.clock.timers[i+1:]...)
 			return
 		}
 	}
--- a/internal/config/duties.go
+++ b/internal/config/duties.go
@@ -99,14 +99,14 @@
 		ClockBounds:     duty.ClockBounds{MaxDrift: d.MaxDrift, MarginMS: d.MarginMS},
 		RenewIntervalMS: d.RenewIntervalMS, CooldownMS: d.CooldownMS, ColdWaitMS: d.ColdWaitMS, PresenceTTLMS: d.PresenceTTLMS,
 	}
-	for _, t := range d.List {
-		r.Duties = append(r.Duties, duty.DutyRule{Name: t.Name, TTLMS: t.TTLMS})
+	for _, listed := range d.List {
+		r.Duties = append(r.Duties, duty.DutyRule{Name: listed.Name, TTLMS: listed.TTLMS})
 	}
 	return r
 }
 
 func (d Duties) hasDuty(name string) bool {
-	return slices.ContainsFunc(d.List, func(t Duty) bool { return t.Name == name })
+	return slices.ContainsFunc(d.List, func(listed Duty) bool { return listed.Name == name })
 }
 
 func (d Duties) check(st Store) error {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -86,33 +86,33 @@
 	return s
 }
 
-func parseClass(c *Fields, i int, makesCalls, skipWorths []*fastjson.Value) policy.Class {
+func parseClass(fields *Fields, i int, makesCalls, skipWorths []*fastjson.Value) policy.Class {
 	for _, key := range []string{"name", "aim", "deadline", "worth", "idempotency"} {
-		c.Require(key)
+		fields.Require(key)
 	}
-	k := policy.Class{Name: c.Text("name"), Aim: c.Duration("aim"), AimStretch: c.Number("aimStretch"),
-		Deadline: c.Duration("deadline"), Worth: c.Number("worth"), LateValue: c.Number("lateValue"), KeyTTL: c.Duration("keyTtl")}
+	class := policy.Class{Name: fields.Text("name"), Aim: fields.Duration("aim"), AimStretch: fields.Number("aimStretch"),
+		Deadline: fields.Duration("deadline"), Worth: fields.Number("worth"), LateValue: fields.Number("lateValue"), KeyTTL: fields.Duration("keyTtl")}
 	// The executor's protocol consists of lines of words, so white space in a name would change the meaning of a line.
-	if k.Name == "" || strings.ContainsFunc(k.Name, func(r rune) bool { return unicode.IsSpace(r) || unicode.IsControl(r) }) {
-		c.Fail("name", "is not one word")
+	if class.Name == "" || strings.ContainsFunc(class.Name, func(r rune) bool { return unicode.IsSpace(r) || unicode.IsControl(r) }) {
+		fields.Fail("name", "is not one word")
 	}
-	switch c.Text("idempotency") {
+	switch fields.Text("idempotency") {
 	case "safe":
 	case "keyed":
-		k.Safety = policy.Keyed
-		if c.Require("keyTtl"); k.KeyTTL <= 0 {
-			c.Fail("keyTtl", "must be above 0 where idempotency is keyed")
+		class.Safety = policy.Keyed
+		if fields.Require("keyTtl"); class.KeyTTL <= 0 {
+			fields.Fail("keyTtl", "must be above 0 where idempotency is keyed")
 		}
 	case "unsafe":
-		k.Safety = policy.Unsafe
+		class.Safety = policy.Unsafe
 	default:
-		c.Fail("idempotency", "is not known")
+		fields.Fail("idempotency", "is not known")
 	}
 	if i < len(makesCalls) {
-		k.Calls = makesCalls[i].Type() == fastjson.TypeTrue
+		class.Calls = makesCalls[i].Type() == fastjson.TypeTrue
 	}
 	if i < len(skipWorths) {
-		k.SkipWorth, _ = skipWorths[i].Float64()
+		class.SkipWorth, _ = skipWorths[i].Float64()
 	}
-	return k
+	return class
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -120,10 +120,10 @@
 func (c *Core) adopt(settings policy.Settings) {
 	c.settings, c.classes, c.keys.freshMS = settings, map[string]policy.Class{}, clock.Millis(settings.SharedResultTTL)
 	longest := time.Duration(0)
-	for _, k := range settings.Classes {
-		c.classes[k.Name] = k
-		c.counts.add(k.Name)
-		longest = max(longest, k.Deadline)
+	for _, class := range settings.Classes {
+		c.classes[class.Name] = class
+		c.counts.add(class.Name)
+		longest = max(longest, class.Deadline)
 	}
 	c.longestDeadline.Store(int64(longest))
 	c.callerIdleTimeout.Store(int64(settings.IdleTimeout))
@@ -138,7 +138,7 @@
 // Open accepts a request. The answer function is called at most once, and not at all if Handler.CallerGone is processed
 // before there is an answer.
 func (c *Core) Open(q *Request, answer func(Outcome)) *Handler {
-	l := &Handler{core: c, request: q, inbox: mailbox.New[any](), reply: answer}
+	h := &Handler{core: c, request: q, inbox: mailbox.New[any](), reply: answer}
 	c.mu.Lock()
 	duplicate := c.byRequestID[q.ID] != nil
 	if duplicate || len(c.handlers) >= maxOpenRequests {
@@ -146,19 +146,19 @@
 		// A duplicate ID and a request over the limit never reach the module: the first could run twice under one ID,
 		// the second would take memory without a bound.
 		if duplicate {
-			l.answer(Outcome{Verdict: Failed})
+			h.answer(Outcome{Verdict: Failed})
 		} else {
-			l.answer(Outcome{Verdict: Refused, RetryAfterMS: refusalRetryAfterMS})
+			h.answer(Outcome{Verdict: Refused, RetryAfterMS: refusalRetryAfterMS})
 		}
-		return l
+		return h
 	}
 	c.unanswered.Add(1)
 	c.counts.active.Add(1)
-	l.id, l.countedUnanswered, l.countedActive = c.nextID(), true, true
-	c.handlers[l.id], c.byRequestID[q.ID] = l, l
+	h.id, h.countedUnanswered, h.countedActive = c.nextID(), true, true
+	c.handlers[h.id], c.byRequestID[q.ID] = h, h
 	c.mu.Unlock()
-	go l.serve()
-	return l
+	go h.serve()
+	return h
 }
 
 // nextID returns an ID that no open request has; 0 is reserved for none. The caller holds the lock.
@@ -174,13 +174,13 @@
 	return c.nextID()
 }
 
-func (c *Core) remove(l *Handler) {
-	l.markAnswered()
-	pool.Put(l.request.Body) // the attempt has ended, and the runner has its own copy of anything it still sends
+func (c *Core) remove(h *Handler) {
+	h.markAnswered()
+	pool.Put(h.request.Body) // the attempt has ended, and the runner has its own copy of anything it still sends
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.handlers, l.id)
-	delete(c.byRequestID, l.request.ID)
+	delete(c.handlers, h.id)
+	delete(c.byRequestID, h.request.ID)
 }
 
 // Unanswered returns the number of requests without an answer.
@@ -238,8 +238,8 @@
 
 // recordEffect records a request in the effect log before it runs, and reports whether it may run. Safe requests need no
 // record.
-func (c *Core) recordEffect(q *Request, k policy.Class) (bool, error) {
-	if k.Safety == policy.Safe {
+func (c *Core) recordEffect(q *Request, class policy.Class) (bool, error) {
+	if class.Safety == policy.Safe {
 		return true, nil
 	}
 	ok, err := c.effectLog.Begin(q.ID)
@@ -249,11 +249,11 @@
 	return ok && err == nil, err
 }
 
-func (c *Core) send(l *Handler, e policy.Event) { c.inbox.Put(event{handler: l, event: e}) }
+func (c *Core) send(h *Handler, e policy.Event) { c.inbox.Put(event{handler: h, event: e}) }
 
 // sendEnd sends the end of an attempt; the result is kept where other requests may share it.
-func (c *Core) sendEnd(l *Handler, n Notice) {
-	c.inbox.Put(event{handler: l, notice: n, event: policy.Finished{ID: l.id, Outcome: n.Outcome, Duration: clock.Duration(n.TookMS)}})
+func (c *Core) sendEnd(h *Handler, n Notice) {
+	c.inbox.Put(event{handler: h, notice: n, event: policy.Finished{ID: h.id, Outcome: n.Outcome, Duration: clock.Duration(n.TookMS)}})
 }
 
 // Stop ends Run.
@@ -335,8 +335,8 @@
 	}
 	if c.downstreamShare != nil { // read before each call of the module: an expired share permits no further downstream call
 		c.module.SetDownstreamShare(c.downstreamShare())
-		if callTime, span := c.module.DownstreamTime(); span > 0 {
-			c.downstreamConcurrency.Store(math.Float64bits(callTime / span))
+		if callTime, period := c.module.DownstreamTime(); period > 0 {
+			c.downstreamConcurrency.Store(math.Float64bits(callTime / period))
 		}
 	}
 	for _, a := range c.module.Handle(clock.Duration(now-c.moduleStartedAt), c.events) {
@@ -365,43 +365,43 @@
 func (c *Core) completeEvent(now float64, e event) policy.Event {
 	switch ev := e.event.(type) {
 	case policy.Arrived:
-		l, q := e.handler, e.handler.request
-		l.class, l.knownClass = c.classes[q.Class] // not changed by later settings
-		l.due = q.ArrivedAt + q.WaitMS
+		h, q := e.handler, e.handler.request
+		h.class, h.knownClass = c.classes[q.Class] // not changed by later settings
+		h.due = q.ArrivedAt + q.WaitMS
 		if q.WaitMS == 0 {
-			l.due = q.ArrivedAt + clock.Millis(l.class.Deadline)
+			h.due = q.ArrivedAt + clock.Millis(h.class.Deadline)
 		}
 		ev.Class, ev.Caller, ev.KB, ev.Rank, ev.Key, ev.IsRetry = q.Class, q.Caller, q.KB, q.Rank, q.Key, q.Retry
 		ev.Tenant, ev.Size = q.Tenant, clock.Duration(q.CostMS)
 		ev.Waited = clock.Duration(max(now-q.ArrivedAt, 0))
-		ev.Write = l.class.Safety != policy.Safe
-		if l.class.Safety == policy.Keyed {
+		ev.Write = h.class.Safety != policy.Safe
+		if h.class.Safety == policy.Keyed {
 			// Limited to the class's deadline: the key table keeps attempts for the window plus that deadline.
-			l.due = min(l.due, q.ArrivedAt+clock.Millis(l.class.Deadline))
+			h.due = min(h.due, q.ArrivedAt+clock.Millis(h.class.Deadline))
 			var same bool
-			if ev.Original, ev.HasOriginal, same = c.keys.findAttempt(l); q.IdempotencyKey == "" || !same {
+			if ev.Original, ev.HasOriginal, same = c.keys.findAttempt(h); q.IdempotencyKey == "" || !same {
 				c.log.Debug().Str("id", q.ID).Str("class", q.Class).Str("once", q.IdempotencyKey).
 					Msg(`field "once" is missing or was used with another body: request failed without running`)
-				l.inbox.Put(policy.Fail{})
+				h.inbox.Put(policy.Fail{})
 				return nil
 			}
 		} else {
 			if e := c.keys.findKeyed(q); e != nil {
 				// New settings have removed the class or made it not keyed, but an earlier attempt of this request ran. The
 				// module would refuse this attempt or run it again.
-				l.class, l.knownClass = e.class, true
+				h.class, h.knownClass = e.class, true
 				if result, ok := e.resultFor(c.keys.hashBody(q)); ok {
-					l.started = true
-					l.inbox.Put(sharedResult{ok: true, result: result})
+					h.started = true
+					h.inbox.Put(sharedResult{ok: true, result: result})
 				} else {
-					l.inbox.Put(policy.Fail{})
+					h.inbox.Put(policy.Fail{})
 				}
 				return nil
 			}
-			ev.Original, ev.HasOriginal = c.keys.findRead(l, now)
+			ev.Original, ev.HasOriginal = c.keys.findRead(h, now)
 		}
 		if q.WaitMS > 0 {
-			ev.TimeLeft = max(clock.Duration(l.due-now), minTimeLeft)
+			ev.TimeLeft = max(clock.Duration(h.due-now), minTimeLeft)
 		}
 		return ev
 	case policy.Finished:
@@ -415,19 +415,19 @@
 func (c *Core) perform(now float64, a policy.Action) {
 	switch a := a.(type) {
 	case policy.Start:
-		if l := c.handlerOf(a.ID); l != nil {
-			l.started = true
-			if !c.keys.mayStart(l, now) {
-				l.inbox.Put(notRemembered{})
+		if h := c.handlerOf(a.ID); h != nil {
+			h.started = true
+			if !c.keys.mayStart(h, now) {
+				h.inbox.Put(notRemembered{})
 			} else {
-				l.inbox.Put(a)
+				h.inbox.Put(a)
 			}
 		}
 	case policy.ShareResult:
-		if l := c.handlerOf(a.ID); l != nil {
-			l.started = true // the handler reports its end once it has the shared result
-			result, ok := c.keys.result(l)
-			l.inbox.Put(sharedResult{ok: ok, result: result})
+		if h := c.handlerOf(a.ID); h != nil {
+			h.started = true // the handler reports its end once it has the shared result
+			result, ok := c.keys.result(h)
+			h.inbox.Put(sharedResult{ok: ok, result: result})
 		}
 	case policy.Refuse:
 		c.deliver(a.ID, a)
@@ -438,8 +438,8 @@
 	case policy.SkipCall:
 		c.deliver(a.ID, a)
 	case policy.StoreKey:
-		if l := c.handlerOf(a.ID); l != nil {
-			c.keys.remember(l, now+clock.Millis(a.TTL))
+		if h := c.handlerOf(a.ID); h != nil {
+			c.keys.remember(h, now+clock.Millis(a.TTL))
 		}
 	case policy.DeleteKey:
 		c.keys.forget(a.ID)
@@ -477,7 +477,7 @@
 }
 
 func (c *Core) deliver(id policy.ID, a policy.Action) {
-	if l := c.handlerOf(id); l != nil {
-		l.inbox.Put(a)
+	if h := c.handlerOf(id); h != nil {
+		h.inbox.Put(a)
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -47,10 +47,10 @@
 	answers chan string
 }
 
-func newFixture(t *testing.T, l EffectLog) *fixture {
+func newFixture(t *testing.T, effectLog EffectLog) *fixture {
 	h := &fakeRunner{make(chan *Attempt, 10)}
 	clk := clock.Manual(startMS)
-	c := New(clk, zerolog.Nop(), testSettings, 1, h, h, l)
+	c := New(clk, zerolog.Nop(), testSettings, 1, h, h, effectLog)
 	c.RunnerStarted(false)
 	go c.Run()
 	t.Cleanup(c.Stop)
@@ -162,10 +162,10 @@
 // accepted in a request.
 func TestMemoryEffectLogRemovesByAgeOnly(t *testing.T) {
 	clk := clock.Manual(startMS)
-	l := newMemoryEffectLog(clk)
+	effectLog := newMemoryEffectLog(clk)
 	want := func(n int, want bool) {
 		t.Helper()
-		if got, err := l.Begin(fmt.Sprintf("%016x", n)); got != want || err != nil {
+		if got, err := effectLog.Begin(fmt.Sprintf("%016x", n)); got != want || err != nil {
 			t.Errorf("Begin of effect %d: %v, %v", n, got, err)
 		}
 	}
@@ -179,7 +179,7 @@
 	want(1<<17, true)
 	want(0, true)
 	want(1, false)
-	if _, err := l.Begin("none"); err == nil {
+	if _, err := effectLog.Begin("none"); err == nil {
 		t.Error("a malformed ID was accepted")
 	}
 }
@@ -228,34 +228,34 @@
 	r.wantAnswer(fmt.Sprintf("3 %d ", Refused))
 	r.succeed(old, "old", 1)
 	r.wantAnswer("1 0 old")
-	if f := r.Metrics(); f.OK["book"] != 1 || f.OK["order"] != 1 || f.Shed["book"] != 1 || f.Attempts != 2 || f.Active != 0 {
-		t.Errorf("metrics %+v", f)
+	if m := r.Metrics(); m.OK["book"] != 1 || m.OK["order"] != 1 || m.Shed["book"] != 1 || m.Attempts != 2 || m.Active != 0 {
+		t.Errorf("metrics %+v", m)
 	}
 }
 
 // recordingEffectLog is a fake effect log that records how effects end.
 type recordingEffectLog struct{ ended chan string }
 
-func (s recordingEffectLog) Begin(string) (bool, error) { return true, nil }
-func (s recordingEffectLog) Ended(id string, ok bool)   { s.ended <- fmt.Sprint(id, " ", ok) }
+func (l recordingEffectLog) Begin(string) (bool, error) { return true, nil }
+func (l recordingEffectLog) Ended(id string, ok bool)   { l.ended <- fmt.Sprint(id, " ", ok) }
 
 // The effect log receives the end of each attempt that has an effect, and none of a read.
 func TestEffectLogReceivesEffectEnds(t *testing.T) {
-	l := recordingEffectLog{make(chan string, 10)}
-	r := newFixture(t, l)
+	effectLog := recordingEffectLog{make(chan string, 10)}
+	r := newFixture(t, effectLog)
 	r.open(1, "read", "", startMS)
 	r.succeed(<-r.runner.started, "A", 1)
 	r.wantAnswer("1 0 A")
 	r.open(2, "book", "", startMS)
 	r.succeed(<-r.runner.started, "B", 1)
 	r.wantAnswer("2 0 B")
-	if got := <-l.ended; got != fmt.Sprintf("%016x true", 2) {
+	if got := <-effectLog.ended; got != fmt.Sprintf("%016x true", 2) {
 		t.Errorf("effect log received %q for a success", got)
 	}
 	r.open(3, "book", "", startMS)
 	a := <-r.runner.started
 	a.Notify(Notice{Ended: true, Outcome: policy.Failed})
-	if got := <-l.ended; got != fmt.Sprintf("%016x false", 3) {
+	if got := <-effectLog.ended; got != fmt.Sprintf("%016x false", 3) {
 		t.Errorf("effect log received %q for a failure", got)
 	}
 }
@@ -363,8 +363,8 @@
 		r.waitForOpen(0)
 		send(6, "bb", "b")
 		r.wantAnswer("6 0 B")
-		if f := r.Metrics(); f.Attempts != 2 {
-			t.Errorf("%s: %d attempts ran, want 2", name, f.Attempts)
+		if m := r.Metrics(); m.Attempts != 2 {
+			t.Errorf("%s: %d attempts ran, want 2", name, m.Attempts)
 		}
 	}
 }
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -39,26 +39,26 @@
 }
 
 func (n *counts) countAnswer(class string, v Verdict) {
-	k := n.class(class)
+	counts := n.class(class)
 	switch {
-	case k == nil:
+	case counts == nil:
 	case v == Served:
-		k.ok.Add(1)
+		counts.ok.Add(1)
 	case v == Refused:
-		k.shed.Add(1)
+		counts.shed.Add(1)
 	default:
-		k.errors.Add(1)
+		counts.errors.Add(1)
 	}
 }
 
 // Metrics returns the current counts.
 func (c *Core) Metrics() Metrics {
-	f := Metrics{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
+	m := Metrics{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
 		Attempts: c.counts.attempts.Load(), Active: c.counts.active.Load()}
 	c.counts.mu.RLock()
 	defer c.counts.mu.RUnlock()
 	for name, k := range c.counts.byClass {
-		f.OK[name], f.Shed[name], f.Errors[name] = k.ok.Load(), k.shed.Load(), k.errors.Load()
+		m.OK[name], m.Shed[name], m.Errors[name] = k.ok.Load(), k.shed.Load(), k.errors.Load()
 	}
-	return f
+	return m
 }
--- a/internal/core/handler.go
+++ b/internal/core/handler.go
@@ -47,116 +47,116 @@
 )
 
 // CallerGone reports that the caller no longer waits for the request.
-func (l *Handler) CallerGone() {
-	l.goneOnce.Do(func() {
-		l.markInactive()
-		l.inbox.Put(callerGone{})
+func (h *Handler) CallerGone() {
+	h.goneOnce.Do(func() {
+		h.markInactive()
+		h.inbox.Put(callerGone{})
 	})
 }
 
 // FailUnlessStarted fails the request unless it has started. It is for connections that have sent a request that the
 // executor does not know.
-func (l *Handler) FailUnlessStarted() { l.inbox.Put(failUnlessStarted{}) }
+func (h *Handler) FailUnlessStarted() { h.inbox.Put(failUnlessStarted{}) }
 
 // markInactive removes the request from the active ones, once it is answered or its caller is gone.
-func (l *Handler) markInactive() {
-	if l.countedActive && !l.ended.Swap(true) {
-		l.core.counts.active.Add(-1)
+func (h *Handler) markInactive() {
+	if h.countedActive && !h.ended.Swap(true) {
+		h.core.counts.active.Add(-1)
 	}
 }
 
 // answer sends the final answer; any later one is dropped.
-func (l *Handler) answer(o Outcome) {
-	if !l.answered {
-		l.answered = true
-		l.core.counts.countAnswer(l.request.Class, o.Verdict) // before the answer: a caller that has it may read the counts
-		l.markInactive()
-		l.reply(o)
-		l.markAnswered()
+func (h *Handler) answer(o Outcome) {
+	if !h.answered {
+		h.answered = true
+		h.core.counts.countAnswer(h.request.Class, o.Verdict) // before the answer: a caller that has it may read the counts
+		h.markInactive()
+		h.reply(o)
+		h.markAnswered()
 	}
 }
 
 // markAnswered removes the request from those without an answer.
-func (l *Handler) markAnswered() {
-	l.markInactive()
-	if l.countedUnanswered {
-		l.countedUnanswered = false
-		l.core.unanswered.Add(-1)
+func (h *Handler) markAnswered() {
+	h.markInactive()
+	if h.countedUnanswered {
+		h.countedUnanswered = false
+		h.core.unanswered.Add(-1)
 	}
 }
 
 // fail sends a failure at once, even while the attempt still runs.
-func (l *Handler) fail() {
-	c := l.core
-	if c.clock.Now() >= l.due-c.tickMS {
-		l.answer(Outcome{Verdict: Overdue})
+func (h *Handler) fail() {
+	c := h.core
+	if c.clock.Now() >= h.due-c.tickMS {
+		h.answer(Outcome{Verdict: Overdue})
 		return
 	}
-	l.answer(Outcome{Verdict: Failed})
+	h.answer(Outcome{Verdict: Failed})
 }
 
 // serve handles one request from its arrival to the end of its attempt. It sends events to the module with Core.send and
 // receives the module's actions through its inbox.
-func (l *Handler) serve() {
-	c := l.core
-	defer c.remove(l)
+func (h *Handler) serve() {
+	c := h.core
+	defer c.remove(h)
 	gone := false
-	c.send(l, policy.Arrived{ID: l.id})
+	c.send(h, policy.Arrived{ID: h.id})
 
 	// Queued: until the module starts the request, shares a result with it or refuses it.
 	var attempt *Attempt
 	var startedAt float64
 	for attempt == nil {
-		switch m := l.inbox.Next().(type) {
+		switch m := h.inbox.Next().(type) {
 		case policy.Refuse:
-			l.answer(Outcome{Verdict: Refused, RetryAfterMS: clock.Millis(m.RetryAfter), NoRetry: m.NoRetry, UnknownClass: !l.knownClass})
+			h.answer(Outcome{Verdict: Refused, RetryAfterMS: clock.Millis(m.RetryAfter), NoRetry: m.NoRetry, UnknownClass: !h.knownClass})
 			return
 		case policy.Fail:
-			l.fail()
+			h.fail()
 			return
 		case sharedResult:
 			outcome := policy.Failed
 			if m.ok {
 				outcome = policy.OK
-				l.answer(Outcome{Verdict: Served, Result: m.result})
+				h.answer(Outcome{Verdict: Served, Result: m.result})
 			} else {
-				l.fail()
+				h.fail()
 			}
-			c.send(l, policy.Finished{ID: l.id, Outcome: outcome})
+			c.send(h, policy.Finished{ID: h.id, Outcome: outcome})
 			return
 		case failUnlessStarted:
-			l.answer(Outcome{Verdict: Failed})
-			l.inbox.Put(callerGone{})
+			h.answer(Outcome{Verdict: Failed})
+			h.inbox.Put(callerGone{})
 		case callerGone:
 			gone = true
-			c.send(l, policy.CallerGone{ID: l.id})
+			c.send(h, policy.CallerGone{ID: h.id})
 		case dismissed:
 			return
 		case notRemembered:
 			// A retry of the request would not be recognized as such and would run again, so the request is refused.
-			c.log.Warn().Str("id", l.request.ID).Str("class", l.request.Class).
+			c.log.Warn().Str("id", h.request.ID).Str("class", h.request.Class).
 				Msg("keyed request not run: the key table is full, or another process may run keyed requests")
-			l.answer(Outcome{Verdict: Refused, RetryAfterMS: refusalRetryAfterMS})
-			c.send(l, policy.Finished{ID: l.id, Outcome: policy.NotRun})
+			h.answer(Outcome{Verdict: Refused, RetryAfterMS: refusalRetryAfterMS})
+			c.send(h, policy.Finished{ID: h.id, Outcome: policy.NotRun})
 			return
 		case policy.Start:
 			if gone { // the module started the request before it received CallerGone; nothing ran
-				c.send(l, policy.Finished{ID: l.id, Outcome: policy.NotRun})
+				c.send(h, policy.Finished{ID: h.id, Outcome: policy.NotRun})
 				return
 			}
-			if ok, err := c.recordEffect(l.request, l.class); !ok {
+			if ok, err := c.recordEffect(h.request, h.class); !ok {
 				// An effect that could not be recorded may be retried on another server; one that was started before
 				// may not.
 				if err != nil {
-					l.answer(Outcome{Verdict: Refused, RetryAfterMS: refusalRetryAfterMS})
+					h.answer(Outcome{Verdict: Refused, RetryAfterMS: refusalRetryAfterMS})
 				} else {
-					l.answer(Outcome{Verdict: Failed})
+					h.answer(Outcome{Verdict: Failed})
 				}
-				c.send(l, policy.Finished{ID: l.id, Outcome: policy.NotRun})
+				c.send(h, policy.Finished{ID: h.id, Outcome: policy.NotRun})
 				return
 			}
-			attempt = &Attempt{Request: l.request, Due: l.due, CallsSkippable: l.class.SkipWorth > 0,
-				Notify: func(n Notice) { l.inbox.Put(n) }}
+			attempt = &Attempt{Request: h.request, Due: h.due, CallsSkippable: h.class.SkipWorth > 0,
+				Notify: func(n Notice) { h.inbox.Put(n) }}
 			startedAt = c.clock.Now() // read before the start, so that no result looks newer than it is
 			c.counts.attempts.Add(1)
 			c.runner.Start(attempt)
@@ -170,46 +170,46 @@
 	cancelCall := func() {}
 	defer func() { cancelCall() }()
 	for {
-		switch m := l.inbox.Next().(type) {
+		switch m := h.inbox.Next().(type) {
 		case Notice:
 			if m.ReplyLost {
-				l.fail() // the attempt goes on, or stays at its call without a caller
+				h.fail() // the attempt goes on, or stays at its call without a caller
 				continue
 			}
 			if !m.Ended {
 				pool.Put(pendingCall.Body)
 				pendingCall = m
-				c.send(l, policy.CallNeeded{ID: l.id})
+				c.send(h, policy.CallNeeded{ID: h.id})
 				continue
 			}
 			if m.Outcome == policy.OK {
-				l.answer(Outcome{Verdict: Served, Result: m.Body})
+				h.answer(Outcome{Verdict: Served, Result: m.Body})
 			}
 			pool.Put(pendingCall.Body)
-			if recorder, ok := c.effectLog.(EffectEndRecorder); ok && l.class.Safety != policy.Safe {
-				recorder.Ended(l.request.ID, m.Outcome == policy.OK)
+			if recorder, ok := c.effectLog.(EffectEndRecorder); ok && h.class.Safety != policy.Safe {
+				recorder.Ended(h.request.ID, m.Outcome == policy.OK)
 			}
 			m.MadeAt = min(c.clock.Now(), startedAt+m.TookMS) // a late notice must not make the result look newer
-			c.sendEnd(l, m)
+			c.sendEnd(h, m)
 			// Answered after the end is sent: a retry that the caller sends at once must not find this attempt
 			// running, and fail because of it.
 			switch {
 			case m.Outcome == policy.OK:
 			case m.UnknownRequest:
-				l.answer(Outcome{Verdict: Failed, UnknownRequest: true})
+				h.answer(Outcome{Verdict: Failed, UnknownRequest: true})
 			case !gone:
-				l.fail()
+				h.fail()
 			}
 			return
 		case policy.MakeCall:
 			cancelCall() // a second call of one request cancels the first
-			if l.answered || gone {
+			if h.answered || gone {
 				continue // the module receives the end of the attempt
 			}
 			calls++
-			cancelCall = l.call(calls, m, pendingCall.Body)
+			cancelCall = h.call(calls, m, pendingCall.Body)
 		case callEnded:
-			if m.number != calls || l.answered || gone {
+			if m.number != calls || h.answered || gone {
 				pool.Put(m.body)
 				continue
 			}
@@ -217,37 +217,37 @@
 				c.runner.Return(attempt, pendingCall.Number, m.body)
 			}
 			pool.Put(m.body)
-			c.send(l, policy.CallReturned{ID: l.id, Outcome: m.outcome, Duration: clock.Duration(m.tookMS)})
+			c.send(h, policy.CallReturned{ID: h.id, Outcome: m.outcome, Duration: clock.Duration(m.tookMS)})
 		case policy.SkipCall:
 			c.runner.Skip(attempt, pendingCall.Number)
 		case policy.Fail, policy.Refuse:
-			l.fail() // not a refusal, since the request has started
+			h.fail() // not a refusal, since the request has started
 			cancelCall()
 			c.runner.Abandon(attempt)
 		case callerGone:
 			gone = true
 			cancelCall()
-			c.send(l, policy.CallerGone{ID: l.id})
+			c.send(h, policy.CallerGone{ID: h.id})
 			c.runner.Abandon(attempt)
 		}
 	}
 }
 
 // call makes one downstream call and returns a function that cancels it.
-func (l *Handler) call(number int, action policy.MakeCall, body []byte) func() {
-	c := l.core
-	limitMS := clock.Millis(action.MaxWait)
-	if limitMS <= 0 {
-		limitMS = clock.Millis(l.class.Deadline)
+func (h *Handler) call(number int, action policy.MakeCall, body []byte) func() {
+	c := h.core
+	timeoutMS := clock.Millis(action.MaxWait)
+	if timeoutMS <= 0 {
+		timeoutMS = clock.Millis(h.class.Deadline)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	body = pool.Copy(body) // the handler may go on to its next call while this one is being cancelled
 	startedAt := c.clock.Now()
 	go func() {
 		defer cancel()
-		outcome, reply := c.downstream.Call(ctx, l.request.ID, limitMS, body)
+		outcome, reply := c.downstream.Call(ctx, h.request.ID, timeoutMS, body)
 		pool.Put(body)
-		l.inbox.Put(callEnded{number: number, outcome: outcome, tookMS: c.clock.Now() - startedAt, body: reply})
+		h.inbox.Put(callEnded{number: number, outcome: outcome, tookMS: c.clock.Now() - startedAt, body: reply})
 	}()
 	return cancel
 }
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -62,11 +62,11 @@
 }
 
 // tableKey returns the key under which other requests find this one, and false if it has none.
-func tableKey(l *Handler) (classKey, bool) {
-	if l.class.Safety == policy.Keyed {
-		return classKey{l.request.Class, l.request.IdempotencyKey, true}, true
+func tableKey(h *Handler) (classKey, bool) {
+	if h.class.Safety == policy.Keyed {
+		return classKey{h.request.Class, h.request.IdempotencyKey, true}, true
 	}
-	return classKey{l.request.Class, l.request.Key, false}, l.class.Safety == policy.Safe && l.request.Key != ""
+	return classKey{h.request.Class, h.request.Key, false}, h.class.Safety == policy.Safe && h.request.Key != ""
 }
 
 // size returns the bytes that a keyed entry counts for; until it ends, its result counts with the maximum size.
@@ -78,18 +78,18 @@
 }
 
 // remember adds an entry for a request, unless the table is full.
-func (t *keyTable) remember(l *Handler, expiresAt float64) {
-	key, hasKey := tableKey(l)
+func (t *keyTable) remember(h *Handler, expiresAt float64) {
+	key, hasKey := tableKey(h)
 	if !hasKey {
 		return
 	}
-	e := &entry{id: l.id, key: key, expiresAt: expiresAt}
+	e := &entry{id: h.id, key: key, expiresAt: expiresAt}
 	if old := t.byKey[key]; old != nil {
 		t.forget(old.id)
 	}
 	if key.keyed {
-		window, deadline := clock.Millis(l.class.KeyTTL), clock.Millis(l.class.Deadline)
-		e.windowEnd, e.bodyHash, e.class = l.request.ArrivedAt+window+clockSlackMS, t.hashBody(l.request), l.class
+		window, deadline := clock.Millis(h.class.KeyTTL), clock.Millis(h.class.Deadline)
+		e.windowEnd, e.bodyHash, e.class = h.request.ArrivedAt+window+clockSlackMS, t.hashBody(h.request), h.class
 		// An attempt that reached the machine within the window may be read up to its deadline later.
 		e.expiresAt = e.windowEnd + deadline + clockSlackMS
 		if t.usedBytes+e.size() > t.maxBytes {
@@ -99,7 +99,7 @@
 	} else if len(t.byKey) >= maxReads {
 		return
 	}
-	t.byKey[key], t.byID[l.id] = e, e
+	t.byKey[key], t.byID[h.id] = e, e
 }
 
 func (t *keyTable) forget(id policy.ID) {
@@ -122,10 +122,10 @@
 }
 
 // findRead returns the remembered read that a request repeats, if there is one.
-func (t *keyTable) findRead(l *Handler, now float64) (policy.ID, bool) {
-	key, hasKey := tableKey(l)
+func (t *keyTable) findRead(h *Handler, now float64) (policy.ID, bool) {
+	key, hasKey := tableKey(h)
 	e := t.byKey[key]
-	if !hasKey || e == nil || now >= e.expiresAt || !t.usable(e, l.request.ArrivedAt) {
+	if !hasKey || e == nil || now >= e.expiresAt || !t.usable(e, h.request.ArrivedAt) {
 		return 0, false
 	}
 	return e.id, true
@@ -134,13 +134,13 @@
 // findAttempt returns the attempt that a keyed request repeats, whether queued, running or ended. Of several attempts in
 // one call of the module, the first is the original of the others. If same is false, the key was used with another body,
 // so this is not an attempt of the same request.
-func (t *keyTable) findAttempt(l *Handler) (first policy.ID, repeats, same bool) {
-	key, _ := tableKey(l)
-	bodyHash := t.hashBody(l.request)
-	e := t.findKeyed(l.request)
+func (t *keyTable) findAttempt(h *Handler) (first policy.ID, repeats, same bool) {
+	key, _ := tableKey(h)
+	bodyHash := t.hashBody(h.request)
+	e := t.findKeyed(h.request)
 	if e == nil {
 		if e = t.unremembered[key]; e == nil {
-			t.unremembered[key] = &entry{id: l.id, bodyHash: bodyHash}
+			t.unremembered[key] = &entry{id: h.id, bodyHash: bodyHash}
 			return 0, false, true
 		}
 	}
@@ -168,11 +168,11 @@
 
 // mayStart reports whether a request may start. A keyed one needs an entry, by which its other attempts are recognized,
 // and no other process that may start keyed requests.
-func (t *keyTable) mayStart(l *Handler, now float64) bool {
-	if l.class.Safety != policy.Keyed {
+func (t *keyTable) mayStart(h *Handler, now float64) bool {
+	if h.class.Safety != policy.Keyed {
 		return true
 	}
-	e := t.byID[l.id]
+	e := t.byID[h.id]
 	if e == nil || t.otherProcesses > 0 || now < t.noStartBefore {
 		return false
 	}
@@ -231,9 +231,9 @@
 	c.AfterPendingEvents(func() {
 		c.keys.otherProcesses--
 		longest := 0.0
-		for _, k := range c.classes {
-			if k.Safety == policy.Keyed {
-				longest = max(longest, clock.Millis(k.KeyTTL)+clockSlackMS)
+		for _, class := range c.classes {
+			if class.Safety == policy.Keyed {
+				longest = max(longest, clock.Millis(class.KeyTTL)+clockSlackMS)
 			}
 		}
 		if longest > 0 {
@@ -270,30 +270,30 @@
 
 // recordEnd records the end of a remembered attempt with its result. A keyed attempt that never ran is removed, so that
 // another attempt may run.
-func (t *keyTable) recordEnd(f policy.Finished, n Notice) {
-	e := t.byID[f.ID]
+func (t *keyTable) recordEnd(finished policy.Finished, n Notice) {
+	e := t.byID[finished.ID]
 	if e == nil || e.ended {
 		return
 	}
 	if e.key.keyed {
-		if f.Outcome == policy.NotRun {
-			t.forget(f.ID)
+		if finished.Outcome == policy.NotRun {
+			t.forget(finished.ID)
 			return
 		}
 		t.usedBytes -= e.size()
 		defer func() { t.usedBytes += e.size() }()
 	}
-	e.ended, e.succeeded, e.madeAt = true, f.Outcome == policy.OK && n.Ended, n.MadeAt
+	e.ended, e.succeeded, e.madeAt = true, finished.Outcome == policy.OK && n.Ended, n.MadeAt
 	if e.succeeded {
 		e.result = append([]byte(nil), n.Body...)
 	}
 }
 
 // result returns the result that a request may share, if there is one.
-func (t *keyTable) result(l *Handler) ([]byte, bool) {
-	key, hasKey := tableKey(l)
+func (t *keyTable) result(h *Handler) ([]byte, bool) {
+	key, hasKey := tableKey(h)
 	e := t.byKey[key]
-	if !hasKey || e == nil || !e.ended || !t.usable(e, l.request.ArrivedAt) {
+	if !hasKey || e == nil || !e.ended || !t.usable(e, h.request.ArrivedAt) {
 		return nil, false
 	}
 	return e.result, true
--- a/internal/distribution/regions.go
+++ b/internal/distribution/regions.go
@@ -107,26 +107,26 @@
 }
 
 // Add stores nowMS as the commit time of a revision. A revision that does not follow the last one clears the earlier times.
-func (a *CommitTimes) Add(revision uint64, nowMS float64) {
-	if len(a.timesMS) == 0 || revision != a.first+uint64(len(a.timesMS)) {
-		a.first, a.timesMS = revision, nil
+func (t *CommitTimes) Add(revision uint64, nowMS float64) {
+	if len(t.timesMS) == 0 || revision != t.first+uint64(len(t.timesMS)) {
+		t.first, t.timesMS = revision, nil
 	}
-	a.timesMS = append(a.timesMS, nowMS)
-	if evicted := len(a.timesMS) - maxCommitTimes; evicted > 0 {
-		a.first += uint64(evicted)
-		a.timesMS = a.timesMS[evicted:]
+	t.timesMS = append(t.timesMS, nowMS)
+	if evicted := len(t.timesMS) - maxCommitTimes; evicted > 0 {
+		t.first += uint64(evicted)
+		t.timesMS = t.timesMS[evicted:]
 	}
 }
 
 // StalenessMS returns the staleness of a server at a revision: the milliseconds since the next revision was committed, or 0 if the
 // server is at the latest. If that commit time is no longer retained, it returns the time since the oldest retained one.
-func (a *CommitTimes) StalenessMS(nowMS float64, revision uint64) float64 {
-	if len(a.timesMS) == 0 || revision+1 >= a.first+uint64(len(a.timesMS)) {
+func (t *CommitTimes) StalenessMS(nowMS float64, revision uint64) float64 {
+	if len(t.timesMS) == 0 || revision+1 >= t.first+uint64(len(t.timesMS)) {
 		return 0
 	}
 	i := 0
-	if revision+1 > a.first {
-		i = int(revision + 1 - a.first)
+	if revision+1 > t.first {
+		i = int(revision + 1 - t.first)
 	}
-	return nowMS - a.timesMS[i]
+	return nowMS - t.timesMS[i]
 }
--- a/internal/effectlog/effectlog.go
+++ b/internal/effectlog/effectlog.go
@@ -45,19 +45,19 @@
 }
 
 // RebuildIndexes rebuilds the indexes of an effect log that was read from a snapshot.
-func (b *EffectLog) RebuildIndexes(maxEffects int) {
-	b.MaxEffects, b.order, b.open = maxEffects, nil, map[string]*Effect{}
-	if b.Effects == nil {
-		b.Effects = map[string]*Effect{}
+func (l *EffectLog) RebuildIndexes(maxEffects int) {
+	l.MaxEffects, l.order, l.open = maxEffects, nil, map[string]*Effect{}
+	if l.Effects == nil {
+		l.Effects = map[string]*Effect{}
 	}
-	for id, e := range b.Effects {
-		b.order = append(b.order, id)
+	for id, e := range l.Effects {
+		l.order = append(l.order, id)
 		if e.State == Begun && e.Owner != "" {
-			b.open[id] = e
+			l.open[id] = e
 		}
 	}
-	slices.SortFunc(b.order, func(x, y string) int {
-		if b.Effects[x].Seq < b.Effects[y].Seq {
+	slices.SortFunc(l.order, func(x, y string) int {
+		if l.Effects[x].Seq < l.Effects[y].Seq {
 			return -1
 		}
 		return 1
@@ -65,48 +65,48 @@
 }
 
 // Clone returns a deep copy.
-func (b *EffectLog) Clone() *EffectLog {
-	c := &EffectLog{Seq: b.Seq, Effects: make(map[string]*Effect, len(b.Effects))}
-	for id, e := range b.Effects {
+func (l *EffectLog) Clone() *EffectLog {
+	c := &EffectLog{Seq: l.Seq, Effects: make(map[string]*Effect, len(l.Effects))}
+	for id, e := range l.Effects {
 		v := *e
 		c.Effects[id] = &v
 	}
-	c.RebuildIndexes(b.MaxEffects)
+	c.RebuildIndexes(l.MaxEffects)
 	return c
 }
 
 // Begin records an effect and returns false if it was recorded before. In a full log it removes the oldest effects,
 // unless keepAll is set: then the settler removes effects by age, and Begin returns ErrFull.
-func (b *EffectLog) Begin(id, owner string, epoch uint64, keepAll bool) (bool, error) {
-	if b.Effects[id] != nil {
+func (l *EffectLog) Begin(id, owner string, epoch uint64, keepAll bool) (bool, error) {
+	if l.Effects[id] != nil {
 		return false, nil
 	}
-	for len(b.Effects) >= b.MaxEffects {
+	for len(l.Effects) >= l.MaxEffects {
 		if keepAll {
-			return false, fmt.Errorf("%w: %d", ErrFull, b.MaxEffects)
+			return false, fmt.Errorf("%w: %d", ErrFull, l.MaxEffects)
 		}
-		b.remove(b.order[0])
-		b.order = b.order[1:]
+		l.remove(l.order[0])
+		l.order = l.order[1:]
 	}
-	b.Seq++
-	e := &Effect{Owner: owner, Epoch: epoch, Seq: b.Seq}
-	b.Effects[id] = e
-	b.order = append(b.order, id)
+	l.Seq++
+	e := &Effect{Owner: owner, Epoch: epoch, Seq: l.Seq}
+	l.Effects[id] = e
+	l.order = append(l.order, id)
 	if owner != "" {
-		b.open[id] = e
+		l.open[id] = e
 	}
 	return true, nil
 }
 
-func (b *EffectLog) remove(id string) {
-	delete(b.Effects, id)
-	delete(b.open, id)
+func (l *EffectLog) remove(id string) {
+	delete(l.Effects, id)
+	delete(l.open, id)
 }
 
 // End records how an effect ended and returns whether it did. An effect that has ended, was resolved or has another owner
 // is not changed.
-func (b *EffectLog) End(id, owner string, ok bool) bool {
-	e := b.open[id]
+func (l *EffectLog) End(id, owner string, ok bool) bool {
+	e := l.open[id]
 	if e == nil || e.Owner != owner {
 		return false
 	}
@@ -114,7 +114,7 @@
 	if ok {
 		e.State = Done
 	}
-	delete(b.open, id)
+	delete(l.open, id)
 	return true
 }
 
@@ -122,15 +122,15 @@
 type Live func(owner string, epoch uint64) bool
 
 // Orphans lists at most the given number of orphaned effects, the oldest first.
-func (b *EffectLog) Orphans(live Live, limit int) []string {
+func (l *EffectLog) Orphans(live Live, limit int) []string {
 	var ids []string
-	for id, e := range b.open {
+	for id, e := range l.open {
 		if !live(e.Owner, e.Epoch) {
 			ids = append(ids, id)
 		}
 	}
 	slices.SortFunc(ids, func(x, y string) int {
-		if b.Effects[x].Seq < b.Effects[y].Seq {
+		if l.Effects[x].Seq < l.Effects[y].Seq {
 			return -1
 		}
 		return 1
@@ -140,11 +140,11 @@
 
 // Resolve resolves effects whose process is gone by marking their outcome as unknown, and returns how many it marked. An
 // effect is never run to resolve it.
-func (b *EffectLog) Resolve(ids []string, live Live) (resolved int) {
+func (l *EffectLog) Resolve(ids []string, live Live) (resolved int) {
 	for _, id := range ids {
-		if e := b.open[id]; e != nil && !live(e.Owner, e.Epoch) {
+		if e := l.open[id]; e != nil && !live(e.Owner, e.Epoch) {
 			e.State = Unknown
-			delete(b.open, id)
+			delete(l.open, id)
 			resolved++
 		}
 	}
@@ -152,13 +152,13 @@
 }
 
 // Prune removes the effects with a sequence number of at most upTo that are no longer open, and returns how many.
-func (b *EffectLog) Prune(upTo uint64) (pruned int) {
-	b.order = slices.DeleteFunc(b.order, func(id string) bool {
-		e := b.Effects[id]
-		if e.Seq > upTo || b.open[id] != nil {
+func (l *EffectLog) Prune(upTo uint64) (pruned int) {
+	l.order = slices.DeleteFunc(l.order, func(id string) bool {
+		e := l.Effects[id]
+		if e.Seq > upTo || l.open[id] != nil {
 			return false
 		}
-		b.remove(id)
+		l.remove(id)
 		pruned++
 		return true
 	})
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -49,19 +49,19 @@
 
 // Group returns the hosts of a group. The group all contains every host.
 func (v *Inventory) Group(name string) []*Host {
-	var in []*Host
+	var members []*Host
 	for _, h := range v.Hosts {
 		for _, g := range h.Groups {
 			if g == name || name == "all" {
-				in = append(in, h)
+				members = append(members, h)
 				break
 			}
 		}
 		if len(h.Groups) == 0 && name == "all" {
-			in = append(in, h)
+			members = append(members, h)
 		}
 	}
-	return in
+	return members
 }
 
 // Endpoint returns the host's address with its port, or with the given one if it has none.
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -31,24 +31,24 @@
 `
 
 func TestYAMLAndCSVGiveEqualInventories(t *testing.T) {
-	a, err := ParseYAML("i.yml", []byte(sampleYAML))
+	fromYAML, err := ParseYAML("i.yml", []byte(sampleYAML))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := ParseCSV("i.csv", []byte(sampleCSV))
+	fromCSV, err := ParseCSV("i.csv", []byte(sampleCSV))
 	if err != nil {
 		t.Fatal(err)
 	}
-	x, _ := json.Marshal(a)
-	y, _ := json.Marshal(b)
-	if string(x) != string(y) {
-		t.Errorf("YAML %s\nCSV  %s", x, y)
+	yamlJSON, _ := json.Marshal(fromYAML)
+	csvJSON, _ := json.Marshal(fromCSV)
+	if string(yamlJSON) != string(csvJSON) {
+		t.Errorf("YAML %s\nCSV  %s", yamlJSON, csvJSON)
 	}
-	if g := a.Group("runners"); len(g) != 3 || g[1].Endpoint(1) != "[::1]:3032" || g[2].Endpoint(1) != "r3.depot.example:3031" {
-		t.Errorf("runners: %+v", g)
+	if runners := fromYAML.Group("runners"); len(runners) != 3 || runners[1].Endpoint(1) != "[::1]:3032" || runners[2].Endpoint(1) != "r3.depot.example:3031" {
+		t.Errorf("runners: %+v", runners)
 	}
-	if len(a.Group("all")) != 4 || len(a.Group("spare")) != 1 || a.Hosts[0].Endpoint(7) != "edge:7" {
-		t.Errorf("groups of %s", x)
+	if len(fromYAML.Group("all")) != 4 || len(fromYAML.Group("spare")) != 1 || fromYAML.Hosts[0].Endpoint(7) != "edge:7" {
+		t.Errorf("groups of %s", yamlJSON)
 	}
 }
 
--- a/internal/inventory/yaml.go
+++ b/internal/inventory/yaml.go
@@ -57,7 +57,7 @@
 }
 
 // pairs returns the members of a mapping. A duplicate key is an error.
-func (p *parser) pairs(n *yaml.Node, what string) ([]pair, error) {
+func (p *parser) pairs(n *yaml.Node, subject string) ([]pair, error) {
 	if n.Kind == yaml.AliasNode {
 		n = n.Alias
 	}
@@ -65,14 +65,14 @@
 		return nil, nil
 	}
 	if n.Kind != yaml.MappingNode {
-		return nil, fmt.Errorf("%s:%d: %s must be a mapping", p.path, n.Line, what)
+		return nil, fmt.Errorf("%s:%d: %s must be a mapping", p.path, n.Line, subject)
 	}
 	var members []pair
 	seen := map[string]int{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k := n.Content[i]
 		if first, duplicate := seen[k.Value]; duplicate {
-			return nil, fmt.Errorf("%s:%d: duplicate %q in %s, first in line %d", p.path, k.Line, k.Value, what, first)
+			return nil, fmt.Errorf("%s:%d: duplicate %q in %s, first in line %d", p.path, k.Line, k.Value, subject, first)
 		}
 		seen[k.Value] = k.Line
 		members = append(members, pair{k, n.Content[i+1]})
@@ -167,8 +167,8 @@
 }
 
 // vars reads variables. A value that is not a scalar is kept as YAML text.
-func (p *parser) vars(n *yaml.Node, what string) (map[string]string, error) {
-	members, err := p.pairs(n, what)
+func (p *parser) vars(n *yaml.Node, subject string) (map[string]string, error) {
+	members, err := p.pairs(n, subject)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/net/configwatch/client.go
+++ b/internal/net/configwatch/client.go
@@ -268,8 +268,8 @@
 		return skipper.Skip(commit)
 	}
 	err := replica.Follow(commit)
-	var order *records.SequenceError
-	if errors.As(err, &order) && order.DigestMismatch {
+	var sequenceErr *records.SequenceError
+	if errors.As(err, &sequenceErr) && sequenceErr.DigestMismatch {
 		replica.Discard(err) // the next watch then begins with a snapshot
 	}
 	return err
@@ -295,14 +295,14 @@
 	return nil
 }
 
-func (s *stream) addChunk(p records.Chunk) error {
+func (s *stream) addChunk(chunk records.Chunk) error {
 	if s.assembler == nil {
 		return errSnapshotOrder
 	}
-	if err := s.assembler.Add(p); err != nil {
+	if err := s.assembler.Add(chunk); err != nil {
 		return err
 	}
-	if p.Index+1 < s.header.ChunkCount {
+	if chunk.Index+1 < s.header.ChunkCount {
 		return nil
 	}
 	return s.adoptSnapshot()
--- a/internal/net/configwatch/configwatch_test.go
+++ b/internal/net/configwatch/configwatch_test.go
@@ -216,8 +216,8 @@
 	}
 	w = startWatcher(t, path, relaysOf(f))
 	w.waitUntilCurrent(t, f)
-	if n := w.client.Metrics(); n.Snapshots != 0 || len(w.commits) != 20 {
-		t.Errorf("%d snapshots and %d commits for a server that missed 20 commits", n.Snapshots, len(w.commits))
+	if metrics := w.client.Metrics(); metrics.Snapshots != 0 || len(w.commits) != 20 {
+		t.Errorf("%d snapshots and %d commits for a server that missed 20 commits", metrics.Snapshots, len(w.commits))
 	}
 	w.stop()
 	b, err := os.ReadFile(path)
@@ -313,8 +313,8 @@
 	large := strings.Repeat("n", 128)
 	waitUntil(t, "the slow watcher is disconnected", func() bool {
 		f.commit(large, large[:100], large[:99], large[:98])
-		if held := f.server.Metrics().RetainedBytes; held > limits.Bytes {
-			t.Fatalf("%d bytes retained, limit %d", held, limits.Bytes)
+		if retained := f.server.Metrics().RetainedBytes; retained > limits.Bytes {
+			t.Fatalf("%d bytes retained, limit %d", retained, limits.Bytes)
 		}
 		w.waitUntilCurrent(t, f) // the other watcher is still served
 		return f.server.Metrics().Watchers == 1
--- a/internal/net/configwatch/server.go
+++ b/internal/net/configwatch/server.go
@@ -66,7 +66,7 @@
 	feed           *distribution.Feed
 	progress       *distribution.Progress
 	regions        *distribution.Regions // of the relays that watch here
-	revisionAges   distribution.CommitTimes
+	commitTimes    distribution.CommitTimes
 	changed        chan struct{}     // closed at each change of the feed
 	conns          map[net.Conn]bool // connections of served watchers
 	cachedSnapshot *records.Snapshot // nil: none
@@ -98,7 +98,7 @@
 	if err := s.feed.Advance(c, b); err != nil {
 		return err
 	}
-	s.revisionAges.Add(c.Revision, s.options.Steady.Now())
+	s.commitTimes.Add(c.Revision, s.options.Steady.Now())
 	s.notifyWatchers()
 	return nil
 }
@@ -108,8 +108,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feed.Reset(p)
-	s.revisionAges = distribution.CommitTimes{}
-	s.revisionAges.Add(p.Revision, s.options.Steady.Now()) // lower bound of the lag of watchers behind it
+	s.commitTimes = distribution.CommitTimes{}
+	s.commitTimes.Add(p.Revision, s.options.Steady.Now()) // lower bound of the lag of watchers behind it
 	s.cachedSnapshot = nil
 	s.notifyWatchers()
 }
@@ -139,7 +139,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	latest := s.feed.Position().Revision
-	return distribution.Status{Revision: latest, Regions: s.regions.Status(s.options.Steady.Now(), latest, &s.revisionAges)}
+	return distribution.Status{Revision: latest, Regions: s.regions.Status(s.options.Steady.Now(), latest, &s.commitTimes)}
 }
 
 // Metrics returns the current metrics.
@@ -330,11 +330,11 @@
 		return 0, err
 	}
 	for i := range snapshot.Chunks {
-		p := &snapshot.Chunks[i]
-		if err := s.snapshotLimiter.WaitN(ctx, min(len(p.Data), snapshotBurstBytes)); err != nil {
+		chunk := &snapshot.Chunks[i]
+		if err := s.snapshotLimiter.WaitN(ctx, min(len(chunk.Data), snapshotBurstBytes)); err != nil {
 			return 0, err
 		}
-		if err := frame.Send(conn, feedMessage{Chunk: p}, maxMessageBytes); err != nil {
+		if err := frame.Send(conn, feedMessage{Chunk: chunk}, maxMessageBytes); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/net/executor/executor.go
+++ b/internal/net/executor/executor.go
@@ -379,7 +379,7 @@
 		l.barrierTag = "f" + strconv.FormatUint(l.seq, 10)
 		l.enqueue([]byte("METER " + l.barrierTag + "\r\n"))
 	case words[0] == "EXIT" && len(words) == 6:
-		n, err := strconv.ParseUint(words[1], 10, 64)
+		number, err := strconv.ParseUint(words[1], 10, 64)
 		ms, err2 := strconv.ParseFloat(words[4], 64)
 		if err != nil || err2 != nil {
 			return errMalformed
@@ -389,13 +389,13 @@
 		if !ok {
 			return errMalformed
 		}
-		l.deliver(n, words[2], core.Notice{Ended: true, Number: n, Outcome: outcome, TookMS: ms, Body: body})
+		l.deliver(number, words[2], core.Notice{Ended: true, Number: number, Outcome: outcome, TookMS: ms, Body: body})
 	case words[0] == "CALLOUT" && len(words) == 4:
-		n, err := strconv.ParseUint(words[1], 10, 64)
+		number, err := strconv.ParseUint(words[1], 10, 64)
 		if err != nil {
 			return errMalformed
 		}
-		l.deliver(n, words[2], core.Notice{Number: n, Body: body})
+		l.deliver(number, words[2], core.Notice{Number: number, Body: body})
 	case words[0] == "METERS" && len(words) >= 2:
 		l.handleMeters(words[1], words[2:])
 	case words[0] == "DIAGNOSED" && len(words) == 3:
@@ -414,8 +414,8 @@
 		}
 	case words[0] == "BAD":
 	case words[0] == "LOG" && len(words) >= 2:
-		if n, err := strconv.ParseUint(words[1], 10, 64); err == nil {
-			l.deliver(n, "", core.Notice{})
+		if number, err := strconv.ParseUint(words[1], 10, 64); err == nil {
+			l.deliver(number, "", core.Notice{})
 		}
 		l.log.Debug().Strs("notice", words).Msg("executor")
 	default:
@@ -425,15 +425,15 @@
 }
 
 // deliver delivers a notice to its attempt once; after a reconnect, the executor may repeat notices.
-func (l *Link) deliver(n uint64, id string, notice core.Notice) {
+func (l *Link) deliver(number uint64, id string, notice core.Notice) {
 	l.mu.Lock()
-	if n > 0 {
-		if n <= l.lastNotice {
+	if number > 0 {
+		if number <= l.lastNotice {
 			l.mu.Unlock()
 			pool.Put(notice.Body)
 			return
 		}
-		l.lastNotice = n
+		l.lastNotice = number
 	}
 	r := l.runs[id]
 	if r != nil {
--- a/internal/net/session/client.go
+++ b/internal/net/session/client.go
@@ -120,7 +120,7 @@
 	c.mu.Lock()
 	c.step()
 	c.mu.Unlock()
-	backoffs := backoff.New(firstBackoffRenewals*c.options.Rules.RenewIntervalMS, maxBackoffRenewals*c.options.Rules.RenewIntervalMS,
+	reconnectBackoff := backoff.New(firstBackoffRenewals*c.options.Rules.RenewIntervalMS, maxBackoffRenewals*c.options.Rules.RenewIntervalMS,
 		rand.New(rand.NewPCG(c.options.Seed, 2)))
 	for ctx.Err() == nil {
 		var err error
@@ -129,9 +129,9 @@
 			c.options.Log.Debug().Err(err).Str("at", address).Msg("session ended; reconnecting")
 		}
 		if c.takeEstablished() {
-			backoffs.Reset()
+			reconnectBackoff.Reset()
 		}
-		wait := backoffs.Next()
+		wait := reconnectBackoff.Next()
 		if limitErr := (*sessionLimitError)(nil); errors.As(err, &limitErr) {
 			wait += limitErr.retryMS
 		}
--- a/internal/net/session/server.go
+++ b/internal/net/session/server.go
@@ -136,45 +136,45 @@
 }
 
 // Metrics returns the current metrics.
-func (d *Server) Metrics() ServerMetrics {
-	d.counts.mu.Lock()
-	defer d.counts.mu.Unlock()
-	return ServerMetrics{d.counts.Heartbeats, d.counts.LogEntries, d.counts.Replies, d.counts.Terminated,
-		d.openSessions.Load(), d.leaderTerm.Load(), d.traffic.Out.Load(), d.traffic.In.Load()}
+func (srv *Server) Metrics() ServerMetrics {
+	srv.counts.mu.Lock()
+	defer srv.counts.mu.Unlock()
+	return ServerMetrics{srv.counts.Heartbeats, srv.counts.LogEntries, srv.counts.Replies, srv.counts.Terminated,
+		srv.openSessions.Load(), srv.leaderTerm.Load(), srv.traffic.Out.Load(), srv.traffic.In.Load()}
 }
 
-func (d *Server) increment(n *uint64) {
-	d.counts.mu.Lock()
+func (srv *Server) increment(n *uint64) {
+	srv.counts.mu.Lock()
 	*n++
-	d.counts.mu.Unlock()
+	srv.counts.mu.Unlock()
 }
 
 // Serve serves one session until it ends.
-func (d *Server) Serve(conn net.Conn) {
+func (srv *Server) Serve(conn net.Conn) {
 	defer conn.Close()
-	conn = meter.New(conn, &d.traffic)
-	if d.openSessions.Add(1) > int64(d.maxSessions) {
-		d.openSessions.Add(-1)
-		d.increment(&d.counts.Terminated)
-		d.refuse(conn)
+	conn = meter.New(conn, &srv.traffic)
+	if srv.openSessions.Add(1) > int64(srv.maxSessions) {
+		srv.openSessions.Add(-1)
+		srv.increment(&srv.counts.Terminated)
+		srv.refuse(conn)
 		return
 	}
-	defer d.openSessions.Add(-1)
+	defer srv.openSessions.Add(-1)
 	s := &session{writer: newMessageWriter(conn), commandSlots: make(chan struct{}, maxCommandsInFlight)}
 	defer close(s.writer.done)
-	defer d.inbox.Put(sessionClosed{s})
-	r := newReader(conn, clock.Duration(idleTimeoutRenewals*d.grantor.RenewIntervalMS))
+	defer srv.inbox.Put(sessionClosed{s})
+	r := newReader(conn, clock.Duration(idleTimeoutRenewals*srv.grantor.RenewIntervalMS))
 	for {
 		var m clientMessage
 		err := r.Next(&m)
 		if err == nil {
-			err = d.dispatch(s, m)
+			err = srv.dispatch(s, m)
 		}
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, net.ErrClosed) {
-				d.increment(&d.counts.Terminated)
+				srv.increment(&srv.counts.Terminated)
 			}
-			d.log.Debug().Err(err).Msg("session ended")
+			srv.log.Debug().Err(err).Msg("session ended")
 			return
 		}
 	}
@@ -182,33 +182,33 @@
 
 // refuse sends a client the time after which it may reconnect, because the session limit is reached. It reads the client's first
 // message before: closing a socket with unread data would reset the connection and discard the reply.
-func (d *Server) refuse(conn net.Conn) {
-	if d.refusalsInFlight.Add(1) > maxRefusalsInFlight {
-		d.refusalsInFlight.Add(-1)
+func (srv *Server) refuse(conn net.Conn) {
+	if srv.refusalsInFlight.Add(1) > maxRefusalsInFlight {
+		srv.refusalsInFlight.Add(-1)
 		return
 	}
-	defer d.refusalsInFlight.Add(-1)
+	defer srv.refusalsInFlight.Add(-1)
 	timer := time.AfterFunc(frame.MessageTimeout, func() { conn.Close() })
 	defer timer.Stop()
 	var first clientMessage
 	if newReader(conn, frame.MessageTimeout).Next(&first) != nil {
 		return
 	}
-	frame.Send(conn, serverMessage{RetryMS: limitRetryRenewals * d.grantor.RenewIntervalMS * (0.5 + rand.Float64())}, maxMessageBytes)
+	frame.Send(conn, serverMessage{RetryMS: limitRetryRenewals * srv.grantor.RenewIntervalMS * (0.5 + rand.Float64())}, maxMessageBytes)
 }
 
 // dispatch handles one message of a client. An error ends the session.
-func (d *Server) dispatch(s *session, m clientMessage) error {
+func (srv *Server) dispatch(s *session, m clientMessage) error {
 	switch {
 	case m.Heartbeat != nil:
 		if err := s.bind(m.Heartbeat.From); err != nil {
 			return err
 		}
-		if len(m.Heartbeat.Candidacies)+len(m.Heartbeat.Renewals)+len(m.Heartbeat.Releases) > 4*(len(d.grantor.Duties)+1) {
+		if len(m.Heartbeat.Candidacies)+len(m.Heartbeat.Renewals)+len(m.Heartbeat.Releases) > 4*(len(srv.grantor.Duties)+1) {
 			return fmt.Errorf("session: heartbeat has too many duty names: %d",
 				len(m.Heartbeat.Candidacies)+len(m.Heartbeat.Renewals)+len(m.Heartbeat.Releases))
 		}
-		d.inbox.Put(heartbeatReceived{s, m})
+		srv.inbox.Put(heartbeatReceived{s, m})
 	case m.Command != nil:
 		if err := s.authorize(*m.Command); err != nil {
 			return err
@@ -216,10 +216,10 @@
 		s.commandSlots <- struct{}{}
 		go func() {
 			defer func() { <-s.commandSlots }()
-			d.execute(s, m.RequestID, *m.Command)
+			srv.execute(s, m.RequestID, *m.Command)
 		}()
 	case m.Query != "":
-		d.inbox.Put(queryReceived{s, m.RequestID, m.Query})
+		srv.inbox.Put(queryReceived{s, m.RequestID, m.Query})
 	default:
 		return fmt.Errorf("session: empty message")
 	}
@@ -252,60 +252,60 @@
 	return fmt.Errorf("session: command %q is not allowed in a session", cmd.Op)
 }
 
-func (d *Server) execute(s *session, requestID uint64, cmd state.Command) {
-	if _, leads := d.replica.Leadership(); !leads {
-		d.redirect(s, requestID)
+func (srv *Server) execute(s *session, requestID uint64, cmd state.Command) {
+	if _, leads := srv.replica.Leadership(); !leads {
+		srv.redirect(s, requestID)
 		return
 	}
-	if err := d.checkChange(cmd); err != nil {
+	if err := srv.checkChange(cmd); err != nil {
 		s.writer.send(serverMessage{RequestID: requestID, Result: &state.Result{Error: err.Error()}})
 		return
 	}
-	r, err := d.replica.Propose(cmd)()
+	r, err := srv.replica.Propose(cmd)()
 	m := serverMessage{RequestID: requestID, Result: &r}
 	if err != nil {
 		m.Result, m.Error = nil, err.Error()
 	}
 	if r.Stale {
-		d.log.Warn().Str("refused", r.Error).Msg("fenced")
+		srv.log.Warn().Str("refused", r.Error).Msg("fenced")
 	}
 	s.writer.send(m)
 }
 
-func (d *Server) checkChange(cmd state.Command) error {
-	if cmd.Op != state.OpChangeRecords || cmd.Change == nil || d.CheckChange == nil {
+func (srv *Server) checkChange(cmd state.Command) error {
+	if cmd.Op != state.OpChangeRecords || cmd.Change == nil || srv.CheckChange == nil {
 		return nil
 	}
 	if err := cmd.Change.Check(); err != nil {
 		return err
 	}
-	return d.CheckChange(*cmd.Change)
+	return srv.CheckChange(*cmd.Change)
 }
 
 // redirect sends a client to the leader.
-func (d *Server) redirect(s *session, requestID uint64) {
-	leaderID := d.replica.Leader()
+func (srv *Server) redirect(s *session, requestID uint64) {
+	leaderID := srv.replica.Leader()
 	s.writer.send(serverMessage{RequestID: requestID, LeaderID: &leaderID})
 }
 
 // Run processes heartbeats and queries until the context ends.
-func (d *Server) Run(ctx context.Context) {
+func (srv *Server) Run(ctx context.Context) {
 	for {
-		d.scheduleTick()
+		srv.scheduleTick()
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.inbox.Ready:
+		case <-srv.inbox.Ready:
 		}
-		d.processInbox()
+		srv.processInbox()
 	}
 }
 
 // scheduleTick schedules the next tick unless one is pending.
-func (d *Server) scheduleTick() {
-	if !d.tickScheduled {
-		d.tickScheduled = true
-		d.steady.After(batchIntervalMS, func() { d.inbox.Put(tick{}) })
+func (srv *Server) scheduleTick() {
+	if !srv.tickScheduled {
+		srv.tickScheduled = true
+		srv.steady.After(batchIntervalMS, func() { srv.inbox.Put(tick{}) })
 	}
 }
 
@@ -313,163 +313,163 @@
 
 // processInbox processes the events in the inbox and, once per tick, proposes a log entry for the heartbeats and queries
 // received.
-func (d *Server) processInbox() {
-	d.batch = d.inbox.TakeAll(d.batch)
+func (srv *Server) processInbox() {
+	srv.batch = srv.inbox.TakeAll(srv.batch)
 	ticked := false
-	for i, e := range d.batch {
+	for i, e := range srv.batch {
 		switch e := e.(type) {
 		case tick:
-			d.tickScheduled, ticked = false, true
+			srv.tickScheduled, ticked = false, true
 		case heartbeatReceived:
-			if old := d.heartbeats[e.session]; old != nil && old.ShareAck > e.message.ShareAck {
+			if old := srv.heartbeats[e.session]; old != nil && old.ShareAck > e.message.ShareAck {
 				e.message.ShareAck = old.ShareAck
 			}
-			if old := d.heartbeats[e.session]; old != nil {
+			if old := srv.heartbeats[e.session]; old != nil {
 				// The later heartbeat replaces the earlier one and keeps its releases.
 				e.message.Heartbeat.Releases = append(e.message.Heartbeat.Releases, old.Heartbeat.Releases...)
 			}
-			d.heartbeats[e.session] = &e.message
-			if d.grantor.InjectedBug == duty.BugUnproven && d.assumedLeader {
-				d.replica.View(func(st *state.State, index uint64) {
-					d.replyToHeartbeat(e.session, e.message.Heartbeat.From, e.message.Heartbeat.Seq, index, st)
+			srv.heartbeats[e.session] = &e.message
+			if srv.grantor.InjectedBug == duty.BugUnproven && srv.assumedLeader {
+				srv.replica.View(func(st *state.State, index uint64) {
+					srv.replyToHeartbeat(e.session, e.message.Heartbeat.From, e.message.Heartbeat.Seq, index, st)
 				})
 			}
-			d.increment(&d.counts.Heartbeats)
+			srv.increment(&srv.counts.Heartbeats)
 		case queryReceived:
-			d.queries = append(d.queries, e)
+			srv.queries = append(srv.queries, e)
 		case sessionClosed:
-			delete(d.heartbeats, e.session)
-			d.queries = slices.DeleteFunc(d.queries, func(q queryReceived) bool { return q.session == e.session })
-			if processID := e.session.processID.Load(); processID != nil && d.sessions[*processID] == e.session {
-				delete(d.sessions, *processID)
-				delete(d.latestHeartbeats, *processID)
-				delete(d.shareNeeds, *processID)
+			delete(srv.heartbeats, e.session)
+			srv.queries = slices.DeleteFunc(srv.queries, func(q queryReceived) bool { return q.session == e.session })
+			if processID := e.session.processID.Load(); processID != nil && srv.sessions[*processID] == e.session {
+				delete(srv.sessions, *processID)
+				delete(srv.latestHeartbeats, *processID)
+				delete(srv.shareNeeds, *processID)
 			}
 		case proposal:
-			d.handleProposal(e)
+			srv.handleProposal(e)
 		}
-		d.batch[i] = nil
+		srv.batch[i] = nil
 	}
-	if !ticked || d.proposing {
+	if !ticked || srv.proposing {
 		return // once per tick, so that heartbeats share a log entry
 	}
-	term, leads := d.replica.Leadership()
+	term, leads := srv.replica.Leadership()
 	switch {
 	case !leads:
-		d.readyTerm = 0
-		d.leaderTerm.Store(0)
-		if d.notLeadingChecks++; d.notLeadingChecks%10 == 0 { // the injected bug notices the loss of leadership late
-			d.assumedLeader = false
+		srv.readyTerm = 0
+		srv.leaderTerm.Store(0)
+		if srv.notLeadingChecks++; srv.notLeadingChecks%10 == 0 { // the injected bug notices the loss of leadership late
+			srv.assumedLeader = false
 		}
-		for c := range d.heartbeats {
-			d.redirect(c, 0)
+		for sess := range srv.heartbeats {
+			srv.redirect(sess, 0)
 		}
-		for _, q := range d.queries {
-			d.redirect(q.session, q.requestID)
+		for _, q := range srv.queries {
+			srv.redirect(q.session, q.requestID)
 		}
-		clear(d.heartbeats)
-		d.queries = nil
-	case term != d.readyTerm:
+		clear(srv.heartbeats)
+		srv.queries = nil
+	case term != srv.readyTerm:
 		// Entries committed under earlier leaders may not be applied on this replica yet. No heartbeat is processed until they
 		// are: a grant that is not visible yet would count as not renewed.
-		d.propose(proposal{term: term})
+		srv.propose(proposal{term: term})
 	default:
-		d.processHeartbeats(term)
+		srv.processHeartbeats(term)
 	}
 }
 
 // processHeartbeats processes the heartbeats and proposes the orders that result from them and from the passage of time.
-func (d *Server) processHeartbeats(term uint64) {
-	now := d.steady.Now() // read after the heartbeats arrived: a holder counts its lease from when it sent its heartbeat
-	p := proposal{term: term, heartbeats: d.heartbeats, queries: d.queries}
+func (srv *Server) processHeartbeats(term uint64) {
+	now := srv.steady.Now() // read after the heartbeats arrived: a holder counts its lease from when it sent its heartbeat
+	p := proposal{term: term, heartbeats: srv.heartbeats, queries: srv.queries}
 	var acks []state.Command
-	d.replica.View(func(st *state.State, _ uint64) {
-		for c, m := range d.heartbeats {
-			b := *m.Heartbeat
-			d.sessions[b.From], d.latestHeartbeats[b.From] = c, max(d.latestHeartbeats[b.From], b.Seq)
-			d.shareNeeds[b.From] = m.Need
-			p.orders = append(p.orders, d.grantor.HandleHeartbeat(now, b, st.Duties)...)
-			if s := st.Allocations.Shares[b.From]; s != nil && s.Cap > s.Target && s.Version == m.ShareAck {
-				acks = append(acks, state.Command{Op: state.OpAcknowledgeAllocation, Process: b.From, Epoch: m.ShareAck})
+	srv.replica.View(func(st *state.State, _ uint64) {
+		for sess, m := range srv.heartbeats {
+			heartbeat := *m.Heartbeat
+			srv.sessions[heartbeat.From], srv.latestHeartbeats[heartbeat.From] = sess, max(srv.latestHeartbeats[heartbeat.From], heartbeat.Seq)
+			srv.shareNeeds[heartbeat.From] = m.Need
+			p.orders = append(p.orders, srv.grantor.HandleHeartbeat(now, heartbeat, st.Duties)...)
+			if share := st.Allocations.Shares[heartbeat.From]; share != nil && share.Cap > share.Target && share.Version == m.ShareAck {
+				acks = append(acks, state.Command{Op: state.OpAcknowledgeAllocation, Process: heartbeat.From, Epoch: m.ShareAck})
 			}
 		}
-		p.orders = append(p.orders, d.grantor.Tick(now, st.Duties)...)
+		p.orders = append(p.orders, srv.grantor.Tick(now, st.Duties)...)
 	})
-	for _, a := range acks {
-		d.replica.Propose(a) // the result is not needed: the next heartbeat repeats the acknowledgement
+	for _, ack := range acks {
+		srv.replica.Propose(ack) // the result is not needed: the next heartbeat repeats the acknowledgement
 	}
 	if len(p.heartbeats)+len(p.queries)+len(p.orders) == 0 {
 		return
 	}
-	d.heartbeats, d.queries = map[*session]*clientMessage{}, nil
-	d.propose(p)
+	srv.heartbeats, srv.queries = map[*session]*clientMessage{}, nil
+	srv.propose(p)
 }
 
 // propose appends a log entry and puts its result into the inbox. Only one entry is in flight at a time: heartbeats and queries
 // that arrive meanwhile share the next one.
-func (d *Server) propose(p proposal) {
-	d.proposing = true
-	d.increment(&d.counts.LogEntries)
+func (srv *Server) propose(p proposal) {
+	srv.proposing = true
+	srv.increment(&srv.counts.LogEntries)
 	if len(p.orders) > 0 {
-		wait := d.replica.Propose(state.Command{Op: state.OpLeaseOrders, Orders: p.orders})
+		wait := srv.replica.Propose(state.Command{Op: state.OpLeaseOrders, Orders: p.orders})
 		go func() {
 			p.result, p.err = wait()
-			d.inbox.Put(p)
+			srv.inbox.Put(p)
 		}()
 		return
 	}
-	wait := d.replica.ConfirmLeadership()
+	wait := srv.replica.ConfirmLeadership()
 	go func() {
 		p.err = wait()
-		d.inbox.Put(p)
+		srv.inbox.Put(p)
 	}()
 }
 
 // handleProposal handles the result of a proposal: it starts the grantor in a new term, or replies to heartbeats and queries.
-func (d *Server) handleProposal(p proposal) {
-	d.proposing = false
-	now := d.steady.Now()
+func (srv *Server) handleProposal(p proposal) {
+	srv.proposing = false
+	now := srv.steady.Now()
 	if p.heartbeats == nil && p.err == nil { // the term's first entry
-		if term, leads := d.replica.Leadership(); leads && term == p.term {
-			d.readyTerm, d.assumedLeader = p.term, true
-			d.leaderTerm.Store(p.term)
-			d.grantor.StartTerm(p.term, now)
-			clear(d.latestHeartbeats)
-			if d.OnTermStart != nil {
-				d.OnTermStart(p.term)
+		if term, leads := srv.replica.Leadership(); leads && term == p.term {
+			srv.readyTerm, srv.assumedLeader = p.term, true
+			srv.leaderTerm.Store(p.term)
+			srv.grantor.StartTerm(p.term, now)
+			clear(srv.latestHeartbeats)
+			if srv.OnTermStart != nil {
+				srv.OnTermStart(p.term)
 			}
-			d.log.Info().Uint64("term", p.term).Msg("granting duties")
+			srv.log.Info().Uint64("term", p.term).Msg("granting duties")
 		}
 		return
 	}
 	if p.err != nil {
-		d.readyTerm = 0 // the entry may still be committed; the next confirmed entry makes that visible
-		d.log.Warn().Err(p.err).Msg("log entry not confirmed")
+		srv.readyTerm = 0 // the entry may still be committed; the next confirmed entry makes that visible
+		srv.log.Warn().Err(p.err).Msg("log entry not confirmed")
 		return
 	}
-	d.replica.View(func(st *state.State, index uint64) {
+	srv.replica.View(func(st *state.State, index uint64) {
 		granted := map[string]bool{}
 		for i, o := range p.orders {
-			d.grantor.HandleOrderResult(now, o, st.Duties)
+			srv.grantor.HandleOrderResult(now, o, st.Duties)
 			ok := i < len(p.result.Refusals) && p.result.Refusals[i] == ""
 			if ok {
-				d.log.Info().Str("order", o.Kind).Str("duty", o.Name).Str("holder", o.Holder).Uint64("epoch", currentEpoch(st, o)).Msg("duty")
+				srv.log.Info().Str("order", o.Kind).Str("duty", o.Name).Str("holder", o.Holder).Uint64("epoch", currentEpoch(st, o)).Msg("duty")
 			}
 			if ok && o.Kind == duty.Grant {
 				granted[o.Holder] = true
 			}
 		}
-		for c, m := range p.heartbeats {
+		for sess, m := range p.heartbeats {
 			delete(granted, m.Heartbeat.From)
-			d.replyToHeartbeat(c, m.Heartbeat.From, m.Heartbeat.Seq, index, st)
+			srv.replyToHeartbeat(sess, m.Heartbeat.From, m.Heartbeat.Seq, index, st)
 		}
 		for processID := range granted { // the process was a candidate in an earlier heartbeat, whose reply came before this grant
-			if c := d.sessions[processID]; c != nil && d.latestHeartbeats[processID] > 0 {
-				d.replyToHeartbeat(c, processID, d.latestHeartbeats[processID], index, st)
+			if sess := srv.sessions[processID]; sess != nil && srv.latestHeartbeats[processID] > 0 {
+				srv.replyToHeartbeat(sess, processID, srv.latestHeartbeats[processID], index, st)
 			}
 		}
 		for _, q := range p.queries {
-			d.replyToQuery(q, st, p.term)
+			srv.replyToQuery(q, st, p.term)
 		}
 	})
 }
@@ -483,56 +483,56 @@
 }
 
 // replyToHeartbeat replies to a heartbeat.
-func (d *Server) replyToHeartbeat(c *session, processID string, heartbeatSeq, index uint64, st *state.State) {
-	reply := d.grantor.Reply(processID, heartbeatSeq, index, st.Duties)
+func (srv *Server) replyToHeartbeat(sess *session, processID string, heartbeatSeq, index uint64, st *state.State) {
+	reply := srv.grantor.Reply(processID, heartbeatSeq, index, st.Duties)
 	m := serverMessage{Reply: &reply, Version: st.Config.Latest().No}
-	if s := st.Allocations.Shares[processID]; s != nil {
-		v := *s
-		m.Share = &v
+	if share := st.Allocations.Shares[processID]; share != nil {
+		shareCopy := *share
+		m.Share = &shareCopy
 	}
-	d.increment(&d.counts.Replies)
-	c.writer.send(m)
+	srv.increment(&srv.counts.Replies)
+	sess.writer.send(m)
 }
 
 // replyToQuery answers a query from the given state.
-func (d *Server) replyToQuery(q queryReceived, st *state.State, term uint64) {
-	var v any
+func (srv *Server) replyToQuery(q queryReceived, st *state.State, term uint64) {
+	var result any
 	switch q.query {
 	case ReadCapacity:
 		capacity := CapacityStatus{Pool: st.Allocations.Pool}
 		for _, processID := range st.Allocations.Processes() {
-			capacity.Servers = append(capacity.Servers, allocation.ProcessNeed{Who: processID, Need: d.shareNeeds[processID],
+			capacity.Servers = append(capacity.Servers, allocation.ProcessNeed{Who: processID, Need: srv.shareNeeds[processID],
 				Share: *st.Allocations.Shares[processID]})
 		}
-		v = capacity
+		result = capacity
 	case ReadEffects:
-		v = EffectStatus{Seq: st.Effects.Seq, Retained: len(st.Effects.Effects), Orphans: st.Effects.Orphans(st.PresenceInForce, maxOrphansPerReply)}
+		result = EffectStatus{Seq: st.Effects.Seq, Retained: len(st.Effects.Effects), Orphans: st.Effects.Orphans(st.PresenceInForce, maxOrphansPerReply)}
 	case ReadDuties:
 		duties := DutyStatus{Table: st.Duties.Clone(), Marks: st.Counters, StaleCommands: st.StaleRefusals,
-			Acknowledgements: map[string]string{}, Term: term, Leader: d.replica.Leader()}
+			Acknowledgements: map[string]string{}, Term: term, Leader: srv.replica.Leader()}
 		for processID, ack := range st.Config.Acknowledgements {
 			duties.Acknowledgements[processID] = fmt.Sprintf("%d taken", ack.No)
 			if ack.Reason != "" {
 				duties.Acknowledgements[processID] = fmt.Sprintf("%d turned down: %s", ack.No, ack.Reason)
 			}
 		}
-		v = duties
+		result = duties
 	case ReadVersion:
-		v = st.Config.Latest()
+		result = st.Config.Latest()
 	case ReadConfig:
-		s := distribution.Status{Revision: st.Records.Revision()}
-		if d.ConfigStatus != nil {
-			s.Regions = d.ConfigStatus().Regions
+		status := distribution.Status{Revision: st.Records.Revision()}
+		if srv.ConfigStatus != nil {
+			status.Regions = srv.ConfigStatus().Regions
 		}
-		v = s
+		result = status
 	default:
 		q.session.writer.send(serverMessage{RequestID: q.requestID, Error: fmt.Sprintf("session: unknown query %q", q.query)})
 		return
 	}
-	b, err := json.Marshal(v)
+	body, err := json.Marshal(result)
 	if err != nil {
 		q.session.writer.send(serverMessage{RequestID: q.requestID, Error: err.Error()})
 		return
 	}
-	q.session.writer.send(serverMessage{RequestID: q.requestID, Body: b})
+	q.session.writer.send(serverMessage{RequestID: q.requestID, Body: body})
 }
--- a/internal/net/session/session_test.go
+++ b/internal/net/session/session_test.go
@@ -35,43 +35,43 @@
 	leaderID string
 	index    uint64
 
-	proveGate chan struct{} // Prove is not confirmed before it is closed; nil: confirmed at once
-	maxOrders int           // most orders in one entry
+	confirmGate chan struct{} // Prove is not confirmed before it is closed; nil: confirmed at once
+	maxOrders   int           // most orders in one entry
 }
 
-func (c *fakeReplica) Leadership() (uint64, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.term, c.leads
+func (f *fakeReplica) Leadership() (uint64, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.term, f.leads
 }
 
-func (c *fakeReplica) Leader() string { return c.leaderID }
+func (f *fakeReplica) Leader() string { return f.leaderID }
 
-func (c *fakeReplica) Propose(cmd state.Command) func() (state.Result, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.index++
-	c.maxOrders = max(c.maxOrders, len(cmd.Orders))
-	r := c.st.Apply(cmd, c.term)
+func (f *fakeReplica) Propose(cmd state.Command) func() (state.Result, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.index++
+	f.maxOrders = max(f.maxOrders, len(cmd.Orders))
+	r := f.st.Apply(cmd, f.term)
 	return func() (state.Result, error) { return r, nil }
 }
 
-func (c *fakeReplica) ConfirmLeadership() func() error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.index++
+func (f *fakeReplica) ConfirmLeadership() func() error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.index++
 	return func() error {
-		if c.proveGate != nil {
-			<-c.proveGate
+		if f.confirmGate != nil {
+			<-f.confirmGate
 		}
 		return nil
 	}
 }
 
-func (c *fakeReplica) View(look func(*state.State, uint64)) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	look(c.st, c.index)
+func (f *fakeReplica) View(read func(*state.State, uint64)) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	read(f.st, f.index)
 }
 
 // testServer is a server listening on a port.
@@ -81,21 +81,21 @@
 	address string
 }
 
-func startServer(t *testing.T, c *fakeReplica, steady *clock.Clock) *testServer {
+func startServer(t *testing.T, replica *fakeReplica, steady *clock.Clock) *testServer {
 	t.Helper()
-	return startServerWith(t, c, steady, rules, 16)
+	return startServerWith(t, replica, steady, rules, 16)
 }
 
 // startServerWith starts a server with the given session limit.
-func startServerWith(t *testing.T, c *fakeReplica, steady *clock.Clock, r duty.Rules, maxSessions int) *testServer {
+func startServerWith(t *testing.T, replica *fakeReplica, steady *clock.Clock, leaseRules duty.Rules, maxSessions int) *testServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	s := &testServer{replica: c, address: ln.Addr().String(),
-		server: NewServer(c, &duty.Grantor{Rules: r, Seed: 1}, maxSessions, steady, zerolog.Nop())}
+	s := &testServer{replica: replica, address: ln.Addr().String(),
+		server: NewServer(replica, &duty.Grantor{Rules: leaseRules, Seed: 1}, maxSessions, steady, zerolog.Nop())}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -153,11 +153,11 @@
 	leader := startServer(t, newLeader(state.New()), steady)
 	follower := startServer(t, &fakeReplica{st: state.New(), term: 1, leaderID: "lead"}, steady)
 	c, events := startClient(t, "a#1", map[string]string{"lead": leader.address, "follow": follower.address}, steady)
-	g := waitForEvent(t, events, isAllotterGrant)
-	if r, err := c.DoFenced(t.Context(), g.Ref, state.Command{Op: state.OpIncrementCounter}); err != nil || r.Value != 1 {
+	gained := waitForEvent(t, events, isAllotterGrant)
+	if r, err := c.DoFenced(t.Context(), gained.Ref, state.Command{Op: state.OpIncrementCounter}); err != nil || r.Value != 1 {
 		t.Errorf("%+v %v", r, err)
 	}
-	forged := duty.Ref{Name: g.Name, Epoch: g.Epoch + 1}
+	forged := duty.Ref{Name: gained.Name, Epoch: gained.Epoch + 1}
 	if _, err := c.DoFenced(t.Context(), forged, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStaleEpoch) ||
 		c.FencedCommands() != 1 {
 		t.Errorf("forged epoch: error %v, %d fenced commands counted", err, c.FencedCommands())
@@ -168,31 +168,31 @@
 	if fresh, err := c.Begin("0a"); fresh || err != nil {
 		t.Errorf("second begin of the same effect: fresh %v, error %v", fresh, err)
 	}
-	var d DutyStatus
-	if err := c.Read(t.Context(), ReadDuties, &d); err != nil || d.Marks["allotter"] != 1 || d.StaleCommands["allotter"] != 1 {
-		t.Errorf("%+v %v", d, err)
+	var status DutyStatus
+	if err := c.Read(t.Context(), ReadDuties, &status); err != nil || status.Marks["allotter"] != 1 || status.StaleCommands["allotter"] != 1 {
+		t.Errorf("%+v %v", status, err)
 	}
-	if err := c.Read(t.Context(), "nonsense", &d); err == nil {
+	if err := c.Read(t.Context(), "nonsense", &status); err == nil {
 		t.Error("an unknown query was answered")
 	}
 	if _, err := c.Do(t.Context(), state.Command{Op: state.OpRequestYield, Key: "allotter"}); err != nil {
 		t.Fatal(err)
 	}
-	y := waitForEvent(t, events, func(duty.YieldRequested) bool { return true })
-	c.Quiesced(y.Ref)
+	yieldRequest := waitForEvent(t, events, func(duty.YieldRequested) bool { return true })
+	c.Quiesced(yieldRequest.Ref)
 	waitForEvent(t, events, func(e duty.LeaseEnded) bool { return e.Name == "allotter" && e.Cause == duty.CauseYield })
 	for deadline := time.Now().Add(testTimeout); ; {
-		if err := c.Read(t.Context(), ReadDuties, &d); err != nil {
+		if err := c.Read(t.Context(), ReadDuties, &status); err != nil {
 			t.Fatal(err)
 		}
-		if l := d.Table.Leases["allotter"]; l.Holder == "" || l.Epoch > y.Epoch {
+		if lease := status.Table.Leases["allotter"]; lease.Holder == "" || lease.Epoch > yieldRequest.Epoch {
 			break
 		}
 		if time.Now().After(deadline) {
 			t.Fatal("the yielded duty was not released")
 		}
 	}
-	if _, err := c.DoFenced(t.Context(), y.Ref, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStaleEpoch) {
+	if _, err := c.DoFenced(t.Context(), yieldRequest.Ref, state.Command{Op: state.OpIncrementCounter}); !errors.Is(err, ErrStaleEpoch) {
 		t.Errorf("command under a yielded duty: %v", err)
 	}
 }
@@ -281,8 +281,8 @@
 		limitErr.retryMS > maxDelay {
 		t.Errorf("retry delay %v ms, want %v to %v", limitErr.retryMS, minDelay, maxDelay)
 	}
-	if f := leader.server.Metrics(); f.OpenSessions != 16 || f.Terminated != 1 {
-		t.Errorf("%+v", f)
+	if metrics := leader.server.Metrics(); metrics.OpenSessions != 16 || metrics.Terminated != 1 {
+		t.Errorf("%+v", metrics)
 	}
 	conns[0].Close()
 	for deadline := time.Now().Add(testTimeout); openSession() != nil; {
@@ -295,13 +295,13 @@
 // Servers that connect at the same moment, while the leader waits for the first entry of its term, are all granted their
 // presence, and each log entry carries a bounded number of orders.
 func TestSimultaneousArrivalsAreGrantedInBoundedEntries(t *testing.T) {
-	const fleet = 2*duty.MaxOrdersPerTick + 100
+	const servers = 2*duty.MaxOrdersPerTick + 100
 	replica := newLeader(state.New())
-	replica.proveGate = make(chan struct{})
+	replica.confirmGate = make(chan struct{})
 	slowRules := rules
 	slowRules.RenewIntervalMS = clock.Millis(testTimeout) // no session is closed for silence while the others connect
-	leader := startServerWith(t, replica, clock.Monotonic(), slowRules, fleet)
-	for i := range fleet {
+	leader := startServerWith(t, replica, clock.Monotonic(), slowRules, servers)
+	for i := range servers {
 		conn, err := net.Dial("tcp", leader.address)
 		if err != nil {
 			t.Fatal(err)
@@ -319,12 +319,12 @@
 			}
 		}
 	}
-	waitUntil("all heartbeats have arrived", func() bool { return leader.server.Metrics().Heartbeats == fleet })
-	close(replica.proveGate)
+	waitUntil("all heartbeats have arrived", func() bool { return leader.server.Metrics().Heartbeats == servers })
+	close(replica.confirmGate)
 	present := 0
 	waitUntil("all are present", func() bool {
 		replica.View(func(st *state.State, _ uint64) { present = max(present, st.Duties.CountPresent()) })
-		return present == fleet
+		return present == servers
 	})
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
@@ -459,7 +459,7 @@
 	second := &fakeReplica{st: st, term: 1, leaderID: "one"}
 	secondServer := startServer(t, second, steady)
 	c, events := startClient(t, "a#1", map[string]string{"one": firstServer.address, "two": secondServer.address}, steady)
-	g := waitForEvent(t, events, isAllotterGrant)
+	gained := waitForEvent(t, events, isAllotterGrant)
 	first.mu.Lock()
 	first.leads, first.leaderID = false, "two"
 	index := first.index
@@ -469,8 +469,8 @@
 	second.mu.Unlock()
 	waitForEvent(t, events, func(SessionEstablished) bool { return true })
 	waitForEvent(t, events, func(h duty.LeaseRenewed) bool { return h.Name == "allotter" })
-	if r, ok := c.ActiveGrant("allotter"); !ok || r != g.Ref {
-		t.Errorf("active grant %+v, %v; granted %+v", r, ok, g.Ref)
+	if r, ok := c.ActiveGrant("allotter"); !ok || r != gained.Ref {
+		t.Errorf("active grant %+v, %v; granted %+v", r, ok, gained.Ref)
 	}
 }
 
--- a/internal/net/uwsgi/front.go
+++ b/internal/net/uwsgi/front.go
@@ -140,8 +140,8 @@
 	}
 	if err != nil {
 		status := http.StatusBadRequest
-		var ne net.Error
-		if errors.As(err, &ne) && ne.Timeout() {
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() {
 			status = http.StatusRequestTimeout
 		}
 		f.log.Debug().Err(err).Int("status", status).Msg("invalid uwsgi request")
@@ -178,13 +178,13 @@
 // parseRequest builds the request that the variables of a packet describe. It arrived at arrivedMS, in Unix milliseconds,
 // unless the packet names an earlier time.
 func (f *Front) parseRequest(p *packet, arrivedMS float64) (*core.Request, error) {
-	v := p.vars
-	q := &core.Request{ID: v[varID], Class: v[varClass], ArrivedAt: arrivedMS, Retry: v[varRetry] == "1", KB: f.settings.DefaultRequestKB,
-		Rank: defaultRank, Key: v[varKey], IdempotencyKey: v[varIdempotencyKey], Tenant: v[varTenant], Body: p.body}
+	vars := p.vars
+	q := &core.Request{ID: vars[varID], Class: vars[varClass], ArrivedAt: arrivedMS, Retry: vars[varRetry] == "1", KB: f.settings.DefaultRequestKB,
+		Rank: defaultRank, Key: vars[varKey], IdempotencyKey: vars[varIdempotencyKey], Tenant: vars[varTenant], Body: p.body}
 	if q.Class == "" {
-		uri := v["PATH_INFO"]
+		uri := vars["PATH_INFO"]
 		if uri == "" {
-			uri, _, _ = strings.Cut(v["REQUEST_URI"], "?")
+			uri, _, _ = strings.Cut(vars["REQUEST_URI"], "?")
 		}
 		q.Class = path.Base(uri)
 	}
@@ -195,12 +195,12 @@
 	} else if b, err := hex.DecodeString(q.ID); err != nil || len(b) != 8 {
 		return nil, fmt.Errorf("%w: %s is not 16 hexadecimal digits", errMalformed, varID)
 	}
-	var from float64
+	var caller float64
 	for _, n := range []struct {
 		name string
 		to   *float64
-	}{{varArrival, &q.ArrivedAt}, {varWait, &q.WaitMS}, {varCaller, &from}, {varKB, &q.KB}, {varRank, &q.Rank}, {varCost, &q.CostMS}} {
-		s := v[n.name]
+	}{{varArrival, &q.ArrivedAt}, {varWait, &q.WaitMS}, {varCaller, &caller}, {varKB, &q.KB}, {varRank, &q.Rank}, {varCost, &q.CostMS}} {
+		s := vars[n.name]
 		if s == "" {
 			continue
 		}
@@ -210,7 +210,7 @@
 		}
 		*n.to = x
 	}
-	q.Caller = int64(from)
+	q.Caller = int64(caller)
 	if err := q.Check(arrivedMS); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformed, err)
 	}
--- a/internal/publish/publish.go
+++ b/internal/publish/publish.go
@@ -69,13 +69,13 @@
 // Match returns an error that names the first file that does not match the manifest, if any.
 func Match(entries []ManifestEntry, files []File) error {
 	size := 0
-	for i, s := range entries {
-		if i >= len(files) || files[i].Name != s.Name {
-			return fmt.Errorf("%s is missing", s.Name)
+	for i, entry := range entries {
+		if i >= len(files) || files[i].Name != entry.Name {
+			return fmt.Errorf("%s is missing", entry.Name)
 		}
 		size += len(files[i].Text)
-		if sum := sha256.Sum256(files[i].Text); hex.EncodeToString(sum[:]) != s.Digest {
-			return fmt.Errorf("%s does not match the manifest: it is incomplete, or was changed without the manifest", s.Name)
+		if sum := sha256.Sum256(files[i].Text); hex.EncodeToString(sum[:]) != entry.Digest {
+			return fmt.Errorf("%s does not match the manifest: it is incomplete, or was changed without the manifest", entry.Name)
 		}
 	}
 	if size > MaxBytes {
@@ -118,26 +118,26 @@
 func NewHistory() *History { return &History{Acknowledgements: map[string]Acknowledgement{}} }
 
 // Clone returns a copy that shares the versions, which are never changed once published.
-func (b *History) Clone() *History {
-	c := &History{Versions: slices.Clone(b.Versions), Acknowledgements: make(map[string]Acknowledgement, len(b.Acknowledgements))}
-	for k, v := range b.Acknowledgements {
+func (h *History) Clone() *History {
+	c := &History{Versions: slices.Clone(h.Versions), Acknowledgements: make(map[string]Acknowledgement, len(h.Acknowledgements))}
+	for k, v := range h.Acknowledgements {
 		c.Acknowledgements[k] = v
 	}
 	return c
 }
 
 // Latest returns the latest version, whose number is 0 if there is none.
-func (b *History) Latest() Version {
-	if len(b.Versions) == 0 {
+func (h *History) Latest() Version {
+	if len(h.Versions) == 0 {
 		return Version{}
 	}
-	return b.Versions[len(b.Versions)-1]
+	return h.Versions[len(h.Versions)-1]
 }
 
 // Publish adds a version and returns its number. It fails unless known, the number of the latest version that the
 // publisher knows, is that of the latest version. Files that equal those of the latest version make no new version.
-func (b *History) Publish(files []File, known, epoch uint64) (uint64, error) {
-	last := b.Latest()
+func (h *History) Publish(files []File, known, epoch uint64) (uint64, error) {
+	last := h.Latest()
 	switch {
 	case last.No != known:
 		return 0, fmt.Errorf("publish: the latest version is %d, and the publisher knows %d", last.No, known)
@@ -146,27 +146,27 @@
 	case last.No > 0 && Digest(last.Files) == Digest(files):
 		return last.No, nil
 	}
-	b.Versions = append(b.Versions, Version{No: last.No + 1, Epoch: epoch, Files: files})
-	if len(b.Versions) > maxVersions {
-		b.Versions = slices.Clone(b.Versions[len(b.Versions)-maxVersions:])
+	h.Versions = append(h.Versions, Version{No: last.No + 1, Epoch: epoch, Files: files})
+	if len(h.Versions) > maxVersions {
+		h.Versions = slices.Clone(h.Versions[len(h.Versions)-maxVersions:])
 	}
 	return last.No + 1, nil
 }
 
 // Acknowledge records a process's acknowledgement of a version; one of a version that was never published is an error.
-func (b *History) Acknowledge(process string, ack Acknowledgement) error {
-	if ack.No == 0 || ack.No > b.Latest().No {
+func (h *History) Acknowledge(process string, ack Acknowledgement) error {
+	if ack.No == 0 || ack.No > h.Latest().No {
 		return fmt.Errorf("publish: there is no version %d", ack.No)
 	}
 	if len(ack.Reason) > 512 {
 		ack.Reason = ack.Reason[:512]
 	}
-	b.Acknowledgements[process] = ack
+	h.Acknowledgements[process] = ack
 	return nil
 }
 
 // Drop removes the acknowledgement of a process that is gone.
-func (b *History) Drop(process string) { delete(b.Acknowledgements, process) }
+func (h *History) Drop(process string) { delete(h.Acknowledgements, process) }
 
 // VersionSelector decides in a server which version is in force: the latest that passed the server's check as a whole.
 type VersionSelector struct {
@@ -175,16 +175,16 @@
 }
 
 // Offer checks a version, unless it was checked before, and returns the acknowledgement and whether it is a new one.
-func (k *VersionSelector) Offer(v Version, check func([]File) error) (ack Acknowledgement, isNew bool) {
-	if v.No <= k.LastChecked {
+func (s *VersionSelector) Offer(v Version, check func([]File) error) (ack Acknowledgement, isNew bool) {
+	if v.No <= s.LastChecked {
 		return Acknowledgement{}, false
 	}
-	k.LastChecked = v.No
+	s.LastChecked = v.No
 	ack.No = v.No
 	if err := check(v.Files); err != nil {
 		ack.Reason = err.Error()
 		return ack, true
 	}
-	k.InForce = v.No
+	s.InForce = v.No
 	return ack, true
 }
--- a/internal/publish/publish_test.go
+++ b/internal/publish/publish_test.go
@@ -54,36 +54,36 @@
 // Version numbers count up, equal files make no new version, and a server puts a version into force only if all of it
 // passes the check.
 func TestVersionsApplyCompletelyOrNotAtAll(t *testing.T) {
-	b := NewHistory()
+	history := NewHistory()
 	one, two := []File{{"f", []byte("1")}}, []File{{"f", []byte("2")}}
-	if n, err := b.Publish(one, 0, 1); n != 1 || err != nil {
+	if n, err := history.Publish(one, 0, 1); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
-	if _, err := b.Publish(two, 0, 2); err == nil {
+	if _, err := history.Publish(two, 0, 2); err == nil {
 		t.Error("published by a publisher that does not know version 1")
 	}
-	if n, err := b.Publish(one, 1, 2); n != 1 || err != nil {
+	if n, err := history.Publish(one, 1, 2); n != 1 || err != nil {
 		t.Errorf("publishing equal files: version %d, %v, want version 1", n, err)
 	}
-	var k VersionSelector
-	if ack, isNew := k.Offer(b.Latest(), func([]File) error { return nil }); !isNew || ack != (Acknowledgement{No: 1}) || k.InForce != 1 {
+	var selector VersionSelector
+	if ack, isNew := selector.Offer(history.Latest(), func([]File) error { return nil }); !isNew || ack != (Acknowledgement{No: 1}) || selector.InForce != 1 {
 		t.Errorf("%+v %v", ack, isNew)
 	}
-	b.Publish(two, 1, 2)
-	ack, isNew := k.Offer(b.Latest(), func([]File) error { return errors.New("key x") })
-	if !isNew || ack != (Acknowledgement{2, "key x"}) || k.InForce != 1 {
-		t.Errorf("%+v %v, in force %d", ack, isNew, k.InForce)
+	history.Publish(two, 1, 2)
+	ack, isNew := selector.Offer(history.Latest(), func([]File) error { return errors.New("key x") })
+	if !isNew || ack != (Acknowledgement{2, "key x"}) || selector.InForce != 1 {
+		t.Errorf("%+v %v, in force %d", ack, isNew, selector.InForce)
 	}
-	if _, isNew := k.Offer(b.Latest(), nil); isNew {
+	if _, isNew := selector.Offer(history.Latest(), nil); isNew {
 		t.Error("a version was checked twice")
 	}
-	if err := b.Acknowledge("a", Acknowledgement{No: 3}); err == nil {
+	if err := history.Acknowledge("a", Acknowledgement{No: 3}); err == nil {
 		t.Error("an acknowledgement of an unpublished version was accepted")
 	}
 	for n := uint64(2); n < 20; n++ {
-		b.Publish([]File{{"f", []byte(fmt.Sprint("v", n))}}, n, 3)
+		history.Publish([]File{{"f", []byte(fmt.Sprint("v", n))}}, n, 3)
 	}
-	if len(b.Versions) != maxVersions || b.Latest().No != 20 {
-		t.Errorf("%d versions kept, the latest %d, want 20", len(b.Versions), b.Latest().No)
+	if len(history.Versions) != maxVersions || history.Latest().No != 20 {
+		t.Errorf("%d versions kept, the latest %d, want 20", len(history.Versions), history.Latest().No)
 	}
 }
--- a/internal/recordfile/file.go
+++ b/internal/recordfile/file.go
@@ -207,8 +207,8 @@
 	w.WriteString(magic)
 	w.WriteByte(formatVersion)
 	w.Write(appendBlock(nil, blockSnapshotHeader, header))
-	for _, p := range s.Chunks {
-		w.Write(appendBlock(nil, blockChunk, p.Data))
+	for _, chunk := range s.Chunks {
+		w.Write(appendBlock(nil, blockChunk, chunk.Data))
 	}
 	w.Write(appendBlock(nil, blockSnapshotEnd, nil))
 	return w.Flush()
--- a/internal/records/frozen.go
+++ b/internal/records/frozen.go
@@ -26,10 +26,10 @@
 }
 
 // Restore returns a new set with the records, the revision and the history of the copy.
-func (f *SetSnapshot) Restore(l Limits) *Set {
+func (snap *SetSnapshot) Restore(l Limits) *Set {
 	s := NewSet(l)
-	s.ReplaceTable(f.table, f.revision)
-	for _, c := range f.history {
+	s.ReplaceTable(snap.table, snap.revision)
+	for _, c := range snap.history {
 		for _, k := range c.Deletes {
 			s.deletedAt[k] = c.Revision
 		}
@@ -42,16 +42,16 @@
 }
 
 // MarshalJSON encodes the records as compressed chunks.
-func (f *SetSnapshot) MarshalJSON() ([]byte, error) {
-	s, err := NewSnapshot(f.table, f.revision)
+func (snap *SetSnapshot) MarshalJSON() ([]byte, error) {
+	s, err := NewSnapshot(snap.table, snap.revision)
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(setSnapshotJSON{s.Header, s.Chunks, f.history})
+	return json.Marshal(setSnapshotJSON{s.Header, s.Chunks, snap.history})
 }
 
 // UnmarshalJSON decodes the records and checks them against the header.
-func (f *SetSnapshot) UnmarshalJSON(text []byte) error {
+func (snap *SetSnapshot) UnmarshalJSON(text []byte) error {
 	var j setSnapshotJSON
 	if err := json.Unmarshal(text, &j); err != nil {
 		return err
@@ -61,6 +61,6 @@
 	if err != nil {
 		return err
 	}
-	*f = SetSnapshot{table: table, revision: j.Header.Revision, history: j.History}
+	*snap = SetSnapshot{table: table, revision: j.Header.Revision, history: j.History}
 	return nil
 }
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -132,11 +132,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var f SetSnapshot
-	if err := json.Unmarshal(b, &f); err != nil {
+	var snap SetSnapshot
+	if err := json.Unmarshal(b, &snap); err != nil {
 		t.Fatal(err)
 	}
-	return f.Restore(s.limits)
+	return snap.Restore(s.limits)
 }
 
 func randomChange(rng *rand.Rand) (c Change) {
@@ -236,11 +236,11 @@
 		"out of order": {commits[1]},
 		"divergent":    {commits[0], commits[1], divergent},
 	} {
-		f, m, failed := NewSet(Limits{}), DigestFollower{}, false
+		follower, digestFollower, failed := NewSet(Limits{}), DigestFollower{}, false
 		for _, c := range sequence {
-			var e *SequenceError
-			failed = errors.As(f.ApplyCommit(c), &e)
-			if digestFailed := m.ApplyCommit(c) != nil; digestFailed != failed && name != "divergent" {
+			var sequenceErr *SequenceError
+			failed = errors.As(follower.ApplyCommit(c), &sequenceErr)
+			if digestFailed := digestFollower.ApplyCommit(c) != nil; digestFailed != failed && name != "divergent" {
 				t.Errorf("%s: the digest follower and the set disagree", name)
 			}
 		}
@@ -273,9 +273,9 @@
 		"no records":         func(s *Snapshot) { s.RecordCount = 0 },
 	} {
 		s := &Snapshot{Header: original.Header}
-		for _, p := range original.Chunks {
-			p.Data = append([]byte(nil), p.Data...)
-			s.Chunks = append(s.Chunks, p)
+		for _, chunk := range original.Chunks {
+			chunk.Data = append([]byte(nil), chunk.Data...)
+			s.Chunks = append(s.Chunks, chunk)
 		}
 		corrupt(s)
 		if _, err := s.Assemble(); !errors.Is(err, ErrCorrupt) {
--- a/internal/records/set.go
+++ b/internal/records/set.go
@@ -168,14 +168,14 @@
 }
 
 // ApplyCommit checks that a commit is the next one and advances to it.
-func (m *DigestFollower) ApplyCommit(c Commit) error {
+func (f *DigestFollower) ApplyCommit(c Commit) error {
 	switch {
-	case c.Revision != m.Revision+1:
-		return &SequenceError{LocalRevision: m.Revision, CommitRevision: c.Revision}
-	case c.Before != m.Digest:
-		return &SequenceError{LocalRevision: m.Revision, CommitRevision: c.Revision, DigestMismatch: true}
+	case c.Revision != f.Revision+1:
+		return &SequenceError{LocalRevision: f.Revision, CommitRevision: c.Revision}
+	case c.Before != f.Digest:
+		return &SequenceError{LocalRevision: f.Revision, CommitRevision: c.Revision, DigestMismatch: true}
 	}
-	m.Revision, m.Digest = c.Revision, c.After
+	f.Revision, f.Digest = c.Revision, c.After
 	return nil
 }
 
--- a/internal/records/snapshot.go
+++ b/internal/records/snapshot.go
@@ -106,23 +106,23 @@
 func (a *Assembler) Close() { a.decoder.Close() }
 
 // Add verifies and adds the next chunk.
-func (a *Assembler) Add(p Chunk) error {
+func (a *Assembler) Add(chunk Chunk) error {
 	switch {
-	case p.Index != a.nextIndex || p.Index >= a.header.ChunkCount:
-		return fmt.Errorf("%w: got chunk %d, expected chunk %d of %d", ErrCorrupt, p.Index, a.nextIndex, a.header.ChunkCount)
-	case len(p.Data) > maxCompressedChunkBytes:
-		return fmt.Errorf("%w: chunk %d is too large: %d bytes", ErrCorrupt, p.Index, len(p.Data))
-	case Checksum(p.Data) != p.Checksum:
-		return fmt.Errorf("%w: checksum mismatch in chunk %d", ErrCorrupt, p.Index)
+	case chunk.Index != a.nextIndex || chunk.Index >= a.header.ChunkCount:
+		return fmt.Errorf("%w: got chunk %d, expected chunk %d of %d", ErrCorrupt, chunk.Index, a.nextIndex, a.header.ChunkCount)
+	case len(chunk.Data) > maxCompressedChunkBytes:
+		return fmt.Errorf("%w: chunk %d is too large: %d bytes", ErrCorrupt, chunk.Index, len(chunk.Data))
+	case Checksum(chunk.Data) != chunk.Checksum:
+		return fmt.Errorf("%w: checksum mismatch in chunk %d", ErrCorrupt, chunk.Index)
 	}
-	packed, err := a.decoder.DecodeAll(p.Data, nil)
+	packed, err := a.decoder.DecodeAll(chunk.Data, nil)
 	if err != nil {
-		return fmt.Errorf("%w: chunk %d: %v", ErrCorrupt, p.Index, err)
+		return fmt.Errorf("%w: chunk %d: %v", ErrCorrupt, chunk.Index, err)
 	}
 	for len(packed) > 0 {
 		e, err := parseEntry(packed)
 		if err != nil {
-			return fmt.Errorf("%w: chunk %d: %v", ErrCorrupt, p.Index, err)
+			return fmt.Errorf("%w: chunk %d: %v", ErrCorrupt, chunk.Index, err)
 		}
 		if err := a.addEntry(e, packed[:e.size]); err != nil {
 			return err
@@ -167,8 +167,8 @@
 		return nil, err
 	}
 	defer a.Close()
-	for _, p := range s.Chunks {
-		if err := a.Add(p); err != nil {
+	for _, chunk := range s.Chunks {
+		if err := a.Add(chunk); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/relay/origin.go
+++ b/internal/relay/origin.go
@@ -41,8 +41,8 @@
 }
 
 // NewOrigin returns an Origin for a store replica; Run must be called for it to serve.
-func NewOrigin(c StoreReplica, steady *clock.Clock, log zerolog.Logger, injectedBug string) *Origin {
-	o := &Origin{store: c, steady: steady, log: log}
+func NewOrigin(storeReplica StoreReplica, steady *clock.Clock, log zerolog.Logger, injectedBug string) *Origin {
+	o := &Origin{store: storeReplica, steady: steady, log: log}
 	o.server = configwatch.NewServer(configwatch.ServerOptions{Limits: originLimits, Source: o, CheckWatch: o.checkWatch, Steady: steady, Log: log, Seed: 1, InjectedBug: injectedBug})
 	return o
 }
@@ -107,19 +107,19 @@
 	var commits []records.Commit
 	var resetTo *distribution.Position
 	o.store.View(func(st *state.State, _ uint64) {
-		at := o.server.Position()
-		since, err := st.Records.CommitsSince(at.Revision)
-		if err == nil && (len(since) > 0 && since[0].Before != at.Digest || len(since) == 0 && st.Records.Digest() != at.Digest) {
+		position := o.server.Position()
+		newCommits, err := st.Records.CommitsSince(position.Revision)
+		if err == nil && (len(newCommits) > 0 && newCommits[0].Before != position.Digest || len(newCommits) == 0 && st.Records.Digest() != position.Digest) {
 			err = records.ErrCompacted // the records already published were never committed
 		}
 		if err != nil { // the replica installed a snapshot
-			since, _ = st.Records.CommitsSince(st.Records.OldestRevision())
+			newCommits, _ = st.Records.CommitsSince(st.Records.OldestRevision())
 			resetTo = &distribution.Position{Revision: st.Records.Revision(), Digest: st.Records.Digest()}
-			if len(since) > 0 {
-				resetTo = &distribution.Position{Revision: st.Records.OldestRevision(), Digest: since[0].Before}
+			if len(newCommits) > 0 {
+				resetTo = &distribution.Position{Revision: st.Records.OldestRevision(), Digest: newCommits[0].Before}
 			}
 		}
-		commits = slices.Clone(since)
+		commits = slices.Clone(newCommits)
 	})
 	if resetTo != nil {
 		o.server.Reset(*resetTo)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -33,33 +33,33 @@
 	changed chan struct{}
 }
 
-func (e *fakeCluster) commitSetting(t *testing.T, name, value string) {
+func (cluster *fakeCluster) commitSetting(t *testing.T, name, value string) {
 	t.Helper()
-	e.mu.Lock()
-	defer e.mu.Unlock()
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
 	c := records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Setting, Name: name}, Value: []byte(value)}}}
-	if r := e.state.Apply(state.Command{Op: state.OpChangeRecords, Change: &c}, 1); r.Error != "" {
+	if r := cluster.state.Apply(state.Command{Op: state.OpChangeRecords, Change: &c}, 1); r.Error != "" {
 		t.Fatal(r.Error)
 	}
-	e.notify()
+	cluster.notify()
 }
 
-func (e *fakeCluster) setLeader(id string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.leader = id
-	e.notify()
+func (cluster *fakeCluster) setLeader(id string) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.leader = id
+	cluster.notify()
 }
 
-func (e *fakeCluster) notify() {
-	close(e.changed)
-	e.changed = make(chan struct{})
+func (cluster *fakeCluster) notify() {
+	close(cluster.changed)
+	cluster.changed = make(chan struct{})
 }
 
-func (e *fakeCluster) position() distribution.Position {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return distribution.Position{Revision: e.state.Records.Revision(), Digest: e.state.Records.Digest()}
+func (cluster *fakeCluster) position() distribution.Position {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return distribution.Position{Revision: cluster.state.Records.Revision(), Digest: cluster.state.Records.Digest()}
 }
 
 // fakeStoreReplica is one replica of a fakeCluster.
@@ -68,34 +68,34 @@
 	id string
 }
 
-func (m fakeStoreReplica) Leadership() (uint64, bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return 1, m.leader == m.id
+func (r fakeStoreReplica) Leadership() (uint64, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return 1, r.leader == r.id
 }
 
-func (m fakeStoreReplica) Leader() string {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.leader
+func (r fakeStoreReplica) Leader() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.leader
 }
 
-func (m fakeStoreReplica) Changed() <-chan struct{} {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.changed
+func (r fakeStoreReplica) Changed() <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.changed
 }
 
-func (m fakeStoreReplica) View(look func(*state.State, uint64)) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	look(m.state, 1)
+func (r fakeStoreReplica) View(read func(*state.State, uint64)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	read(r.state, 1)
 }
 
 // startOrigins starts an origin for each replica of a new fakeCluster, and returns their addresses and origins by id.
-func startOrigins(t *testing.T, ids ...string) (e *fakeCluster, addresses map[string]string, origins map[string]*Origin) {
+func startOrigins(t *testing.T, ids ...string) (cluster *fakeCluster, addresses map[string]string, origins map[string]*Origin) {
 	t.Helper()
-	e = &fakeCluster{state: state.New(), leader: ids[0], changed: make(chan struct{})}
+	cluster = &fakeCluster{state: state.New(), leader: ids[0], changed: make(chan struct{})}
 	addresses, origins = map[string]string{}, map[string]*Origin{}
 	for _, id := range ids {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,7 +103,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { ln.Close() })
-		o := NewOrigin(fakeStoreReplica{e, id}, clock.Monotonic(), zerolog.Nop(), "")
+		o := NewOrigin(fakeStoreReplica{cluster, id}, clock.Monotonic(), zerolog.Nop(), "")
 		addresses[id], origins[id] = ln.Addr().String(), o
 		go o.Run(t.Context())
 		go func() {
@@ -123,7 +123,7 @@
 			}
 		}()
 	}
-	return e, addresses, origins
+	return cluster, addresses, origins
 }
 
 // runningRelay is a started relay.
@@ -181,7 +181,7 @@
 // Changes reach the servers of a relay through the store leader, also after leadership changes, and the leader gets the progress
 // of all servers from the relay as its only watcher.
 func TestRelayFollowsStoreLeader(t *testing.T) {
-	e, addresses, origins := startOrigins(t, "a", "b", "c")
+	cluster, addresses, origins := startOrigins(t, "a", "b", "c")
 	r := startRelay(t, Options{Name: "relay", StoreAddresses: addresses, Seed: 1})
 	var servers []*replica.Replica
 	for i := range 5 {
@@ -190,21 +190,21 @@
 	}
 	upToDate := func() bool {
 		for _, s := range servers {
-			if s.Position() != e.position() {
+			if s.Position() != cluster.position() {
 				return false
 			}
 		}
 		return true
 	}
 	for i, leader := range []string{"a", "c", "b", "a"} {
-		e.setLeader(leader)
+		cluster.setLeader(leader)
 		for k := range 10 {
-			e.commitSetting(t, fmt.Sprint("k", k), fmt.Sprint(leader, i))
+			cluster.commitSetting(t, fmt.Sprint("k", k), fmt.Sprint(leader, i))
 		}
 		waitFor(t, "all servers are at the latest revision under leader "+leader, upToDate)
 		waitFor(t, "the leader has the reports of all servers", func() bool {
 			report := origins[leader].Report()
-			return report.Servers == len(servers) && report.LowestRevision == e.position().Revision && report.ServersBehind == 0
+			return report.Servers == len(servers) && report.LowestRevision == cluster.position().Revision && report.ServersBehind == 0
 		})
 		if n := origins[leader].Metrics().Watchers; n != 1 {
 			t.Errorf("%d watchers at the leader, want 1", n)
@@ -214,25 +214,25 @@
 
 // A restarted relay serves from its file while no store replica leads, and later continues from that revision without a snapshot.
 func TestRelayServesFromDiskWithoutLeader(t *testing.T) {
-	e, addresses, _ := startOrigins(t, "a")
+	cluster, addresses, _ := startOrigins(t, "a")
 	path := filepath.Join(t.TempDir(), "records")
 	first := startRelay(t, Options{Name: "relay", StoreAddresses: addresses, Path: path})
 	for i := range 20 {
-		e.commitSetting(t, fmt.Sprint("k", i), "1")
+		cluster.commitSetting(t, fmt.Sprint("k", i), "1")
 	}
-	waitFor(t, "the relay is at the latest revision", func() bool { return first.replica.Position() == e.position() })
+	waitFor(t, "the relay is at the latest revision", func() bool { return first.replica.Position() == cluster.position() })
 	first.stop()
-	e.setLeader("nobody")
+	cluster.setLeader("nobody")
 	second := startRelay(t, Options{Name: "relay", StoreAddresses: addresses, Path: path})
 	s, c := startServer(t, "s", second.descriptor())
-	waitFor(t, "the server is at the revision of the relay", func() bool { return s.Position() == e.position() })
-	if f := c.Metrics(); f.Snapshots != 0 {
-		t.Errorf("the server took %d snapshots, though the relay's file has the commits", f.Snapshots)
+	waitFor(t, "the server is at the revision of the relay", func() bool { return s.Position() == cluster.position() })
+	if metrics := c.Metrics(); metrics.Snapshots != 0 {
+		t.Errorf("the server took %d snapshots, though the relay's file has the commits", metrics.Snapshots)
 	}
 	before := second.client.Metrics().Snapshots
-	e.setLeader("a")
-	e.commitSetting(t, "k0", "2")
-	waitFor(t, "the change is applied", func() bool { return s.Position() == e.position() })
+	cluster.setLeader("a")
+	cluster.commitSetting(t, "k0", "2")
+	waitFor(t, "the change is applied", func() bool { return s.Position() == cluster.position() })
 	if n := second.client.Metrics().Snapshots; n != before {
 		t.Errorf("the relay took %d more snapshots, want none", n-before)
 	}
@@ -240,13 +240,13 @@
 
 // A relay without configuration refers its watchers to other relays, and store replicas refuse watchers that are not relays.
 func TestRefusedWatchers(t *testing.T) {
-	e, addresses, origins := startOrigins(t, "a")
-	e.commitSetting(t, "k", "1")
+	cluster, addresses, origins := startOrigins(t, "a")
+	cluster.commitSetting(t, "k", "1")
 	full := startRelay(t, Options{Name: "full", StoreAddresses: addresses})
-	waitFor(t, "the relay is at the latest revision", func() bool { return full.replica.Position() == e.position() })
+	waitFor(t, "the relay is at the latest revision", func() bool { return full.replica.Position() == cluster.position() })
 	empty := startRelay(t, Options{Name: "empty", StoreAddresses: map[string]string{"gone": "127.0.0.1:1"}, Elsewhere: []string{"full"}})
 	s, _ := startServer(t, "s", empty.descriptor(), distribution.Relay{Name: "full", Address: full.Addr(), Zone: "other"})
-	waitFor(t, "the server is served by the other relay", func() bool { return s.Position() == e.position() })
+	waitFor(t, "the server is served by the other relay", func() bool { return s.Position() == cluster.position() })
 	if empty.Metrics().Serving.Refused == 0 {
 		t.Error("the relay without configuration refused no watcher")
 	}
@@ -262,34 +262,34 @@
 
 // A relay that finds no leader keeps serving its records, and its watchers stay connected.
 func TestWatchersStayConnectedWithoutLeader(t *testing.T) {
-	e, addresses, origins := startOrigins(t, "a")
+	cluster, addresses, origins := startOrigins(t, "a")
 	r := startRelay(t, Options{Name: "relay", StoreAddresses: addresses})
 	s, c := startServer(t, "s", r.descriptor())
-	e.commitSetting(t, "k", "1")
-	waitFor(t, "the server is at the latest revision", func() bool { return s.Position() == e.position() })
-	e.setLeader("nobody")
+	cluster.commitSetting(t, "k", "1")
+	waitFor(t, "the server is at the latest revision", func() bool { return s.Position() == cluster.position() })
+	cluster.setLeader("nobody")
 	waitFor(t, "the store replica has dropped its relay", func() bool { return origins["a"].Metrics().Watchers == 0 })
-	late, c2 := startServer(t, "late", r.descriptor())
-	waitFor(t, "another server is served", func() bool { return late.Position() == e.position() })
-	for _, f := range []configwatch.ClientMetrics{c.Metrics(), c2.Metrics()} {
-		if f.Connections != 1 || f.RelayAddress != r.Addr() {
-			t.Errorf("%+v", f)
+	late, lateClient := startServer(t, "late", r.descriptor())
+	waitFor(t, "another server is served", func() bool { return late.Position() == cluster.position() })
+	for _, metrics := range []configwatch.ClientMetrics{c.Metrics(), lateClient.Metrics()} {
+		if metrics.Connections != 1 || metrics.RelayAddress != r.Addr() {
+			t.Errorf("%+v", metrics)
 		}
 	}
-	e.setLeader("a")
-	e.commitSetting(t, "k", "2")
-	waitFor(t, "both servers are at the latest revision", func() bool { return s.Position() == e.position() && late.Position() == e.position() })
+	cluster.setLeader("a")
+	cluster.commitSetting(t, "k", "2")
+	waitFor(t, "both servers are at the latest revision", func() bool { return s.Position() == cluster.position() && late.Position() == cluster.position() })
 }
 
 // A region whose relay is gone stays in the status with the last reported revision, and its staleness grows after the next change.
 func TestStatusKeepsDisconnectedRegion(t *testing.T) {
-	e, addresses, origins := startOrigins(t, "a")
+	cluster, addresses, origins := startOrigins(t, "a")
 	east := startRelay(t, Options{Name: "e1", Region: "east", StoreAddresses: addresses})
 	west := startRelay(t, Options{Name: "w1", Region: "west", StoreAddresses: addresses})
 	near, _ := startServer(t, "near", east.descriptor())
 	far, _ := startServer(t, "far", west.descriptor())
-	e.commitSetting(t, "k", "1")
-	waitFor(t, "both servers are at the latest revision", func() bool { return near.Position() == e.position() && far.Position() == e.position() })
+	cluster.commitSetting(t, "k", "1")
+	waitFor(t, "both servers are at the latest revision", func() bool { return near.Position() == cluster.position() && far.Position() == cluster.position() })
 	region := func(name string) (r distribution.RegionStatus) {
 		for _, r := range origins["a"].Status().Regions {
 			if r.Region == name {
@@ -309,7 +309,7 @@
 		r := region("west")
 		return r.ConnectedRelays == 0 && r.DisconnectedRelays == 1 && r.LowestRevision == 1 && r.StalenessMS == 0
 	})
-	e.commitSetting(t, "k", "2")
+	cluster.commitSetting(t, "k", "2")
 	waitFor(t, "west is stale, and east is at the latest revision", func() bool {
 		w, n := region("west"), region("east")
 		return w.StalenessMS > 0 && w.ServersBehind == 1 && w.LowestServer == "far" && n.LowestRevision == 2 && n.StalenessMS == 0
@@ -346,15 +346,15 @@
 // new leader.
 func TestRelayRetriesUntilLeaderIsFound(t *testing.T) {
 	const minAttempts, maxWaitMS, clockRate = 20, 1000.0, 20.0
-	e, addresses, _ := startOrigins(t, "a", "b", "c")
-	e.setLeader("nobody")
-	e.commitSetting(t, "k", "1")
-	w := &waitRecorder{}
-	r := startRelay(t, Options{Name: "relay", StoreAddresses: addresses, Seed: 1, Steady: clock.Monotonic().SetRate(clockRate), Log: zerolog.New(w)})
-	waitFor(t, "the relay was refused repeatedly", func() bool { return len(w.list()) >= minAttempts })
-	if longest := slices.Max(w.list()); longest > maxWaitMS {
+	cluster, addresses, _ := startOrigins(t, "a", "b", "c")
+	cluster.setLeader("nobody")
+	cluster.commitSetting(t, "k", "1")
+	recorder := &waitRecorder{}
+	r := startRelay(t, Options{Name: "relay", StoreAddresses: addresses, Seed: 1, Steady: clock.Monotonic().SetRate(clockRate), Log: zerolog.New(recorder)})
+	waitFor(t, "the relay was refused repeatedly", func() bool { return len(recorder.list()) >= minAttempts })
+	if longest := slices.Max(recorder.list()); longest > maxWaitMS {
 		t.Errorf("longest backoff is %v ms", longest)
 	}
-	e.setLeader("b")
-	waitFor(t, "the relay follows the new leader", func() bool { return r.replica.Position() == e.position() })
+	cluster.setLeader("b")
+	waitFor(t, "the relay follows the new leader", func() bool { return r.replica.Position() == cluster.position() })
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -28,29 +28,29 @@
 	return &commitSource{t, records.NewSet(records.DefaultLimits)}
 }
 
-func (a *commitSource) change(c records.Change) records.Commit {
-	a.t.Helper()
-	commit, err := a.set.Apply(c)
+func (source *commitSource) change(c records.Change) records.Commit {
+	source.t.Helper()
+	commit, err := source.set.Apply(c)
 	if err != nil {
-		a.t.Fatal(err)
+		source.t.Fatal(err)
 	}
 	return commit
 }
 
-func (a *commitSource) put(name, value string) records.Commit {
-	a.t.Helper()
-	return a.change(records.Change{Puts: []records.Put{setting(name, value)}})
+func (source *commitSource) put(name, value string) records.Commit {
+	source.t.Helper()
+	return source.change(records.Change{Puts: []records.Put{setting(name, value)}})
 }
 
-func (a *commitSource) snapshot() (records.Header, *records.Table) {
-	a.t.Helper()
-	s, err := records.NewSnapshot(a.set.Table(), a.set.Revision())
+func (source *commitSource) snapshot() (records.Header, *records.Table) {
+	source.t.Helper()
+	s, err := records.NewSnapshot(source.set.Table(), source.set.Revision())
 	if err != nil {
-		a.t.Fatal(err)
+		source.t.Fatal(err)
 	}
 	table, err := s.Assemble()
 	if err != nil {
-		a.t.Fatal(err)
+		source.t.Fatal(err)
 	}
 	return s.Header, table
 }
@@ -58,18 +58,18 @@
 // appliedSettings holds the settings that a replica has applied.
 type appliedSettings map[string]string
 
-func (f appliedSettings) apply(settings map[string][]byte) error {
+func (applied appliedSettings) apply(settings map[string][]byte) error {
 	for name, value := range settings {
 		if value == nil {
-			delete(f, name)
+			delete(applied, name)
 		} else {
-			f[name] = string(value)
+			applied[name] = string(value)
 		}
 	}
 	return nil
 }
 
-func (f appliedSettings) String() string { return fmt.Sprint(map[string]string(f)) }
+func (applied appliedSettings) String() string { return fmt.Sprint(map[string]string(applied)) }
 
 func follow(t *testing.T, r *Replica, commits ...records.Commit) {
 	t.Helper()
@@ -82,21 +82,21 @@
 
 // A restarted replica applies the settings of its file before it connects to a relay, and continues from its revision.
 func TestRestartResumesFromDisk(t *testing.T) {
-	a, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
+	source, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
 	first := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
-	follow(t, first, a.put("a", "1"), a.put("b", "1"), a.put("a", "2"))
-	follow(t, first, a.change(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "b"}}}))
+	follow(t, first, source.put("a", "1"), source.put("b", "1"), source.put("a", "2"))
+	follow(t, first, source.change(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "b"}}}))
 	first.Close()
 	applied := appliedSettings{}
 	second := Open(Options{Name: "s", Path: path, ApplySettings: applied.apply, Log: zerolog.Nop()})
 	defer second.Close()
-	if p := second.Position(); p.Revision != 4 || p.Digest != a.set.Digest() {
+	if p := second.Position(); p.Revision != 4 || p.Digest != source.set.Digest() {
 		t.Errorf("replica is at %+v", p)
 	}
 	if applied.String() != "map[a:2]" {
 		t.Errorf("applied settings: %v", applied)
 	}
-	follow(t, second, a.put("c", "1"))
+	follow(t, second, source.put("c", "1"))
 	if value, revision, ok := second.Get(records.Key{Kind: records.Setting, Name: "c"}); !ok || string(value) != "1" || revision != 5 {
 		t.Errorf("%q %d %v", value, revision, ok)
 	}
@@ -104,11 +104,11 @@
 
 // A corrupt file is discarded with a log line; the replica starts empty and writes a new file.
 func TestCorruptFileIsDiscarded(t *testing.T) {
-	a, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
+	source, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
 	first := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
-	follow(t, first, a.put("a", "1"))
-	h, table := a.snapshot()
-	if err := first.Adopt(h, table); err != nil {
+	follow(t, first, source.put("a", "1"))
+	header, table := source.snapshot()
+	if err := first.Adopt(header, table); err != nil {
 		t.Fatal(err)
 	}
 	first.Close()
@@ -125,29 +125,29 @@
 	if p := second.Position(); p != (distribution.Position{}) || !bytes.Contains(log.Bytes(), []byte("discarding it")) {
 		t.Errorf("replica is at %+v; log: %s", p, log.Bytes())
 	}
-	if err := second.Adopt(h, table); err != nil {
+	if err := second.Adopt(header, table); err != nil {
 		t.Fatal(err)
 	}
 	second.Close()
 	third := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
 	defer third.Close()
-	if third.Position() != distribution.Position(records.DigestFollower{Revision: 1, Digest: a.set.Digest()}) {
+	if third.Position() != distribution.Position(records.DigestFollower{Revision: 1, Digest: source.set.Digest()}) {
 		t.Errorf("replica is at %+v", third.Position())
 	}
 }
 
 // A commit that is not the next one, or whose digest differs, is rejected and changes nothing.
 func TestOutOfOrderCommitsAreRejected(t *testing.T) {
-	a, applied := newCommitSource(t), appliedSettings{}
+	source, applied := newCommitSource(t), appliedSettings{}
 	r := Open(Options{Name: "s", ApplySettings: applied.apply, Log: zerolog.Nop()})
-	one, two, three := a.put("a", "1"), a.put("a", "2"), a.put("a", "3")
+	one, two, three := source.put("a", "1"), source.put("a", "2"), source.put("a", "3")
 	follow(t, r, one)
-	other := two
-	other.Before = records.Digest{}
-	for name, c := range map[string]records.Commit{"a gap": three, "one twice": one, "other records": other} {
+	divergent := two
+	divergent.Before = records.Digest{}
+	for name, c := range map[string]records.Commit{"a gap": three, "one twice": one, "other records": divergent} {
 		err := r.Follow(c)
-		var order *records.SequenceError
-		if !errors.As(err, &order) || order.DigestMismatch != (name == "other records") {
+		var sequenceErr *records.SequenceError
+		if !errors.As(err, &sequenceErr) || sequenceErr.DigestMismatch != (name == "other records") {
 			t.Errorf("%s: %v", name, err)
 		}
 		if r.Position().Revision != 1 || applied["a"] != "1" {
@@ -160,22 +160,22 @@
 // A record that fails the check is stored and reported, and the value applied before stays in effect, until the record is replaced
 // or deleted.
 func TestRejectedRecordsAreNotApplied(t *testing.T) {
-	a, applied := newCommitSource(t), appliedSettings{}
+	source, applied := newCommitSource(t), appliedSettings{}
 	r := Open(Options{Name: "s", ApplySettings: applied.apply, Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
 		if string(p.Value) == "bad" {
 			return errors.New("value not allowed")
 		}
 		return nil
 	}})
-	follow(t, r, a.put("a", "1"), a.put("a", "bad"), a.put("b", "bad"))
+	follow(t, r, source.put("a", "1"), source.put("a", "bad"), source.put("b", "bad"))
 	report := r.Report()
 	if applied["a"] != "1" || report.LowestRevision != 3 || report.ServersRejecting != 1 || len(report.Rejections) != 2 {
 		t.Errorf("applied %v, reported %+v", applied, report)
 	}
-	if j := report.Rejections[0]; j.Key != "setting/a" || j.Revision != 2 || j.Reason != "value not allowed" || j.Server != "s" {
-		t.Errorf("%+v", j)
+	if rejection := report.Rejections[0]; rejection.Key != "setting/a" || rejection.Revision != 2 || rejection.Reason != "value not allowed" || rejection.Server != "s" {
+		t.Errorf("%+v", rejection)
 	}
-	follow(t, r, a.put("a", "2"), a.change(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "b"}}}))
+	follow(t, r, source.put("a", "2"), source.change(records.Change{Deletes: []records.Key{{Kind: records.Setting, Name: "b"}}}))
 	if report = r.Report(); applied["a"] != "2" || report.ServersRejecting != 0 || len(report.Rejections) != 0 {
 		t.Errorf("applied %v, reported %+v", applied, report)
 	}
@@ -183,7 +183,7 @@
 
 // Settings that are inconsistent with each other are reported with the reason, until a change makes them consistent.
 func TestInconsistentSettingsAreReported(t *testing.T) {
-	a, all := newCommitSource(t), appliedSettings{}
+	source, all := newCommitSource(t), appliedSettings{}
 	r := Open(Options{Name: "s", Log: zerolog.Nop(), ApplySettings: func(settings map[string][]byte) error {
 		all.apply(settings)
 		if all["a"] != all["b"] {
@@ -191,12 +191,12 @@
 		}
 		return nil
 	}})
-	follow(t, r, a.put("a", "1"))
+	follow(t, r, source.put("a", "1"))
 	report := r.Report()
 	if len(report.Rejections) != 1 || report.Rejections[0].Key != "setting/a" || report.Rejections[0].Reason != "a and b differ" || report.ServersRejecting != 1 {
 		t.Errorf("%+v", report)
 	}
-	follow(t, r, a.put("b", "1"))
+	follow(t, r, source.put("b", "1"))
 	if report = r.Report(); len(report.Rejections) != 0 || report.ServersRejecting != 0 {
 		t.Errorf("%+v", report)
 	}
@@ -204,7 +204,7 @@
 
 // A value that fails the check stays reported, although the settings without it can be applied again.
 func TestRejectedValueStaysReportedWhenOthersApply(t *testing.T) {
-	a, all := newCommitSource(t), appliedSettings{}
+	source, all := newCommitSource(t), appliedSettings{}
 	r := Open(Options{Name: "s", Log: zerolog.Nop(), CheckRecord: func(p records.Put) error {
 		if string(p.Value) == "bad" {
 			return errors.New("value not allowed")
@@ -217,8 +217,8 @@
 		}
 		return nil
 	}})
-	follow(t, r, a.put("a", "1"))
-	follow(t, r, a.change(records.Change{Puts: []records.Put{setting("a", "bad"), setting("b", "1")}}))
+	follow(t, r, source.put("a", "1"))
+	follow(t, r, source.change(records.Change{Puts: []records.Put{setting("a", "bad"), setting("b", "1")}}))
 	report := r.Report()
 	if len(report.Rejections) != 1 || report.Rejections[0].Key != "setting/a" || report.Rejections[0].Reason != "value not allowed" {
 		t.Errorf("%+v", report)
@@ -227,10 +227,10 @@
 
 // Records that were never committed are discarded with their file; the applied settings stay in effect until a snapshot arrives.
 func TestDiscardKeepsAppliedSettingsUntilSnapshot(t *testing.T) {
-	a, applied, path := newCommitSource(t), appliedSettings{}, filepath.Join(t.TempDir(), "records")
+	source, applied, path := newCommitSource(t), appliedSettings{}, filepath.Join(t.TempDir(), "records")
 	r := Open(Options{Name: "s", Path: path, ApplySettings: applied.apply, Log: zerolog.Nop()})
 	defer r.Close()
-	follow(t, r, a.put("a", "1"))
+	follow(t, r, source.put("a", "1"))
 	r.Discard(errors.New("other records"))
 	if r.Position() != (distribution.Position{}) || applied["a"] != "1" {
 		t.Errorf("at %+v, applied %v", r.Position(), applied)
@@ -238,9 +238,9 @@
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the file still exists: %v", err)
 	}
-	a.put("a", "2")
-	h, table := a.snapshot()
-	if err := r.Adopt(h, table); err != nil {
+	source.put("a", "2")
+	header, table := source.snapshot()
+	if err := r.Adopt(header, table); err != nil {
 		t.Fatal(err)
 	}
 	if r.Position().Revision != 2 || applied["a"] != "2" {
@@ -250,12 +250,12 @@
 
 // The file is rewritten when the commits after its snapshot exceed maxCommitBytes.
 func TestFileSizeIsBounded(t *testing.T) {
-	a, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
+	source, path := newCommitSource(t), filepath.Join(t.TempDir(), "records")
 	r := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
-	large := string(bytes.Repeat([]byte("x"), records.MaxSettingBytes-8))
+	padding := string(bytes.Repeat([]byte("x"), records.MaxSettingBytes-8))
 	const commits = 2*maxCommitBytes/records.MaxSettingBytes + 10
 	for i := range commits {
-		follow(t, r, a.put("a", fmt.Sprint(i, large)))
+		follow(t, r, source.put("a", fmt.Sprint(i, padding)))
 		info, err := os.Stat(path)
 		if err != nil {
 			t.Fatal(err)
@@ -267,7 +267,7 @@
 	r.Close()
 	reopened := Open(Options{Name: "s", Path: path, Log: zerolog.Nop()})
 	defer reopened.Close()
-	if p := reopened.Position(); p.Revision != commits || p.Digest != a.set.Digest() {
+	if p := reopened.Position(); p.Revision != commits || p.Digest != source.set.Digest() {
 		t.Errorf("replica is at %+v", p)
 	}
 }
@@ -297,14 +297,14 @@
 			if err := r.Adopt(records.Header{Revision: set.Revision()}, set.Table().Clone()); err != nil {
 				b.Fatal(err)
 			}
-			const ahead = 512
+			const batchCommits = 512
 			var commits []records.Commit
 			for i := 0; b.Loop(); i++ {
 				if len(commits) == 0 {
 					b.StopTimer()
-					for k := range ahead {
-						at := (i + k) * 3
-						c, err := set.Apply(records.Change{Puts: []records.Put{tenant(at%n, i), tenant((at+1)%n, i), tenant((at+2)%n, i)}})
+					for k := range batchCommits {
+						first := (i + k) * 3
+						c, err := set.Apply(records.Change{Puts: []records.Put{tenant(first%n, i), tenant((first+1)%n, i), tenant((first+2)%n, i)}})
 						if err != nil {
 							b.Fatal(err)
 						}
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -457,27 +457,27 @@
 
 func TestDownstreamCallsStayWithinShare(t *testing.T) {
 	// Guards against overload of a slow downstream tier by concurrent calls up to the concurrency limit of each server.
-	slows := func(now time.Duration) time.Duration {
+	slowFor20s := func(now time.Duration) time.Duration {
 		if now > 1010*time.Second && now < 1030*time.Second {
 			return 700 * ms
 		}
 		return 40 * ms
 	}
-	silent := func(time.Duration) time.Duration { return time.Hour }
-	highest, served := maxConcurrentCalls(t, limitedCalls, slows)
+	noReply := func(time.Duration) time.Duration { return time.Hour }
+	highest, served := maxConcurrentCalls(t, limitedCalls, slowFor20s)
 	if highest > 0.5 || served < 150 {
 		t.Errorf("slow for 20 s: %.2f concurrent calls, %d of 600 requests served", highest, served)
 	}
-	if highest, _ = maxConcurrentCalls(t, limitedCalls, silent); highest > 0.5 {
+	if highest, _ = maxConcurrentCalls(t, limitedCalls, noReply); highest > 0.5 {
 		t.Errorf("no replies: %.2f concurrent calls", highest)
 	}
-	tiny := func(s *Settings) { limitedCalls(s); s.DownstreamShare = 0.1 }
-	if highest, served = maxConcurrentCalls(t, tiny, slows); highest > 0.1 || served < 8 {
+	smallShare := func(s *Settings) { limitedCalls(s); s.DownstreamShare = 0.1 }
+	if highest, served = maxConcurrentCalls(t, smallShare, slowFor20s); highest > 0.1 || served < 8 {
 		t.Errorf("share of 0.1: %.3f concurrent calls, %d requests served", highest, served)
 	}
 }
 
-func TestRunIsNotStartedWithoutRoomForItsCall(t *testing.T) {
+func TestRunIsNotStartedWithoutCapacityForItsCall(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { limitedCalls(s); s.DownstreamShare, s.Classes[0].Calls = 0.3, false })
 	r.handle(keyedRequest(1))
 	r.handle(CallNeeded{1})
@@ -488,7 +488,7 @@
 }
 
 // Guards against runs that wait for a slow downstream tier though their calls are optional.
-func TestOptionalCallIsSkippedWithoutRoom(t *testing.T) {
+func TestOptionalCallIsSkippedWithoutCapacity(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { limitedCalls(s); s.DownstreamShare, s.Classes[1].SkipWorth = 0.3, 0.3 })
 	for i := range r.n.set.Classes {
 		if c := r.n.classes[i]; c.Name == "safe" {
@@ -513,7 +513,7 @@
 
 // While the downstream tier is slow, optional calls could fill the whole period of the call limit, so that requests
 // with required calls would fail for seconds.
-func TestOptionalCallsLeaveRoomForRequiredCalls(t *testing.T) {
+func TestOptionalCallsLeaveCapacityForRequiredCalls(t *testing.T) {
 	r := newHarness(t, limitedOptionalCalls)
 	id, optionalCalls := ID(0), 0
 	runWithCall := func(a Arrived) bool {
@@ -637,7 +637,7 @@
 }
 
 // While the downstream tier is slow, requests that must call it could fill the queue, so that all others are refused.
-func TestClassWithoutRoomForCallsDoesNotFillQueueOfOthers(t *testing.T) {
+func TestClassWithoutCallCapacityDoesNotFillQueueOfOthers(t *testing.T) {
 	r := newBlockedHarness(t)
 	r.want(starts(r.handle(safeRequest(2), safeRequest(3), gauges(1, 3, 0))), "Start 2", "Start 3")
 	var got []string
@@ -742,9 +742,9 @@
 
 // A share smaller than the time for which an abandoned call keeps running must still allow calls.
 func TestShareBelowAbandonedCallTimeAllowsCalls(t *testing.T) {
-	tiny := func(s *Settings) { limitedCalls(s); s.DownstreamShare = 0.05 }
-	quick := func(time.Duration) time.Duration { return 10 * ms }
-	if highest, served := maxConcurrentCalls(t, tiny, quick); highest > 0.05 || served < 8 {
+	smallShare := func(s *Settings) { limitedCalls(s); s.DownstreamShare = 0.05 }
+	fast := func(time.Duration) time.Duration { return 10 * ms }
+	if highest, served := maxConcurrentCalls(t, smallShare, fast); highest > 0.05 || served < 8 {
 		t.Errorf("%.3f concurrent calls, %d requests served in a minute", highest, served)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -104,8 +104,8 @@
 	for _, spec := range set.Classes {
 		c := previous[spec.Name]
 		if existing := c; existing == nil || existing.Class != spec {
-			guess := float64(n.minAim) / firstRunDivisor
-			c = &classState{Class: spec, meanRun: guess, meanSize: guess,
+			initial := float64(n.minAim) / firstRunDivisor
+			c = &classState{Class: spec, meanRun: initial, meanSize: initial,
 				queue: orderedHeap[*request]{less: runsBefore}}
 			if existing != nil { // what was learned of the work stays valid
 				c.meanRun, c.meanSize, c.samples = existing.meanRun, existing.meanSize, existing.samples
@@ -269,63 +269,63 @@
 
 // resolveRepeat handles a repeat of an earlier request; false: it is to be enqueued like any other.
 func (n *Instance) resolveRepeat(r *request) bool {
-	o := r.original
-	for o != nil && o != r && o.successor != nil {
-		o = o.successor // an earlier one of this batch replaced it
+	prior := r.original
+	for prior != nil && prior != r && prior.successor != nil {
+		prior = prior.successor // an earlier one of this batch replaced it
 	}
-	if o == r {
-		o = nil
+	if prior == r {
+		prior = nil
 	}
 	if r.class.Safety == Safe {
-		return n.resolveSharedRead(r, o)
+		return n.resolveSharedRead(r, prior)
 	}
 	// A repeat must not cause a second effect. An attempt that is still queued is replaced by the newer one,
 	// since its caller has moved on. A request that ran, or of which nothing is known, is not run again, and
 	// its repeat is not refused, because a refusal says that nothing ran.
-	r.repeatsRun = o == nil || o.repeatsRun || o.ran
+	r.repeatsRun = prior == nil || prior.repeatsRun || prior.ran
 	switch {
-	case o != nil && o.repeatsRun && o.primary != nil:
-		n.coalesce(r, o.primary)
-	case o != nil && (o.state == running || o.state == calling):
-		n.coalesce(r, o)
-	case o == nil || o.ran && o.succeeded || o.repeatsRun && o.state != ended:
+	case prior != nil && prior.repeatsRun && prior.primary != nil:
+		n.coalesce(r, prior.primary)
+	case prior != nil && (prior.state == running || prior.state == calling):
+		n.coalesce(r, prior)
+	case prior == nil || prior.ran && prior.succeeded || prior.repeatsRun && prior.state != ended:
 		n.shareResult(r)
 	case r.repeatsRun:
 		n.reject(r)
-	case o.state == ended:
+	case prior.state == ended:
 		return false
-	case o.seq > r.seq:
+	case prior.seq > r.seq:
 		n.reject(r)
 	default:
-		n.reject(o)
-		o.successor = r
+		n.reject(prior)
+		prior.successor = r
 		return false
 	}
 	return true
 }
 
 // resolveSharedRead coalesces a safe request with an equal one or shares the fresh result of that.
-func (n *Instance) resolveSharedRead(r, o *request) bool {
-	if o == nil || n.tooLateToStart(r) {
+func (n *Instance) resolveSharedRead(r, prior *request) bool {
+	if prior == nil || n.tooLateToStart(r) {
 		return false
 	}
-	if o.primary != nil {
-		o = o.primary
+	if prior.primary != nil {
+		prior = prior.primary
 	}
 	switch {
-	case o.state == queued || o.state == running || o.state == calling:
-		n.coalesce(r, o)
+	case prior.state == queued || prior.state == running || prior.state == calling:
+		n.coalesce(r, prior)
 		return true
-	case o.state == ended && o.succeeded && n.now-o.endedAt <= n.set.SharedResultTTL:
+	case prior.state == ended && prior.succeeded && n.now-prior.endedAt <= n.set.SharedResultTTL:
 		n.shareResult(r)
 		return true
 	}
 	return false
 }
 
-func (n *Instance) coalesce(r, o *request) {
-	r.state, r.primary = coalesced, o
-	o.waiters = append(o.waiters, r)
+func (n *Instance) coalesce(r, primary *request) {
+	r.state, r.primary = coalesced, primary
+	primary.waiters = append(primary.waiters, r)
 	n.scheduleCheck(r)
 }
 
@@ -351,7 +351,7 @@
 	r.keyStored = true
 	n.memory += n.set.EntryKB
 	n.emit(StoreKey{ID: r.ID, TTL: ttl})
-	n.schedule(scheduledCheck{at: n.now + ttl, r: r, isExpiry: true})
+	n.schedule(scheduledCheck{at: n.now + ttl, request: r, isExpiry: true})
 }
 
 func (n *Instance) deleteKey(r *request, notify bool) {
@@ -420,7 +420,7 @@
 	if !r.ran || (r.class.Safety == Safe && !r.succeeded) {
 		n.deleteKey(r, true)
 	} else if r.keyStored && r.class.Safety == Safe {
-		n.schedule(scheduledCheck{at: n.now + n.set.SharedResultTTL, r: r, isExpiry: true})
+		n.schedule(scheduledCheck{at: n.now + n.set.SharedResultTTL, request: r, isExpiry: true})
 	}
 	n.completeWaiters(r)
 	n.prune(r)
@@ -430,23 +430,23 @@
 	waiters := r.waiters
 	r.waiters = nil
 	var primary *request
-	for _, f := range waiters {
-		if f.state != coalesced {
+	for _, waiter := range waiters {
+		if waiter.state != coalesced {
 			continue
 		}
-		f.primary = nil
+		waiter.primary = nil
 		switch {
 		case r.succeeded:
-			n.shareResult(f)
-		case f.repeatsRun:
-			n.reject(f)
+			n.shareResult(waiter)
+		case waiter.repeatsRun:
+			n.reject(waiter)
 		case primary == nil:
-			n.enqueue(f)
-			if f.state == queued {
-				primary = f
+			n.enqueue(waiter)
+			if waiter.state == queued {
+				primary = waiter
 			}
 		default:
-			n.coalesce(f, primary)
+			n.coalesce(waiter, primary)
 		}
 	}
 }
@@ -549,22 +549,24 @@
 	return due
 }
 
-func (n *Instance) scheduleCheck(r *request) { n.schedule(scheduledCheck{at: n.nextCheck(r), r: r}) }
+func (n *Instance) scheduleCheck(r *request) {
+	n.schedule(scheduledCheck{at: n.nextCheck(r), request: r})
+}
 
-func (n *Instance) schedule(m scheduledCheck) {
+func (n *Instance) schedule(check scheduledCheck) {
 	n.seq++
-	m.seq = n.seq
-	n.timeline.push(m)
+	check.seq = n.seq
+	n.timeline.push(check)
 }
 
 func (n *Instance) runChecks() {
 	for n.timeline.len() > 0 && n.timeline.first().at <= n.now {
-		m := n.timeline.pop()
-		if m.isExpiry {
-			n.deleteKey(m.r, m.r.class.Safety == Safe)
+		check := n.timeline.pop()
+		if check.isExpiry {
+			n.deleteKey(check.request, check.request.class.Safety == Safe)
 			continue
 		}
-		r := m.r
+		r := check.request
 		if r.answered {
 			continue
 		}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -152,17 +152,17 @@
 		}
 		s.Classes[0].Aim, s.Classes[1].Aim = 40*time.Second, 40*time.Second
 	})
-	patient := func(a Arrived) Arrived {
+	withoutTimeout := func(a Arrived) Arrived {
 		a.TimeLeft = 0
 		return a
 	}
 	for id := ID(1000); id < 1016; id++ {
-		r.handle(patient(safeRequest(id)), gauges(1, 16, 0))
+		r.handle(withoutTimeout(safeRequest(id)), gauges(1, 16, 0))
 	}
 	for id := ID(10); id < 34; id += 2 {
-		r.handle(patient(keyedRequest(id)))
+		r.handle(withoutTimeout(keyedRequest(id)))
 	}
-	r.handle(patient(safeRequest(11)), patient(safeRequest(13)), patient(safeRequest(15)))
+	r.handle(withoutTimeout(safeRequest(11)), withoutTimeout(safeRequest(13)), withoutTimeout(safeRequest(15)))
 	var order []string
 	for id := ID(1000); id < 1015; id++ {
 		got := starts(r.after(ms, done(id), gauges(1, 16, 0)))
@@ -261,9 +261,9 @@
 			a.IsRetry = retries
 			r.now += 20 * ms
 			for _, act := range r.n.Handle(r.now, []Event{a, gauges(1, 2, 0)}) {
-				if ref, ok := act.(Refuse); ok {
+				if refusal, ok := act.(Refuse); ok {
 					refused++
-					if ref.NoRetry {
+					if refusal.NoRetry {
 						noRetry++
 					}
 				}
@@ -323,12 +323,12 @@
 // flood sends more requests than can be served, each after an unread wait; every each-th is a retry. It returns the
 // number of refused first attempts, those refused within 100 ms, those advised against a retry, and the number of
 // retries that were not refused at once.
-func flood(r *harness, waited time.Duration, every ID) (refused, early, noRetry, kept int) {
+func flood(r *harness, waited time.Duration, requestsPerRetry ID) (refused, early, noRetry, kept int) {
 	arrivedAt := map[ID]time.Duration{}
 	running := []ID{1, 2}
 	for id := ID(10); id < 400; id++ {
 		a := safeRequest(id)
-		a.IsRetry, a.Waited = id%every == 0, waited
+		a.IsRetry, a.Waited = id%requestsPerRetry == 0, waited
 		r.now += 15 * ms
 		arrivedAt[id] = r.now
 		events := []Event{a, gauges(1, 2, 0)}
@@ -345,7 +345,7 @@
 			if ok && refusal.ID == id {
 				refusedAtOnce++
 			}
-			if ok && refusal.ID%every != 0 && id > 200 { // after a few windows
+			if ok && refusal.ID%requestsPerRetry != 0 && id > 200 { // after a few windows
 				refused++
 				if r.now-arrivedAt[refusal.ID] < 100*ms {
 					early++
@@ -355,7 +355,7 @@
 				}
 			}
 		}
-		if id%every == 0 && id > 200 && refusedAtOnce == 0 {
+		if id%requestsPerRetry == 0 && id > 200 && refusedAtOnce == 0 {
 			kept++
 		}
 	}
@@ -483,8 +483,8 @@
 		for i := ID(0); i < 150; i++ {
 			r.now += 20 * ms
 			for _, a := range r.n.Handle(r.now, []Event{safeRequest(10 + i), gauges(1, 2, 0)}) {
-				if ref, ok := a.(Refuse); ok {
-					longest = max(longest, ref.RetryAfter)
+				if refusal, ok := a.(Refuse); ok {
+					longest = max(longest, refusal.RetryAfter)
 				}
 			}
 		}
@@ -537,18 +537,18 @@
 func TestEveryRefusalAdvisesAWait(t *testing.T) {
 	for _, c := range []struct{ maxRetryAfter, want time.Duration }{{time.Second, minRetryAfter}, {5 * ms, 5 * ms}, {0, 0}} {
 		r := newHarness(t, func(s *Settings) { s.MaxRetryAfter = c.maxRetryAfter })
-		n := 0
-		for i := ID(1); i <= 100; i++ {
-			for _, a := range r.n.Handle(r.now, []Event{safeRequest(i)}) {
-				if f, ok := a.(Refuse); ok {
-					n++
-					if f.RetryAfter != c.want {
-						t.Errorf("maximum %v: wait of %v advised, want %v", c.maxRetryAfter, f.RetryAfter, c.want)
+		refused := 0
+		for id := ID(1); id <= 100; id++ {
+			for _, a := range r.n.Handle(r.now, []Event{safeRequest(id)}) {
+				if refusal, ok := a.(Refuse); ok {
+					refused++
+					if refusal.RetryAfter != c.want {
+						t.Errorf("maximum %v: wait of %v advised, want %v", c.maxRetryAfter, refusal.RetryAfter, c.want)
 					}
 				}
 			}
 		}
-		if n == 0 {
+		if refused == 0 {
 			t.Error("nothing was refused")
 		}
 	}
@@ -663,7 +663,7 @@
 }
 
 // adjustedAllowances returns the allowances of the classes in order after one window with the given refusals.
-func adjustedAllowances(classes []Class, allow []int, seen, refused []int) []int {
+func adjustedAllowances(classes []Class, allowances []int, arrived, refused []int) []int {
 	set := testSettings()
 	set.Classes = classes
 	n, err := New(set, 1)
@@ -672,7 +672,7 @@
 	}
 	var out []int
 	for i, c := range n.classes {
-		c.allowance, c.arrived, c.refused = allow[i], seen[i], refused[i]
+		c.allowance, c.arrived, c.refused = allowances[i], arrived[i], refused[i]
 	}
 	n.adjustAllowances()
 	for _, c := range n.classes {
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -22,7 +22,7 @@
 
 // attempt is what a checker knows of one attempt.
 type attempt struct {
-	a            Arrived
+	arrived      Arrived
 	class        Class
 	reachedAt    time.Duration
 	due          time.Duration
@@ -40,12 +40,12 @@
 	callAttempts int
 }
 
-func (l *checker) violation(format string, args ...any) error {
-	return fmt.Errorf("at %v: %s", l.now, fmt.Sprintf(format, args...))
+func (c *checker) violation(format string, args ...any) error {
+	return fmt.Errorf("at %v: %s", c.now, fmt.Sprintf(format, args...))
 }
 
-func (l *checker) ranWithinTTL(t *attempt) bool {
-	for _, o := range l.attempts {
+func (c *checker) ranWithinTTL(t *attempt) bool {
+	for _, o := range c.attempts {
 		if o != t && o.job == t.job && o.started && t.reachedAt-o.reachedAt < t.class.KeyTTL {
 			return true
 		}
@@ -54,12 +54,12 @@
 }
 
 // record records an action and returns an error if it violates an invariant or the contract of the host.
-func (l *checker) record(a Action) error {
+func (c *checker) record(a Action) error {
 	get := func(id ID) (*attempt, error) {
-		if t := l.attempts[id]; t != nil {
+		if t := c.attempts[id]; t != nil {
 			return t, nil
 		}
-		return nil, l.violation("%T of unknown request %d", a, id)
+		return nil, c.violation("%T of unknown request %d", a, id)
 	}
 	switch a := a.(type) {
 	case Start:
@@ -67,14 +67,14 @@
 		if err != nil {
 			return err
 		}
-		if t.ended && t.endedAt < l.now || t.started {
-			return l.violation("start of request %d, which ended or was started before", a.ID)
+		if t.ended && t.endedAt < c.now || t.started {
+			return c.violation("start of request %d, which ended or was started before", a.ID)
 		}
-		if t.class.Safety == Keyed && l.ranWithinTTL(t) {
-			return l.violation("duplicate: request %d runs within KeyTTL of another attempt: %+v", a.ID, t)
+		if t.class.Safety == Keyed && c.ranWithinTTL(t) {
+			return c.violation("duplicate: request %d runs within KeyTTL of another attempt: %+v", a.ID, t)
 		}
-		if l.drainAt > 0 && t.reachedAt > l.drainAt+l.set.DrainGrace {
-			return l.violation("drain: request %d runs, which arrived after the grace", a.ID)
+		if c.drainAt > 0 && t.reachedAt > c.drainAt+c.set.DrainGrace {
+			return c.violation("drain: request %d runs, which arrived after the grace", a.ID)
 		}
 		t.started, t.running = true, !t.ended
 	case ShareResult:
@@ -82,8 +82,8 @@
 		if err != nil {
 			return err
 		}
-		if !t.a.HasOriginal || t.ended && t.endedAt < l.now || t.started {
-			return l.violation("shared result for request %d, which repeats nothing, ran or ended", a.ID)
+		if !t.arrived.HasOriginal || t.ended && t.endedAt < c.now || t.started {
+			return c.violation("shared result for request %d, which repeats nothing, ran or ended", a.ID)
 		}
 		t.sharing = true
 	case Refuse, Fail:
@@ -99,13 +99,13 @@
 		}
 		t.answers++
 		if t.answers > 1 {
-			return l.violation("request %d is answered twice", id)
+			return c.violation("request %d is answered twice", id)
 		}
-		if refused && t.class.Safety != Safe && (t.started || t.class.Safety == Keyed && l.ranWithinTTL(t)) {
-			return l.violation("duplicate: request %d is refused after it ran", id)
+		if refused && t.class.Safety != Safe && (t.started || t.class.Safety == Keyed && c.ranWithinTTL(t)) {
+			return c.violation("duplicate: request %d is refused after it ran", id)
 		}
-		if l.now > t.due+l.set.AnswerSlack && !t.callerGone {
-			return l.violation("lost: request %d is answered %v late", id, l.now-t.due)
+		if c.now > t.due+c.set.AnswerSlack && !t.callerGone {
+			return c.violation("lost: request %d is answered %v late", id, c.now-t.due)
 		}
 		if !t.running {
 			t.ended = true
@@ -118,10 +118,10 @@
 		proven := t.lastOutcome == Full || t.lastOutcome == Unreachable || t.lastOutcome == NotRun ||
 			t.lastOutcome == InvalidReply && t.class.Safety == Safe // may run any number of times
 		if t.callAttempts > 0 && !proven {
-			return l.violation("duplicate: the call of request %d is retried after outcome %d", a.ID, t.lastOutcome)
+			return c.violation("duplicate: the call of request %d is retried after outcome %d", a.ID, t.lastOutcome)
 		}
 		if !t.atCall || t.callInFlight {
-			return l.violation("request %d does not wait for a call", a.ID)
+			return c.violation("request %d does not wait for a call", a.ID)
 		}
 		t.callAttempts++
 		t.callInFlight = true
@@ -131,7 +131,7 @@
 			return err
 		}
 		if t.class.SkipWorth == 0 {
-			return l.violation("the required call of request %d is skipped", a.ID)
+			return c.violation("the required call of request %d is skipped", a.ID)
 		}
 		t.atCall, t.callInFlight = false, false
 	case StoreKey:
@@ -139,69 +139,69 @@
 		if err != nil {
 			return err
 		}
-		if t.class.Safety == Keyed && l.now+a.TTL < t.reachedAt+t.class.KeyTTL {
-			return l.violation("the entry of request %d expires before KeyTTL", a.ID)
+		if t.class.Safety == Keyed && c.now+a.TTL < t.reachedAt+t.class.KeyTTL {
+			return c.violation("the entry of request %d expires before KeyTTL", a.ID)
 		}
-		l.entries[a.ID] = l.now + a.TTL
+		c.entries[a.ID] = c.now + a.TTL
 	case DeleteKey:
-		if t := l.attempts[a.ID]; t != nil && t.class.Safety == Keyed && t.started {
-			return l.violation("duplicate: the entry of request %d is deleted though it ran", a.ID)
+		if t := c.attempts[a.ID]; t != nil && t.class.Safety == Keyed && t.started {
+			return c.violation("duplicate: the entry of request %d is deleted though it ran", a.ID)
 		}
-		delete(l.entries, a.ID)
+		delete(c.entries, a.ID)
 	case SetHint:
-		if l.set.Hint == HintNone {
-			return l.violation("hint set though Settings.Hint is HintNone")
+		if c.set.Hint == HintNone {
+			return c.violation("hint set though Settings.Hint is HintNone")
 		}
 	case SetTimer:
-		if a.At <= l.now-l.set.Tick {
-			return l.violation("timer set in the past")
+		if a.At <= c.now-c.set.Tick {
+			return c.violation("timer set in the past")
 		}
-		if l.timerAt <= l.now || a.At < l.timerAt {
-			l.timerAt, l.token = a.At, a.Token
+		if c.timerAt <= c.now || a.At < c.timerAt {
+			c.timerAt, c.token = a.At, a.Token
 		}
 	}
 	return nil
 }
 
 // checkInvariants checks the invariants once all actions of a call are recorded.
-func (l *checker) checkInvariants() error {
+func (c *checker) checkInvariants() error {
 	memory, onCores := 0.0, 0
-	for id, until := range l.entries {
-		if until <= l.now {
-			delete(l.entries, id)
+	for id, until := range c.entries {
+		if until <= c.now {
+			delete(c.entries, id)
 			continue
 		}
-		memory += l.set.EntryKB
+		memory += c.set.EntryKB
 	}
-	for id, t := range l.attempts {
+	for id, t := range c.attempts {
 		if t.ended {
 			continue
 		}
 		if t.running {
-			memory += t.a.KB * l.set.RunMemoryFactor
+			memory += t.arrived.KB * c.set.RunMemoryFactor
 			if !t.atCall {
 				onCores++
 			}
 		} else {
-			memory += t.a.KB
+			memory += t.arrived.KB
 		}
-		if t.answers == 0 && !t.callerGone && l.now > t.due+l.set.AnswerSlack {
-			return l.violation("lost: request %d has no answer", id)
+		if t.answers == 0 && !t.callerGone && c.now > t.due+c.set.AnswerSlack {
+			return c.violation("lost: request %d has no answer", id)
 		}
-		if t.answers == 0 && !t.callerGone && l.stopAt > 0 && l.now >= l.stopAt {
-			return l.violation("drain: request %d has no answer at the stop", id)
+		if t.answers == 0 && !t.callerGone && c.stopAt > 0 && c.now >= c.stopAt {
+			return c.violation("drain: request %d has no answer at the stop", id)
 		}
 	}
-	if memory > l.set.MemoryKB {
-		return l.violation("collapse: %.0f kB of %.0f kB used", memory, l.set.MemoryKB)
+	if memory > c.set.MemoryKB {
+		return c.violation("collapse: %.0f kB of %.0f kB used", memory, c.set.MemoryKB)
 	}
 	share := 1.0
-	if l.set.JustStarted {
-		warm := min(float64(l.now-l.startedAt)/float64(l.set.WarmupPeriod), 1)
-		share = l.set.ColdSpeedShare + (1-l.set.ColdSpeedShare)*warm
+	if c.set.JustStarted {
+		warm := min(float64(c.now-c.startedAt)/float64(c.set.WarmupPeriod), 1)
+		share = c.set.ColdSpeedShare + (1-c.set.ColdSpeedShare)*warm
 	}
-	if float64(onCores) > float64(l.set.Cores)*(1+(l.set.MaxRunningPerCore-1)*share) {
-		return l.violation("collapse: %d requests run on %d cores", onCores, l.set.Cores)
+	if float64(onCores) > float64(c.set.Cores)*(1+(c.set.MaxRunningPerCore-1)*share) {
+		return c.violation("collapse: %d requests run on %d cores", onCores, c.set.Cores)
 	}
 	return nil
 }
@@ -246,36 +246,36 @@
 	log     []string
 }
 
-func (w *simulation) arrival() Event {
-	w.lastID++
-	c := w.checker.set.Classes[w.rng.IntN(len(w.checker.set.Classes))]
-	a := Arrived{ID: w.lastID, Class: c.Name, KB: float64(1 + w.rng.IntN(20)), Key: fmt.Sprint("k", w.rng.IntN(4)),
-		Waited: time.Duration(w.rng.IntN(60)) * ms, Write: w.rng.IntN(4) == 0, IsRetry: w.rng.IntN(3) == 0}
-	if w.rng.IntN(20) == 0 {
+func (s *simulation) arrival() Event {
+	s.lastID++
+	c := s.checker.set.Classes[s.rng.IntN(len(s.checker.set.Classes))]
+	a := Arrived{ID: s.lastID, Class: c.Name, KB: float64(1 + s.rng.IntN(20)), Key: fmt.Sprint("k", s.rng.IntN(4)),
+		Waited: time.Duration(s.rng.IntN(60)) * ms, Write: s.rng.IntN(4) == 0, IsRetry: s.rng.IntN(3) == 0}
+	if s.rng.IntN(20) == 0 {
 		a.Waited = c.Deadline + time.Second
 	}
-	if w.rng.IntN(2) == 0 {
-		a.Size = time.Duration(1+w.rng.IntN(300)) * ms
+	if s.rng.IntN(2) == 0 {
+		a.Size = time.Duration(1+s.rng.IntN(300)) * ms
 	}
-	if w.rng.IntN(5) == 0 {
+	if s.rng.IntN(5) == 0 {
 		a.Tenant = "x"
 	}
-	t := &attempt{class: c, reachedAt: w.checker.now - a.Waited}
-	w.jobs++
-	t.job = w.jobs
-	if len(w.ids) > 0 && w.rng.IntN(2) == 0 {
+	t := &attempt{class: c, reachedAt: s.checker.now - a.Waited}
+	s.jobs++
+	t.job = s.jobs
+	if len(s.ids) > 0 && s.rng.IntN(2) == 0 {
 		// A further attempt of an earlier request, identified by the entry that was valid when it arrived.
-		o := w.checker.attempts[w.ids[len(w.ids)-1-w.rng.IntN(min(len(w.ids), 8))]]
+		o := s.checker.attempts[s.ids[len(s.ids)-1-s.rng.IntN(min(len(s.ids), 8))]]
 		if o.class.Name == c.Name && c.Safety == Keyed {
 			t.job = o.job
-			t.reachedAt, a.Waited = w.checker.now, 0
+			t.reachedAt, a.Waited = s.checker.now, 0
 		}
 	}
-	for _, id := range w.ids {
-		o := w.checker.attempts[id]
-		_, stored := w.checker.entries[id]
+	for _, id := range s.ids {
+		o := s.checker.attempts[id]
+		_, stored := s.checker.entries[id]
 		sameJob := o.job == t.job && c.Safety == Keyed && (!o.ended || o.started)
-		sameRead := c.Safety == Safe && o.class.Name == c.Name && o.a.Key == a.Key && !o.ended && !a.Write
+		sameRead := c.Safety == Safe && o.class.Name == c.Name && o.arrived.Key == a.Key && !o.ended && !a.Write
 		if stored && (sameJob || sameRead) {
 			a.Original, a.HasOriginal = id, true
 		}
@@ -283,105 +283,105 @@
 	if c.Safety == Keyed && !a.HasOriginal {
 		// An attempt of a job that is queued or ran without an entry would be a fault of the key table, as the
 		// instance adds every queued keyed request to it. This is a new job instead.
-		for _, o := range w.checker.attempts {
+		for _, o := range s.checker.attempts {
 			if o.job == t.job && (!o.ended || o.started && t.reachedAt-o.reachedAt < c.KeyTTL) {
-				w.jobs++
-				t.job = w.jobs
+				s.jobs++
+				t.job = s.jobs
 				break
 			}
 		}
 	}
-	if w.checker.set.PassesDeadline && w.rng.IntN(4) > 0 {
-		a.TimeLeft = time.Duration(1 + w.rng.Int64N(int64(c.Deadline)))
+	if s.checker.set.PassesDeadline && s.rng.IntN(4) > 0 {
+		a.TimeLeft = time.Duration(1 + s.rng.Int64N(int64(c.Deadline)))
 	}
 	t.due = t.reachedAt + c.Deadline
 	if a.TimeLeft > 0 {
-		t.due = w.checker.now + a.TimeLeft
+		t.due = s.checker.now + a.TimeLeft
 	}
-	t.due = max(t.due, w.checker.now)
-	t.a = a
-	w.checker.attempts[a.ID] = t
-	w.ids = append(w.ids, a.ID)
+	t.due = max(t.due, s.checker.now)
+	t.arrived = a
+	s.checker.attempts[a.ID] = t
+	s.ids = append(s.ids, a.ID)
 	return a
 }
 
 // progress returns a random next event of a request, or nil for none.
-func (w *simulation) progress(id ID) Event {
-	t := w.checker.attempts[id]
+func (s *simulation) progress(id ID) Event {
+	t := s.checker.attempts[id]
 	if t.ended {
 		return nil
 	}
-	roll := w.rng.IntN(100)
+	roll := s.rng.IntN(100)
 	outcome := OK
-	if w.rng.IntN(4) == 0 {
+	if s.rng.IntN(4) == 0 {
 		outcome = Failed
 	}
-	took := w.checker.now - t.reachedAt
+	took := s.checker.now - t.reachedAt
 	switch {
 	case roll < 3 && !t.callerGone && t.answers == 0:
 		t.callerGone = true
 		if !t.running {
-			t.ended, t.endedAt = true, w.checker.now
-			delete(w.checker.entries, id)
+			t.ended, t.endedAt = true, s.checker.now
+			delete(s.checker.entries, id)
 		}
 		return CallerGone{id}
 	case t.atCall && (t.answers > 0 || t.callerGone) && !t.callInFlight:
-		t.running, t.ended, t.endedAt = false, true, w.checker.now
+		t.running, t.ended, t.endedAt = false, true, s.checker.now
 		return Finished{id, Cancelled, took}
 	case t.callInFlight && roll < 20:
 		t.callInFlight = false
-		t.lastOutcome = Outcome(w.rng.IntN(6))
+		t.lastOutcome = Outcome(s.rng.IntN(6))
 		if t.lastOutcome == OK {
 			t.atCall, t.callAttempts = false, 0
 		}
 		return CallReturned{id, t.lastOutcome, took}
-	case t.running && !t.atCall && roll < 8 && w.checker.set.HasDownstream:
+	case t.running && !t.atCall && roll < 8 && s.checker.set.HasDownstream:
 		t.atCall, t.callAttempts = true, 0
 		return CallNeeded{id}
 	case t.running && !t.atCall && roll < 16, t.sharing && roll < 16:
 		if t.answers == 0 && !t.callerGone {
 			t.answers++
 		}
-		t.running, t.ended, t.endedAt = false, true, w.checker.now
+		t.running, t.ended, t.endedAt = false, true, s.checker.now
 		return Finished{id, outcome, took}
 	}
 	return nil
 }
 
-func (w *simulation) step() error {
+func (s *simulation) step() error {
 	// The host calls Handle at events or when the timer fires, whichever is first, at most one tick late.
-	next := w.checker.now + time.Duration(1+w.rng.IntN(10))*w.checker.set.Tick
-	if w.checker.timerAt > w.checker.now {
-		late := (w.checker.timerAt - w.checker.now + w.checker.set.Tick - 1) / w.checker.set.Tick * w.checker.set.Tick
-		next = min(next, w.checker.now+late)
+	next := s.checker.now + time.Duration(1+s.rng.IntN(10))*s.checker.set.Tick
+	if s.checker.timerAt > s.checker.now {
+		late := (s.checker.timerAt - s.checker.now + s.checker.set.Tick - 1) / s.checker.set.Tick * s.checker.set.Tick
+		next = min(next, s.checker.now+late)
 	}
-	w.checker.now = next
+	s.checker.now = next
 	var events []Event
-	for range w.rng.IntN(3) {
-		events = append(events, w.arrival())
+	for range s.rng.IntN(3) {
+		events = append(events, s.arrival())
 	}
-	for _, id := range w.ids[max(len(w.ids)-120, 0):] {
-		if e := w.progress(id); e != nil {
-			if _, callerGone := e.(CallerGone); callerGone || w.checker.attempts[id].started || w.checker.attempts[id].sharing {
+	for _, id := range s.ids[max(len(s.ids)-120, 0):] {
+		if e := s.progress(id); e != nil {
+			if _, callerGone := e.(CallerGone); callerGone || s.checker.attempts[id].started || s.checker.attempts[id].sharing {
 				events = append(events, e)
 			}
 		}
 	}
-	if w.checker.drainAt == 0 && w.rng.IntN(2500) == 0 {
-		left := time.Duration(w.rng.IntN(3000)) * ms
-		w.checker.drainAt, w.checker.stopAt = w.checker.now, w.checker.now+left
+	if s.checker.drainAt == 0 && s.rng.IntN(2500) == 0 {
+		left := time.Duration(s.rng.IntN(3000)) * ms
+		s.checker.drainAt, s.checker.stopAt = s.checker.now, s.checker.now+left
 		events = append(events, DrainNotice{TimeLeft: left})
 	}
-	if w.checker.timerAt <= w.checker.now {
-		events = append(events, TimerFired{w.checker.token, []float64{w.rng.Float64(), float64(w.rng.IntN(12)), w.rng.Float64()}})
+	if s.checker.timerAt <= s.checker.now {
+		events = append(events, TimerFired{s.checker.token, []float64{s.rng.Float64(), float64(s.rng.IntN(12)), s.rng.Float64()}})
 	}
-	for _, a := range w.n.Handle(w.checker.now, events) {
-		w.log = append(w.log, fmt.Sprintf("%T%v", a, a))
-		if err := w.checker.record(a); err != nil {
+	for _, a := range s.n.Handle(s.checker.now, events) {
+		s.log = append(s.log, fmt.Sprintf("%T%v", a, a))
+		if err := s.checker.record(a); err != nil {
 			return err
 		}
 	}
-	return w.checker.checkInvariants()
+	return s.checker.checkInvariants()
 }
 
 func simulate(seed uint64, steps int) ([]string, error) {
@@ -391,17 +391,17 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &simulation{rng: rng, n: n, checker: &checker{set: set, now: time.Hour, attempts: map[ID]*attempt{},
+	sim := &simulation{rng: rng, n: n, checker: &checker{set: set, now: time.Hour, attempts: map[ID]*attempt{},
 		entries: map[ID]time.Duration{}, startedAt: time.Hour}}
 	for range steps {
-		if w.checker.stopAt > 0 && w.checker.now+10*w.checker.set.Tick >= w.checker.stopAt {
+		if sim.checker.stopAt > 0 && sim.checker.now+10*sim.checker.set.Tick >= sim.checker.stopAt {
 			break
 		}
-		if err := w.step(); err != nil {
-			return w.log, err
+		if err := sim.step(); err != nil {
+			return sim.log, err
 		}
 	}
-	return w.log, nil
+	return sim.log, nil
 }
 
 func TestRandomSequencesKeepInvariants(t *testing.T) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -51,7 +51,7 @@
 type scheduledCheck struct {
 	at       time.Duration
 	seq      uint64
-	r        *request
+	request  *request
 	isExpiry bool // the entry in the key table expires
 }
 
