--- a/internal/net/fronts_test.go
+++ b/internal/net/fronts_test.go
@@ -85,7 +85,7 @@
 	checkCounts(t, byRESP, byUWSGI, starts())
 }
 
-// The same with uwsgi servers as the runner, the first of which is down.
+// Both fronts on two uwsgi servers, the first of which is down, give the same counts of answers, and no request runs twice.
 func TestMixedLoadRunsOnceOnUWSGIServers(t *testing.T) {
 	var mu sync.Mutex
 	starts := map[string]int{}
--- a/internal/net/handover/handover.go
+++ b/internal/net/handover/handover.go
@@ -3,9 +3,9 @@
 // queues. The successor accepts what the predecessor has not, so no connection is lost when the predecessor closes its
 // descriptors.
 //
-// The successor sends its format version as one byte when it is about to serve. Up to version 1, the
-// predecessor answers with the same byte. From version 2 on it answers with the byte stateMarker, the length of its state in
-// eight bytes (big-endian) and the state.
+// The successor sends its format version as one byte when it is about to serve. Up to version 1, the predecessor answers with
+// the same byte. From version 2 on it answers with the byte stateMarker, the length of its state in eight bytes (big-endian)
+// and the state.
 package handover
 
 import (
@@ -169,9 +169,9 @@
 	}
 }
 
-// Take requests the sockets that a predecessor offers at path, keyed by their addresses. If there is no predecessor, it
-// returns no sockets and no error. The connection to the predecessor has to stay open for as long as
-// this process is to be the successor.
+// Take requests the sockets that a predecessor offers at path, keyed by their addresses. If there is no predecessor, it returns
+// no sockets and no error. The connection to the predecessor has to stay open for as long as this process is to be the
+// successor.
 func Take(path string) (sockets map[string]*net.TCPListener, predecessor net.Conn, err error) {
 	conn, err := net.DialTimeout("unix", path, handshakeTimeout)
 	if err != nil {
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -28,7 +28,7 @@
 	"puffinsaddle/policy"
 )
 
-const testTimeout = 60 * time.Second // for tests that hang; no test depends on its length
+const testTimeout = 60 * time.Second // limit for tests that hang; no result depends on it
 
 var settings = policy.Settings{
 	Classes: []policy.Class{
@@ -290,10 +290,10 @@
 	p.conn.Write(b)
 }
 
-// sendRequest sends a request that arrived at the present time.
-func (p *fakeRouter) sendRequest(tag, id int, class, more, body string) {
+// sendRequest sends a request that arrived now. extraFields is appended to its fields.
+func (p *fakeRouter) sendRequest(tag, id int, class, extraFields, body string) {
 	p.send("REQ", strconv.Itoa(tag), class,
-		fmt.Sprintf("id=%016x,at=%d,from=4,kb=10,rank=0.5%s", id, time.Now().UnixMilli(), more), body)
+		fmt.Sprintf("id=%016x,at=%d,from=4,kb=10,rank=0.5%s", id, time.Now().UnixMilli(), extraFields), body)
 }
 
 // readAnswer reads one array of bulk strings.
--- a/internal/net/rare_test.go
+++ b/internal/net/rare_test.go
@@ -68,8 +68,8 @@
 	return l.Front.Flushed()
 }
 
-// The same for a process that was replaced: a request that was sent before its router received the closing message is read
-// while the process waits until it is quiescent.
+// A request is sent before its router receives the closing message, and is read while a process that was replaced waits until
+// it is quiescent. Guards against a process that exits while that request runs.
 func TestYieldWaitsForRequestThatCrossesClosing(t *testing.T) {
 	x, h, clk := newKeyedServer(t, nil)
 	p := h.router()
@@ -182,8 +182,8 @@
 	p.want("1", "done", "", "A")
 }
 
-// As above, but a METER that was sent after the reply was answered before the break. The reply arrived, so nothing is sent
-// again.
+// The executor's connection breaks after a reply to a downstream call and a later METER were sent, and the METER was answered.
+// This shows that the reply arrived, so it must not be sent again.
 func TestConfirmedReplyIsNotResent(t *testing.T) {
 	x := newExecutor(t)
 	h := newServerWithExecutor(t, x, startVault(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "reply") }))
@@ -233,8 +233,8 @@
 	p.want("3", "done", "", "C")
 }
 
-// The new executor is cold and cannot take the load that the warm one took. Guards against starting a second request beside
-// the first, as on the warm executor.
+// The new executor is cold and cannot take the load that the warm one took. Guards against starting a second request
+// while the first one runs, as on the warm executor.
 func TestReplacedExecutorStartsCold(t *testing.T) {
 	set := settings
 	set.Cores, set.ColdSpeedShare, set.WarmupPeriod = 1, 0, time.Hour
--- a/internal/net/stories_test.go
+++ b/internal/net/stories_test.go
@@ -21,7 +21,7 @@
 	"puffinsaddle/policy"
 )
 
-// binaryBody contains bytes of RESP syntax and bytes that are no text; it has to pass unchanged.
+// binaryBody contains RESP syntax and bytes that are not valid text. It must be passed on unchanged.
 const binaryBody = "any \x00\r\n$5\xff bytes"
 
 // id returns the request ID with a given number.
@@ -209,7 +209,7 @@
 	x.want("EXEC", id(2))
 }
 
-// Each reply or failure of the vault maps to an outcome of the call.
+// Each reply or failure of the vault must give the matching outcome of the call.
 func TestVaultOutcomes(t *testing.T) {
 	reply := func(status int, unseen string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -244,8 +244,8 @@
 	}
 }
 
-// What a vault may send before, after or in place of a reply. Interim responses and bytes after the reply affect neither this
-// call nor the next one. A reply that may be incomplete is invalid, which is detected at once if the header shows it.
+// A vault sends further bytes before, after or in place of its reply. Interim responses and bytes after the reply affect neither
+// this call nor the next one. A reply that may be incomplete is invalid, which is detected at once if the header shows it.
 func TestInvalidVaultReplies(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 	for _, c := range []struct {
