--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -53,7 +53,7 @@
 	EffectsTwice   int
 	MaxSharesMilli int64     // the largest sum of shares in force at once, in thousandths of a call
 	Diverged       int       // store replicas whose state was found to differ from that of a majority
-	Rejoined       int       // store replicas that rejoined, whatever was wrong with their data directories
+	Rejoined       int       // store replicas that rejoined, for whatever reason
 	CatchUpMS      []float64 // ms from a replica's request to rejoin until it took part with the full state
 }
 
@@ -62,7 +62,7 @@
 	Duty        string
 	From, To    float64
 	Cause       string  // why the preceding holder's lease ended
-	NewLeaderAt float64 // when another leader started to grant duties in the gap, ms; 0: none did
+	NewLeaderAt float64 // when another leader started to grant duties in the gap, in ms; 0: none did
 }
 
 // LengthMS returns the length of the gap in ms.
@@ -86,7 +86,7 @@
 func Check(o *Outcome) *Findings {
 	f := &Findings{Holdings: map[string][]Holding{}}
 	for _, c := range o.Failures {
-		f.Violations = append(f.Violations, Violation{Rule: "no process ends by itself", Text: c})
+		f.Violations = append(f.Violations, Violation{Rule: "no process fails", Text: c})
 	}
 	f.checkHolders(o)
 	f.checkLog(o)
@@ -175,7 +175,7 @@
 			if i == 0 {
 				continue
 			}
-			before := holdings[0] // the one among the earlier ones that ends last
+			before := holdings[0] // the earlier interval that ends last
 			for _, b := range holdings[:i] {
 				if b.To > before.To {
 					before = b
@@ -317,7 +317,7 @@
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b step) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.delta, b.delta)) // at the same time, ends come before beginnings
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.delta, b.delta)) // at equal times, the ends sort before the beginnings
 	})
 	sum := int64(0)
 	for _, s := range steps {
@@ -340,7 +340,7 @@
 		case e.What == eventCorrupted:
 			corruptedBy[who] = e
 		case e.What == "killed", e.What == trace.ProcessStarted:
-			delete(corruptedBy, who) // its memory went with the process
+			delete(corruptedBy, who) // the corrupt memory was lost with the process
 			delete(rejoinAt, who)
 		case e.What == trace.ReplicaPhase && e.Text == store.PhaseRejoining:
 			f.Rejoined++
--- a/internal/lab/cmd.go
+++ b/internal/lab/cmd.go
@@ -22,18 +22,18 @@
 // ErrInvariantViolated is returned when an invariant was violated; the output names it.
 var ErrInvariantViolated = errors.New("lab: an invariant was violated")
 
-// UsageError is an error in the flags of a command.
+// UsageError reports invalid flags of a command.
 type UsageError struct{ Text string }
 
-func (w *UsageError) Error() string { return "lab: " + w.Text }
+func (e *UsageError) Error() string { return "lab: " + e.Text }
 
 // Cmd holds the lab's commands.
 type Cmd struct {
 	Duties DutiesCmd `cmd:"" help:"Duties that one order server holds at a time, under faults."`
 }
 
-// DutiesCmd runs order servers that hold duties while faults are injected. Its flags and the JSON of its last output line are
-// stable.
+// DutiesCmd is the command that runs order servers that hold duties while faults are injected. Its flags and the JSON of the
+// last line of its output are a stable interface.
 type DutiesCmd struct {
 	Seed       uint64        `default:"1" help:"One seed gives one schedule."`
 	For        time.Duration `default:"60s" help:"How long the load runs."`
@@ -49,7 +49,7 @@
 	List       bool          `help:"Name the scenarios and the bugs that can be planted."`
 }
 
-// Result is the last line of the output. Fields whose names end in MS are in ms.
+// Result is printed as JSON in the last line of the output. Fields whose names end in MS are in ms.
 type Result struct {
 	Seed                uint64              `json:"seed"`
 	Violations          int                 `json:"violations"`
@@ -58,7 +58,7 @@
 	Handovers           int                 `json:"handovers"`
 	GapP50MS            float64             `json:"gap_ms_p50"`
 	GapMaxMS            float64             `json:"gap_ms_max"`
-	Gaps                map[string]GapStats `json:"gaps"` // by why the preceding lease ended, and whether another leader was elected
+	Gaps                map[string]GapStats `json:"gaps"` // by the reason why the preceding lease ended, and whether another leader was elected
 	ExcessiveGaps       int                 `json:"gaps_over_terms"`
 	Faults              int                 `json:"faults"`
 	Effects             int                 `json:"effects"`
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// setup checks the flags.
+// setup validates the flags and returns the setup of the run.
 func (c *DutiesCmd) setup() (Setup, error) {
 	s, ok := findScenario(c.Scenario)
 	binary, err := os.Executable()
@@ -162,9 +162,9 @@
 	case err != nil:
 		return Setup{}, err
 	case !ok:
-		return Setup{}, &UsageError{fmt.Sprintf("no scenario %q; --list names them", c.Scenario)}
+		return Setup{}, &UsageError{fmt.Sprintf("--scenario: unknown scenario %q; --list names them", c.Scenario)}
 	case c.Plant != "" && !slices.Contains(config.InjectedBugs, c.Plant):
-		return Setup{}, &UsageError{fmt.Sprintf("no bug %q to inject; there are %s", c.Plant, strings.Join(config.InjectedBugs, ", "))}
+		return Setup{}, &UsageError{fmt.Sprintf("--plant: unknown bug %q; known bugs are %s", c.Plant, strings.Join(config.InjectedBugs, ", "))}
 	case c.Copies != 3 && c.Copies != 5 && c.Copies != 7:
 		return Setup{}, &UsageError{fmt.Sprintf("--copies must be 3, 5 or 7, not %d", c.Copies)}
 	case c.Servers < c.Copies || c.Servers > 100:
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -20,7 +20,7 @@
 	"puffinsaddle/internal/trace"
 )
 
-// inject starts a fault, waits for its duration and undoes it. It returns a description of what the fault hit.
+// inject injects a fault, waits for its duration and ends it. It returns a description of what the fault hit.
 func (r *run) inject(ctx context.Context, f Fault) string {
 	waitDuration := func() { r.sleepUntil(ctx, f.At+f.For) }
 	restart := func(p *server) {
@@ -46,9 +46,9 @@
 		}
 		return strings.Join(names, " and ")
 	}
-	cut := func(links map[string]*Link, w Direction) {
+	cut := func(links map[string]*Link, direction Direction) {
 		for _, l := range links {
-			l.Cut(w)
+			l.Cut(direction)
 		}
 	}
 	heal := func() {
@@ -283,7 +283,7 @@
 		return err.Error()
 	}
 	p.mu.Lock()
-	oldCmd, oldDone := p.cmd, p.done
+	oldCmd, oldExited := p.cmd, p.exited
 	p.mu.Unlock()
 	oldExec := p.executor
 	p.executor, p.operatorAddress = newExec, newAddress
@@ -303,11 +303,11 @@
 	}
 	oldCmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-oldDone:
+	case <-oldExited:
 	case <-time.After(10 * time.Second):
 		r.addNote("the replaced process of %s did not exit within 10 s of SIGTERM", p.name)
 		oldCmd.Process.Kill()
-		<-oldDone
+		<-oldExited
 	}
 	oldExec.ln.Close()
 	return p.name + ", replaced by a second process"
@@ -328,7 +328,7 @@
 	return os.WriteFile(filepath.Join(dir, "SUMS"), []byte(sums), 0o644)
 }
 
-const compareAllSeconds = 13 // replicas compare all parts of their state within this time, one election included
+const compareAllSeconds = 13 // seconds within which replicas compare all parts of their state, one election included
 
 const eventCorrupted = "spoilt" // event: the lab corrupted a replica's memory
 
@@ -345,14 +345,14 @@
 	return os.WriteFile(path, b, 0o600)
 }
 
-// replaceDirectory replaces a directory by a copy of another one.
+// replaceDirectory replaces the directory to by a copy of the directory from.
 func replaceDirectory(from, to string) error {
 	if err := os.RemoveAll(to); err != nil {
 		return err
 	}
 	return filepath.WalkDir(from, func(path string, d fs.DirEntry, err error) error {
 		if errors.Is(err, fs.ErrNotExist) {
-			return nil // a snapshot in the making was renamed or removed
+			return nil // a temporary snapshot was renamed or removed
 		}
 		if err != nil {
 			return err
--- a/internal/lab/figures.go
+++ b/internal/lab/figures.go
@@ -14,7 +14,7 @@
 	"puffinsaddle/internal/store"
 )
 
-// leadership is a process's report of its leadership.
+// leadership is the part of a process's metrics that shows whether it leads.
 type leadership struct {
 	Term uint64 `json:"term"` // the term in which it leads; 0: it does not lead
 }
@@ -42,7 +42,7 @@
 
 var httpClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// fetchMetrics requests the metrics of all processes; one that doesn't answer is left out.
+// fetchMetrics requests the metrics of all processes; a process that doesn't respond is left out.
 func (r *run) fetchMetrics() map[*server]processMetrics {
 	var mu sync.Mutex
 	all := map[*server]processMetrics{}
@@ -123,7 +123,7 @@
 }
 
 // slowestHolder returns the holder with the slowest clock, other than the process except, and a duty that it holds; nil if
-// there is none. With the slowest clock it believes in its lease for longest.
+// there is none. The slower a holder's clock is, the later it considers its lease expired.
 func (r *run) slowestHolder(except *server) (slowest *server, duty string) {
 	for p, s := range r.fetchMetrics() {
 		for name := range s.Duties.Held {
@@ -135,8 +135,9 @@
 	return slowest, duty
 }
 
-// delayGradually raises the delay of responses to 1.2 s in five steps and returns the time in s at which it had done so. Each
-// step is less than the silence after which a client tries another replica, so the session stays.
+// delayGradually raises the delay of responses to 1.2 s in five steps and returns the time of the last step, in s since the
+// start of the load. Each step is shorter than the silence after which a client tries another replica, so the session stays
+// open.
 func (r *run) delayGradually(ctx context.Context, atSeconds float64, links map[string]*Link) float64 {
 	for i := 1; i <= 5; i++ {
 		for _, l := range links {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Guards against a link that loses bytes or lets them pass while it is cut: an echo server behind a link that is cut in one
-// direction at a time. After Heal the withheld bytes arrive.
+// Guards against a link that loses bytes or forwards them while it is cut. The test cuts one direction at a time of a link to
+// an echo server. After Heal the withheld bytes arrive.
 func TestCutLinkWithholdsBytesUntilHeal(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -115,7 +115,8 @@
 	}
 }
 
-// Guards against a checker that misses a violation: synthetic traces, each with one violation, and one without any.
+// Guards against a checker that misses a violation or reports one in a valid trace. Each synthetic trace but the valid one has
+// one violation.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	grant := func(at float64, index uint64, name, who string) trace.Event {
 		return trace.Event{At: at, Who: "s01", What: trace.EntryApplied, Index: index, Term: 1, Text: "orders", Cause: "grant " + name + " " + who}
@@ -159,8 +160,8 @@
 	}
 }
 
-// Guards against gaps that are judged by the wrong bound: the TTL after a holder that was killed, counted from the election
-// of a new leader if there was one, and only a renewal interval after a yield.
+// Guards against judging gaps by the wrong bound. After a holder was killed, the bound is the TTL, counted from the election of
+// a new leader if there was one. After a yield it is only a renewal interval.
 func TestExcessiveGapsAreCounted(t *testing.T) {
 	o := &Outcome{LoadStartMS: 1, Events: []trace.Event{
 		{At: 10, Who: "a#1", What: trace.LeaseGained, Duty: "d", Epoch: 1, Until: 5000},
@@ -210,11 +211,11 @@
 		}
 	}
 	if f := Check(&Outcome{Events: []trace.Event{corrupted, died}, LoadEndMS: 60000}); len(f.Violations) > 0 {
-		t.Errorf("the corrupt memory went with its process: %+v", f.Violations)
+		t.Errorf("the corrupt memory was lost with its process: %+v", f.Violations)
 	}
 }
 
-// Guards against false violations: a process that is killed with a fenced command in flight records no response, so the
+// Guards against false violations. A process that is killed with a fenced command in flight records no response, so the
 // command may have been executed or not.
 func TestCommandsInterruptedByKillMayHaveExecuted(t *testing.T) {
 	event := func(what string, began, at float64, n uint64) trace.Event {
@@ -236,12 +237,12 @@
 
 func TestInvalidFlagsAreNamed(t *testing.T) {
 	for want, c := range map[string]DutiesCmd{
-		"no scenario":   {Scenario: "none-such", Copies: 3, Servers: 12, For: time.Minute},
-		"no bug":        {Scenario: "all", Plant: "x", Copies: 3, Servers: 12, For: time.Minute},
-		"--copies must": {Scenario: "all", Copies: 4, Servers: 12, For: time.Minute},
-		"--servers":     {Scenario: "all", Copies: 5, Servers: 3, For: time.Minute},
-		"--for must":    {Scenario: "all", Copies: 3, Servers: 12, For: time.Second},
-		"--slots must":  {Scenario: "all", Copies: 3, Servers: 12, For: time.Minute, Slots: 1},
+		"--scenario: unknown scenario": {Scenario: "none-such", Copies: 3, Servers: 12, For: time.Minute},
+		"--plant: unknown bug":         {Scenario: "all", Plant: "x", Copies: 3, Servers: 12, For: time.Minute},
+		"--copies must":                {Scenario: "all", Copies: 4, Servers: 12, For: time.Minute},
+		"--servers":                    {Scenario: "all", Copies: 5, Servers: 3, For: time.Minute},
+		"--for must":                   {Scenario: "all", Copies: 3, Servers: 12, For: time.Second},
+		"--slots must":                 {Scenario: "all", Copies: 3, Servers: 12, For: time.Minute, Slots: 1},
 	} {
 		if _, err := c.setup(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -272,7 +273,7 @@
 			t.Errorf("%s: %s: %s %+v", name, v.Rule, v.Text, v.Trace)
 		}
 		if f.Commands == 0 || f.Effects == 0 || len(o.Faults) == 0 {
-			t.Errorf("%s: %d fenced commands, %d effects, %d faults: the run proves nothing", name, f.Commands, f.Effects, len(o.Faults))
+			t.Errorf("%s: %d fenced commands, %d effects, %d faults: the run checks nothing unless there are some of each", name, f.Commands, f.Effects, len(o.Faults))
 		}
 		if name == "folders" && f.Rejoined == 0 { // one of its faults removes a data directory
 			t.Errorf("%s: no replica rejoined", name)
--- a/internal/lab/link.go
+++ b/internal/lab/link.go
@@ -72,12 +72,12 @@
 func (l *Link) SetTarget(address string) { l.update(func() { l.target = address }) }
 
 // Cut withholds all bytes of a direction until Heal: open connections and new ones hang.
-func (l *Link) Cut(w Direction) {
+func (l *Link) Cut(direction Direction) {
 	l.update(func() {
-		if w != Backward {
+		if direction != Backward {
 			l.cut[Forward] = true
 		}
-		if w != Forward {
+		if direction != Forward {
 			l.cut[Backward] = true
 		}
 	})
@@ -89,12 +89,12 @@
 }
 
 // Delay adds a delay to the bytes of a direction.
-func (l *Link) Delay(d time.Duration, w Direction) {
+func (l *Link) Delay(d time.Duration, direction Direction) {
 	l.update(func() {
-		if w != Backward {
+		if direction != Backward {
 			l.delay[Forward] = d
 		}
-		if w != Forward {
+		if direction != Forward {
 			l.delay[Backward] = d
 		}
 	})
@@ -130,33 +130,33 @@
 
 func (l *Link) accept() {
 	for {
-		a, err := l.ln.Accept()
+		conn, err := l.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		go l.proxy(a)
+		go l.proxy(conn)
 	}
 }
 
 // proxy connects an accepted connection to the target and forwards bytes until both directions have ended.
-func (l *Link) proxy(a net.Conn) {
+func (l *Link) proxy(client net.Conn) {
 	// A connection attempt through a cut link gets no response, not even a refusal.
 	if !l.waitUncut(Forward, nil) {
-		a.Close()
+		client.Close()
 		return
 	}
 	l.mu.Lock()
 	target := l.target
 	l.mu.Unlock()
-	b, err := net.DialTimeout("tcp", target, time.Second)
+	server, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
-		a.Close()
+		client.Close()
 		return
 	}
-	p := &connection{client: a, server: b, ended: make(chan struct{})}
+	p := &connection{client: client, server: server, ended: make(chan struct{})}
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
@@ -177,14 +177,14 @@
 }
 
 // waitUncut waits until a direction isn't cut. It returns false if the link or the connection was closed.
-func (l *Link) waitUncut(w Direction, p *connection) bool {
+func (l *Link) waitUncut(direction Direction, p *connection) bool {
 	var ended chan struct{}
 	if p != nil {
 		ended = p.ended
 	}
 	for {
 		l.mu.Lock()
-		changed, open, closed := l.changed, !l.cut[w], l.closed
+		changed, open, closed := l.changed, !l.cut[direction], l.closed
 		l.mu.Unlock()
 		if closed {
 			return false
@@ -208,7 +208,7 @@
 
 // forward forwards the bytes of one direction. It keeps reading while bytes are delayed, so that a delay doesn't limit the
 // throughput. When the sending side closes, bytes in transit are still delivered.
-func (l *Link) forward(p *connection, from, to net.Conn, w Direction) {
+func (l *Link) forward(p *connection, from, to net.Conn, direction Direction) {
 	queue := make(chan chunk, 1024)
 	go func() {
 		defer close(queue)
@@ -217,7 +217,7 @@
 			n, err := from.Read(b)
 			if n > 0 {
 				l.mu.Lock()
-				due := time.Now().Add(l.delay[w])
+				due := time.Now().Add(l.delay[direction])
 				l.mu.Unlock()
 				select {
 				case queue <- chunk{b[:n], due}:
@@ -241,7 +241,7 @@
 		if bytesPerSecond > 0 {
 			sleepUnlessEnded(time.Duration(len(c.b))*time.Second/time.Duration(bytesPerSecond), p.ended)
 		}
-		if !l.waitUncut(w, p) {
+		if !l.waitUncut(direction, p) {
 			return
 		}
 		if _, err := to.Write(c.b); err != nil {
@@ -249,7 +249,7 @@
 			return
 		}
 	}
-	if !l.waitUncut(w, p) {
+	if !l.waitUncut(direction, p) {
 		return
 	}
 	if tcp, ok := to.(*net.TCPConn); ok {
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -38,7 +38,7 @@
 
 	mu           sync.Mutex
 	conn         net.Conn
-	noticeCount  int // notices sent to the present process
+	noticeCount  int // number of notices sent to the current process
 	notices      []string
 	pendingCalls map[string]chan bool // runs that wait for their downstream call, by id
 	generation   int                  // counts the processes that have joined
@@ -68,7 +68,7 @@
 	fmt.Fprintf(conn, format+"\r\n", a...)
 }
 
-// notice sends a notice to the process of the given generation, unless a newer process has linked since.
+// notice sends a notice to the process of the given generation, unless a newer process has joined since.
 func (x *fakeExecutor) notice(generation int, format string, a ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -170,8 +170,8 @@
 	x.notice(generation, "EXIT # %s success %d %d\r\n%s", id, time.Since(started).Milliseconds(), len(result), result)
 }
 
-// fakeVault is a fake of the vault that all servers share: it slows down when more calls than slots are in
-// flight, and counts them.
+// fakeVault is a fake of the vault that all servers share. It counts the calls, and slows down when more calls than slots are
+// in flight.
 type fakeVault struct {
 	ln    net.Listener
 	slots int
@@ -235,7 +235,7 @@
 	case <-t.C:
 		io.WriteString(w, "ok")
 	case <-r.Context().Done():
-		// The caller has gone; the work of a vault continues all the same.
+		// The caller has disconnected, but a vault completes the call nevertheless.
 		<-t.C
 	}
 }
@@ -258,8 +258,8 @@
 	requestTimeoutMS = 2000.0
 )
 
-// loadGenerator is an open-loop load generator: the send times are drawn independently of the responses, and latency counts
-// from the intended send time.
+// loadGenerator is an open-loop load generator. The send times are drawn independently of the responses, and latency is
+// measured from the intended send time.
 type loadGenerator struct {
 	clk     *clock.Clock
 	latency *hdrhistogram.Histogram
@@ -280,9 +280,9 @@
 }
 
 // run sends perSecond requests per second on average to the addresses until stop is closed. The seed determines the requests.
-func (q *loadGenerator) run(seed uint64, perSecond float64, addresses func() []string, stop <-chan struct{}) {
+func (g *loadGenerator) run(seed uint64, perSecond float64, addresses func() []string, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	nextMS := q.clk.Now()
+	nextMS := g.clk.Now()
 	for n := uint64(1); ; n++ {
 		nextMS += rng.ExpFloat64() * 1000 / perSecond
 		class := readingClass
@@ -295,7 +295,7 @@
 			return
 		default:
 		}
-		if d := nextMS - q.clk.Now(); d > 0 {
+		if d := nextMS - g.clk.Now(); d > 0 {
 			t := time.NewTimer(clock.Duration(d))
 			select {
 			case <-stop:
@@ -309,72 +309,72 @@
 			continue
 		}
 		address := targets[int(skew*skew*float64(len(targets)))] // uneven: some servers get far more requests than others
-		q.send(address, class, id, nextMS)
+		g.send(address, class, id, nextMS)
 	}
 }
 
-func (q *loadGenerator) send(address, class string, id uint64, intendedMS float64) {
-	q.mu.Lock()
-	q.served.Sent++
-	q.worthSent += classWorth[class]
-	r := q.clients[address]
-	if r == nil {
-		r = &loadClient{address: address}
-		q.clients[address] = r
+func (g *loadGenerator) send(address, class string, id uint64, intendedMS float64) {
+	g.mu.Lock()
+	g.served.Sent++
+	g.worthSent += classWorth[class]
+	client := g.clients[address]
+	if client == nil {
+		client = &loadClient{address: address}
+		g.clients[address] = client
 	}
-	q.mu.Unlock()
+	g.mu.Unlock()
 	var once sync.Once
 	onDone := func(verdict, body string) {
-		once.Do(func() { q.record(class, verdict, body, intendedMS) })
+		once.Do(func() { g.record(class, verdict, body, intendedMS) })
 	}
-	time.AfterFunc(clock.Duration(intendedMS+requestTimeoutMS-q.clk.Now()), func() { onDone("none", "") })
+	time.AfterFunc(clock.Duration(intendedMS+requestTimeoutMS-g.clk.Now()), func() { onDone("none", "") })
 	go func() {
-		if !r.send(class, fmt.Sprintf("%016x", id), intendedMS, onDone) {
+		if !client.send(class, fmt.Sprintf("%016x", id), intendedMS, onDone) {
 			onDone("failed", "")
 		}
 	}()
 }
 
 // record counts the outcome of a request.
-func (q *loadGenerator) record(class, verdict, body string, intendedMS float64) {
-	tookMS := q.clk.Now() - intendedMS
-	q.mu.Lock()
-	defer q.mu.Unlock()
+func (g *loadGenerator) record(class, verdict, body string, intendedMS float64) {
+	tookMS := g.clk.Now() - intendedMS
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	switch verdict {
 	case "done":
-		w := classWorth[class]
+		worth := classWorth[class]
 		if strings.HasPrefix(body, "part") {
-			q.served.Part++
-			w *= partialWorth
+			g.served.Part++
+			worth *= partialWorth
 		} else {
-			q.served.Full++
+			g.served.Full++
 		}
-		q.worthServed += w
+		g.worthServed += worth
 	case "later":
-		q.served.Refused++
+		g.served.Refused++
 	case "none":
-		q.served.TimedOut++
+		g.served.TimedOut++
 	default:
-		q.served.Failed++
+		g.served.Failed++
 	}
 	micros := int64(max(tookMS, 0.001) * 1000)
-	q.latency.RecordValue(micros)
-	second := int((intendedMS - q.startMS) / 1000)
-	h := q.latencyBySecond[second]
+	g.latency.RecordValue(micros)
+	second := int((intendedMS - g.startMS) / 1000)
+	h := g.latencyBySecond[second]
 	if h == nil {
 		h = hdrhistogram.New(1, 60_000_000, 2)
-		q.latencyBySecond[second] = h
+		g.latencyBySecond[second] = h
 	}
 	h.RecordValue(micros)
 }
 
 // summary returns the outcomes with the fraction of the worth served.
-func (q *loadGenerator) summary() Served {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	s := q.served
-	if q.worthSent > 0 {
-		s.Worth = q.worthServed / q.worthSent
+func (g *loadGenerator) summary() Served {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	s := g.served
+	if g.worthSent > 0 {
+		s.Worth = g.worthServed / g.worthSent
 	}
 	return s
 }
@@ -388,64 +388,64 @@
 
 // clientConn is one connection. It is read until the server closes it.
 type clientConn struct {
-	conn    net.Conn
+	socket  net.Conn
 	mu      sync.Mutex
 	tag     int
 	pending map[int]func(verdict, body string)
 }
 
 // send sends a request and reports whether it was written; onDone is called with the response.
-func (r *loadClient) send(class, id string, atMS float64, onDone func(string, string)) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.conn == nil {
-		conn, err := net.DialTimeout("tcp", r.address, time.Second)
+func (c *loadClient) send(class, id string, atMS float64, onDone func(string, string)) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conn == nil {
+		conn, err := net.DialTimeout("tcp", c.address, time.Second)
 		if err != nil {
 			return false
 		}
-		r.conn = &clientConn{conn: conn, pending: map[int]func(string, string){}}
-		go r.read(r.conn)
+		c.conn = &clientConn{socket: conn, pending: map[int]func(string, string){}}
+		go c.read(c.conn)
 	}
-	w := r.conn
-	w.mu.Lock()
-	w.tag++
-	tag := w.tag
-	w.pending[tag] = onDone
-	w.mu.Unlock()
+	conn := c.conn
+	conn.mu.Lock()
+	conn.tag++
+	tag := conn.tag
+	conn.pending[tag] = onDone
+	conn.mu.Unlock()
 	fields := fmt.Sprintf("id=%s,at=%.0f,from=1,wait=%.0f,kb=10,rank=0.5", id, atMS, requestTimeoutMS)
 	b := redcon.AppendArray(nil, 5)
 	for _, word := range []string{"REQ", strconv.Itoa(tag), class, fields, id} {
 		b = redcon.AppendBulkString(b, word)
 	}
-	w.conn.SetWriteDeadline(time.Now().Add(time.Second))
-	if _, err := w.conn.Write(b); err != nil {
-		w.conn.Close()
-		r.conn = nil
+	conn.socket.SetWriteDeadline(time.Now().Add(time.Second))
+	if _, err := conn.socket.Write(b); err != nil {
+		conn.socket.Close()
+		c.conn = nil
 		return false
 	}
 	return true
 }
 
 // drop makes the next request open a new connection.
-func (r *loadClient) drop(w *clientConn) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.conn == w {
-		r.conn = nil
+func (c *loadClient) drop(conn *clientConn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conn == conn {
+		c.conn = nil
 	}
 }
 
-func (r *loadClient) read(w *clientConn) {
-	defer w.conn.Close()
-	defer r.drop(w)
-	reader := bufio.NewReader(w.conn)
+func (c *loadClient) read(conn *clientConn) {
+	defer conn.socket.Close()
+	defer c.drop(conn)
+	reader := bufio.NewReader(conn.socket)
 	for {
 		words, err := readArray(reader)
 		if err != nil || len(words) < 2 {
 			return
 		}
 		if words[0] == "0" {
-			r.drop(w)
+			c.drop(conn)
 			continue
 		}
 		tag, _ := strconv.Atoi(words[0])
@@ -453,10 +453,10 @@
 		if len(words) > 3 {
 			body = words[3]
 		}
-		w.mu.Lock()
-		onDone := w.pending[tag]
-		delete(w.pending, tag)
-		w.mu.Unlock()
+		conn.mu.Lock()
+		onDone := conn.pending[tag]
+		delete(conn.pending, tag)
+		conn.mu.Unlock()
 		if onDone != nil {
 			onDone(words[1], body)
 		}
--- a/internal/lab/platform.go
+++ b/internal/lab/platform.go
@@ -62,7 +62,7 @@
 }
 
 // Addr returns the address on which the fake listens.
-func (s *FakeExecutor) Addr() string { return s.fake.ln.Addr().String() }
+func (f *FakeExecutor) Addr() string { return f.fake.ln.Addr().String() }
 
 // Close stops the fake from accepting connections.
-func (s *FakeExecutor) Close() { s.fake.ln.Close() }
+func (f *FakeExecutor) Close() { f.fake.ln.Close() }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -16,7 +16,7 @@
 	"puffinsaddle/internal/trace"
 )
 
-// server is one order server of the run; its process may be replaced by further ones.
+// server is one order server of the run over all incarnations of its process.
 type server struct {
 	name            string
 	hasReplica      bool // it runs a store replica
@@ -28,12 +28,12 @@
 	executor        *fakeExecutor
 	sessionLinks    map[string]*Link // to the sessions of each replica, by its id
 	peerLinks       map[string]*Link // to the raft of each other replica, by its id
-	generation      int
+	incarnation     int
 
 	mu        sync.Mutex
 	cmd       *exec.Cmd
-	done      chan struct{}
-	shouldRun bool // the process should be running; its end is a failure
+	exited    chan struct{}
+	shouldRun bool // an exit is unexpected
 }
 
 // freeAddress returns an address with a port that is free now.
@@ -117,7 +117,7 @@
 // writeFiles writes the platform's file and the operator's file of a server.
 func (r *run) writeFiles(p *server) error {
 	config := PlatformFile{Name: p.name, Listen: p.listenAddress, Executor: p.executor.ln.Addr().String(), Vault: r.vault.ln.Addr().String(), OperatorAddress: p.operatorAddress,
-		Seed: r.Seed*1000 + uint64(p.generation), Servers: r.Servers, VaultSlots: r.VaultSlots, MemoryMB: 192, Sockets: 1024}
+		Seed: r.Seed*1000 + uint64(p.incarnation), Servers: r.Servers, VaultSlots: r.VaultSlots, MemoryMB: 192, Sockets: 1024}
 	replicaAddresses := object{}
 	for id, l := range p.sessionLinks {
 		replicaAddresses[id] = l.Addr()
@@ -135,7 +135,7 @@
 	if !r.NoAllotter {
 		duties["allot"] = object{"whole": float64(r.capacityMilli()) / 1000, "alone": float64(aloneMilli) / 1000, "servers": r.maxProcesses(), "every_ms": 200}
 	}
-	operator := object{"duties": duties, "lab": object{"trace": filepath.Join(p.dir, fmt.Sprintf("%d.trace", p.generation)), "clock_rate": p.clockRate, "plant": r.InjectedBug, "calls": true}}
+	operator := object{"duties": duties, "lab": object{"trace": filepath.Join(p.dir, fmt.Sprintf("%d.trace", p.incarnation)), "clock_rate": p.clockRate, "plant": r.InjectedBug, "calls": true}}
 	if p.hasReplica {
 		peers, viaLinks := object{}, object{}
 		for _, c := range r.orderServers[:r.Replicas] {
@@ -159,9 +159,9 @@
 	return os.WriteFile(filepath.Join(p.dir, "operator.yaml"), b, 0o644)
 }
 
-// start starts the next process of a server. A watcher records its end as a failure unless the end was asked for.
+// start starts the next process of a server. An exit while shouldRun is set is recorded as a failure.
 func (r *run) start(p *server) error {
-	p.generation++
+	p.incarnation++
 	if err := r.writeFiles(p); err != nil {
 		return err
 	}
@@ -180,9 +180,9 @@
 	if err := <-errs; err != nil {
 		return err
 	}
-	done := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.done, p.shouldRun = cmd, done, true
+	p.cmd, p.exited, p.shouldRun = cmd, exited, true
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
@@ -193,7 +193,7 @@
 			r.mu.Unlock()
 		}
 		p.mu.Unlock()
-		close(done)
+		close(exited)
 	}()
 	return nil
 }
@@ -206,33 +206,34 @@
 	}
 }
 
-// kill ends a process with SIGKILL and waits for its end.
+// kill ends a process with SIGKILL and waits for its exit.
 func (r *run) kill(p *server) {
 	p.mu.Lock()
 	p.shouldRun = false
-	done := p.done
+	exited := p.exited
 	p.mu.Unlock()
 	p.signal(syscall.SIGKILL)
-	<-done
+	<-exited
 	r.addEvent(trace.Event{What: "killed", Who: p.name})
 }
 
-// drain ends a process with SIGTERM. A process that takes too long is a failure; its goroutines are dumped to its log.
+// drain ends a process with SIGTERM. If it takes too long to exit, that is recorded as a failure, and its goroutines are dumped
+// to its log.
 func (r *run) drain(p *server) {
 	p.mu.Lock()
 	p.shouldRun = false
-	done := p.done
+	exited := p.exited
 	p.mu.Unlock()
 	p.signal(syscall.SIGTERM)
 	select {
-	case <-done:
+	case <-exited:
 	case <-time.After(clock.Duration(2*stopTimeoutMS) + 3*time.Second):
 		r.mu.Lock()
 		r.failures = append(r.failures, p.name+" did not exit on SIGTERM; its log ends with a dump of its goroutines")
 		r.mu.Unlock()
 		p.signal(syscall.SIGQUIT) // dumps the goroutines
 		select {
-		case <-done:
+		case <-exited:
 		case <-time.After(2 * time.Second):
 		}
 		r.kill(p)
@@ -257,12 +258,12 @@
 	for _, p := range r.orderServers {
 		p.mu.Lock()
 		p.shouldRun = false
-		cmd, done := p.cmd, p.done
+		cmd, exited := p.cmd, p.exited
 		p.mu.Unlock()
 		if cmd != nil {
 			cmd.Process.Signal(syscall.SIGCONT)
 			cmd.Process.Kill()
-			<-done
+			<-exited
 		}
 		for _, l := range p.sessionLinks {
 			l.Close()
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -67,7 +67,7 @@
 	notes    []string
 }
 
-// addEvent records an event with the present time.
+// addEvent records an event with the current time.
 func (r *run) addEvent(e trace.Event) {
 	e.At = r.machineClock.Now()
 	r.mu.Lock()
@@ -100,14 +100,14 @@
 	AloneMilli int64 // capacity of a server without a share, likewise
 }
 
-// InjectedFault is a fault that was injected, with what it hit.
+// InjectedFault is a fault that was injected, with a description of what it hit.
 type InjectedFault struct {
 	Fault
 	Hit string `json:"hit"`
 }
 
 // Execute starts the processes, generates load, injects the scheduled faults and collects the traces of one run. It returns an
-// error if the run could not be made; what the processes did wrong is in the Outcome.
+// error if the run itself fails; failures of the tested processes are part of the Outcome.
 func Execute(ctx context.Context, s Setup) (*Outcome, error) {
 	if err := os.MkdirAll(s.Out, 0o755); err != nil {
 		return nil, err
@@ -239,7 +239,7 @@
 // capacityMilli returns the downstream calls that may be in flight at once, in thousandths.
 func (r *run) capacityMilli() int64 { return int64(r.VaultSlots) * 1000 }
 
-// maxProcesses returns how many processes there may be at once, with those that a replacement runs next to its predecessor.
+// maxProcesses returns how many processes there may be at once, including successors that run next to their predecessors.
 func (r *run) maxProcesses() int { return r.Servers + 2 }
 
 // poolMilli returns the capacity that the allotter divides, in thousandths of a call.
--- a/internal/lab/schedule.go
+++ b/internal/lab/schedule.go
@@ -22,7 +22,7 @@
 	KillMajority       = "most-copies"    // a majority of the replicas is killed and restarted
 	DelayHolder        = "late"           // the bytes between the holder and the replicas are delayed
 	DelayThenCutHolder = "late-back"      // responses to the holder are delayed, then its requests don't arrive
-	StaleLeader        = "stale-leader"   // a stopped leader resumes with heartbeats that only it receives unread
+	StaleLeader        = "stale-leader"   // a stopped leader resumes and reads heartbeats that no other replica received
 	ThrottleLeader     = "slow"           // sessions with the leader are throttled
 	ResetSessions      = "resets"         // all sessions are reset
 	RequestYield       = "yield"          // an operator requests a yield
