--- a/internal/lab/scale/check.go
+++ b/internal/lab/scale/check.go
@@ -15,9 +15,9 @@
 
 // Trace events of simulated servers, besides those of package trace.
 const (
-	eventDown    = "down"    // the server has stopped
-	eventCorrupt = "spoilt"  // its replica of the configuration was corrupted, or found to be corrupt
-	eventStalled = "stalled" // the server does not read from its connection until Until
+	eventDown      = "down"    // the server has stopped
+	eventCorrupted = "spoilt"  // its replica of the configuration was corrupted, or found to be corrupt
+	eventStalled   = "stalled" // the server does not read from its connection until Until
 )
 
 // commit is one commit of the store. Times are in ms of the machine's monotonic clock.
@@ -63,7 +63,7 @@
 		f.faultCounts[m.Point]++
 	}
 	for _, c := range o.unexpectedExits {
-		f.addViolation("crash: %s", c)
+		f.addViolation("no process fails: %s", c)
 	}
 	for _, p := range o.unconverged {
 		f.addViolation("not converged: %s", p)
@@ -200,7 +200,7 @@
 		switch e.What {
 		case trace.ProcessStarted:
 			p.startedAt, p.lacksRecords = e.At, false
-		case eventCorrupt:
+		case eventCorrupted:
 			p.lacksRecords = true
 		case trace.RecordsInstalled:
 			f.checkInstalled(o, &p, e)
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -84,13 +84,13 @@
 		if !sleepUntil(ctx, begin.Add(time.Duration(f.At*float64(r.For)))) {
 			return
 		}
-		m := injectedFault{Point: point, Kind: f.Kind, FromMS: r.steady.Now()}
+		injected := injectedFault{Point: point, Kind: f.Kind, FromMS: r.steady.Now()}
 		duration := time.Duration(f.For * float64(r.For))
-		if err := r.injectFault(ctx, &m, f, duration, w); err != nil {
+		if err := r.injectFault(ctx, &injected, f, duration, w); err != nil {
 			r.addNote("%s: %v", f.Kind, err)
 		}
-		m.ToMS = r.steady.Now()
-		r.injectedFaults = append(r.injectedFaults, m)
+		injected.ToMS = r.steady.Now()
+		r.injectedFaults = append(r.injectedFaults, injected)
 	}
 }
 
@@ -108,49 +108,49 @@
 func sleep(ctx context.Context, d time.Duration) { sleepUntil(ctx, time.Now().Add(d)) }
 
 // injectFault injects one fault and ends it after its duration. Simulated servers that it restarts come back by themselves.
-func (r *run) injectFault(ctx context.Context, m *injectedFault, f fault, duration time.Duration, w *recordWriter) error {
+func (r *run) injectFault(ctx context.Context, injected *injectedFault, f fault, duration time.Duration, w *recordWriter) error {
 	switch f.Kind {
 	case faultRelayKill:
 		p := r.relays[f.Pick%uint64(len(r.relays))]
-		m.Target, m.DownProcesses = p.name, []string{p.name}
+		injected.Target, injected.DownProcesses = p.name, []string{p.name}
 		return r.killFor(ctx, p, duration)
 	case faultLeaderKill:
 		p := r.leader()
 		if p == nil {
-			m.Target = "no copy led"
+			injected.Target = "no copy led"
 			return nil
 		}
-		m.Target, m.DownProcesses = p.name, []string{p.name}
+		injected.Target, injected.DownProcesses = p.name, []string{p.name}
 		return r.killFor(ctx, p, duration)
 	case faultZoneCut:
-		m.CutZones = []string{r.zones[f.Pick%uint64(len(r.zones))]}
-		m.Target = m.CutZones[0]
-		return r.cutFor(ctx, m.CutZones, duration, nil)
+		injected.CutZones = []string{r.zones[f.Pick%uint64(len(r.zones))]}
+		injected.Target = injected.CutZones[0]
+		return r.cutFor(ctx, injected.CutZones, duration, nil)
 	case faultRegionCut:
 		region := fmt.Sprintf("r%d", f.Pick%uint64(r.Regions)+1)
 		for _, z := range r.zones {
 			if r.regions[z] == region {
-				m.CutZones = append(m.CutZones, z)
+				injected.CutZones = append(injected.CutZones, z)
 			}
 		}
 		perSecond := regionCutChangeRate(r.simulatedCount)
-		m.Target = fmt.Sprintf("%s, %.1f s for an hour (1:%.0f), %.0f changes a second meanwhile", region, duration.Seconds(), time.Hour.Seconds()/duration.Seconds(), perSecond)
-		return r.cutFor(ctx, m.CutZones, duration, func(ctx context.Context) { w.changeSteadily(ctx, perSecond, keysPerChange) })
+		injected.Target = fmt.Sprintf("%s, %.1f s for an hour (1:%.0f), %.0f changes a second meanwhile", region, duration.Seconds(), time.Hour.Seconds()/duration.Seconds(), perSecond)
+		return r.cutFor(ctx, injected.CutZones, duration, func(ctx context.Context) { w.changeSteadily(ctx, perSecond, keysPerChange) })
 	case faultRestarts:
-		m.Target = "a third of the servers"
+		injected.Target = "a third of the servers"
 		if err := r.sendCommandToAll(simulatorCommand{Kind: commandRestart, Percent: 33, DurationMS: clock.Millis(duration), Seed: f.Pick}); err != nil {
 			return err
 		}
 		for i, p := range r.servers {
 			if i%3 == 1 {
-				m.DownProcesses = append(m.DownProcesses, p.name)
+				injected.DownProcesses = append(injected.DownProcesses, p.name)
 				if err := r.restart(p, syscall.SIGTERM, nil); err != nil {
 					return err
 				}
 			}
 		}
 	case faultSlowReader:
-		m.Target = "one hollow server a process"
+		injected.Target = "one hollow server a process"
 		if err := r.sendCommandToAll(simulatorCommand{Kind: commandStall, Count: 1, DurationMS: stallMS, Seed: f.Pick}); err != nil {
 			return err
 		}
@@ -159,7 +159,7 @@
 		w.changeSteadily(during, largeChangesPerSecond, keysPerLargeChange)
 	case faultCorruptReplica:
 		p := r.servers[f.Pick%uint64(len(r.servers))]
-		m.Target, m.DownProcesses = p.name+" and one hollow server a process", []string{p.name}
+		injected.Target, injected.DownProcesses = p.name+" and one hollow server a process", []string{p.name}
 		if err := r.sendCommandToAll(simulatorCommand{Kind: commandCorrupt, Count: 1, DurationMS: clock.Millis(duration), Seed: f.Pick}); err != nil {
 			return err
 		}
@@ -224,4 +224,4 @@
 }
 
 // cutsZone reports whether the fault partitioned a zone.
-func (m injectedFault) cutsZone(zone string) bool { return slices.Contains(m.CutZones, zone) }
+func (f injectedFault) cutsZone(zone string) bool { return slices.Contains(f.CutZones, zone) }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -64,7 +64,8 @@
 // ephemeral ports don't collide with the ports that are picked here.
 var loopback = fmt.Sprintf("127.%d.%d.1", 64+os.Getpid()/250%128, os.Getpid()%250+1)
 
-// usedAddresses holds the addresses that were picked: the system may offer a closed port again before its process listens on it.
+// usedAddresses holds the addresses that were picked, because the system may offer a closed port again before its process
+// listens on it.
 var usedAddresses sync.Map
 
 // freeAddress returns an address with an unused TCP port.
@@ -218,8 +219,8 @@
 	return []string{labEnv, "RELAY_CONFIG=" + filepath.Join(p.dir, "config.json"), "PUFFINSADDLE_OPERATOR=" + filepath.Join(p.dir, "operator.yaml")}
 }
 
-// setUpOrderServer assigns an order server its address and a fake executor. operator returns its operator's file, which is
-// written anew for each incarnation.
+// setUpOrderServer assigns an order server its address and a fake executor. operator returns the content of its operator's
+// file, which is written before each start.
 func (f *fleet) setUpOrderServer(p *process, operator func() yamlMap) error {
 	listen, err := freeAddress()
 	if err != nil {
@@ -402,14 +403,14 @@
 }
 
 // sendCommandToAll sends a command to all processes of simulated servers and waits for their responses.
-func (f *fleet) sendCommandToAll(o simulatorCommand) error {
+func (f *fleet) sendCommandToAll(command simulatorCommand) error {
 	var running sync.WaitGroup
 	errs := make([]error, len(f.simulators))
 	for i, h := range f.simulators {
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			_, errs[i] = h.sendCommand(o)
+			_, errs[i] = h.sendCommand(command)
 		}()
 	}
 	running.Wait()
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -141,17 +141,17 @@
 	in.Buffer(nil, 1<<20)
 	responses := json.NewEncoder(out)
 	for in.Scan() {
-		var o simulatorCommand
-		a := simulatorStatus{}
-		if err := json.Unmarshal(in.Bytes(), &o); err != nil {
-			a.Error = err.Error()
-		} else if o.Kind == commandStop {
+		var command simulatorCommand
+		status := simulatorStatus{}
+		if err := json.Unmarshal(in.Bytes(), &command); err != nil {
+			status.Error = err.Error()
+		} else if command.Kind == commandStop {
 			break
 		} else {
-			p.execute(o)
+			p.execute(command)
 		}
-		p.fillStatus(&a)
-		if err := responses.Encode(a); err != nil {
+		p.fillStatus(&status)
+		if err := responses.Encode(status); err != nil {
 			break
 		}
 	}
@@ -162,48 +162,48 @@
 }
 
 // fillStatus fills a response with the current state of the servers.
-func (p *simulator) fillStatus(a *simulatorStatus) {
+func (p *simulator) fillStatus(status *simulatorStatus) {
 	for i, s := range p.servers {
 		s.mu.Lock()
-		if i == 0 || s.position.Revision < a.LowestRevision {
-			a.LowestRevision = s.position.Revision
+		if i == 0 || s.position.Revision < status.LowestRevision {
+			status.LowestRevision = s.position.Revision
 		}
 		if s.session != nil {
 			if _, _, present := s.session.Presence(); present {
-				a.Present++
+				status.Present++
 			}
 		}
 		s.mu.Unlock()
 	}
-	a.Bytes = p.partition.traffic.In.Load() + p.partition.traffic.Out.Load()
+	status.Bytes = p.partition.traffic.In.Load() + p.partition.traffic.Out.Load()
 }
 
 // execute executes a command on the servers that its seed selects.
-func (p *simulator) execute(o simulatorCommand) {
-	rng := rand.New(rand.NewPCG(o.Seed, p.config.Seed))
-	switch o.Kind {
+func (p *simulator) execute(command simulatorCommand) {
+	rng := rand.New(rand.NewPCG(command.Seed, p.config.Seed))
+	switch command.Kind {
 	case commandOpenSessions:
 		p.sessionsEnabled.Store(true)
 		for _, s := range p.servers {
-			time.AfterFunc(clock.Duration(o.DurationMS*rng.Float64()), func() {
+			time.AfterFunc(clock.Duration(command.DurationMS*rng.Float64()), func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				s.openSession()
 			})
 		}
 	case commandCut:
-		p.partition.cut(o.Zones)
+		p.partition.cut(command.Zones)
 	case commandRestart:
-		for _, i := range rng.Perm(len(p.servers))[:len(p.servers)*o.Percent/100] {
-			go p.servers[i].restart(o.DurationMS*rng.Float64(), false)
+		for _, i := range rng.Perm(len(p.servers))[:len(p.servers)*command.Percent/100] {
+			go p.servers[i].restart(command.DurationMS*rng.Float64(), false)
 		}
 	case commandStall:
-		for _, i := range rng.Perm(len(p.servers))[:min(o.Count, len(p.servers))] {
-			p.servers[i].stall(clock.Duration(o.DurationMS))
+		for _, i := range rng.Perm(len(p.servers))[:min(command.Count, len(p.servers))] {
+			p.servers[i].stall(clock.Duration(command.DurationMS))
 		}
 	case commandCorrupt:
-		for _, i := range rng.Perm(len(p.servers))[:min(o.Count, len(p.servers))] {
-			go p.servers[i].restart(o.DurationMS*rng.Float64(), true)
+		for _, i := range rng.Perm(len(p.servers))[:min(command.Count, len(p.servers))] {
+			go p.servers[i].restart(command.DurationMS*rng.Float64(), true)
 		}
 	}
 }
@@ -307,7 +307,7 @@
 		s.mu.Lock()
 		s.position.Digest = records.Digest{}
 		s.mu.Unlock()
-		s.simulator.traceWriter.add(trace.Event{Who: s.name, What: eventCorrupt})
+		s.simulator.traceWriter.add(trace.Event{Who: s.name, What: eventCorrupted})
 	}
 	time.Sleep(clock.Duration(downMS))
 	if s.simulator.ctx.Err() == nil {
@@ -389,7 +389,7 @@
 	defer s.mu.Unlock()
 	s.flush()
 	s.position = records.DigestFollower{}
-	s.simulator.traceWriter.add(trace.Event{Who: s.name, What: eventCorrupt})
+	s.simulator.traceWriter.add(trace.Event{Who: s.name, What: eventCorrupted})
 }
 
 // Skip advances the position without applying the commit: an injected bug.
--- a/internal/lab/scale/journal.go
+++ b/internal/lab/scale/journal.go
@@ -28,43 +28,43 @@
 	if err != nil {
 		return nil, err
 	}
-	j := &traceWriter{steady: steady, file: f, buffer: bufio.NewWriterSize(f, 256<<10), stop: make(chan struct{})}
+	w := &traceWriter{steady: steady, file: f, buffer: bufio.NewWriterSize(f, 256<<10), stop: make(chan struct{})}
 	go func() {
 		t := time.NewTicker(flushInterval)
 		defer t.Stop()
 		for {
 			select {
 			case <-t.C:
-				j.mu.Lock()
-				j.buffer.Flush()
-				j.mu.Unlock()
-			case <-j.stop:
+				w.mu.Lock()
+				w.buffer.Flush()
+				w.mu.Unlock()
+			case <-w.stop:
 				return
 			}
 		}
 	}()
-	return j, nil
+	return w, nil
 }
 
 // add writes an event. An event without a time gets the current time.
-func (j *traceWriter) add(e trace.Event) {
+func (w *traceWriter) add(e trace.Event) {
 	if e.At == 0 {
-		e.At = j.steady.Now()
+		e.At = w.steady.Now()
 	}
 	b, err := json.Marshal(e)
 	if err != nil {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.buffer.Write(append(b, '\n'))
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.buffer.Write(append(b, '\n'))
 }
 
 // close flushes and closes the file.
-func (j *traceWriter) close() error {
-	close(j.stop)
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.buffer.Flush()
-	return j.file.Close()
+func (w *traceWriter) close() error {
+	close(w.stop)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.buffer.Flush()
+	return w.file.Close()
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -135,7 +135,7 @@
 	return s
 }
 
-// rates holds the differences between two samples per second: CPU in cores, traffic in bytes, log entries.
+// rates holds the differences between two samples per second. CPU is in cores and traffic in bytes.
 type rates struct {
 	leaderCPU, configBytes, sessionBytes, logEntries float64
 	sameLeader                                       bool    // both samples have the same leader; otherwise the leader's rates are unknown
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -150,25 +150,25 @@
 var errNoResponse = errors.New("scale: a process of simulated servers does not respond")
 
 // sendCommand sends a command to a process of simulated servers and reads the response.
-func (p *process) sendCommand(o simulatorCommand) (a simulatorStatus, err error) {
+func (p *process) sendCommand(command simulatorCommand) (status simulatorStatus, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b, err := json.Marshal(o)
+	b, err := json.Marshal(command)
 	if err != nil {
-		return a, err
+		return status, err
 	}
 	if _, err := p.stdin.Write(append(b, '\n')); err != nil {
-		return a, fmt.Errorf("%w: %s: %v", errNoResponse, p.name, err)
+		return status, fmt.Errorf("%w: %s: %v", errNoResponse, p.name, err)
 	}
 	line, err := p.stdout.ReadBytes('\n')
 	if err != nil {
-		return a, fmt.Errorf("%w: %s: %v", errNoResponse, p.name, err)
+		return status, fmt.Errorf("%w: %s: %v", errNoResponse, p.name, err)
 	}
-	if err := json.Unmarshal(line, &a); err != nil {
-		return a, err
+	if err := json.Unmarshal(line, &status); err != nil {
+		return status, err
 	}
-	if a.Error != "" {
-		return a, fmt.Errorf("scale: %s: %s", p.name, a.Error)
+	if status.Error != "" {
+		return status, fmt.Errorf("scale: %s: %s", p.name, status.Error)
 	}
-	return a, nil
+	return status, nil
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -146,7 +146,7 @@
 	return pids
 }
 
-// An interrupt must end the run with its reason, and every process that the run started.
+// An interrupt must end the run, which prints the reason, and every process that the run started.
 func TestInterruptEndsAllProcesses(t *testing.T) {
 	const runTimeout = 2 * time.Minute
 	binary := buildProgram(t)
