--- a/cmd/puffinsaddle/added_test.go
+++ b/cmd/puffinsaddle/added_test.go
@@ -94,9 +94,9 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					every := time.Second * connections / time.Duration(rate)
-					l := &openLoopClient{conn: conn, firstAt: begin.Add(every * time.Duration(i) / connections), interval: every, histogram: hist, mu: &mu, failed: &failed}
-					n := int(span / every)
+					interval := time.Second * connections / time.Duration(rate)
+					l := &openLoopClient{conn: conn, firstAt: begin.Add(interval * time.Duration(i) / connections), interval: interval, histogram: hist, mu: &mu, failed: &failed}
+					n := int(span / interval)
 					wait.Go(func() { l.send(n, i) })
 					wait.Go(func() {
 						l.read(n)
--- a/cmd/puffinsaddle/command.go
+++ b/cmd/puffinsaddle/command.go
@@ -132,13 +132,13 @@
 
 // withSession opens a session for one command and runs fn on it. It runs fn again on each new connection as long as fn
 // returns session.ErrNotExecuted.
-func (w connectFlags) withSession(fn func(context.Context, *session.Client, config.Duties) error) error {
-	o, err := config.LoadOperator(w.Operator)
+func (f connectFlags) withSession(fn func(context.Context, *session.Client, config.Duties) error) error {
+	o, err := config.LoadOperator(f.Operator)
 	if err != nil {
 		return fmt.Errorf("%w: %v", errUsage, err)
 	}
 	if !o.Duties.Enabled() {
-		return fmt.Errorf("%w: %s: duties.copies is missing", errUsage, w.Operator)
+		return fmt.Errorf("%w: %s: duties.copies is missing", errUsage, f.Operator)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
@@ -171,7 +171,7 @@
 	}
 }
 
-func (w connectFlags) readDuties(ctx context.Context, c *session.Client) (d session.DutyStatus, err error) {
+func (f connectFlags) readDuties(ctx context.Context, c *session.Client) (d session.DutyStatus, err error) {
 	err = c.Read(ctx, session.ReadDuties, &d)
 	if errors.Is(err, session.ErrUnconfirmed) {
 		err = session.ErrNotExecuted // a read may be repeated
@@ -269,15 +269,15 @@
 	})
 }
 
-func (w connectFlags) requestChange(out io.Writer, op, name, outcome string) error {
-	return w.withSession(func(ctx context.Context, c *session.Client, settings config.Duties) error {
+func (f connectFlags) requestChange(out io.Writer, op, name, outcome string) error {
+	return f.withSession(func(ctx context.Context, c *session.Client, settings config.Duties) error {
 		if err := checkDutyName(settings, name); err != nil {
 			return err
 		}
 		if _, err := c.Do(ctx, state.Command{Op: op, Key: name}); err != nil {
 			return err
 		}
-		if w.JSON {
+		if f.JSON {
 			return json.NewEncoder(out).Encode(map[string]string{"duty": name, "done": outcome})
 		}
 		_, err := fmt.Fprintf(out, "%s: %s\n", name, outcome)
--- a/cmd/puffinsaddle/crowd_test.go
+++ b/cmd/puffinsaddle/crowd_test.go
@@ -226,7 +226,7 @@
 	return stop
 }
 
-const settleTime = 500 * time.Millisecond // within which idle clients take all descriptors that they can get
+const settleTime = 500 * time.Millisecond // time in which idle clients take all descriptors that they can get
 
 // While the membership service is down, idle clients take every descriptor that they can get. The server still serves
 // requests, reports its readiness, reloads its configuration, links to another executor, and reports again once the
--- a/cmd/puffinsaddle/duties.go
+++ b/cmd/puffinsaddle/duties.go
@@ -22,7 +22,7 @@
 	"puffinsaddle/internal/core"
 	"puffinsaddle/internal/distribution"
 	"puffinsaddle/internal/duty"
-	work "puffinsaddle/internal/dutywork"
+	"puffinsaddle/internal/dutywork"
 	"puffinsaddle/internal/inventory"
 	"puffinsaddle/internal/net/configwatch"
 	"puffinsaddle/internal/net/session"
@@ -52,7 +52,7 @@
 	log           zerolog.Logger
 	trace         *trace.Log
 	client        *session.Client
-	runner        *work.Runner
+	runner        *dutywork.Runner
 	sessionServer *session.Server
 	replica       *store.Store
 	origin        *relay.Origin
@@ -101,22 +101,22 @@
 		t.Add(trace.Event{What: trace.ProcessStarted}, 0)
 	}
 	injectedBug := cfg.Operator.Lab.InjectedBug
-	h.runner = &work.Runner{Steady: h.monotonic, Log: log, Trace: h.trace, CheckVersion: h.checkVersion}
+	h.runner = &dutywork.Runner{Steady: h.monotonic, Log: log, Trace: h.trace, CheckVersion: h.checkVersion}
 	h.client = session.NewClient(session.Options{ProcessID: h.processID, ReplicaAddresses: d.Replicas, Rules: d.Rules(), Seed: cfg.Seed ^ uint64(b[0])<<8 ^ uint64(b[1]),
 		Steady: h.monotonic, Log: log, InjectedBug: injectedBug, OnEvent: h.runner.HandleEvent, Need: h.downstreamNeed})
-	k := h.runner
-	k.WorkByDuty = map[string]work.Work{}
+	runner := h.runner
+	runner.WorkByDuty = map[string]dutywork.Work{}
 	for _, t := range d.List {
-		k.WorkByDuty[t.Name] = k.CounterWork(d.MarkIntervalMS)
+		runner.WorkByDuty[t.Name] = runner.CounterWork(d.MarkIntervalMS)
 	}
 	if d.Allocation.Total > 0 {
-		k.WorkByDuty[work.Allotter] = k.AllotterWork(d.Allocation.IntervalMS, d.Allocation.Capacity(), injectedBug)
+		runner.WorkByDuty[dutywork.Allotter] = runner.AllotterWork(d.Allocation.IntervalMS, d.Allocation.Capacity(), injectedBug)
 	}
 	if d.Publish.Manifest != "" {
-		k.WorkByDuty[work.Publisher] = k.PublisherWork(d.Publish.IntervalMS, d.Publish.Manifest, h.checkVersion)
+		runner.WorkByDuty[dutywork.Publisher] = runner.PublisherWork(d.Publish.IntervalMS, d.Publish.Manifest, h.checkVersion)
 	}
-	if _, on := k.WorkByDuty[work.Settler]; on {
-		k.WorkByDuty[work.Settler] = k.SettlerWork(d.Resolution.IntervalMS, d.Resolution.RetentionMS, d.MaxDrift, h.monotonic)
+	if _, on := runner.WorkByDuty[dutywork.Settler]; on {
+		runner.WorkByDuty[dutywork.Settler] = runner.SettlerWork(d.Resolution.IntervalMS, d.Resolution.RetentionMS, d.MaxDrift, h.monotonic)
 	}
 	return h, nil
 }
@@ -128,8 +128,8 @@
 	}
 	h.replica = replica
 	d := h.cfg.Operator.Duties
-	g := &duty.Grantor{Rules: d.Rules(), Seed: 1, MaxPresent: d.Allocation.MaxProcesses, InjectedBug: h.cfg.Operator.Lab.InjectedBug}
-	h.sessionServer = session.NewServer(replica, g, d.MaxSessions, h.monotonic, h.log)
+	grantor := &duty.Grantor{Rules: d.Rules(), Seed: 1, MaxPresent: d.Allocation.MaxProcesses, InjectedBug: h.cfg.Operator.Lab.InjectedBug}
+	h.sessionServer = session.NewServer(replica, grantor, d.MaxSessions, h.monotonic, h.log)
 	h.sessionServer.CheckChange = func(c records.Change) error { return checkChange(replica, c) }
 	h.sessionServer.OnTermStart = func(term uint64) { h.trace.Add(trace.Event{What: trace.TermStarted, Term: term}, 0) }
 	replica.ServeSessions(h.sessionServer.Serve)
--- a/cmd/puffinsaddle/main.go
+++ b/cmd/puffinsaddle/main.go
@@ -46,7 +46,7 @@
 
 	// Fractions of the process's memory limit.
 	keyTableMemoryFraction = 0.15 // for keyed attempts and their results
-	memoryLimitFraction    = 0.7  // the garbage collector works harder from here on; stacks and sockets need the rest
+	memoryLimitFraction    = 0.7  // the garbage collector runs more often above this; stacks and sockets need the rest
 )
 
 func main() {
@@ -313,8 +313,8 @@
 	Serve()
 }
 
-// openFronts takes over the predecessor's sockets, or opens new ones. It retries while the predecessor may be exiting: that
-// one then hands over none or only some of its sockets, and its addresses become free shortly after.
+// openFronts takes over the predecessor's sockets, or opens new ones. It retries while the predecessor may be exiting. In that
+// case the predecessor hands over none or only some of its sockets, and its addresses become free shortly after.
 func openFronts(cfg *config.Config, c *core.Core, clk *clock.Clock, log zerolog.Logger) (inherited inheritedState, fronts []front, sockets map[string]*net.TCPListener, err error) {
 	for deadline := time.Now().Add(addressInUseTimeout); ; time.Sleep(addressRetryInterval) {
 		if inherited, err = inheritSockets(cfg, log); err == nil {
@@ -388,7 +388,7 @@
 }
 
 // inheritSockets requests the predecessor's listening sockets. The predecessor is found by name in the server's private
-// directory; without a private directory, it could not be told whose process has that name.
+// directory; in a shared directory, a process of that name could belong to another server.
 func inheritSockets(cfg *config.Config, log zerolog.Logger) (i inheritedState, err error) {
 	if cfg.PrivateDir == "" {
 		return i, nil
@@ -407,7 +407,7 @@
 // encodeKeyedAttempts encodes, for a successor, the keyed attempts that ran in this process.
 func encodeKeyedAttempts(c *core.Core, log zerolog.Logger) []byte {
 	data, err := json.Marshal(c.ExportKeyedAttempts())
-	logFailure(log, err) // never fails: there are no NaN or infinite numbers in it
+	logFailure(log, err) // never fails, since the attempts have no NaN or infinite numbers
 	return data
 }
 
--- a/cmd/puffinsaddle/main_test.go
+++ b/cmd/puffinsaddle/main_test.go
@@ -208,7 +208,7 @@
 	first, _ := startFakeExecutor(t, "WELCOME steady 5\r\n")
 	lines, signals, done := start(first)
 	at := lines.waitUntilReplaceable(t)
-	ask := func() {
+	checkHealth := func() {
 		t.Helper()
 		conn, err := net.Dial("tcp", at)
 		if err != nil {
@@ -221,23 +221,23 @@
 			t.Fatalf("answered %q, %v", b, err)
 		}
 	}
-	ask()
+	checkHealth()
 	second, joins := startFakeExecutor(t, "")
 	starting, _, _ := start(second)
 	starting.waitFor(t, "replacing a running process")
 	<-joins
-	ask() // answered by the first server: the second's executor is not up
+	checkHealth() // answered by the first server: the second's executor is not up
 	third, _ := startFakeExecutor(t, "WELCOME steady 5\r\n")
 	taking, _, _ := start(third)
 	taking.waitFor(t, "module started")
 	lines.waitFor(t, "a successor serves") // SIGTERM follows once the successor has reported that it is ready
-	ask()
+	checkHealth()
 	signals <- signalNow(syscall.SIGTERM)
 	lines.waitFor(t, "replaced")
 	if err := <-done; err != nil {
 		t.Errorf("the first server ended with %v", err)
 	}
-	ask()
+	checkHealth()
 	// The membership service merges the reports of all processes of a name: none may report that the server leaves, and the
 	// reports continue without the first process.
 	for ended := time.Now(); time.Since(ended) < 500*time.Millisecond; {
@@ -307,7 +307,8 @@
 	lines.waitFor(t, "draining")
 }
 
-// SIGTERM arrives while reload signals have filled their channel. A termination signal that shared it was dropped.
+// SIGTERM arrives while reload signals have filled their channel. Guards against dropping a termination signal, as happened
+// when it shared that channel.
 func TestTerminationSignalIsNotDropped(t *testing.T) {
 	signals, observed := catchSignals(clock.System()), make(chan os.Signal, 1)
 	signal.Notify(observed, syscall.SIGHUP)
@@ -332,7 +333,7 @@
 }
 
 // The predecessor exits during the handover: it accepts the connection but hands no sockets over, and its address becomes
-// free shortly after. The start used to fail.
+// free shortly after. Guards against a start that fails meanwhile.
 func TestStartWhilePredecessorExits(t *testing.T) {
 	private := t.TempDir()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/puffinsaddle/store.go
+++ b/cmd/puffinsaddle/store.go
@@ -145,8 +145,8 @@
 }
 
 // replicaAddresses returns the addresses of the store replicas that the operator's file names, by their IDs.
-func (w connectFlags) replicaAddresses() (map[string]string, error) {
-	o, err := config.LoadOperator(w.Operator)
+func (f connectFlags) replicaAddresses() (map[string]string, error) {
+	o, err := config.LoadOperator(f.Operator)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", errUsage, err)
 	}
@@ -156,7 +156,7 @@
 	if len(o.Duties.Replicas) > 0 {
 		return o.Duties.Replicas, nil
 	}
-	return nil, fmt.Errorf("%w: %s: neither store.peers nor duties.copies is set", errUsage, w.Operator)
+	return nil, fmt.Errorf("%w: %s: neither store.peers nor duties.copies is set", errUsage, f.Operator)
 }
 
 // storeOptions returns the options of the store replica that the operator's file configures.
@@ -183,8 +183,8 @@
 }
 
 // printResult prints a command's result: value as JSON, or text.
-func (w connectFlags) printResult(out io.Writer, value any, text string) error {
-	if w.JSON {
+func (f connectFlags) printResult(out io.Writer, value any, text string) error {
+	if f.JSON {
 		return json.NewEncoder(out).Encode(value)
 	}
 	_, err := fmt.Fprintln(out, text)
