--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	slices.Sort(missing)
-	return fmt.Errorf("config: %q is missing, but the configuration in force has it", missing[0])
+	return fmt.Errorf("config: %q is missing, and the file in force has it", missing[0])
 }
 
 // collectKeys collects the paths of all members of v that are not null. For an array it collects the paths that every
