--- a/internal/distribution/plants.go
+++ b/internal/distribution/plants.go
@@ -1,11 +1,11 @@
 package distribution
 
-// Planted bugs, by which the laboratory and the tests show that they would find one. Nothing else sets any.
+// Injected bugs, with which the fault-injection lab and the tests verify that their checks find a fault. Off in production.
 const (
-	PlantLostChange       = "lost-change"       // a watcher that turns to another relay loses the first change there
-	PlantEarlyReport      = "early-report"      // a revision is reported before it is in force
-	PlantSnapshotRevision = "snapshot-revision" // a snapshot is sent for a revision that it does not have
+	BugLostChange       = "lost-change"       // a watcher that switches relays skips the first commit from the new one
+	BugEarlyReport      = "early-report"      // a revision is reported before it has been applied
+	BugSnapshotRevision = "snapshot-revision" // a snapshot is labelled with a revision that it does not contain
 )
 
-// Plants are all of them.
-var Plants = []string{PlantLostChange, PlantEarlyReport, PlantSnapshotRevision}
+// InjectedBugs lists all injected bugs of this package.
+var InjectedBugs = []string{BugLostChange, BugEarlyReport, BugSnapshotRevision}
--- a/internal/distribution/regions.go
+++ b/internal/distribution/regions.go
@@ -7,126 +7,126 @@
 )
 
 const (
-	maxRelaysKnown = 1024 // relays whose last report is kept
-	maxAges        = 8192 // revisions of which it is known when they were agreed on
+	maxRetainedRelays = 1024 // relays whose last report is retained
+	maxCommitTimes    = 8192 // revisions whose commit time is retained
 )
 
-// Status is how far the fleet is, as the copy that leads knows it.
+// Status is the progress of all regions as known to the store leader.
 type Status struct {
-	Revision uint64         `json:"revision"` // the latest
+	Revision uint64         `json:"revision"` // newest committed revision
 	Regions  []RegionStatus `json:"regions"`
 }
 
-// RegionStatus is how far the servers of one region are, by the last report of each of its relays.
+// RegionStatus is the progress of the servers of one region, from the last report of each of its relays.
 type RegionStatus struct {
-	Region string `json:"region"`
-	Relays int    `json:"relays"` // that watch
-	Lost   int    `json:"lost"`   // that watched and do so no more; what they reported last still counts
+	Region             string `json:"region"`
+	ConnectedRelays    int    `json:"relays"`
+	DisconnectedRelays int    `json:"lost"` // their last reports still count
 	Report
-	AgeMs    float64 `json:"age_ms"`    // since a change was agreed on that some server of the region does not use yet; 0: there is none
-	SilentMs float64 `json:"silent_ms"` // since the last report of the relay that was not heard for longest
+	StalenessMS   float64 `json:"age_ms"`    // since the commit of the oldest change that some server has not applied; 0: none
+	SinceReportMS float64 `json:"silent_ms"` // since the last report of the relay that has been silent longest
 }
 
-// regionalRelay is one relay as its last report left it.
-type regionalRelay struct {
-	region  string
-	report  Report
-	heardAt float64
-	watches bool
+// relayState is the last known state of a relay.
+type relayState struct {
+	region       string
+	report       Report
+	reportedAtMS float64
+	connected    bool
 }
 
-// Regions keeps the last report of each relay, also of those that are not heard any more: a region that is cut off must not
-// vanish from what operators see. A copy that takes office begins with nothing.
-type Regions struct{ relays map[string]*regionalRelay }
+// Regions keeps the last report of each relay, disconnected ones included: a region that is cut off must remain visible to
+// operators. It is in memory only, so a new leader starts empty.
+type Regions struct{ relays map[string]*relayState }
 
-// NewRegions knows of no relay.
-func NewRegions() *Regions { return &Regions{relays: map[string]*regionalRelay{}} }
+// NewRegions returns a Regions without relays.
+func NewRegions() *Regions { return &Regions{relays: map[string]*relayState{}} }
 
-// Put takes the latest report of a relay.
-func (g *Regions) Put(now float64, relay, region string, r Report) {
-	r.Check()
-	g.relays[relay] = &regionalRelay{region: region, report: r, heardAt: now, watches: true}
-	if len(g.relays) > maxRelaysKnown {
-		g.forgetOne()
+// Put stores the latest report of a relay and marks it as connected.
+func (g *Regions) Put(nowMS float64, relay, region string, r Report) {
+	r.Clamp()
+	g.relays[relay] = &relayState{region: region, report: r, reportedAtMS: nowMS, connected: true}
+	if len(g.relays) > maxRetainedRelays {
+		g.evictOldest()
 	}
 }
 
-// forgetOne forgets the relay that was not heard for longest.
-func (g *Regions) forgetOne() {
+// evictOldest evicts the relay whose last report is the oldest.
+func (g *Regions) evictOldest() {
 	oldest := ""
 	for name, relay := range g.relays {
-		if oldest == "" || relay.heardAt < g.relays[oldest].heardAt {
+		if oldest == "" || relay.reportedAtMS < g.relays[oldest].reportedAtMS {
 			oldest = name
 		}
 	}
 	delete(g.relays, oldest)
 }
 
-// Left tells that a relay watches no more.
-func (g *Regions) Left(relay string) {
+// MarkDisconnected marks a relay as disconnected and keeps its last report.
+func (g *Regions) MarkDisconnected(relay string) {
 	if known := g.relays[relay]; known != nil {
-		known.watches = false
+		known.connected = false
 	}
 }
 
-// Status sums the reports by region, of which latest is the newest revision.
-func (g *Regions) Status(now float64, latest uint64, ages *Ages) []RegionStatus {
-	all := map[string]*RegionStatus{}
+// Status aggregates the reports by region; latest is the newest committed revision. The most stale region comes first.
+func (g *Regions) Status(nowMS float64, latest uint64, commitTimes *CommitTimes) []RegionStatus {
+	byRegion := map[string]*RegionStatus{}
 	reports := map[string]*Progress{}
 	for name, relay := range g.relays {
-		s := all[relay.region]
-		if s == nil {
-			s = &RegionStatus{Region: relay.region}
-			all[relay.region], reports[relay.region] = s, NewProgress()
+		status := byRegion[relay.region]
+		if status == nil {
+			status = &RegionStatus{Region: relay.region}
+			byRegion[relay.region], reports[relay.region] = status, NewProgress()
 		}
-		if relay.watches {
-			s.Relays++
+		if relay.connected {
+			status.ConnectedRelays++
 		} else {
-			s.Lost++
+			status.DisconnectedRelays++
 		}
-		s.SilentMs = max(s.SilentMs, now-relay.heardAt)
+		status.SinceReportMS = max(status.SinceReportMS, nowMS-relay.reportedAtMS)
 		reports[relay.region].Put(name, relay.report)
 	}
 	var out []RegionStatus
-	for _, region := range slices.Sorted(maps.Keys(all)) {
-		s := all[region]
-		s.Report = reports[region].Sum(latest)
-		if s.Servers > 0 {
-			s.AgeMs = ages.Behind(now, s.Lowest)
+	for _, region := range slices.Sorted(maps.Keys(byRegion)) {
+		status := byRegion[region]
+		status.Report = reports[region].Sum(latest)
+		if status.Servers > 0 {
+			status.StalenessMS = commitTimes.StalenessMS(nowMS, status.LowestRevision)
 		}
-		out = append(out, *s)
+		out = append(out, *status)
 	}
-	slices.SortStableFunc(out, func(a, b RegionStatus) int { return cmp.Compare(b.AgeMs, a.AgeMs) }) // the oldest first
+	slices.SortStableFunc(out, func(a, b RegionStatus) int { return cmp.Compare(b.StalenessMS, a.StalenessMS) })
 	return out
 }
 
-// Ages knows when the latest revisions were agreed on.
-type Ages struct {
-	first uint64    // the revision of the first time
-	at    []float64 // one for each revision from there on
+// CommitTimes holds the commit times of the latest revisions, in milliseconds.
+type CommitTimes struct {
+	first   uint64    // revision of timesMS[0]
+	timesMS []float64 // one for each revision from first on
 }
 
-// Add tells that a revision was agreed on now. One that does not follow the last begins anew.
-func (a *Ages) Add(revision uint64, now float64) {
-	if len(a.at) == 0 || revision != a.first+uint64(len(a.at)) {
-		a.first, a.at = revision, nil
+// Add stores nowMS as the commit time of a revision. A revision that does not follow the last one clears the earlier times.
+func (t *CommitTimes) Add(revision uint64, nowMS float64) {
+	if len(t.timesMS) == 0 || revision != t.first+uint64(len(t.timesMS)) {
+		t.first, t.timesMS = revision, nil
 	}
-	a.at = append(a.at, now)
-	if drop := len(a.at) - maxAges; drop > 0 {
-		a.first += uint64(drop)
-		a.at = a.at[drop:]
+	t.timesMS = append(t.timesMS, nowMS)
+	if evicted := len(t.timesMS) - maxCommitTimes; evicted > 0 {
+		t.first += uint64(evicted)
+		t.timesMS = t.timesMS[evicted:]
 	}
 }
 
-// Behind is for how long a server that uses a revision has been behind: since the next one was agreed on. 0: it is the latest.
-// Where that is longer ago than is known, it is the longest time that is known.
-func (a *Ages) Behind(now float64, revision uint64) float64 {
-	if len(a.at) == 0 || revision+1 >= a.first+uint64(len(a.at)) {
+// StalenessMS returns the staleness of a server at a revision: the milliseconds since the next revision was committed, or 0 if the
+// server is at the latest. If that commit time is no longer retained, it returns the time since the oldest retained one.
+func (t *CommitTimes) StalenessMS(nowMS float64, revision uint64) float64 {
+	if len(t.timesMS) == 0 || revision+1 >= t.first+uint64(len(t.timesMS)) {
 		return 0
 	}
 	i := 0
-	if revision+1 > a.first {
-		i = int(revision + 1 - a.first)
+	if revision+1 > t.first {
+		i = int(revision + 1 - t.first)
 	}
-	return now - a.at[i]
+	return nowMS - t.timesMS[i]
 }
--- a/internal/lab/scale/journal.go
+++ b/internal/lab/scale/journal.go
@@ -11,58 +11,60 @@
 	"puffinsaddle/internal/trace"
 )
 
-// journal writes down what many hollow servers of one process did, for the checker.
-type journal struct {
+// traceWriter writes the trace of all simulated servers of one process, for the checker.
+type traceWriter struct {
 	steady *clock.Clock
 	mu     sync.Mutex
-	f      *os.File
-	w      *bufio.Writer
+	file   *os.File
+	buffer *bufio.Writer
 	stop   chan struct{}
 }
 
-const flushEvery = 200 * time.Millisecond
+const flushInterval = 200 * time.Millisecond
 
-func openJournal(path string, steady *clock.Clock) (*journal, error) {
+// newTraceWriter creates the trace file and starts to flush it periodically.
+func newTraceWriter(path string, steady *clock.Clock) (*traceWriter, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, err
 	}
-	j := &journal{steady: steady, f: f, w: bufio.NewWriterSize(f, 256<<10), stop: make(chan struct{})}
+	w := &traceWriter{steady: steady, file: f, buffer: bufio.NewWriterSize(f, 256<<10), stop: make(chan struct{})}
 	go func() {
-		t := time.NewTicker(flushEvery)
+		t := time.NewTicker(flushInterval)
 		defer t.Stop()
 		for {
 			select {
 			case <-t.C:
-				j.mu.Lock()
-				j.w.Flush()
-				j.mu.Unlock()
-			case <-j.stop:
+				w.mu.Lock()
+				w.buffer.Flush()
+				w.mu.Unlock()
+			case <-w.stop:
 				return
 			}
 		}
 	}()
-	return j, nil
+	return w, nil
 }
 
-// add writes an event with the time of now, or its own where it has one.
-func (j *journal) add(e trace.Event) {
+// add writes an event. An event without a time gets the current time.
+func (w *traceWriter) add(e trace.Event) {
 	if e.At == 0 {
-		e.At = j.steady.Now()
+		e.At = w.steady.Now()
 	}
 	b, err := json.Marshal(e)
 	if err != nil {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.w.Write(append(b, '\n'))
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.buffer.Write(append(b, '\n'))
 }
 
-func (j *journal) close() error {
-	close(j.stop)
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.w.Flush()
-	return j.f.Close()
+// close flushes and closes the file.
+func (w *traceWriter) close() error {
+	close(w.stop)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.buffer.Flush()
+	return w.file.Close()
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -18,15 +18,15 @@
 	"puffinsaddle/internal/relay"
 )
 
-// machineMemory is the memory of the machine, in bytes.
+// machineMemory returns the memory of the machine, in bytes.
 func machineMemory() (int64, error) { return procField("/proc/meminfo", "MemTotal:") }
 
-// residentMemory is what a process has in memory, in bytes.
+// residentMemory returns the resident set size of a process, in bytes.
 func residentMemory(pid int) (int64, error) {
 	return procField(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
 }
 
-// procField reads a field in kB of one of the kernel's files.
+// procField reads a field in kB from a file in /proc and returns it in bytes.
 func procField(path, field string) (int64, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return 0, fmt.Errorf("scale: %s has no %s", path, field)
 }
 
-// processorTime is what a process's threads have used, in seconds.
-func processorTime(pid int) (seconds float64) {
+// cpuTime returns the CPU time of a process's current threads, in seconds.
+func cpuTime(pid int) (seconds float64) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
 		return 0
@@ -62,27 +62,28 @@
 	return seconds
 }
 
-// serverFigures is what the laboratory reads of an order server.
-type serverFigures struct {
+// serverMetrics holds the metrics that the scale test reads from an order server.
+type serverMetrics struct {
 	Duties *struct {
 		Me       string                 `json:"me"`
 		Present  bool                   `json:"present"`
-		Sessions *session.ServerFigures `json:"sessions"`
-		Origin   *configwatch.Figures   `json:"origin"`
+		Sessions *session.ServerMetrics `json:"sessions"`
+		Origin   *configwatch.Metrics   `json:"origin"`
 		Relays   *distribution.Report   `json:"relays"`
 		Held     map[string]uint64      `json:"held"`
 	} `json:"duties"`
 	Records *struct {
-		configwatch.ClientFigures
+		configwatch.ClientMetrics
 		Revision uint64 `json:"revision"`
 		Digest   string `json:"digest"`
 	} `json:"records"`
 }
 
-var web = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var metricsClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func readFigures(at string, into any) error {
-	r, err := web.Get("http://" + at + "/-/metrics")
+// readMetrics decodes the metrics that the process serves at an address.
+func readMetrics(address string, into any) error {
+	r, err := metricsClient.Get("http://" + address + "/-/metrics")
 	if err != nil {
 		return err
 	}
@@ -90,71 +91,72 @@
 	return json.NewDecoder(io.LimitReader(r.Body, 4<<20)).Decode(into)
 }
 
-// sample is what is read at one moment.
+// sample holds counters read at one time. CPU times are in seconds.
 type sample struct {
-	at           time.Time
-	leader       *process
-	leaderCPU    float64
-	configBytes  uint64
-	sessionBytes uint64
-	entries      uint64
-	relayCPU     map[string]float64
-	relayBytes   map[string]uint64
-	hollowCPU    float64
-	hollowBytes  uint64
+	at             time.Time
+	leader         *process
+	leaderCPU      float64
+	configBytes    uint64
+	sessionBytes   uint64
+	logEntries     uint64 // of the replicated log
+	relayCPU       map[string]float64
+	relayBytes     map[string]uint64
+	simulatedCPU   float64
+	simulatedBytes uint64
 }
 
-// take reads all counters.
-func (f *fleet) take() (s sample) {
+// takeSample reads the counters of the leader, the relays and the simulated servers.
+func (f *fleet) takeSample() (s sample) {
 	s.at = time.Now()
 	s.leader = f.leader()
 	if s.leader != nil {
-		var v serverFigures
-		if readFigures(s.leader.figures, &v) == nil && v.Duties != nil {
-			s.configBytes = v.Duties.Origin.Sent + v.Duties.Origin.Received
-			s.sessionBytes = v.Duties.Sessions.Sent + v.Duties.Sessions.Received
-			s.entries = v.Duties.Sessions.Entries
+		var v serverMetrics
+		if readMetrics(s.leader.metricsAddress, &v) == nil && v.Duties != nil {
+			s.configBytes = v.Duties.Origin.SentBytes + v.Duties.Origin.ReceivedBytes
+			s.sessionBytes = v.Duties.Sessions.SentBytes + v.Duties.Sessions.ReceivedBytes
+			s.logEntries = v.Duties.Sessions.LogEntries
 		}
-		s.leaderCPU = processorTime(s.leader.pid())
+		s.leaderCPU = cpuTime(s.leader.pid())
 	}
 	s.relayCPU, s.relayBytes = map[string]float64{}, map[string]uint64{}
 	for _, p := range f.relays {
-		var v relay.Figures
-		if readFigures(p.figures, &v) == nil {
-			s.relayCPU[p.name] = processorTime(p.pid())
-			s.relayBytes[p.name] = v.Serving.Sent + v.Serving.Received + v.Watching.Sent + v.Watching.Received
+		var v relay.Metrics
+		if readMetrics(p.metricsAddress, &v) == nil {
+			s.relayCPU[p.name] = cpuTime(p.pid())
+			s.relayBytes[p.name] = v.Serving.SentBytes + v.Serving.ReceivedBytes + v.Watching.SentBytes + v.Watching.ReceivedBytes
 		}
 	}
-	for _, h := range f.hollows {
-		s.hollowCPU += processorTime(h.pid())
-		if a, err := h.order(hollowOrder{Kind: orderFigures}); err == nil {
-			s.hollowBytes += a.Bytes
+	for _, h := range f.simulators {
+		s.simulatedCPU += cpuTime(h.pid())
+		if a, err := h.sendCommand(simulatorCommand{Kind: commandStatus}); err == nil {
+			s.simulatedBytes += a.Bytes
 		}
 	}
 	return s
 }
 
-// rates are the differences of two samples, a second.
+// rates holds the differences between two samples per second. CPU is in cores and traffic in bytes.
 type rates struct {
-	leaderCPU, configBytes, sessionBytes, entries float64
-	oneLeader                                     bool    // the same copy led at both; else nothing is known of it
-	relayCPU, relayBytes                          float64 // the most of any
-	hollowCPU, hollowBytes                        float64
+	leaderCPU, configBytes, sessionBytes, logEntries float64
+	sameLeader                                       bool    // both samples have the same leader; otherwise the leader's rates are unknown
+	relayCPU, relayBytes                             float64 // maximum of all relays
+	simulatedCPU, simulatedBytes                     float64
 }
 
-func between(a, b sample) (r rates) {
+// ratesBetween returns the rates between samples a and b.
+func ratesBetween(a, b sample) (r rates) {
 	seconds := b.at.Sub(a.at).Seconds()
-	if r.oneLeader = a.leader == b.leader && a.leader != nil; r.oneLeader {
+	if r.sameLeader = a.leader == b.leader && a.leader != nil; r.sameLeader {
 		r.leaderCPU = (b.leaderCPU - a.leaderCPU) / seconds
 		r.configBytes = float64(b.configBytes-a.configBytes) / seconds
 		r.sessionBytes = float64(b.sessionBytes-a.sessionBytes) / seconds
-		r.entries = float64(b.entries-a.entries) / seconds
+		r.logEntries = float64(b.logEntries-a.logEntries) / seconds
 	}
 	for name := range b.relayCPU {
 		r.relayCPU = max(r.relayCPU, (b.relayCPU[name]-a.relayCPU[name])/seconds)
 		r.relayBytes = max(r.relayBytes, float64(b.relayBytes[name]-a.relayBytes[name])/seconds)
 	}
-	r.hollowCPU = (b.hollowCPU - a.hollowCPU) / seconds
-	r.hollowBytes = float64(b.hollowBytes-a.hollowBytes) / seconds
+	r.simulatedCPU = (b.simulatedCPU - a.simulatedCPU) / seconds
+	r.simulatedBytes = float64(b.simulatedBytes-a.simulatedBytes) / seconds
 	return r
 }
--- a/internal/net/session/wire.go
+++ b/internal/net/session/wire.go
@@ -1,5 +1,6 @@
-// Package session is the way between order servers and the copies of the store: one connection a server for all of its
-// duties, its share, its acts and its effects. A Server serves sessions at a copy, a Client holds one.
+// Package session connects order servers to the store replicas. Each order server uses one connection for its duties, its
+// capacity share, its fenced commands and its effects. A Server runs at a store replica and serves many sessions; a Client runs
+// in an order server and maintains one session.
 package session
 
 import (
@@ -9,134 +10,136 @@
 	"net"
 	"time"
 
-	"puffinsaddle/internal/allot"
+	"puffinsaddle/internal/allocation"
 	"puffinsaddle/internal/duty"
 	"puffinsaddle/internal/frame"
 	"puffinsaddle/internal/state"
 )
 
 const (
-	mostMessage = 512 << 10 // bytes of one message; a published version is the largest
-	mostUnsent  = 256       // messages that wait for a peer that does not read; past this it is cut off
+	maxMessageBytes   = 512 << 10 // a published version is the largest message
+	maxUnsentMessages = 256       // messages queued for a peer that does not read; a peer that exceeds this is disconnected
 )
 
-// Errors of sessions.
+// Errors of session commands.
 var (
-	ErrUnconfirmed = errors.New("session: not confirmed: it may have been carried out, or may still be")
-	ErrNotSent     = errors.New("session: no copy that leads is reached: nothing was carried out")
-	ErrStale       = errors.New("session: refused for its epoch")
+	ErrUnconfirmed = errors.New("session: unconfirmed: the command may have been executed or may still be")
+	ErrNotExecuted = errors.New("session: no leader reached: the command was not executed")
+	ErrStaleEpoch  = errors.New("session: command refused: stale epoch")
 )
 
-// toCopy is a message of an order server. One of its parts is set. Its names in JSON are those of earlier builds, whose servers
-// and copies are understood.
-type toCopy struct {
+// clientMessage is a message from an order server to a store replica. Exactly one of Heartbeat, Command and Query is set. The JSON
+// names must not change: servers and replicas of earlier builds use them.
+type clientMessage struct {
 	Heartbeat *duty.Heartbeat `json:"beat,omitempty"`
-	Ack       uint64          `json:"ack,omitempty"`  // with a heartbeat: the version of the share that is in use
-	Need      int64           `json:"need,omitempty"` // with a heartbeat: what it could use beyond its part for being alone
-	No        uint64          `json:"no,omitempty"`   // of a command or a question
-	Do        *state.Command  `json:"do,omitempty"`
-	Read      string          `json:"read,omitempty"`
+	ShareAck  uint64          `json:"ack,omitempty"`  // with a heartbeat: version of the capacity share in use
+	Need      int64           `json:"need,omitempty"` // with a heartbeat: capacity it could use beyond its standalone share
+	RequestID uint64          `json:"no,omitempty"`   // identifies a command or query
+	Command   *state.Command  `json:"do,omitempty"`
+	Query     string          `json:"read,omitempty"`
 }
 
-// toServer is a message of a copy. One of its parts is set.
-type toServer struct {
-	Reply   *duty.HeartbeatReply `json:"told,omitempty"`
-	Share   *allot.Share         `json:"share,omitempty"`   // with a reply
-	Version uint64               `json:"version,omitempty"` // with a reply: the latest published
-	Refused uint64               `json:"refused,omitempty"` // with a reply: acts of this server's duties refused for their epoch
-	No      uint64               `json:"no,omitempty"`
-	Result  *state.Result        `json:"result,omitempty"`
-	Body    json.RawMessage      `json:"body,omitempty"` // the answer to a question
-	Error   string               `json:"error,omitempty"`
-	Else    *string              `json:"else,omitempty"`     // the id of the copy that leads, as far as this one knows
-	RetryMs float64              `json:"retry_ms,omitempty"` // the copy is full: it may be asked again then
+// serverMessage is a message from a store replica to an order server. It is a heartbeat reply, the reply to a command or a query,
+// a redirect to the leader, or a refusal of the session.
+type serverMessage struct {
+	Reply         *duty.HeartbeatReply `json:"told,omitempty"`
+	Share         *allocation.Share    `json:"share,omitempty"`   // with a reply
+	Version       uint64               `json:"version,omitempty"` // with a reply: latest published version
+	StaleCommands uint64               `json:"refused,omitempty"` // with a reply: commands of this server refused for a stale epoch
+	RequestID     uint64               `json:"no,omitempty"`
+	Result        *state.Result        `json:"result,omitempty"`
+	Body          json.RawMessage      `json:"body,omitempty"` // the result of a query
+	Error         string               `json:"error,omitempty"`
+	LeaderID      *string              `json:"else,omitempty"`     // ID of the leader as known to this replica; "" if unknown
+	RetryMS       float64              `json:"retry_ms,omitempty"` // the replica is full: time after which the client may reconnect
 }
 
-// fullError tells that a copy serves as many sessions as it may.
-type fullError struct{ retryMs float64 }
+// sessionLimitError reports that a store replica is at its session limit.
+type sessionLimitError struct{ retryMS float64 }
 
-// Error tells when to come back.
-func (e *fullError) Error() string {
-	return fmt.Sprintf("session: the copy is full; it may be asked again in %.0f ms", e.retryMs)
+// Error returns a message with the time after which the client may reconnect.
+func (e *sessionLimitError) Error() string {
+	return fmt.Sprintf("session: the store replica is at its session limit; retry in %.0f ms", e.retryMS)
 }
 
-// Questions.
+// Queries that Client.Read accepts.
 const (
-	ReadFleet   = "fleet"
-	ReadEffects = "effects"
-	ReadDuties  = "duties"
-	ReadVersion = "version"
-	ReadConfig  = "config" // answered with a distribution.Status
+	ReadCapacity = "fleet"
+	ReadEffects  = "effects"
+	ReadDuties   = "duties"
+	ReadVersion  = "version"
+	ReadConfig   = "config" // returns a distribution.Status
 )
 
-// Fleet is the answer to ReadFleet.
-type Fleet struct {
-	Pool int64               `json:"pool"`
-	Of   []allot.ProcessNeed `json:"of"`
+// CapacityStatus is the result of ReadCapacity: the capacity pool, and the demand and share of each server.
+type CapacityStatus struct {
+	Pool    int64                    `json:"pool"`
+	Servers []allocation.ProcessNeed `json:"of"`
 }
 
-// Effects is the answer to ReadEffects.
-type Effects struct {
-	Seq     uint64   `json:"seq"`
-	Kept    int      `json:"kept"`
-	Orphans []string `json:"orphans"`
+// EffectStatus is the result of ReadEffects: the state of the effect log.
+type EffectStatus struct {
+	Seq      uint64   `json:"seq"`
+	Retained int      `json:"kept"`
+	Orphans  []string `json:"orphans"`
 }
 
-// Duties is the answer to ReadDuties.
-type Duties struct {
-	Table *duty.Table       `json:"table"`
-	Marks map[string]uint64 `json:"marks"`
-	Stale map[string]uint64 `json:"stale"` // acts refused for their epoch
-	Words map[string]string `json:"words"` // what each process made of the latest version it looked at
-	Term  uint64            `json:"term"`
-	Lead  string            `json:"lead"`
+// DutyStatus is the result of ReadDuties: the leases, and what each process reported about published versions.
+type DutyStatus struct {
+	Table            *duty.Table       `json:"table"`
+	Marks            map[string]uint64 `json:"marks"` // counters, by duty
+	StaleCommands    map[string]uint64 `json:"stale"` // commands refused for a stale epoch, by duty
+	Acknowledgements map[string]string `json:"words"` // by process: whether it accepted the latest version that it checked
+	Term             uint64            `json:"term"`
+	Leader           string            `json:"lead"`
 }
 
-func framed(v any) ([]byte, error) { return frame.Append(nil, v, mostMessage) }
+// encodeFrame encodes a message with its length prefix.
+func encodeFrame(v any) ([]byte, error) { return frame.Append(nil, v, maxMessageBytes) }
 
 func newReader(conn net.Conn, idle time.Duration) *frame.Reader {
-	return frame.NewReader(conn, idle, mostMessage)
+	return frame.NewReader(conn, idle, maxMessageBytes)
 }
 
-// line writes messages to one peer, and never makes a sender wait.
-type line struct {
-	conn net.Conn
-	out  chan []byte
-	done chan struct{}
+// messageWriter writes messages to one peer from a bounded queue. Sending never blocks.
+type messageWriter struct {
+	conn  net.Conn
+	queue chan []byte
+	done  chan struct{}
 }
 
-func newLine(conn net.Conn) *line {
-	l := &line{conn: conn, out: make(chan []byte, mostUnsent), done: make(chan struct{})}
+func newMessageWriter(conn net.Conn) *messageWriter {
+	w := &messageWriter{conn: conn, queue: make(chan []byte, maxUnsentMessages), done: make(chan struct{})}
 	go func() {
 		defer conn.Close()
 		for {
 			select {
-			case b := <-l.out:
+			case b := <-w.queue:
 				conn.SetWriteDeadline(time.Now().Add(frame.MessageTimeout))
 				if _, err := conn.Write(b); err != nil {
 					return
 				}
-			case <-l.done:
+			case <-w.done:
 				return
 			}
 		}
 	}()
-	return l
+	return w
 }
 
-// send queues a message; a peer that does not read is cut off.
-func (l *line) send(v any) {
-	b, err := framed(v)
+// send queues a message. It closes the connection if the queue is full, which means that the peer does not read.
+func (w *messageWriter) send(v any) {
+	b, err := encodeFrame(v)
 	if err != nil {
-		b, err = framed(toServer{Error: err.Error()})
+		b, err = encodeFrame(serverMessage{Error: err.Error()})
 	}
 	if err != nil {
-		l.conn.Close()
+		w.conn.Close()
 		return
 	}
 	select {
-	case l.out <- b:
+	case w.queue <- b:
 	default:
-		l.conn.Close()
+		w.conn.Close()
 	}
 }
--- a/internal/recordfile/file_test.go
+++ b/internal/recordfile/file_test.go
@@ -11,197 +11,202 @@
 	"puffinsaddle/internal/records"
 )
 
-// written is a file with a snapshot of some records and commits behind it.
-type written struct {
-	path    string
-	set     *records.Set
-	commits []records.Commit
-	digests []records.Digest // after the snapshot, and after each commit
-	ends    []int64          // of the file after each of them
+// testFile is a test file with a snapshot and commits, together with the state expected after each commit.
+type testFile struct {
+	path       string
+	set        *records.Set
+	appended   []records.Commit
+	digests    []records.Digest // of the records after the snapshot and after each commit
+	endOffsets []int64          // size of the file after the snapshot and after each commit
 }
 
-func write(t *testing.T, commits int) *written {
+// writeTestFile creates a file with a snapshot and the given number of commits.
+func writeTestFile(t *testing.T, commits int) *testFile {
 	t.Helper()
-	w := &written{path: filepath.Join(t.TempDir(), "below", "records"), set: records.NewSet(records.DefaultLimits)}
+	tf := &testFile{path: filepath.Join(t.TempDir(), "subdirectory", "records"), set: records.NewSet(records.DefaultLimits)}
 	for i := range 5 {
-		w.change(t, i)
+		tf.applyChange(t, i)
 	}
-	snapshot, err := records.NewSnapshot(w.set.Table(), w.set.Revision())
+	snapshot, err := records.NewSnapshot(tf.set.Table(), tf.set.Revision())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Write(w.path, snapshot)
+	f, err := Write(tf.path, snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.note(t)
+	tf.recordState(t)
 	for i := range commits {
-		w.append(t, f, i)
+		tf.appendChange(t, f, i)
 	}
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return w
+	return tf
 }
 
-func (w *written) change(t *testing.T, i int) records.Commit {
+// applyChange applies a change to the set without writing it to the file.
+func (tf *testFile) applyChange(t *testing.T, i int) records.Commit {
 	t.Helper()
-	c, err := w.set.Apply(records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("t-%d", i%7)}, Value: fmt.Append(nil, w.set.Revision())}}})
+	c, err := tf.set.Apply(records.Change{Puts: []records.Put{{Key: records.Key{Kind: records.Tenant, Name: fmt.Sprintf("t-%d", i%7)}, Value: fmt.Append(nil, tf.set.Revision())}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func (w *written) append(t *testing.T, f *File, i int) {
+// appendChange applies a change and appends its commit to the file.
+func (tf *testFile) appendChange(t *testing.T, f *File, i int) {
 	t.Helper()
-	c := w.change(t, i)
+	c := tf.applyChange(t, i)
 	if err := f.Append(c); err != nil {
 		t.Fatal(err)
 	}
-	w.commits = append(w.commits, c)
-	w.note(t)
+	tf.appended = append(tf.appended, c)
+	tf.recordState(t)
 }
 
-func (w *written) note(t *testing.T) {
+// recordState records the current digest and file size.
+func (tf *testFile) recordState(t *testing.T) {
 	t.Helper()
-	info, err := os.Stat(w.path)
+	info, err := os.Stat(tf.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.digests, w.ends = append(w.digests, w.set.Digest()), append(w.ends, info.Size())
+	tf.digests, tf.endOffsets = append(tf.digests, tf.set.Digest()), append(tf.endOffsets, info.Size())
 }
 
-// holds checks that what was read is the snapshot and the first n commits.
-func (w *written) holds(t *testing.T, c *Content, n int) {
+// wantContent checks that the content read consists of the snapshot and the first n commits.
+func (tf *testFile) wantContent(t *testing.T, c *Content, n int) {
 	t.Helper()
 	set := records.NewSet(records.DefaultLimits)
-	set.Adopt(c.Table, c.Revision)
+	set.ReplaceTable(c.Table, c.Revision)
 	if len(c.Commits) != n {
-		t.Errorf("%d commits, %d are wanted", len(c.Commits), n)
+		t.Errorf("got %d commits, want %d", len(c.Commits), n)
 		return
 	}
 	for _, commit := range c.Commits {
-		if err := set.Follow(commit); err != nil {
+		if err := set.ApplyCommit(commit); err != nil {
 			t.Error(err)
 		}
 	}
-	if set.Digest() != w.digests[n] {
-		t.Errorf("other records than were written, with %d commits", n)
+	if set.Digest() != tf.digests[n] {
+		t.Errorf("the digest after %d commits differs from the one written", n)
 	}
 }
 
-// A file that is cut off anywhere behind its snapshot holds what was whole; one whose snapshot is cut is of no use.
-func TestFileThatIsCutOff(t *testing.T) {
-	w := write(t, 4)
-	whole, err := os.ReadFile(w.path)
+// A crash can truncate the file at any byte. After the snapshot, all complete commits must be read; within the snapshot, the file
+// must be rejected as corrupt.
+func TestReadTruncatedFile(t *testing.T) {
+	tf := writeTestFile(t, 4)
+	original, err := os.ReadFile(tf.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for size := range len(whole) + 1 {
-		if err := os.WriteFile(w.path, whole[:size], 0o600); err != nil {
+	for size := range len(original) + 1 {
+		if err := os.WriteFile(tf.path, original[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, err := Read(w.path)
-		if int64(size) < w.ends[0] {
-			if !errors.Is(err, ErrSpoilt) {
-				t.Errorf("%d bytes of the snapshot's %d: %v", size, w.ends[0], err)
+		c, err := Read(tf.path)
+		if int64(size) < tf.endOffsets[0] {
+			if !errors.Is(err, ErrCorrupt) {
+				t.Errorf("truncated to %d bytes, snapshot of %d bytes: %v", size, tf.endOffsets[0], err)
 			}
 			continue
 		}
 		if err != nil {
-			t.Errorf("%d bytes: %v", size, err)
+			t.Errorf("truncated to %d bytes: %v", size, err)
 			continue
 		}
 		n := 0
-		for n+1 < len(w.ends) && w.ends[n+1] <= int64(size) {
+		for n+1 < len(tf.endOffsets) && tf.endOffsets[n+1] <= int64(size) {
 			n++
 		}
-		w.holds(t, c, n)
+		tf.wantContent(t, c, n)
 	}
 }
 
-// No byte that was changed is read as something else: the file is of no use, or ends before the change.
-func TestFileWithAChangedByte(t *testing.T) {
-	w := write(t, 4)
-	whole, err := os.ReadFile(w.path)
+// A corrupted byte must never be read as valid data: the file is rejected as corrupt, or the content ends before that byte.
+func TestReadCorruptedByte(t *testing.T) {
+	tf := writeTestFile(t, 4)
+	original, err := os.ReadFile(tf.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for at := range whole {
-		spoilt := append([]byte(nil), whole...)
-		spoilt[at] ^= 0x20
-		if err := os.WriteFile(w.path, spoilt, 0o600); err != nil {
+	for offset := range original {
+		corrupted := append([]byte(nil), original...)
+		corrupted[offset] ^= 0x20
+		if err := os.WriteFile(tf.path, corrupted, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, err := Read(w.path)
-		if errors.Is(err, ErrSpoilt) {
+		c, err := Read(tf.path)
+		if errors.Is(err, ErrCorrupt) {
 			continue
 		}
-		if err != nil || int64(at) < w.ends[0] {
-			t.Errorf("byte %d: %v", at, err)
+		if err != nil || int64(offset) < tf.endOffsets[0] {
+			t.Errorf("byte %d corrupted: %v", offset, err)
 			continue
 		}
-		if len(c.Commits) == len(w.commits) {
-			t.Errorf("byte %d is changed, and all is read", at)
+		if len(c.Commits) == len(tf.appended) {
+			t.Errorf("byte %d corrupted, but all commits were read", offset)
 			continue
 		}
-		w.holds(t, c, len(c.Commits))
+		tf.wantContent(t, c, len(c.Commits))
 	}
 }
 
-// A file whose last block was cut goes on behind the last whole one.
-func TestReopenedFileGoesOn(t *testing.T) {
-	w := write(t, 3)
-	if err := os.Truncate(w.path, w.ends[3]-1); err != nil {
+// Reopening a file with a truncated last block must remove that block, so that later commits follow the last complete one.
+func TestReopenRemovesTruncatedBlock(t *testing.T) {
+	tf := writeTestFile(t, 3)
+	if err := os.Truncate(tf.path, tf.endOffsets[3]-1); err != nil {
 		t.Fatal(err)
 	}
-	c, err := Read(w.path)
+	c, err := Read(tf.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.holds(t, c, 2)
-	f, err := Reopen(w.path, c)
+	tf.wantContent(t, c, 2)
+	f, err := Reopen(tf.path, c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if info, err := os.Stat(w.path); err != nil || info.Size() != w.ends[2] {
-		t.Errorf("the cut block is still there: %v, %v", info, err)
+	if info, err := os.Stat(tf.path); err != nil || info.Size() != tf.endOffsets[2] {
+		t.Errorf("the truncated block was not removed: %v, %v", info, err)
 	}
-	if want := w.ends[2] - w.ends[0]; f.Commits() != want {
-		t.Errorf("%d bytes of commits, %d are wanted", f.Commits(), want)
+	if want := tf.endOffsets[2] - tf.endOffsets[0]; f.CommitBytes() != want {
+		t.Errorf("got %d bytes of commits, want %d", f.CommitBytes(), want)
 	}
-	if err := f.Append(w.commits[2]); err != nil {
+	if err := f.Append(tf.appended[2]); err != nil {
 		t.Fatal(err)
 	}
-	w.append(t, f, 3)
+	tf.appendChange(t, f, 3)
 	f.Close()
-	if c, err = Read(w.path); err != nil {
+	if c, err = Read(tf.path); err != nil {
 		t.Fatal(err)
 	}
-	w.holds(t, c, 4)
+	tf.wantContent(t, c, 4)
 }
 
-// What is no such file, or of another build's format, is told apart from one that is not there.
-func TestOtherFiles(t *testing.T) {
-	w := write(t, 1)
-	if _, err := Read(w.path + ".none"); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+// A file of another kind or format version must be reported as corrupt, and a missing file as not existing.
+func TestReadInvalidOrMissingFile(t *testing.T) {
+	tf := writeTestFile(t, 1)
+	if _, err := Read(tf.path + ".none"); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("missing file: %v", err)
 	}
-	whole, err := os.ReadFile(w.path)
+	unknownVersion, err := os.ReadFile(tf.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole[len(magic)]++
-	for name, b := range map[string][]byte{"another format": whole, "another file": []byte("name,address,port,groups\n"), "an empty file": nil} {
-		if err := os.WriteFile(w.path, b, 0o600); err != nil {
+	unknownVersion[len(magic)]++
+	for name, b := range map[string][]byte{"unknown format version": unknownVersion, "other kind of file": []byte("name,address,port,groups\n"), "empty file": nil} {
+		if err := os.WriteFile(tf.path, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Read(w.path); !errors.Is(err, ErrSpoilt) {
+		if _, err := Read(tf.path); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Write(filepath.Join(w.path, "below"), &records.Snapshot{}); err == nil {
-		t.Error("a file below a file is written")
+	if _, err := Write(filepath.Join(tf.path, "file"), &records.Snapshot{}); err == nil {
+		t.Error("wrote a file whose parent is not a directory")
 	}
 }
--- a/internal/records/snapshot.go
+++ b/internal/records/snapshot.go
@@ -10,62 +10,62 @@
 )
 
 const (
-	pieceBytes    = 256 << 10                  // of packed records in one piece, but for the last record
-	maxPieceBytes = pieceBytes + 2*MaxSetting  // of a piece that is taken
-	maxPieces     = 1 << 16                    // of a snapshot that is taken
-	maxRecords    = 1 << 24                    // of a snapshot that is taken
-	maxCompressed = maxPieceBytes + pieceBytes // of a piece as it is sent
+	targetChunkBytes        = 256 << 10                            // bytes of packed records after which a new chunk begins
+	maxChunkBytes           = targetChunkBytes + 2*MaxSettingBytes // maximum decompressed size of a received chunk, in bytes
+	maxChunks               = 1 << 16                              // maximum number of chunks in a received snapshot
+	maxSnapshotRecords      = 1 << 24                              // maximum number of records in a received snapshot
+	maxCompressedChunkBytes = maxChunkBytes + targetChunkBytes     // maximum compressed size of a received chunk, in bytes
 )
 
-// ErrSpoilt is the error of a snapshot that is not what its header says.
-var ErrSpoilt = errors.New("records: spoilt snapshot")
+// ErrCorrupt is the error of a snapshot that is damaged or does not match its header.
+var ErrCorrupt = errors.New("records: corrupt snapshot")
 
-// Header tells what a snapshot holds.
+// Header describes the content of a snapshot.
 type Header struct {
-	Revision uint64 `json:"revision"`
-	Digest   Digest `json:"digest"`
-	Records  int    `json:"records"`
-	Pieces   int    `json:"pieces"`
-	Bytes    int64  `json:"bytes"` // of all pieces, compressed
+	Revision        uint64 `json:"revision"`
+	Digest          Digest `json:"digest"`
+	RecordCount     int    `json:"records"`
+	ChunkCount      int    `json:"pieces"`
+	CompressedBytes int64  `json:"bytes"` // total compressed size of the chunks
 }
 
-// Piece is a part of a snapshot.
-type Piece struct {
-	Number   int    `json:"number"` // from 0
+// Chunk is a part of a snapshot, compressed and checksummed on its own.
+type Chunk struct {
+	Index    int    `json:"number"` // starting at 0
 	Checksum uint64 `json:"checksum"`
 	Data     []byte `json:"data"` // packed records, compressed
 }
 
-// Snapshot is all records as of one revision, in compressed pieces.
+// Snapshot holds all records as of one revision, in compressed chunks.
 type Snapshot struct {
 	Header
-	Content []Piece
+	Chunks []Chunk
 }
 
-// NewSnapshot compresses a table that nobody changes meanwhile.
+// NewSnapshot compresses a table, which must not change until it returns.
 func NewSnapshot(t *Table, revision uint64) (*Snapshot, error) {
-	z, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(pieceBytes))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(targetChunkBytes))
 	if err != nil {
 		return nil, err
 	}
-	defer z.Close()
-	s := &Snapshot{Header: Header{Revision: revision, Digest: t.Digest(), Records: t.Len()}}
-	for packed := range packs(t) {
-		data := bytes.Clone(z.EncodeAll(packed, nil))
-		s.Content = append(s.Content, Piece{Number: len(s.Content), Checksum: Checksum(data), Data: data})
-		s.Bytes += int64(len(data))
+	defer encoder.Close()
+	s := &Snapshot{Header: Header{Revision: revision, Digest: t.Digest(), RecordCount: t.Len()}}
+	for packed := range packedChunks(t) {
+		data := bytes.Clone(encoder.EncodeAll(packed, nil))
+		s.Chunks = append(s.Chunks, Chunk{Index: len(s.Chunks), Checksum: Checksum(data), Data: data})
+		s.CompressedBytes += int64(len(data))
 	}
-	s.Pieces = len(s.Content)
+	s.ChunkCount = len(s.Chunks)
 	return s, nil
 }
 
-// packs gathers packed records into pieces; a piece is valid until the next one.
-func packs(t *Table) iter.Seq[[]byte] {
+// packedChunks iterates over the packed records, grouped into chunks; a chunk is valid until the next iteration.
+func packedChunks(t *Table) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		var b []byte
 		for i := range t.shards {
 			for entry := range t.shards[i].entries() {
-				if b = append(b, entry...); len(b) < pieceBytes {
+				if b = append(b, entry...); len(b) < targetChunkBytes {
 					continue
 				}
 				if !yield(b) {
@@ -80,93 +80,95 @@
 	}
 }
 
-// Assembler puts a snapshot together from pieces that come in order.
+// Assembler builds a table from the chunks of a snapshot, which must arrive in order.
 type Assembler struct {
-	header Header
-	next   int
-	table  *Table
-	keep   bool
-	z      *zstd.Decoder
+	header      Header
+	nextIndex   int
+	table       *Table
+	keepRecords bool
+	decoder     *zstd.Decoder
 }
 
-// NewAssembler begins a snapshot. Without keep the records are checked and not held, for followers that hold digests alone.
-func NewAssembler(h Header, keep bool) (*Assembler, error) {
-	if h.Pieces < 0 || h.Pieces > maxPieces || h.Records < 0 || h.Records > maxRecords || (h.Pieces == 0) != (h.Records == 0) {
-		return nil, fmt.Errorf("%w: %d records in %d pieces", ErrSpoilt, h.Records, h.Pieces)
+// NewAssembler returns an assembler for the snapshot with the given header. Without keepRecords it verifies the records but
+// does not store them, for followers that hold only digests.
+func NewAssembler(h Header, keepRecords bool) (*Assembler, error) {
+	if h.ChunkCount < 0 || h.ChunkCount > maxChunks || h.RecordCount < 0 || h.RecordCount > maxSnapshotRecords || (h.ChunkCount == 0) != (h.RecordCount == 0) {
+		return nil, fmt.Errorf("%w: header with %d records in %d chunks", ErrCorrupt, h.RecordCount, h.ChunkCount)
 	}
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPieceBytes), zstd.WithDecoderLowmem(true))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxChunkBytes), zstd.WithDecoderLowmem(true))
 	if err != nil {
 		return nil, err
 	}
-	return &Assembler{header: h, table: NewTable(), keep: keep, z: z}, nil
+	return &Assembler{header: h, table: NewTable(), keepRecords: keepRecords, decoder: decoder}, nil
 }
 
-// Close frees what the assembler holds besides the table.
-func (a *Assembler) Close() { a.z.Close() }
+// Close releases the resources of the assembler, except for the table.
+func (a *Assembler) Close() { a.decoder.Close() }
 
-// Add takes the next piece.
-func (a *Assembler) Add(p Piece) error {
+// Add verifies and adds the next chunk.
+func (a *Assembler) Add(chunk Chunk) error {
 	switch {
-	case p.Number != a.next || p.Number >= a.header.Pieces:
-		return fmt.Errorf("%w: piece %d in place of %d of %d", ErrSpoilt, p.Number, a.next, a.header.Pieces)
-	case len(p.Data) > maxCompressed:
-		return fmt.Errorf("%w: piece %d has %d bytes", ErrSpoilt, p.Number, len(p.Data))
-	case Checksum(p.Data) != p.Checksum:
-		return fmt.Errorf("%w: piece %d has another checksum", ErrSpoilt, p.Number)
+	case chunk.Index != a.nextIndex || chunk.Index >= a.header.ChunkCount:
+		return fmt.Errorf("%w: got chunk %d, expected chunk %d of %d", ErrCorrupt, chunk.Index, a.nextIndex, a.header.ChunkCount)
+	case len(chunk.Data) > maxCompressedChunkBytes:
+		return fmt.Errorf("%w: chunk %d is too large: %d bytes", ErrCorrupt, chunk.Index, len(chunk.Data))
+	case Checksum(chunk.Data) != chunk.Checksum:
+		return fmt.Errorf("%w: checksum mismatch in chunk %d", ErrCorrupt, chunk.Index)
 	}
-	packed, err := a.z.DecodeAll(p.Data, nil)
+	packed, err := a.decoder.DecodeAll(chunk.Data, nil)
 	if err != nil {
-		return fmt.Errorf("%w: piece %d: %v", ErrSpoilt, p.Number, err)
+		return fmt.Errorf("%w: chunk %d: %v", ErrCorrupt, chunk.Index, err)
 	}
 	for len(packed) > 0 {
 		e, err := parseEntry(packed)
 		if err != nil {
-			return fmt.Errorf("%w: piece %d: %v", ErrSpoilt, p.Number, err)
+			return fmt.Errorf("%w: chunk %d: %v", ErrCorrupt, chunk.Index, err)
 		}
-		if err := a.take(e, packed[:e.size]); err != nil {
+		if err := a.addEntry(e, packed[:e.size]); err != nil {
 			return err
 		}
 		packed = packed[e.size:]
 	}
-	a.next++
+	a.nextIndex++
 	return nil
 }
 
-func (a *Assembler) take(e parsed, packed []byte) error {
-	if !a.keep {
+func (a *Assembler) addEntry(e parsedEntry, packed []byte) error {
+	if !a.keepRecords {
 		a.table.count++
 		a.table.digest.add(packed)
 		return nil
 	}
-	if a.table.Len() >= a.header.Records {
-		return fmt.Errorf("%w: more than %d records", ErrSpoilt, a.header.Records)
+	if a.table.Len() >= a.header.RecordCount {
+		return fmt.Errorf("%w: more than %d records", ErrCorrupt, a.header.RecordCount)
 	}
 	a.table.Put(Record{Key{e.kind, string(e.name)}, e.value, e.revision})
 	return nil
 }
 
-// Finish gives the table once all pieces have come. Without keep it is empty but for its digest and number.
+// Finish verifies that the snapshot is complete and returns the table. Without keepRecords, the table has only its
+// digest and length.
 func (a *Assembler) Finish() (*Table, error) {
 	switch {
-	case a.next != a.header.Pieces:
-		return nil, fmt.Errorf("%w: %d of %d pieces", ErrSpoilt, a.next, a.header.Pieces)
-	case a.table.Len() != a.header.Records:
-		return nil, fmt.Errorf("%w: %d of %d records", ErrSpoilt, a.table.Len(), a.header.Records)
+	case a.nextIndex != a.header.ChunkCount:
+		return nil, fmt.Errorf("%w: got %d of %d chunks", ErrCorrupt, a.nextIndex, a.header.ChunkCount)
+	case a.table.Len() != a.header.RecordCount:
+		return nil, fmt.Errorf("%w: got %d of %d records", ErrCorrupt, a.table.Len(), a.header.RecordCount)
 	case a.table.Digest() != a.header.Digest:
-		return nil, fmt.Errorf("%w: another digest", ErrSpoilt)
+		return nil, fmt.Errorf("%w: digest mismatch", ErrCorrupt)
 	}
 	return a.table, nil
 }
 
-// Assemble makes a table of a whole snapshot.
+// Assemble returns the table of a complete snapshot.
 func (s *Snapshot) Assemble() (*Table, error) {
 	a, err := NewAssembler(s.Header, true)
 	if err != nil {
 		return nil, err
 	}
 	defer a.Close()
-	for _, p := range s.Content {
-		if err := a.Add(p); err != nil {
+	for _, chunk := range s.Chunks {
+		if err := a.Add(chunk); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -11,11 +11,11 @@
 	"slices"
 	"strings"
 
-	"puffinsaddle/internal/allot"
+	"puffinsaddle/internal/allocation"
 	"puffinsaddle/internal/duty"
+	"puffinsaddle/internal/effectlog"
 	"puffinsaddle/internal/publish"
 	"puffinsaddle/internal/records"
-	"puffinsaddle/internal/settle"
 )
 
 const (
@@ -87,8 +87,8 @@
 type State struct {
 	Values        map[string][]byte
 	Duties        *duty.Table
-	Allocations   *allot.Allocations
-	Effects       *settle.EffectLog
+	Allocations   *allocation.Allocations
+	Effects       *effectlog.EffectLog
 	Config        *publish.History
 	Records       *records.Set
 	Counters      map[string]uint64 // counters, by duty
@@ -99,8 +99,8 @@
 
 // New returns an empty state.
 func New() *State {
-	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Allocations: allot.NewAllocations(),
-		Effects: settle.NewEffectLog(maxEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
+	return &State{Values: map[string][]byte{}, Duties: duty.NewTable(), Allocations: allocation.NewAllocations(),
+		Effects: effectlog.NewEffectLog(maxEffects), Config: publish.NewHistory(), Records: records.NewSet(records.DefaultLimits),
 		Counters: map[string]uint64{}, StaleRefusals: map[string]uint64{}}
 }
 
@@ -253,65 +253,65 @@
 
 // Snapshot is the encoded form of the state. Earlier versions wrote only the fields values and order.
 type Snapshot struct {
-	Values        map[string][]byte  `json:"values"`
-	EffectOrder   []string           `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
-	Duties        *duty.Table        `json:"duties,omitempty"`
-	Allocations   *allot.Allocations `json:"shares,omitempty"`
-	Effects       *settle.EffectLog  `json:"effects,omitempty"`
-	Config        *publish.History   `json:"config,omitempty"`
-	Records       *records.Frozen    `json:"records,omitempty"`
-	Counters      map[string]uint64  `json:"marks,omitempty"`
-	StaleRefusals map[string]uint64  `json:"stale,omitempty"`
+	Values        map[string][]byte       `json:"values"`
+	EffectOrder   []string                `json:"order,omitempty"` // earlier versions: keys of effects in order; not written any more
+	Duties        *duty.Table             `json:"duties,omitempty"`
+	Allocations   *allocation.Allocations `json:"shares,omitempty"`
+	Effects       *effectlog.EffectLog    `json:"effects,omitempty"`
+	Config        *publish.History        `json:"config,omitempty"`
+	Records       *records.SetSnapshot    `json:"records,omitempty"`
+	Counters      map[string]uint64       `json:"marks,omitempty"`
+	StaleRefusals map[string]uint64       `json:"stale,omitempty"`
 }
 
 // Snapshot copies the state, so that it can be encoded while further commands are applied.
 func (s *State) Snapshot() *Snapshot {
 	return &Snapshot{Values: maps.Clone(s.Values), Duties: s.Duties.Clone(), Allocations: s.Allocations.Clone(), Effects: s.Effects.Clone(),
-		Config: s.Config.Clone(), Records: s.Records.Freeze(), Counters: maps.Clone(s.Counters), StaleRefusals: maps.Clone(s.StaleRefusals)}
+		Config: s.Config.Clone(), Records: s.Records.Snapshot(), Counters: maps.Clone(s.Counters), StaleRefusals: maps.Clone(s.StaleRefusals)}
 }
 
 // ReadSnapshot decodes a snapshot, in the present format or that of earlier versions.
 func ReadSnapshot(b []byte) (*State, error) {
-	var k Snapshot
-	if err := json.Unmarshal(b, &k); err != nil {
+	var snapshot Snapshot
+	if err := json.Unmarshal(b, &snapshot); err != nil {
 		return nil, err
 	}
 	s := New()
-	for key, v := range k.Values {
+	for key, v := range snapshot.Values {
 		if !strings.HasPrefix(key, legacyEffectPrefix) {
 			s.Values[key] = v
 		}
 	}
-	if k.Duties != nil && k.Duties.Leases != nil {
-		s.Duties = k.Duties
+	if snapshot.Duties != nil && snapshot.Duties.Leases != nil {
+		s.Duties = snapshot.Duties
 		if s.Duties.Frozen == nil {
 			s.Duties.Frozen = map[string]bool{}
 		}
 	}
-	if k.Allocations != nil && k.Allocations.Shares != nil {
-		s.Allocations = k.Allocations
+	if snapshot.Allocations != nil && snapshot.Allocations.Shares != nil {
+		s.Allocations = snapshot.Allocations
 	}
-	if k.Config != nil {
-		s.Config = k.Config
+	if snapshot.Config != nil {
+		s.Config = snapshot.Config
 		if s.Config.Acknowledgements == nil {
 			s.Config.Acknowledgements = map[string]publish.Acknowledgement{}
 		}
 	}
-	if k.Records != nil {
-		s.Records = k.Records.Thaw(records.DefaultLimits)
+	if snapshot.Records != nil {
+		s.Records = snapshot.Records.Restore(records.DefaultLimits)
 	}
-	if k.Effects != nil {
-		s.Effects = k.Effects
+	if snapshot.Effects != nil {
+		s.Effects = snapshot.Effects
 		s.Effects.RebuildIndexes(maxEffects)
 	}
-	for _, key := range k.EffectOrder {
+	for _, key := range snapshot.EffectOrder {
 		s.Effects.Begin(strings.TrimPrefix(key, legacyEffectPrefix), "", 0, false)
 	}
-	if k.Counters != nil {
-		s.Counters = k.Counters
+	if snapshot.Counters != nil {
+		s.Counters = snapshot.Counters
 	}
-	if k.StaleRefusals != nil {
-		s.StaleRefusals = k.StaleRefusals
+	if snapshot.StaleRefusals != nil {
+		s.StaleRefusals = snapshot.StaleRefusals
 	}
 	return s, nil
 }
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -11,259 +11,264 @@
 
 	"github.com/hashicorp/raft"
 
-	"puffinsaddle/internal/admit"
 	"puffinsaddle/internal/frame"
+	"puffinsaddle/internal/rejoin"
 	"puffinsaddle/internal/state"
 	"puffinsaddle/internal/store/disk"
 )
 
 const (
-	reportEvery = 250.0           // ms between two claims to each of the others, and between two looks of the leader
-	wordFor     = 3 * time.Second // the answer to a claim may take so long: a leader proves its office first
-	claimIdle   = 5 * time.Second // a connection of claims that says nothing is ended
-	mostClaim   = 4 << 10         // bytes
-	mostClaims  = 64              // connections of claims served at once
-	mostStatus  = 64 << 10
-	changeFor   = 2 * time.Second // a change of the set has so long to be written
-	hearFor     = 500.0           // ms in which all who are there are heard, before fewer do
-	compareEach = 1000.0          // ms between two parts of the state that copies compare, at least,
-	compareWait = 2000.0          // and so many more for a copy that does not say what it made of one
+	claimIntervalMS          = 250.0           // ms between two claims to each peer, and between two passes of the decision loop
+	responseTimeout          = 3 * time.Second // timeout for the response to a claim; a leader first confirms its leadership
+	claimIdleTimeout         = 5 * time.Second // an idle claim connection is closed after this
+	maxClaimBytes            = 4 << 10
+	maxClaimConnections      = 64 // claim connections served at once
+	maxStatusBytes           = 64 << 10
+	membershipChangeTimeout  = 2 * time.Second // timeout for writing a membership change
+	allPeersWaitMS           = 500.0           // ms to wait for responses of all peers before fewer suffice
+	defaultCompareIntervalMS = 1000.0          // ms; default of Options.CompareIntervalMS
+	compareGraceMS           = 2000.0          // additional ms to wait for a replica that has not reported its digest
 )
 
-// Phases of a node.
+// Phases of a replica, as they appear in Status.
 const (
-	PhaseSeeks   = "seeks"   // asks the others whether it may take part with its folder
-	PhaseAsks    = "asks"    // asks to be joined anew
-	PhaseRuns    = "runs"    // takes part
-	PhaseStopped = "stopped" // does not, and will not before the process is started again
+	PhaseVerifying = "seeks"   // waits for its peers to accept its data directory
+	PhaseRejoining = "asks"    // requests to rejoin
+	PhaseRunning   = "runs"    // participates in raft
+	PhaseStopped   = "stopped" // does not participate until the process is restarted
 )
 
-// tell notes a phase and why; the lock is held.
-func (s *Store) tell(phase, why string) {
-	if s.phase != phase || s.why != why {
+// setPhase sets the phase and its reason. The caller holds s.mu.
+func (s *Store) setPhase(phase, reason string) {
+	if s.phase != phase || s.phaseReason != reason {
 		e := s.o.Events.Info()
-		if phase == PhaseAsks || phase == PhaseStopped {
+		if phase == PhaseRejoining || phase == PhaseStopped {
 			e = s.o.Events.Error()
 		}
-		e.Str("copy", s.o.ID).Str("phase", phase).Str("why", why).Msg("copy of the store")
+		e.Str("copy", s.o.ID).Str("phase", phase).Str("why", reason).Msg("store replica changed phase")
 	}
-	if s.o.Told != nil && s.phase != phase {
-		s.o.Told(phase, why)
+	if s.o.OnPhaseChange != nil && s.phase != phase {
+		s.o.OnPhaseChange(phase, reason)
 	}
-	s.phase, s.why = phase, why
-	close(s.news)
-	s.news = make(chan struct{})
+	s.phase, s.phaseReason = phase, reason
+	close(s.phaseChanged)
+	s.phaseChanged = make(chan struct{})
 }
 
-// seek begins to make claims and to decide by the answers.
-func (s *Store) seek() {
-	for id, at := range s.o.Peers {
+// startVerification starts sending claims to all peers, and the loop that decides on their responses.
+func (s *Store) startVerification() {
+	for id, address := range s.o.Peers {
 		if id != s.o.ID {
-			go s.report(id, at)
+			go s.sendClaims(id, address)
 		}
 	}
-	go s.decide()
+	go s.runDecisionLoop()
 }
 
-// pause waits for a while of the steady clock, or for what comes first: news, or the node's end.
-func (s *Store) pause(ms float64, news <-chan struct{}) {
-	late := make(chan struct{})
-	t := s.o.Steady.After(ms, func() { close(late) })
+// waitMS waits for ms milliseconds on the steady clock, until changed is closed or receives, or until the replica is closed.
+func (s *Store) waitMS(ms float64, changed <-chan struct{}) {
+	elapsed := make(chan struct{})
+	t := s.o.Steady.After(ms, func() { close(elapsed) })
 	defer t.Stop()
 	select {
-	case <-late:
-	case <-news:
+	case <-elapsed:
+	case <-changed:
 	case <-s.ctx.Done():
 	}
 }
 
-// report makes claims to one of the others for as long as the node lives.
-func (s *Store) report(id, at string) {
+// sendClaims sends claims to one peer until the replica is closed.
+func (s *Store) sendClaims(id, address string) {
 	for s.ctx.Err() == nil {
-		if conn, err := s.layer.dial(at, forClaims, writeFor); err == nil {
+		if conn, err := s.mux.dial(address, purposeClaims, writeTimeout); err == nil {
 			stop := context.AfterFunc(s.ctx, func() { conn.Close() })
-			s.tellOf(conn, id)
+			s.exchangeClaims(conn, id)
 			stop()
 			conn.Close()
 		}
-		s.pause(reportEvery, nil)
+		s.waitMS(claimIntervalMS, nil)
 	}
 }
 
-func (s *Store) tellOf(conn net.Conn, id string) {
-	r := frame.NewReader(conn, wordFor, mostClaim)
+// exchangeClaims sends claims over one connection and passes the responses to the joiner.
+func (s *Store) exchangeClaims(conn net.Conn, id string) {
+	r := frame.NewReader(conn, responseTimeout, maxClaimBytes)
 	for s.ctx.Err() == nil {
 		s.mu.Lock()
-		news := s.news
-		c := s.claim()
+		changed := s.phaseChanged
+		c := s.currentClaim()
 		s.mu.Unlock()
-		if frame.Send(conn, c, mostClaim) != nil {
+		if frame.Send(conn, c, maxClaimBytes) != nil {
 			return
 		}
-		var w admit.Response
-		if r.Next(&w) != nil || w.From != id {
+		var response rejoin.Response
+		if r.Next(&response) != nil || response.From != id {
 			return
 		}
 		s.mu.Lock()
-		if s.seeker.Claim.DirectoryID == c.DirectoryID && s.seeker.RejoinReason == c.RejoinReason { // else it is a word on another claim
-			s.seeker.AddResponse(w)
+		if s.joiner.Claim.DirectoryID == c.DirectoryID && s.joiner.RejoinReason == c.RejoinReason { // otherwise the response belongs to an earlier claim
+			s.joiner.AddResponse(response)
 		}
 		s.mu.Unlock()
-		s.wake()
-		s.pause(reportEvery, news)
+		s.wakeDecisionLoop()
+		s.waitMS(claimIntervalMS, changed)
 	}
 }
 
-func (s *Store) wake() {
+func (s *Store) wakeDecisionLoop() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.decisionDue <- struct{}{}:
 	default:
 	}
 }
 
-// claim is what the node says of itself now; the lock is held.
-func (s *Store) claim() admit.Claim {
-	if r := s.now.Load(); r != nil {
-		// The term first: a position that is told with an earlier term was there in it.
-		s.seeker.Term, s.seeker.LastIndex = r.raft.CurrentTerm(), r.raft.LastIndex()
-		s.seeker.Digest = s.machine.looked()
-	}
-	return s.seeker.Claim
+// currentClaim returns the replica's current claim. The caller holds s.mu.
+func (s *Store) currentClaim() rejoin.Claim {
+	if r := s.active.Load(); r != nil {
+		// The term is read first: an index reported with an earlier term already existed in that term.
+		s.joiner.Term, s.joiner.LastIndex = r.raft.CurrentTerm(), r.raft.LastIndex()
+		s.joiner.Digest = s.fsm.latestDigest()
+	}
+	return s.joiner.Claim
 }
 
-// decide takes the node's part up, or ends it, by what the others say; and as the leader it looks after the others.
-func (s *Store) decide() {
+// runDecisionLoop starts or stops the replica's participation according to its peers' responses. On the leader it also manages
+// which replicas are voters, and compares their state.
+func (s *Store) runDecisionLoop() {
 	for s.ctx.Err() == nil {
-		s.turn()
-		s.keep()
-		if r := s.now.Load(); r != nil {
-			s.given(r)
-			if _, leads := s.Office(); leads {
-				s.lead(r)
-				s.compare(r)
+		s.decide()
+		s.savePeersIfChanged()
+		if r := s.active.Load(); r != nil {
+			s.recordRegainedVote(r)
+			if _, isLeader := s.Leadership(); isLeader {
+				s.updateVoters(r)
+				s.compareDigests(r)
 			}
 		}
-		s.pause(reportEvery, s.kick)
+		s.waitMS(claimIntervalMS, s.decisionDue)
 	}
 }
 
-func (s *Store) turn() {
+// decide makes one decision on the peers' responses and carries it out.
+func (s *Store) decide() {
 	s.mu.Lock()
 	phase := s.phase
-	s.seeker.WaitElapsed = s.o.Steady.Now() > s.began+hearFor
-	d, why := s.seeker.Decide()
-	joined := s.seeker.JoinedState()
-	if phase == PhaseSeeks && d == admit.DecisionWait && s.why != why {
-		s.tell(PhaseSeeks, why)
+	s.joiner.WaitElapsed = s.o.Steady.Now() > s.verificationStartMS+allPeersWaitMS
+	d, reason := s.joiner.Decide()
+	joinState := s.joiner.JoinedState()
+	if phase == PhaseVerifying && d == rejoin.DecisionWait && s.phaseReason != reason {
+		s.setPhase(PhaseVerifying, reason)
 	}
 	s.mu.Unlock()
 	if phase == PhaseStopped {
 		return
 	}
-	runs := phase == PhaseRuns
+	running := phase == PhaseRunning
 	var err error
 	switch {
-	case d == admit.DecisionStop:
-		err = errors.Join(errors.New(why), s.stop(false))
-	case d == admit.DecisionRequestRejoin:
-		if err = s.stop(false); err == nil {
-			s.ask(why)
+	case d == rejoin.DecisionStop:
+		err = errors.Join(errors.New(reason), s.stopParticipating(false))
+	case d == rejoin.DecisionRequestRejoin:
+		if err = s.stopParticipating(false); err == nil {
+			s.requestRejoin(reason)
 		}
-	case d == admit.DecisionResetDirectory:
-		err = s.renew(joined)
-	case d == admit.DecisionStart && !runs:
-		err = s.start(nil)
-	case d == admit.DecisionBootstrap && !runs:
+	case d == rejoin.DecisionResetDirectory:
+		err = s.replaceDirectory(joinState)
+	case d == rejoin.DecisionStart && !running:
+		err = s.participate(nil)
+	case d == rejoin.DecisionBootstrap && !running:
 		s.mu.Lock()
-		s.witness.RememberDirectories(s.seeker.PeerDirectories())
-		f, name := s.folder, s.seeker.NewClusterName()
-		s.seeker.ClusterName = name
+		s.verifier.RememberDirectories(s.joiner.PeerDirectories())
+		directory, name := s.directory, s.joiner.NewClusterName()
+		s.joiner.ClusterName = name
 		s.mu.Unlock()
-		if err = s.remember(); err == nil {
-			err = f.Named(name)
+		if err = s.savePeers(); err == nil {
+			err = directory.RecordClusterName(name)
 		}
 		if err == nil {
-			err = s.start(s.o.Peers)
+			err = s.participate(s.o.Peers)
 		}
 	}
 	if err != nil {
 		s.mu.Lock()
-		s.tell(PhaseStopped, err.Error())
+		s.setPhase(PhaseStopped, err.Error())
 		s.mu.Unlock()
 	}
 }
 
-// ask notes that the node asks to be joined anew.
-func (s *Store) ask(why string) {
+// requestRejoin makes the replica request to rejoin.
+func (s *Store) requestRejoin(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seeker.RejoinReason, s.seeker.Running = why, false
-	s.seeker.ClearResponses()
-	s.tell(PhaseAsks, why)
+	s.joiner.RejoinReason, s.joiner.Running = reason, false
+	s.joiner.ClearResponses()
+	s.setPhase(PhaseRejoining, reason)
 }
 
-// renew sets the folder aside and begins with an empty one, without a vote.
-func (s *Store) renew(joined admit.DirectoryState) error {
+// replaceDirectory quarantines the data directory and continues with an empty one, as a non-voter.
+func (s *Store) replaceDirectory(joinState rejoin.DirectoryState) error {
 	s.mu.Lock()
-	f := s.folder
+	directory := s.directory
 	s.mu.Unlock()
-	if f != nil {
-		if err := f.Close(); err != nil {
+	if directory != nil {
+		if err := directory.Close(); err != nil {
 			return err
 		}
 	}
-	to, err := disk.SetAside(s.o.Dir)
+	quarantined, err := disk.Quarantine(s.o.Dir)
 	if err != nil {
 		return err
 	}
-	s.machine.clear()
-	damage, err := s.open(joined)
-	if err = errors.Join(damage, err); err != nil {
+	s.fsm.reset()
+	corruption, err := s.openDirectory(joinState)
+	if err = errors.Join(corruption, err); err != nil {
 		return err
 	}
-	s.o.Events.Warn().Str("copy", s.o.ID).Str("aside", to).Uint64("joined", joined.JoinIndex).Msg("joins anew with an empty folder")
+	s.o.Events.Warn().Str("copy", s.o.ID).Str("aside", quarantined).Uint64("joined", joinState.JoinIndex).Msg("rejoins with an empty data directory")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tell(PhaseSeeks, "joined anew, without a vote")
+	s.setPhase(PhaseVerifying, "rejoined as a non-voter")
 	return nil
 }
 
-// failed is told by the disk when it stops.
-func (s *Store) failed(why error) {
-	err := s.stop(false)
+// diskFailed is called when the disk log stops after an error. After corruption a replica with peers requests to rejoin; after any
+// other error it stops.
+func (s *Store) diskFailed(cause error) {
+	err := s.stopParticipating(false)
 	if s.ctx.Err() != nil {
 		return
 	}
-	if bad := (*disk.Damage)(nil); errors.As(why, &bad) && err == nil && len(s.o.Peers) > 1 {
-		s.ask(bad.Error())
+	if corruption := (*disk.CorruptionError)(nil); errors.As(cause, &corruption) && err == nil && len(s.o.Peers) > 1 {
+		s.requestRejoin(corruption.Error())
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tell(PhaseStopped, errors.Join(why, err).Error())
+	s.setPhase(PhaseStopped, errors.Join(cause, err).Error())
 }
 
-// given notes that the node was given its vote: it has carried out all up to where it joined without one, and still its
-// latest configuration has it as a voter, so that came later.
-func (s *Store) given(r *running) {
-	joined := r.folder.Mark().JoinIndex
-	if r.votes.Load() || r.raft.AppliedIndex() <= joined {
+// recordRegainedVote records that the replica has become a voter again: it has applied all entries up to its join index, and its
+// latest configuration lists it as a voter, so that configuration was written after it joined.
+func (s *Store) recordRegainedVote(r *participation) {
+	joinIndex := r.directory.State().JoinIndex
+	if r.voter.Load() || r.raft.AppliedIndex() <= joinIndex {
 		return
 	}
 	for _, m := range r.raft.GetConfiguration().Configuration().Servers {
-		if string(m.ID) == s.o.ID && m.Suffrage == raft.Voter && r.folder.Voter() == nil {
-			r.votes.Store(true)
-			s.o.Events.Info().Str("copy", s.o.ID).Uint64("joined", joined).Msg("has caught up, and its vote")
+		if string(m.ID) == s.o.ID && m.Suffrage == raft.Voter && r.directory.RecordVoter() == nil {
+			r.voter.Store(true)
+			s.o.Events.Info().Str("copy", s.o.ID).Uint64("joined", joinIndex).Msg("caught up and is a voter again")
 		}
 	}
 }
 
-// compare has all copies look at a part of their state now and then, and compares what they made of the one before.
-func (s *Store) compare(r *running) {
-	now := s.o.Steady.Now()
+// compareDigests makes all replicas compute a digest of one partition of their state at intervals, and compares the digests of
+// the previous partition.
+func (s *Store) compareDigests(r *participation) {
+	nowMS := s.o.Steady.Now()
 	s.mu.Lock()
-	mine, voters := s.machine.looked(), 0
-	of, late := map[string]admit.Digest{s.o.ID: mine}, false
+	ownDigest, voters := s.fsm.latestDigest(), 0
+	digests, lagging := map[string]rejoin.Digest{s.o.ID: ownDigest}, false
 	for _, m := range r.raft.GetConfiguration().Configuration().Servers {
 		if m.Suffrage != raft.Voter {
 			continue
@@ -272,81 +277,81 @@
 		if string(m.ID) == s.o.ID {
 			continue
 		}
-		if c, live := s.witness.LatestClaim(string(m.ID), now); live && c.Running {
-			of[string(m.ID)] = c.Digest
-			late = late || c.Digest.Index != mine.Index
+		if c, live := s.verifier.LatestClaim(string(m.ID), nowMS); live && c.Running {
+			digests[string(m.ID)] = c.Digest
+			lagging = lagging || c.Digest.Index != ownDigest.Index
 		}
 	}
-	odd, split := admit.FindDivergent(mine.Index, of, voters)
-	for _, id := range odd {
-		s.witness.MarkDivergent(id)
+	divergent, split := rejoin.FindDivergent(ownDigest.Index, digests, voters)
+	for _, id := range divergent {
+		s.verifier.MarkDivergent(id)
 	}
-	due := now >= s.compareAt && !late || now >= s.compareAt+compareWait
+	due := nowMS >= s.nextCompareMS && !lagging || nowMS >= s.nextCompareMS+compareGraceMS
 	if due {
-		s.compareAt, s.part = now+s.o.CompareMs, s.part+1
+		s.nextCompareMS, s.partition = nowMS+s.o.CompareIntervalMS, s.partition+1
 	}
-	part := s.part
+	partition := s.partition
 	s.mu.Unlock()
-	if split && !s.halted.Swap(true) {
-		s.o.Events.Error().Uint64("at", mine.Index).Uint64("part", mine.Partition).Msg("copies differ and no majority has one state: no effect is begun any more")
+	if split && !s.effectsHalted.Swap(true) {
+		s.o.Events.Error().Uint64("at", ownDigest.Index).Uint64("part", ownDigest.Partition).Msg("replicas differ and no state has a majority: no further effects are begun")
 	}
-	for _, id := range odd {
-		s.o.Events.Error().Str("copy", id).Uint64("at", mine.Index).Uint64("part", mine.Partition).Msg("differs from a majority")
+	for _, id := range divergent {
+		s.o.Events.Error().Str("copy", id).Uint64("at", ownDigest.Index).Uint64("part", ownDigest.Partition).Msg("replica state differs from the majority")
 		if id == s.o.ID {
-			if err := s.stop(true); err == nil {
-				s.ask("the state of this copy differs from that of a majority")
+			if err := s.stopParticipating(true); err == nil {
+				s.requestRejoin("the state of this replica differs from that of a majority")
 			} else {
-				s.failed(err)
+				s.diskFailed(err)
 			}
 			return
 		}
 	}
 	if due {
-		s.Propose(state.Command{Op: state.OpCompareDigests, Seq: part}) // nobody waits for it: the claims tell what came of it
+		s.Propose(state.Command{Op: state.OpCompareDigests, Seq: partition}) // the result is not awaited: claims carry the digests
 	}
 }
 
-// lead takes the vote from who asks to be joined anew, and gives it to who has caught up.
-func (s *Store) lead(r *running) {
+// updateVoters demotes voters that request to rejoin, and promotes non-voters that have caught up.
+func (s *Store) updateVoters(r *participation) {
 	s.mu.Lock()
-	asks := s.witness.RejoinRequests(s.o.Steady.Now())
+	rejoining := s.verifier.RejoinRequests(s.o.Steady.Now())
 	s.mu.Unlock()
 	for _, m := range r.raft.GetConfiguration().Configuration().Servers {
 		id := string(m.ID)
 		switch {
 		case id == s.o.ID:
-		case m.Suffrage == raft.Voter && slices.Contains(asks, id):
-			err := r.raft.DemoteVoter(m.ID, 0, changeFor).Error()
-			s.o.Events.Warn().Str("copy", id).Err(err).Msg("loses its vote until it has caught up")
+		case m.Suffrage == raft.Voter && slices.Contains(rejoining, id):
+			err := r.raft.DemoteVoter(m.ID, 0, membershipChangeTimeout).Error()
+			s.o.Events.Warn().Str("copy", id).Err(err).Msg("demoted to non-voter until it has caught up")
 		case m.Suffrage != raft.Voter:
 			s.mu.Lock()
-			ready := s.promote[id]
-			delete(s.promote, id)
+			ready := s.caughtUp[id]
+			delete(s.caughtUp, id)
 			s.mu.Unlock()
-			if ready && r.folder.Shared() == nil {
-				err := r.raft.AddVoter(m.ID, m.Address, 0, changeFor).Error()
-				s.o.Events.Info().Str("copy", id).Err(err).Msg("has caught up and gets its vote")
+			if ready && r.directory.RecordSecondVoter() == nil {
+				err := r.raft.AddVoter(m.ID, m.Address, 0, membershipChangeTimeout).Error()
+				s.o.Events.Info().Str("copy", id).Err(err).Msg("caught up and promoted to voter")
 			}
 		}
 	}
 }
 
-// serveClaims hears one of the others.
+// serveClaims answers the claims of one peer.
 func (s *Store) serveClaims(conn net.Conn) {
 	defer conn.Close()
-	defer s.claims.Add(-1)
-	if s.claims.Add(1) > mostClaims {
+	defer s.claimConnections.Add(-1)
+	if s.claimConnections.Add(1) > maxClaimConnections {
 		return
 	}
-	no, id := s.conns.Add(1), ""
+	connID, id := s.claimConnIDs.Add(1), ""
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.witness.ConnectionClosed(id, no)
+		s.verifier.ConnectionClosed(id, connID)
 	}()
-	r := frame.NewReader(conn, claimIdle, mostClaim)
+	r := frame.NewReader(conn, claimIdleTimeout, maxClaimBytes)
 	for s.ctx.Err() == nil {
-		var c admit.Claim
+		var c rejoin.Claim
 		if err := r.Next(&c); err != nil {
 			return
 		}
@@ -354,137 +359,139 @@
 			id = c.ID
 		}
 		if c.ID != id || s.o.Peers[c.ID] == "" || c.ID == s.o.ID || len(c.DirectoryID)+len(c.ProcessID)+len(c.ClusterName) > 96 {
-			return // no copy that we know
+			return // not one of this replica's peers
 		}
-		w, err := s.hear(no, c)
-		if err != nil || frame.Send(conn, w, mostClaim) != nil {
+		response, err := s.handleClaim(connID, c)
+		if err != nil || frame.Send(conn, response, maxClaimBytes) != nil {
 			return
 		}
 	}
 }
 
-func (s *Store) hear(conn uint64, c admit.Claim) (admit.Response, error) {
-	v, m, r := s.view(c.ID)
-	_, leads := s.Office()
+// handleClaim verifies a claim and, on the leader, tracks how far a non-voter has caught up.
+func (s *Store) handleClaim(connID uint64, c rejoin.Claim) (rejoin.Response, error) {
+	v, m, r := s.clusterView(c.ID)
+	_, isLeader := s.Leadership()
 	s.mu.Lock()
-	w, keep := s.witness.HandleClaim(s.o.Steady.Now(), conn, c, v)
-	s.dirty = s.dirty || !keep
-	learns := leads && v.Members[c.ID] != (admit.Member{}) && !m.Voter && w.Verdict != admit.VerdictOtherAddress && w.Verdict != admit.VerdictOtherCluster
-	if learns && w.Verdict == admit.VerdictAccepted && c.RejoinReason == "" {
+	response, persist := s.verifier.HandleClaim(s.o.Steady.Now(), connID, c, v)
+	s.peersChanged = s.peersChanged || !persist
+	isLearner := isLeader && v.Members[c.ID] != (rejoin.Member{}) && !m.Voter && response.Verdict != rejoin.VerdictOtherAddress && response.Verdict != rejoin.VerdictOtherCluster
+	if isLearner && response.Verdict == rejoin.VerdictAccepted && c.RejoinReason == "" {
 		l := s.learners[c.ID]
 		if l == nil {
-			l = &admit.Learner{}
+			l = &rejoin.Learner{}
 			s.learners[c.ID] = l
 		}
 		if l.Report(c, v.LastIndex) {
-			s.promote[c.ID] = true
+			s.caughtUp[c.ID] = true
 		}
 	} else {
 		delete(s.learners, c.ID)
-		delete(s.promote, c.ID)
+		delete(s.caughtUp, c.ID)
 	}
 	s.mu.Unlock()
-	if keep {
-		if err := s.remember(); err != nil {
-			return w, err
+	if persist {
+		if err := s.savePeers(); err != nil {
+			return response, err
 		}
 	}
-	s.wake()
-	if learns && c.RejoinReason != "" {
-		// Only what is agreed on counts: an entry that comes after proves that the loss of its vote was.
-		if err := r.raft.Barrier(writeFor).Error(); err == nil {
-			w.JoinIndex = v.LastIndex
+	s.wakeDecisionLoop()
+	if isLearner && c.RejoinReason != "" {
+		// Only committed changes count: a later committed entry proves that the demotion is committed.
+		if err := r.raft.Barrier(writeTimeout).Error(); err == nil {
+			response.JoinIndex = v.LastIndex
 		}
 	}
-	return w, nil
+	return response, nil
 }
 
-// view is what this node knows of the set, and of one id in it.
-func (s *Store) view(id string) (v admit.View, m admit.Member, r *running) {
-	r = s.now.Load()
+// clusterView returns what this replica knows of the cluster, and of the member with the given id.
+func (s *Store) clusterView(id string) (v rejoin.View, m rejoin.Member, r *participation) {
+	r = s.active.Load()
 	if r == nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return admit.View{Bootstrapped: s.folder == nil || !s.seeker.Fresh || s.seeker.JoinIndex > 0, LastIndex: s.seeker.LastIndex, DirectoryID: s.seeker.DirectoryID, ClusterGeneration: s.seeker.ClusterGeneration, ClusterName: s.seeker.ClusterName}, m, nil
+		return rejoin.View{Bootstrapped: s.directory == nil || !s.joiner.Fresh || s.joiner.JoinIndex > 0, LastIndex: s.joiner.LastIndex, DirectoryID: s.joiner.DirectoryID, ClusterGeneration: s.joiner.ClusterGeneration, ClusterName: s.joiner.ClusterName}, m, nil
 	}
-	own := r.folder.Mark()
-	v.DirectoryID, v.ClusterGeneration, v.ClusterName = own.DirectoryID, own.ClusterGeneration, own.ClusterName
-	v.LastIndex = r.raft.LastIndex() // before the configuration: a vote that is given after this look has a later position
-	v.Bootstrapped, v.Members = v.LastIndex > 0, map[string]admit.Member{}
+	directory := r.directory.State()
+	v.DirectoryID, v.ClusterGeneration, v.ClusterName = directory.DirectoryID, directory.ClusterGeneration, directory.ClusterName
+	v.LastIndex = r.raft.LastIndex() // read before the configuration: any later promotion to voter has a higher index
+	v.Bootstrapped, v.Members = v.LastIndex > 0, map[string]rejoin.Member{}
 	for _, c := range r.raft.GetConfiguration().Configuration().Servers {
-		v.Members[string(c.ID)] = admit.Member{Addr: string(c.Address), Voter: c.Suffrage == raft.Voter}
+		v.Members[string(c.ID)] = rejoin.Member{Addr: string(c.Address), Voter: c.Suffrage == raft.Voter}
 	}
 	return v, v.Members[id], r
 }
 
-// keep writes what is remembered of others, where it has grown.
-func (s *Store) keep() {
+// savePeersIfChanged saves the known peers if they have changed.
+func (s *Store) savePeersIfChanged() {
 	s.mu.Lock()
-	dirty := s.dirty
+	dirty := s.peersChanged
 	s.mu.Unlock()
 	if dirty {
-		s.remember()
+		s.savePeers()
 	}
 }
 
-func (s *Store) remember() error {
-	s.keeping.Lock()
-	defer s.keeping.Unlock()
+// savePeers writes the known peers to the data directory.
+func (s *Store) savePeers() error {
+	s.savePeersMu.Lock()
+	defer s.savePeersMu.Unlock()
 	s.mu.Lock()
-	f, marks := s.folder, maps.Clone(s.witness.Directories)
-	s.dirty = false
+	directory, peers := s.directory, maps.Clone(s.verifier.Directories)
+	s.peersChanged = false
 	s.mu.Unlock()
-	if f == nil {
-		return nil // it has no vote, and nothing that it says counts without a folder that remembers
+	if directory == nil {
+		return nil // this replica is not a voter, and without a directory that records the peers its responses do not count
 	}
-	return f.Remember(marks)
+	return directory.RecordPeerDirectories(peers)
 }
 
-// Status tells how a copy is.
+// Status describes a replica.
 type Status struct {
-	ID      string               `json:"id"`
-	Addr    string               `json:"addr"`
-	Phase   string               `json:"phase"`
-	Why     string               `json:"why,omitempty"`
-	Leader  string               `json:"leader,omitempty"` // as far as this copy knows
-	Leads   bool                 `json:"leads"`
-	Votes   bool                 `json:"votes"`
-	Applied uint64               `json:"applied"`
-	Halted  bool                 `json:"halted,omitempty"` // copies differ without a majority: no effect is begun
-	Mark    admit.DirectoryState `json:"mark"`
-	Members []Member             `json:"members,omitempty"`
+	ID        string                `json:"id"`
+	Addr      string                `json:"addr"`
+	Phase     string                `json:"phase"`
+	Reason    string                `json:"why,omitempty"`
+	Leader    string                `json:"leader,omitempty"` // as this replica knows it
+	IsLeader  bool                  `json:"leads"`
+	Voter     bool                  `json:"votes"`
+	Applied   uint64                `json:"applied"`
+	Halted    bool                  `json:"halted,omitempty"` // replicas differ and no state has a majority, so no effect is begun
+	Directory rejoin.DirectoryState `json:"mark"`
+	Members   []Member              `json:"members,omitempty"`
 }
 
-// Member is what a copy knows of one of its set.
+// Member is what a replica knows of one member of its cluster.
 type Member struct {
-	ID     string `json:"id"`
-	Addr   string `json:"addr"`
-	Votes  bool   `json:"votes"`
-	Alive  bool   `json:"alive"`            // it made a claim of late
-	Last   uint64 `json:"last"`             // its last entry, as it said
-	Behind uint64 `json:"behind,omitempty"` // entries that it lacks of this copy's
+	ID    string `json:"id"`
+	Addr  string `json:"addr"`
+	Votes bool   `json:"votes"`
+	Alive bool   `json:"alive"`            // it sent a claim recently
+	Last  uint64 `json:"last"`             // index of its last entry, as it reported
+	Lag   uint64 `json:"behind,omitempty"` // entries of this replica that it lacks
 }
 
-// Status looks at the node.
+// Status returns the replica's current status.
 func (s *Store) Status() Status {
-	v, _, r := s.view(s.o.ID)
-	term, leads := s.Office()
-	st := Status{ID: s.o.ID, Addr: s.Addr(), Leader: s.Leader(), Leads: leads}
+	v, _, r := s.clusterView(s.o.ID)
+	term, isLeader := s.Leadership()
+	st := Status{ID: s.o.ID, Addr: s.Addr(), Leader: s.Leader(), IsLeader: isLeader}
 	if r != nil {
-		st.Votes, st.Applied = r.votes.Load(), r.raft.AppliedIndex()
+		st.Voter, st.Applied = r.voter.Load(), r.raft.AppliedIndex()
 	}
-	now := s.o.Steady.Now()
+	nowMS := s.o.Steady.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st.Phase, st.Why, st.Mark, st.Halted = s.phase, s.why, s.claim().DirectoryState, s.halted.Load()
-	st.Mark.Term = max(st.Mark.Term, term)
+	st.Phase, st.Reason, st.Directory, st.Halted = s.phase, s.phaseReason, s.currentClaim().DirectoryState, s.effectsHalted.Load()
+	st.Directory.Term = max(st.Directory.Term, term)
 	for _, id := range slices.Sorted(maps.Keys(v.Members)) {
 		m := Member{ID: id, Addr: v.Members[id].Addr, Votes: v.Members[id].Voter, Alive: id == s.o.ID, Last: v.LastIndex}
 		if id != s.o.ID {
-			var c admit.Claim
-			c, m.Alive = s.witness.LatestClaim(id, now)
+			var c rejoin.Claim
+			c, m.Alive = s.verifier.LatestClaim(id, nowMS)
 			m.Last = c.LastIndex
-			m.Behind = max(v.LastIndex, c.LastIndex) - c.LastIndex
+			m.Lag = max(v.LastIndex, c.LastIndex) - c.LastIndex
 		}
 		st.Members = append(st.Members, m)
 	}
@@ -493,24 +500,24 @@
 
 func (s *Store) serveStatus(conn net.Conn) {
 	defer conn.Close()
-	frame.Send(conn, s.Status(), mostStatus)
+	frame.Send(conn, s.Status(), maxStatusBytes)
 }
 
-// Ask asks the copy at an address how it is.
-func Ask(ctx context.Context, at string) (st Status, err error) {
-	d := net.Dialer{Timeout: writeFor}
-	conn, err := d.DialContext(ctx, "tcp", at)
+// QueryStatus requests the status of the replica at an address.
+func QueryStatus(ctx context.Context, address string) (st Status, err error) {
+	d := net.Dialer{Timeout: writeTimeout}
+	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return st, err
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if _, err = conn.Write([]byte{forStatus}); err == nil {
-		err = frame.NewReader(conn, wordFor, mostStatus).Next(&st)
+	if _, err = conn.Write([]byte{purposeStatus}); err == nil {
+		err = frame.NewReader(conn, responseTimeout, maxStatusBytes).Next(&st)
 	}
 	if err != nil {
-		return st, fmt.Errorf("store: %s does not tell how it is: %w", at, err)
+		return st, fmt.Errorf("store: status of %s: %w", address, err)
 	}
 	return st, nil
 }
--- a/internal/store/layer.go
+++ b/internal/store/layer.go
@@ -10,172 +10,173 @@
 	"github.com/hashicorp/raft"
 )
 
-// The first byte of a connection tells what it is for.
+// The first byte of a connection states its purpose.
 const (
-	forRaft   = 'R'
-	forWrites = 'W' // writes sent on to the leader
-	forClaims = 'A' // what a copy says of its folder, before it takes part and while it does
-	forBackup = 'B' // the whole state at one position, from the copy that leads
-	forStatus = 'I' // one answer that tells how the copy is
-
-	// ForSessions opens a session of an order server, which need not keep a copy.
-	ForSessions = 'S'
-	// ForWatches opens a relay's watch of the configuration.
-	ForWatches = 'C'
+	purposeRaft   = 'R'
+	purposeWrites = 'W' // writes forwarded to the leader
+	purposeClaims = 'A' // a replica's claims about its data directory, sent before and while it participates
+	purposeBackup = 'B' // the complete state at one log index, from the leader
+	purposeStatus = 'I' // one Status response
+
+	// PurposeSessions opens a session of an order server, which need not run a store replica.
+	PurposeSessions = 'S'
+	// PurposeWatches opens a relay's configuration watch.
+	PurposeWatches = 'C'
 )
 
-const helloFor = 2 * time.Second
+// purposeTimeout is the time in which a new connection has to state its purpose.
+const purposeTimeout = 2 * time.Second
 
-// layer carries raft's connections and all others over one listening socket, so that a node has one address.
-type layer struct {
+// multiplexer shares one listening socket between raft's connections and all others, so that a replica has a single address.
+type multiplexer struct {
 	net.Listener
-	serve map[byte]func(net.Conn) // by purpose; each closes its connection
-	via   map[string]string       // where this node reaches an address, if elsewhere
-	done  chan struct{}
-	once  sync.Once
-	lane  atomic.Pointer[lane] // raft's; nil: none runs
+	handlers         map[byte]func(net.Conn) // by purpose; each handler closes its connection
+	addressOverrides map[string]string       // by peer address: the address to dial in its place
+	done             chan struct{}
+	closeOnce        sync.Once
+	raftLayer        atomic.Pointer[raftLayer] // nil while raft is not running
 
 	mu       sync.Mutex
-	sessions func(net.Conn) // nil: none are served
-	watches  func(net.Conn) // nil: none are served
+	sessions func(net.Conn) // nil: sessions are not served
+	watches  func(net.Conn) // nil: watches are not served
 }
 
-func newLayer(ln net.Listener, serve map[byte]func(net.Conn), via map[string]string) *layer {
-	return &layer{Listener: ln, serve: serve, via: via, done: make(chan struct{})}
+func newMultiplexer(ln net.Listener, handlers map[byte]func(net.Conn), addressOverrides map[string]string) *multiplexer {
+	return &multiplexer{Listener: ln, handlers: handlers, addressOverrides: addressOverrides, done: make(chan struct{})}
 }
 
-// lane is what one raft after the other has of the socket.
-type lane struct {
-	*layer
-	name  string // of the set
-	conns chan net.Conn
-	over  chan struct{}
-	end   sync.Once
+// raftLayer is raft's stream layer over the shared socket. Each raft instance of the process gets a new one.
+type raftLayer struct {
+	*multiplexer
+	clusterName   string
+	conns         chan net.Conn
+	closed        chan struct{}
+	closeRaftOnce sync.Once
 }
 
-// open makes the lane of a raft that is about to run.
-func (l *layer) open(name string) *lane {
-	n := &lane{layer: l, name: name, conns: make(chan net.Conn), over: make(chan struct{})}
-	l.lane.Store(n)
-	return n
+// openRaftLayer creates the stream layer for a raft instance that is about to start.
+func (m *multiplexer) openRaftLayer(clusterName string) *raftLayer {
+	layer := &raftLayer{multiplexer: m, clusterName: clusterName, conns: make(chan net.Conn), closed: make(chan struct{})}
+	m.raftLayer.Store(layer)
+	return layer
 }
 
-// Accept hands raft its connections.
-func (n *lane) Accept() (net.Conn, error) {
+// Accept returns the next incoming raft connection.
+func (l *raftLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-n.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-n.over:
-	case <-n.done:
+	case <-l.closed:
+	case <-l.done:
 	}
 	return nil, net.ErrClosed
 }
 
-// Close ends the lane; the socket stays.
-func (n *lane) Close() error {
-	n.end.Do(func() { close(n.over) })
-	n.layer.lane.CompareAndSwap(n, nil)
+// Close stops accepting raft connections; the shared socket stays open.
+func (l *raftLayer) Close() error {
+	l.closeRaftOnce.Do(func() { close(l.closed) })
+	l.multiplexer.raftLayer.CompareAndSwap(l, nil)
 	return nil
 }
 
-// Dial opens one of raft's connections.
-func (n *lane) Dial(at raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	conn, err := n.dial(string(at), forRaft, timeout)
+// Dial opens a raft connection and sends the cluster name.
+func (l *raftLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	conn, err := l.dial(string(address), purposeRaft, timeout)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := conn.Write(append([]byte{byte(len(n.name))}, n.name...)); err != nil {
+	if _, err := conn.Write(append([]byte{byte(len(l.clusterName))}, l.clusterName...)); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	return conn, nil
 }
 
-// same reads the name of the set that a connection of raft's is of. Guards against entries of another set, whose nodes were given
-// the same addresses: raft itself would take them.
-func (n *lane) same(conn net.Conn) bool {
+// sameCluster reads the cluster name at the start of a raft connection and compares it. Raft itself
+// would accept entries from another cluster whose replicas were configured with the same addresses.
+func (l *raftLayer) sameCluster(conn net.Conn) bool {
 	b := make([]byte, 256)
 	if _, err := io.ReadFull(conn, b[:1]); err != nil {
 		return false
 	}
 	name := b[1 : 1+int(b[0])]
 	_, err := io.ReadFull(conn, name)
-	return err == nil && (n.name == "" || len(name) == 0 || string(name) == n.name)
+	return err == nil && (l.clusterName == "" || len(name) == 0 || string(name) == l.clusterName)
 }
 
-func (l *layer) session() func(net.Conn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.sessions
+func (m *multiplexer) sessionHandler() func(net.Conn) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.sessions
 }
 
-func (l *layer) watch() func(net.Conn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.watches
+func (m *multiplexer) watchHandler() func(net.Conn) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.watches
 }
 
-func (l *layer) run() {
+func (m *multiplexer) run() {
 	for {
-		conn, err := l.Listener.Accept()
+		conn, err := m.Listener.Accept()
 		if err != nil {
-			l.Close()
+			m.Close()
 			return
 		}
-		go l.sort(conn)
+		go m.dispatch(conn)
 	}
 }
 
-func (l *layer) sort(conn net.Conn) {
+func (m *multiplexer) dispatch(conn net.Conn) {
 	var b [1]byte
-	conn.SetReadDeadline(time.Now().Add(helloFor))
+	conn.SetReadDeadline(time.Now().Add(purposeTimeout))
 	if _, err := conn.Read(b[:]); err != nil {
 		conn.Close()
 		return
 	}
-	n := l.lane.Load()
-	if b[0] == forRaft && n != nil && !n.same(conn) {
-		n = nil
+	layer := m.raftLayer.Load()
+	if b[0] == purposeRaft && layer != nil && !layer.sameCluster(conn) {
+		layer = nil
 	}
 	conn.SetReadDeadline(time.Time{})
-	switch serve := l.serve[b[0]]; {
-	case b[0] == forRaft:
-		if n != nil {
+	switch handler := m.handlers[b[0]]; {
+	case b[0] == purposeRaft:
+		if layer != nil {
 			select {
-			case n.conns <- conn:
+			case layer.conns <- conn:
 				return
-			case <-n.over:
-			case <-l.done:
+			case <-layer.closed:
+			case <-m.done:
 			}
 		}
-	case b[0] == ForSessions:
-		if serve := l.session(); serve != nil {
-			serve(conn)
+	case b[0] == PurposeSessions:
+		if handler := m.sessionHandler(); handler != nil {
+			handler(conn)
 			return
 		}
-	case b[0] == ForWatches:
-		if serve := l.watch(); serve != nil {
-			serve(conn)
+	case b[0] == PurposeWatches:
+		if handler := m.watchHandler(); handler != nil {
+			handler(conn)
 			return
 		}
-	case serve != nil:
-		serve(conn)
+	case handler != nil:
+		handler(conn)
 		return
 	}
 	conn.Close()
 }
 
-// Close ends the listening.
-func (l *layer) Close() error {
-	l.once.Do(func() { close(l.done) })
-	return l.Listener.Close()
+// Close closes the listening socket.
+func (m *multiplexer) Close() error {
+	m.closeOnce.Do(func() { close(m.done) })
+	return m.Listener.Close()
 }
 
-func (l *layer) dial(at string, purpose byte, timeout time.Duration) (net.Conn, error) {
-	if via := l.via[at]; via != "" {
-		at = via
+func (m *multiplexer) dial(address string, purpose byte, timeout time.Duration) (net.Conn, error) {
+	if override := m.addressOverrides[address]; override != "" {
+		address = override
 	}
-	conn, err := net.DialTimeout("tcp", at, timeout)
+	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-func open(t *testing.T, id, listen, dir string) *Store {
+func openReplica(t *testing.T, id, listen, dir string) *Store {
 	t.Helper()
 	s, err := Open(Options{ID: id, Listen: listen, Dir: dir})
 	if err != nil {
@@ -22,21 +22,21 @@
 	return s
 }
 
-func ready(t *testing.T, nodes ...*Store) {
+func waitReady(t *testing.T, replicas ...*Store) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	for _, s := range nodes {
+	for _, s := range replicas {
 		if err := s.Ready(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// set writes on a node; while a leader is being chosen the write is refused, and is made again.
-func set(t *testing.T, s *Store, key, value string) {
+// setValue writes a key on a replica, and retries while there is no leader.
+func setValue(t *testing.T, s *Store, key, value string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		err := s.Set(key, []byte(value))
@@ -48,12 +48,12 @@
 		}
 		s.Ready(ctx)
 	}
-	t.Fatalf("%s was not written", key)
+	t.Fatalf("%s was not written in time", key)
 }
 
-func want(t *testing.T, s *Store, key, value string) {
+func waitValue(t *testing.T, s *Store, key, value string) {
 	t.Helper()
-	late := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		changed := s.Changed()
 		if v, ok := s.Get(key); ok && string(v) == value {
@@ -61,7 +61,7 @@
 		}
 		select {
 		case <-changed:
-		case <-late:
+		case <-timeout:
 			v, _ := s.Get(key)
 			t.Fatalf("%s is %q, want %q", key, v, value)
 		}
@@ -70,99 +70,99 @@
 
 func TestSnapshotAndRestart(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, "a", "127.0.0.1:0", dir)
-	at := s.Addr()
-	if err := s.Start(map[string]string{"a": at}); err != nil {
+	s := openReplica(t, "a", "127.0.0.1:0", dir)
+	address := s.Addr()
+	if err := s.Start(map[string]string{"a": address}); err != nil {
 		t.Fatal(err)
 	}
-	ready(t, s)
-	set(t, s, "config", "one")
+	waitReady(t, s)
+	setValue(t, s, "config", "one")
 	if fresh, err := s.Begin("e1"); !fresh || err != nil {
-		t.Fatalf("the first begin: %v %v", fresh, err)
+		t.Fatalf("first Begin of the effect: %v %v", fresh, err)
 	}
 	if err := s.Snapshot(); err != nil {
 		t.Fatal(err)
 	}
-	set(t, s, "inventory", "after the snapshot")
-	set(t, s, "drain/a", "x")
+	setValue(t, s, "inventory", "after the snapshot")
+	setValue(t, s, "drain/a", "x")
 	if err := s.Delete("drain/a"); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s = open(t, "a", at, dir)
+	s = openReplica(t, "a", address, dir)
 	defer s.Close()
-	ready(t, s)
-	want(t, s, "config", "one")
-	want(t, s, "inventory", "after the snapshot")
-	set(t, s, "config", "two")
+	waitReady(t, s)
+	waitValue(t, s, "config", "one")
+	waitValue(t, s, "inventory", "after the snapshot")
+	setValue(t, s, "config", "two")
 	if fresh, err := s.Begin("e1"); fresh || err != nil {
-		t.Errorf("an effect begun before the restart begins again: %v %v", fresh, err)
+		t.Errorf("effect begun before the restart is begun again: %v %v", fresh, err)
 	}
 	if _, ok := s.Get("drain/a"); ok {
-		t.Error("a deleted key is back")
+		t.Error("a deleted key is back after the restart")
 	}
 }
 
-func TestLossOfOneNodeAndOfTheQuorum(t *testing.T) {
+func TestWritesAfterReplicaAndQuorumLoss(t *testing.T) {
 	peers := map[string]string{}
-	var nodes []*Store
+	var replicas []*Store
 	for _, id := range []string{"a", "b", "c"} {
-		s := open(t, id, "127.0.0.1:0", t.TempDir())
+		s := openReplica(t, id, "127.0.0.1:0", t.TempDir())
 		peers[id] = s.Addr()
-		nodes = append(nodes, s)
+		replicas = append(replicas, s)
 	}
-	for _, s := range nodes {
+	for _, s := range replicas {
 		if err := s.Start(peers); err != nil {
 			t.Fatal(err)
 		}
 	}
-	ready(t, nodes...)
-	for i, s := range nodes { // two of these are followers, which send the write on
-		set(t, s, fmt.Sprint("k", i), "v")
+	waitReady(t, replicas...)
+	for i, s := range replicas { // two of these are followers, which forward the write
+		setValue(t, s, fmt.Sprint("k", i), "v")
 	}
-	for _, s := range nodes {
-		for i := range nodes {
-			want(t, s, fmt.Sprint("k", i), "v")
+	for _, s := range replicas {
+		for i := range replicas {
+			waitValue(t, s, fmt.Sprint("k", i), "v")
 		}
 	}
-	if err := nodes[0].Close(); err != nil {
+	if err := replicas[0].Close(); err != nil {
 		t.Fatal(err)
 	}
-	set(t, nodes[1], "after", "one lost")
-	want(t, nodes[2], "after", "one lost")
-	if err := nodes[1].Close(); err != nil {
+	setValue(t, replicas[1], "after", "one lost")
+	waitValue(t, replicas[2], "after", "one lost")
+	if err := replicas[1].Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := nodes[2].Set("after", []byte("two lost")); !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("a write without a quorum: %v, want %v", err, ErrNoQuorum)
+	if err := replicas[2].Set("after", []byte("two lost")); !errors.Is(err, ErrNoQuorum) {
+		t.Errorf("write without a quorum: %v, want %v", err, ErrNoQuorum)
 	}
-	if fresh, err := nodes[2].Begin("e"); fresh || !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("an effect without a quorum: %v %v", fresh, err)
+	if fresh, err := replicas[2].Begin("e"); fresh || !errors.Is(err, ErrNoQuorum) {
+		t.Errorf("effect without a quorum: %v %v", fresh, err)
 	}
-	nodes[2].Close()
+	replicas[2].Close()
 }
 
-func TestCloseWaitsForNoStuckRaft(t *testing.T) {
+func TestCloseDoesNotWaitForBlockedRaft(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
-	if err := within(1, func() error { <-never; return nil }); !errors.Is(err, ErrStuck) {
+	if err := waitFor(1, func() error { <-never; return nil }); !errors.Is(err, ErrShutdownTimeout) {
 		t.Errorf("%v", err)
 	}
-	if err := within(patience, func() error { return ErrNoQuorum }); !errors.Is(err, ErrNoQuorum) {
+	if err := waitFor(testTimeout, func() error { return ErrNoQuorum }); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("%v", err)
 	}
 }
 
-// BenchmarkBegins measures what a booking waits for: an effect recorded by three nodes on one machine's disk, by so many writers
-// at once.
+// BenchmarkBegins measures the latency of recording an effect, and its rate, with three replicas on one machine's disk and several
+// concurrent writers.
 func BenchmarkBegins(b *testing.B) {
 	for _, writers := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("writers=%d", writers), func(b *testing.B) {
-			lead := threeCopies(b)
+			leader := startThreeReplicas(b)
 			var mu sync.Mutex
-			var took []float64
+			var latenciesMS []float64
 			var next atomic.Int64
 			var all sync.WaitGroup
 			b.ResetTimer()
@@ -172,26 +172,26 @@
 					defer all.Done()
 					for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
 						begun := time.Now()
-						if fresh, err := lead.Begin(fmt.Sprint("e", n)); !fresh || err != nil {
+						if fresh, err := leader.Begin(fmt.Sprint("e", n)); !fresh || err != nil {
 							b.Error(fresh, err)
 							return
 						}
 						ms := float64(time.Since(begun)) / float64(time.Millisecond)
 						mu.Lock()
-						took = append(took, ms)
+						latenciesMS = append(latenciesMS, ms)
 						mu.Unlock()
 					}
 				}()
 			}
 			all.Wait()
 			b.StopTimer()
-			if len(took) == 0 {
+			if len(latenciesMS) == 0 {
 				return
 			}
-			slices.Sort(took)
-			b.ReportMetric(float64(len(took))/b.Elapsed().Seconds(), "writes/s")
-			b.ReportMetric(took[len(took)/2], "p50-ms")
-			b.ReportMetric(took[len(took)*99/100], "p99-ms")
+			slices.Sort(latenciesMS)
+			b.ReportMetric(float64(len(latenciesMS))/b.Elapsed().Seconds(), "writes/s")
+			b.ReportMetric(latenciesMS[len(latenciesMS)/2], "p50-ms")
+			b.ReportMetric(latenciesMS[len(latenciesMS)*99/100], "p99-ms")
 		})
 	}
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace writes down what a process believed and did, for a checker that reads the traces of all. It is off but
-// in the laboratory.
+// Package trace records what a process believed and did, for a checker that reads the traces of all processes. Only
+// processes that the fault-injection lab starts write a trace.
 package trace
 
 import (
@@ -14,98 +14,100 @@
 	"puffinsaddle/internal/clock"
 )
 
-// Event is one line. At and Until are the machine's one clock, in ms, whatever the process's own clock runs at.
+// Event is one line of a trace. At, Until and Began are in ms of the machine's monotonic clock, whatever the rate of the
+// process's own clock.
 type Event struct {
 	At     float64 `json:"at"`
-	Who    string  `json:"who"`
-	What   string  `json:"what"`
+	Who    string  `json:"who"`  // the process
+	What   string  `json:"what"` // the kind of event
 	Duty   string  `json:"duty,omitempty"`
 	Epoch  uint64  `json:"epoch,omitempty"`
 	Until  float64 `json:"until,omitempty"`
-	Amount int64   `json:"amount,omitempty"`
+	Amount int64   `json:"amount,omitempty"` // of a share, in thousandths of a concurrent call
 	Cause  string  `json:"cause,omitempty"`
 	Index  uint64  `json:"index,omitempty"`
 	Term   uint64  `json:"term,omitempty"`
-	Began  float64 `json:"began,omitempty"` // of an act: when it was sent
+	Began  float64 `json:"began,omitempty"` // of a fenced command: when it was sent
 	N      uint64  `json:"n,omitempty"`
 	Text   string  `json:"text,omitempty"`
 }
 
-// What happens.
+// Kinds of events, the values of Event.What.
 const (
-	Up      = "up"      // the process has started
-	Gained  = "gained"  // it holds a duty until Until
-	Held    = "held"    // renewed until Until
-	Ended   = "ended"   // it holds it no more
-	Sent    = "sent"    // an act is about to be sent; what comes of it has the same Began
-	Act     = "act"     // carried out
-	Refused = "refused" // for its epoch
-	Unknown = "unknown" // sent, and not confirmed
-	Share   = "share"   // Amount is in force until Until
-	Office  = "office"  // a copy begins to grant duties in Term
-	Copy    = "copy"    // a copy is in phase Text, for Cause
-	Applied = "applied" // a copy carried out entry Index
-	Begun   = "begun"   // an effect was recorded
-	Took    = "took"    // a published version was taken whole; Cause: turned down
-	Exec    = "exec"    // a stand-in ran something
+	ProcessStarted     = "up"      // the process started
+	LeaseGained        = "gained"  // the process holds a duty until Until
+	LeaseRenewed       = "held"    // the lease was renewed until Until
+	LeaseEnded         = "ended"   // the process no longer holds the duty
+	CommandSent        = "sent"    // a fenced command is about to be sent; the event of its outcome has the same Began
+	CommandExecuted    = "act"     // a fenced command was executed
+	CommandRefused     = "refused" // a fenced command was refused because of its epoch
+	CommandUnconfirmed = "unknown" // a fenced command was sent and its outcome is not known
+	ShareInForce       = "share"   // a share of Amount is in force until Until
+	TermStarted        = "office"  // a store replica starts to grant duties as leader of Term
+	ReplicaPhase       = "copy"    // a store replica entered phase Text because of Cause
+	EntryApplied       = "applied" // a store replica applied the log entry Index
+	EffectBegun        = "begun"   // an effect was recorded in the effect log
+	VersionTaken       = "took"    // a published version was accepted, or rejected for the reason in Cause
+	EffectExecuted     = "exec"    // a fake executor ran an effect
 
-	// Of records; N is a revision and Text the digest of all records there.
-	Agreed    = "agreed"    // a copy of the store has commit N
-	InForce   = "in-force"  // commits Index to N came into force
-	Installed = "installed" // all records were taken as of N, from a snapshot or the disk
-	Reported  = "reported"  // N was reported to be in force
+	// Events of the records: N is a revision and Text the digest of all records at that revision.
+	CommitAgreed     = "agreed"    // a store replica has commit N
+	CommitsInForce   = "in-force"  // the commits Index to N came into force
+	RecordsInstalled = "installed" // all records as of N were loaded from a snapshot or from disk
+	RevisionReported = "reported"  // revision N was reported to be in force
 )
 
-// Log writes events. A nil Log writes none.
+// Log appends events to a file. A nil Log writes nothing.
 type Log struct {
-	who   string
-	own   *clock.Clock // the process's steady clock, which may run apart
-	one   *clock.Clock // the machine's
-	mu    sync.Mutex
-	f     *os.File
-	write *bufio.Writer
+	process      string
+	processClock *clock.Clock // the process's steady clock, whose rate may differ
+	machineClock *clock.Clock // the machine's monotonic clock
+	mu           sync.Mutex
+	file         *os.File
+	out          *bufio.Writer
 }
 
-// Open appends to a file.
-func Open(path, who string, own *clock.Clock) (*Log, error) {
+// Open opens a trace file for appending.
+func Open(path, process string, processClock *clock.Clock) (*Log, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	return &Log{who: who, own: own, one: clock.Monotonic(), f: f, write: bufio.NewWriter(f)}, nil
+	return &Log{process: process, processClock: processClock, machineClock: clock.Monotonic(), file: f, out: bufio.NewWriter(f)}, nil
 }
 
-// Add writes an event, whole and at once: the process may be killed at any time. until is a time of the process's own
-// clock; 0: none.
+// Add writes an event and flushes it at once, since the process may be killed at any time. until is in ms of the process's
+// own clock; 0 means that the event has no end.
 func (l *Log) Add(e Event, until float64) {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.Who = l.who
-	// Own clock first: a stall between the two readings can only make the end look later than it is believed.
-	own := l.own.Now()
-	e.At = l.one.Now()
+	e.Who = l.process
+	// The process's clock is read first: a stall between the two readings can only make the end later than the process
+	// believes it to be.
+	processNow := l.processClock.Now()
+	e.At = l.machineClock.Now()
 	if until > 0 {
-		e.Until = e.At + (until-own)/l.own.Rate()
+		e.Until = e.At + (until-processNow)/l.processClock.Rate()
 	}
 	if b, err := json.Marshal(e); err == nil {
-		l.write.Write(append(b, '\n'))
-		l.write.Flush()
+		l.out.Write(append(b, '\n'))
+		l.out.Flush()
 	}
 }
 
-// Close ends the log.
+// Close closes the trace file.
 func (l *Log) Close() {
 	if l != nil {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.f.Close()
+		l.file.Close()
 	}
 }
 
-// Read reads a trace; a last line that was cut by a kill is left out.
+// Read reads a trace. A last line that a kill truncated is left out.
 func Read(path string) ([]Event, error) {
 	f, err := os.Open(path)
 	if err != nil {
